--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -169,7 +169,7 @@
             questions * leave_bytes,
             "B/s",
             "25 a second and version x 10 roll-outs",
-            "rollout/leave",
+            "rollout/allowance",
             ("footprint",),
             missed=questions * leave_bytes > budget,
         ),
@@ -178,7 +178,7 @@
             questions * inner_us / 2 * _US_PERCENT,
             "% of a core",
             "half an inner call each",
-            "rollout/leave",
+            "rollout/allowance",
             ("footprint",),
         ),
         row(
--- a/bench/models/rollouts.py
+++ b/bench/models/rollouts.py
@@ -15,8 +15,8 @@
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.dependencies import ratings as ratings_module
+from nutmeghook.internal.rollout import allowance
 from nutmeghook.internal.rollout import decisions
-from nutmeghook.internal.rollout import leave
 from nutmeghook.internal.rollout import pool
 
 _OLD = documents.VersionEntry(version="1")
@@ -103,28 +103,28 @@
             team="team", name="lookup", stages=(), roll_out=policy
         )
         self._pool = pool.Pool()
-        self._leave = leave.VersionLeave(rollout_id=1)
+        self._allowance = allowance.VersionAllowance(rollout_id=1)
 
-    def counts(self, key: pool.VersionKey) -> leave.VersionLeave:
+    def counts(self, key: pool.VersionKey) -> allowance.VersionAllowance:
         """Returns the leave counts, as the product's keeper does."""
-        return self._leave
+        return self._allowance
 
     def may_send(self, wanted: int) -> int:
         """Grants what is ready."""
-        granted = min(wanted, self._leave.ready)
-        self._leave.granted += granted
+        granted = min(wanted, self._allowance.available)
+        self._allowance.granted += granted
         return granted
 
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
         """Runs one step of the product's decisions."""
         snapshot = self._snapshot(percent)
-        after = pool.following(self._pool, snapshot)
+        after = pool.with_versions_of(self._pool, snapshot)
         after = pool.with_ratings(
             after, [_rating(bad) for bad in new_ratings], snapshot
         )
-        after = decisions.with_leave(after, snapshot, self)
+        after = decisions.with_allowance(after, snapshot, self)
         self._pool = after
-        self._leave.reserved = after.watch(_KEY).reserved_by_holder
+        self._allowance.reserved = after.watch(_KEY).reserved_by_holder
         steps = decisions.steps(after, snapshot)
         return steps[0].share_percent if steps else None
 
--- a/src/nutmeghook/internal/assembly/rollouts.py
+++ b/src/nutmeghook/internal/assembly/rollouts.py
@@ -12,10 +12,10 @@
 from nutmeghook.internal.leases import led_part
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
+from nutmeghook.internal.rollout import allowance as allowance_module
 from nutmeghook.internal.rollout import config_editor
 from nutmeghook.internal.rollout import controller as controller_module
 from nutmeghook.internal.rollout import gate as gate_module
-from nutmeghook.internal.rollout import leave as leave_module
 
 
 class RollOuts(led_part.LedPart):
@@ -54,8 +54,10 @@
             clock=clock,
             random_source=random_source,
         )
-        leave = leave_module.LeaveKeeper(lease=self._lease, members=members)
-        leave.register(handlers)
+        keeper = allowance_module.AllowanceKeeper(
+            lease=self._lease, members=members
+        )
+        keeper.register(handlers)
         self._controller = controller_module.RolloutController(
             view=config.replica,
             lease=self._lease,
@@ -64,7 +66,7 @@
             editor=config_editor.AccepterEditor(
                 accepter=config.accepter, lease=self._lease
             ),
-            leave=leave,
+            keeper=keeper,
             clock=clock,
             events=events,
         )
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -108,7 +108,7 @@
             clock=clock, on_return=self._distrust_list
         )
         self.configuration = in_force_module.ConfigurationInForce()
-        self.orders = orders_module.OrderBook()
+        self.orders = orders_module.OrderRegistry()
         self._pool = pool_module.ConnectionPool(loop=loop)
         self.directory = directory_module.ReplicaDirectory(
             clock=clock, on_gone=self._pool.forget
--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -26,7 +26,7 @@
 from nutmeghook.internal.replicas import load_gossip
 from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
-from nutmeghook.internal.version_plans import news
+from nutmeghook.internal.version_plans import gossip as rollout_gossip
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 
@@ -78,7 +78,7 @@
         directory: directory_module.ReplicaDirectory,
         cold_senders: cold_senders_module.ColdSenders,
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         suspects: book_module.SuspectBook,
         clock: clock_module.Clock,
         random_source: random.Random,
@@ -209,7 +209,7 @@
                 ),
                 **common,
             ),
-            news.RollOutNews(
+            rollout_gossip.RollOutGossip(
                 instance_id=self._instance_id,
                 rollouts=self._rollouts,
                 orders=self._orders,
--- a/src/nutmeghook/internal/relay/observations.py
+++ b/src/nutmeghook/internal/relay/observations.py
@@ -11,7 +11,7 @@
 from nutmeghook.internal.relay import prepared as prepared_module
 from nutmeghook.internal.replicas import choice as choice_module
 from nutmeghook.internal.routes import model
-from nutmeghook.internal.version_plans import usual as usual_module
+from nutmeghook.internal.version_plans import baseline as baseline_module
 from nutmeghook.internal.version_plans import view as view_module
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -83,7 +83,7 @@
             prepared.replica.health.note_failure(now)
         self._versions.note_answer(
             prepared.replica.entry,
-            usual_module.AnswerSeen(
+            baseline_module.ObservedAnswer(
                 route=prepared.route.name,
                 model=prepared.model,
                 failed=failed,
@@ -133,7 +133,7 @@
         """
         self._versions.note_pace(
             prepared.replica.entry,
-            measure=usual_module.Measure.BEGINNING,
+            measure=baseline_module.LatencyMeasure.FIRST_EVENT,
             kind=prepared.replica.entry.service,
             pace_s=took / max(expected, _MILLISECOND),
         )
@@ -155,7 +155,7 @@
         is_stream = prepared.route.kind is model.RouteKind.STREAM
         self._versions.note_pace(
             prepared.replica.entry,
-            measure=usual_module.Measure.GOING_ON,
+            measure=baseline_module.LatencyMeasure.EVENT_INTERVAL,
             kind=prepared.replica.entry.service
             if is_stream
             else prepared.route.name,
--- a/src/nutmeghook/internal/relay/replica_search.py
+++ b/src/nutmeghook/internal/relay/replica_search.py
@@ -56,7 +56,7 @@
             need = self._need(
                 job,
                 service,
-                accepts=self._versions.in_full_use(service),
+                accepts=self._versions.accepts_stable(service),
                 tried=tried,
             )
             chosen = self._chooser.choose(need)
@@ -70,11 +70,11 @@
         Its version may have been withdrawn since the request left it.
         """
         accepts = self._accepts(job, to.service)
-        in_full_use = self._versions.in_full_use(to.service)
+        accepts_stable = self._versions.accepts_stable(to.service)
 
         def is_allowed(entry: entries.ReplicaEntry) -> bool:
             return entry.replica_id == to.replica_id and (
-                accepts(entry) or in_full_use(entry)
+                accepts(entry) or accepts_stable(entry)
             )
 
         need = self._need(
--- a/src/nutmeghook/internal/rollout/config_editor.py
+++ b/src/nutmeghook/internal/rollout/config_editor.py
@@ -51,7 +51,7 @@
     """Makes a step part of the configuration."""
 
     @abc.abstractmethod
-    async def take(self, step: Step) -> StepOutcome:
+    async def apply(self, step: Step) -> StepOutcome:
         """Accepts a step, on condition that the lease is still held.
 
         Repeating a step whose outcome is `UNSETTLED` settles it.
@@ -76,7 +76,7 @@
         # A settled refusal is for ever; the next try needs another id.
         self._attempts: dict[pool_module.VersionKey, int] = {}
 
-    async def take(self, step: Step) -> StepOutcome:
+    async def apply(self, step: Step) -> StepOutcome:
         """Accepts a step, on condition that the lease is still held."""
         token = self._lease.fencing_token()
         if token is None:
--- a/src/nutmeghook/internal/rollout/controller.py
+++ b/src/nutmeghook/internal/rollout/controller.py
@@ -17,9 +17,9 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.leases import lease as lease_module
 from nutmeghook.internal.observe import events as events_module
+from nutmeghook.internal.rollout import allowance as allowance_module
 from nutmeghook.internal.rollout import config_editor
 from nutmeghook.internal.rollout import decisions
-from nutmeghook.internal.rollout import leave as leave_module
 from nutmeghook.internal.rollout import pool as pool_module
 
 TICK = datetime.timedelta(seconds=1)
@@ -37,15 +37,15 @@
         "_dirty",
         "_editor",
         "_events",
+        "_keeper",
         "_lease",
-        "_leave",
         "_pool",
         "_ratings",
         "_refused_at",
         "_row_version",
-        "_stalled",
         "_table",
         "_view",
+        "_waiting",
         "_written_at",
     )
 
@@ -57,7 +57,7 @@
         table: table_module.TableService,
         ratings: ratings_module.RatingService,
         editor: config_editor.ConfigEditor,
-        leave: leave_module.LeaveKeeper,
+        keeper: allowance_module.AllowanceKeeper,
         clock: clock_module.Clock,
         events: events_module.EventRing,
     ):
@@ -66,7 +66,7 @@
         self._table = table
         self._ratings = ratings
         self._editor = editor
-        self._leave = leave
+        self._keeper = keeper
         self._clock = clock
         self._events = events
         self._pool: pool_module.Pool | None = None
@@ -76,7 +76,7 @@
         self._refused_at: dict[pool_module.VersionKey, int] = {}
         self._row_version = table_module.ABSENT_VERSION
         self._written_at = clock.monotonic() - _WRITE_EVERY
-        self._stalled: set[pool_module.VersionKey] = set()
+        self._waiting: set[pool_module.VersionKey] = set()
 
     async def run(self) -> None:
         """Takes a step each tick until cancelled."""
@@ -101,7 +101,7 @@
             self._pool = None
 
     async def _step(self, token: int) -> None:
-        self._leave.begin(token)
+        self._keeper.begin(token)
         pool = self._pool
         if pool is None:
             pool = await self._read_pool()
@@ -112,23 +112,23 @@
             # acted on. It would take a running roll-out for a new one, with
             # no answers out, and give its leave a second time.
             return
-        after = pool_module.under_holder(pool, token)
+        after = pool_module.taken_over_by(pool, token)
         # In this order: ratings that came before a roll-out began anew are
         # not the new one's.
         after = pool_module.with_ratings(after, new_ratings, snapshot)
-        after = pool_module.following(after, snapshot)
-        after = pool_module.matured(after, self._clock.now())
-        after = decisions.with_leave(after, snapshot, self._leave)
+        after = pool_module.with_versions_of(after, snapshot)
+        after = pool_module.with_checkpoint(after, self._clock.now())
+        after = decisions.with_allowance(after, snapshot, self._keeper)
         self._dirty = self._dirty or after != pool
         if self._must_write(pool, after) and not await self._commit(after):
             self._pool = None
             return
         self._pool = after
-        self._leave.publish(after)
-        self._note_verdicts(pool, after)
-        self._note_stalls(after, snapshot)
+        self._keeper.publish(after)
+        self._record_verdicts(pool, after)
+        self._record_waiting(after, snapshot)
         for step in decisions.steps(after, snapshot):
-            await self._take(step, snapshot.revision)
+            await self._apply(step, snapshot.revision)
 
     def _must_write(
         self, before: pool_module.Pool, after: pool_module.Pool
@@ -141,7 +141,7 @@
         if not self._dirty:
             return False
         waited = self._clock.monotonic() - self._written_at
-        return waited >= _WRITE_EVERY or pool_module.binds_successor(
+        return waited >= _WRITE_EVERY or pool_module.must_be_durable(
             before, after
         )
 
@@ -190,7 +190,7 @@
             self._dirty = False
         return result.committed
 
-    async def _take(self, step: config_editor.Step, revision: int) -> None:
+    async def _apply(self, step: config_editor.Step, revision: int) -> None:
         """Carries a step out, if the lease is held at this very moment.
 
         A step that was refused (say, it would leave a stage without a
@@ -201,16 +201,16 @@
             return
         if self._refused_at.get(step.key) == revision:
             return
-        outcome = await self._editor.take(step)
+        outcome = await self._editor.apply(step)
         if outcome is config_editor.StepOutcome.ACCEPTED:
             self._refused_at.clear()
             self._record(_accepted_kind(step), step)
-            self._forget_if_withdrawn(step)
+            self._drop_if_withdrawn(step)
         elif outcome is config_editor.StepOutcome.REFUSED:
             self._refused_at[step.key] = revision
             self._record(events_module.EventKind.ROLLOUT_STEP_REFUSED, step)
 
-    def _forget_if_withdrawn(self, step: config_editor.Step) -> None:
+    def _drop_if_withdrawn(self, step: config_editor.Step) -> None:
         """Ends the watch of a version that is out.
 
         An operator may roll it out again at once; the old verdict must not
@@ -222,7 +222,7 @@
         self._pool = msgspec.structs.replace(self._pool, watches=watches)
         self._dirty = True
 
-    def _note_verdicts(
+    def _record_verdicts(
         self, before: pool_module.Pool, after: pool_module.Pool
     ) -> None:
         bad_before = before.bad_versions()
@@ -236,22 +236,22 @@
                     bad=str(watch.evidence.bad),
                 )
 
-    def _note_stalls(
+    def _record_waiting(
         self, pool: pool_module.Pool, snapshot: documents.Snapshot
     ) -> None:
         """Records once when a roll-out begins to wait for ratings."""
-        stalled = {
+        waiting = {
             watch.key
             for watch in pool.watches
             if decisions.waits_for_ratings(watch, snapshot)
         }
-        for key in stalled - self._stalled:
+        for key in waiting - self._waiting:
             self._events.record(
                 events_module.EventKind.ROLLOUT_WAITING,
                 str(key.model_version),
                 template=f"{key.team}/{key.template}",
             )
-        self._stalled = stalled
+        self._waiting = waiting
 
     def _record(
         self, kind: events_module.EventKind, step: config_editor.Step
--- a/src/nutmeghook/internal/rollout/decisions.py
+++ b/src/nutmeghook/internal/rollout/decisions.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from nutmeghook.internal.config import documents
+from nutmeghook.internal.rollout import allowance as allowance_module
 from nutmeghook.internal.rollout import config_editor
-from nutmeghook.internal.rollout import leave as leave_module
 from nutmeghook.internal.rollout import pool as pool_module
 
 _FULL_SHARE_PERCENT = 100.0
@@ -16,20 +16,22 @@
 # So many standard deviations more bad ratings at a share than tolerated hold
 # the version there. It costs a good version time at worst, so it may be far
 # less strict than the proof that stops one.
-_HELD_AT_DEVIATIONS = 1.0
+_HOLD_AT_DEVIATIONS = 1.0
 # Leave made ready ahead, as a part of the cap: what a holder's death may
 # leave counted as sent for a while.
-_READY_PART_OF_CAP = 0.25
+_PREPARED_PART_OF_CAP = 0.25
 
 
-def with_leave(
+def with_allowance(
     pool: pool_module.Pool,
     snapshot: documents.Snapshot,
-    keeper: leave_module.LeaveKeeper,
+    keeper: allowance_module.AllowanceKeeper,
 ) -> pool_module.Pool:
     """Returns the pool with as much leave reserved as the caps allow."""
     watches = tuple(
-        _with_leave(watch, _policy(watch, snapshot), keeper.counts(watch.key))
+        _with_allowance(
+            watch, _policy(watch, snapshot), keeper.counts(watch.key)
+        )
         for watch in pool.watches
     )
     return msgspec.structs.replace(pool, watches=watches)
@@ -62,10 +64,10 @@
     return template.roll_out if template else documents.RollOutPolicy()
 
 
-def _with_leave(
+def _with_allowance(
     watch: pool_module.Watch,
     policy: documents.RollOutPolicy,
-    counts: leave_module.VersionLeave | None,
+    counts: allowance_module.VersionAllowance | None,
 ) -> pool_module.Watch:
     if not watch.rolling_out or watch.verdict is pool_module.Verdict.BAD:
         return watch
@@ -73,8 +75,8 @@
     if counts is not None and counts.rollout_id == watch.rollout_id:
         granted = counts.granted
         watch = msgspec.structs.replace(watch, unused_by_holder=counts.unused)
-    ready = watch.reserved_by_holder - granted
-    wanted = max(1, int(policy.unrated_cap * _READY_PART_OF_CAP)) - ready
+    available = watch.reserved_by_holder - granted
+    wanted = max(1, int(policy.unrated_cap * _PREPARED_PART_OF_CAP)) - available
     room = policy.unrated_cap - watch.unrated_answers()
     more = max(0, min(wanted, room))
     return msgspec.structs.replace(
@@ -113,17 +115,17 @@
 ) -> bool:
     if watch.ratings_at_share < policy.ratings_per_step:
         return False
-    if watch.bad_at_share > _most_bad(watch.ratings_at_share, policy):
+    if watch.bad_at_share > _max_bad(watch.ratings_at_share, policy):
         return False
     rule = pool_module.rule_for(watch, policy)
     return rule.strength(watch.evidence) < _SUSPICION
 
 
-def _most_bad(ratings: int, policy: documents.RollOutPolicy) -> float:
+def _max_bad(ratings: int, policy: documents.RollOutPolicy) -> float:
     """Returns how many bad ratings a version may have and still grow."""
     share = policy.tolerated_bad_share
     deviation = math.sqrt(ratings * share * (1.0 - share))
-    return ratings * share + _HELD_AT_DEVIATIONS * deviation
+    return ratings * share + _HOLD_AT_DEVIATIONS * deviation
 
 
 def _next_share(share_percent: float, policy: documents.RollOutPolicy) -> float:
--- a/src/nutmeghook/internal/rollout/exposure.py
+++ b/src/nutmeghook/internal/rollout/exposure.py
@@ -37,7 +37,7 @@
         """
 
     @abc.abstractmethod
-    def give_back(
+    def release(
         self,
         *,
         template: documents.Template,
@@ -68,7 +68,7 @@
     ) -> None:
         """Counts nothing."""
 
-    def give_back(
+    def release(
         self,
         *,
         template: documents.Template,
--- a/src/nutmeghook/internal/rollout/gate.py
+++ b/src/nutmeghook/internal/rollout/gate.py
@@ -16,16 +16,16 @@
 from nutmeghook.internal.rollout import pool as pool_module
 
 LEASE_NAME = "rollouts"
-_ASK_TIMEOUT = datetime.timedelta(milliseconds=500)
+_REQUEST_TIMEOUT = datetime.timedelta(milliseconds=500)
 _PAUSE_WITHOUT_HOLDER = datetime.timedelta(seconds=1)
 # How long after the last request for a version leave is kept ready for it.
-_INTEREST_LASTS = datetime.timedelta(minutes=10)
-_LARGEST_ASK = 16
+_IDLE_TIMEOUT = datetime.timedelta(minutes=10)
+_MAX_REQUESTED = 16
 _NO_TIME = datetime.timedelta()
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Purse:
+class ExposureAllowance:
     """Leave of one version on this instance.
 
     Attributes:
@@ -39,8 +39,8 @@
     """
 
     key: pool_module.VersionKey
-    wanted_at: datetime.timedelta
-    left: int = 0
+    last_used_at: datetime.timedelta
+    available: int = 0
     debt: int = 0
     unused: int = 0
     demand: int = 0
@@ -57,7 +57,14 @@
     answer goes uncounted.
     """
 
-    __slots__ = ("_caller", "_clock", "_members", "_purses", "_random", "_work")
+    __slots__ = (
+        "_allowances",
+        "_caller",
+        "_clock",
+        "_members",
+        "_random",
+        "_tasks",
+    )
 
     def __init__(
         self,
@@ -71,8 +78,8 @@
         self._members = members
         self._clock = clock
         self._random = random_source
-        self._purses: dict[pool_module.VersionKey, Purse] = {}
-        self._work: set[asyncio.Task[None]] = set()
+        self._allowances: dict[pool_module.VersionKey, ExposureAllowance] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
 
     def try_take(
         self,
@@ -81,14 +88,14 @@
         model_version: engine.ModelVersion,
     ) -> bool:
         """Takes leave for one answer, if some is in hand."""
-        purse = self._purse(template, model_version)
-        self._lapse(purse)
-        purse.demand += 1
-        granted = purse.left > 0
+        allowance = self._allowance(template, model_version)
+        self._expire(allowance)
+        allowance.demand += 1
+        granted = allowance.available > 0
         if granted:
-            purse.left -= 1
-        if not purse.left:
-            purse.wake.set()
+            allowance.available -= 1
+        if not allowance.available:
+            allowance.wake.set()
         return granted
 
     def take_regardless(
@@ -98,135 +105,138 @@
         model_version: engine.ModelVersion,
     ) -> None:
         """Counts an answer that is sent whether there is leave or not."""
-        purse = self._purse(template, model_version)
-        self._lapse(purse)
-        purse.demand += 1
-        if purse.left > 0:
-            purse.left -= 1
+        allowance = self._allowance(template, model_version)
+        self._expire(allowance)
+        allowance.demand += 1
+        if allowance.available > 0:
+            allowance.available -= 1
         else:
-            purse.debt += 1
-            purse.wake.set()
+            allowance.debt += 1
+            allowance.wake.set()
 
-    def give_back(
+    def release(
         self,
         *,
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
         """Returns leave taken for an answer that will not be sent."""
-        purse = self._purse(template, model_version)
-        purse.demand = max(0, purse.demand - 1)
-        if purse.debt > 0:
-            purse.debt -= 1
-        elif self._clock.monotonic() < purse.valid_until:
-            purse.left += 1
+        allowance = self._allowance(template, model_version)
+        allowance.demand = max(0, allowance.demand - 1)
+        if allowance.debt > 0:
+            allowance.debt -= 1
+        elif self._clock.monotonic() < allowance.valid_until:
+            allowance.available += 1
         else:
-            purse.unused += 1
+            allowance.unused += 1
 
     async def close(self) -> None:
         """Stops fetching; leave in hand is lost, which errs to the safe."""
-        work = list(self._work)
+        work = list(self._tasks)
         for task in work:
             task.cancel()
         await asyncio.gather(*work, return_exceptions=True)
 
-    def _purse(
+    def _allowance(
         self,
         template: documents.Template,
         model_version: engine.ModelVersion,
-    ) -> Purse:
+    ) -> ExposureAllowance:
         key = pool_module.VersionKey(
             team=template.team,
             template=template.name,
             model_version=model_version,
         )
         now = self._clock.monotonic()
-        purse = self._purses.get(key)
-        if purse is None:
-            purse = Purse(key=key, wanted_at=now)
-            self._purses[key] = purse
-            self._start(purse)
-        purse.wanted_at = now
-        return purse
-
-    def _start(self, purse: Purse) -> None:
-        task = asyncio.get_running_loop().create_task(self._keep(purse))
-        self._work.add(task)
-        task.add_done_callback(self._work.discard)
-
-    def _lapse(self, purse: Purse) -> None:
-        if purse.left and self._clock.monotonic() >= purse.valid_until:
-            purse.unused += purse.left
-            purse.left = 0
-
-    async def _keep(self, purse: Purse) -> None:
+        allowance = self._allowances.get(key)
+        if allowance is None:
+            allowance = ExposureAllowance(key=key, last_used_at=now)
+            self._allowances[key] = allowance
+            self._start(allowance)
+        allowance.last_used_at = now
+        return allowance
+
+    def _start(self, allowance: ExposureAllowance) -> None:
+        task = asyncio.get_running_loop().create_task(self._maintain(allowance))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _expire(self, allowance: ExposureAllowance) -> None:
+        if (
+            allowance.available
+            and self._clock.monotonic() >= allowance.valid_until
+        ):
+            allowance.unused += allowance.available
+            allowance.available = 0
+
+    async def _maintain(self, allowance: ExposureAllowance) -> None:
         """Keeps leave at hand for as long as requests want the version."""
-        while self._is_wanted(purse):
-            purse.wake.clear()
-            self._lapse(purse)
-            if not purse.left:
-                pause = await self._fetch(purse)
+        while self._is_in_use(allowance):
+            allowance.wake.clear()
+            self._expire(allowance)
+            if not allowance.available:
+                pause = await self._fetch(allowance)
                 await self._clock.sleep(pause * self._random.uniform(0.5, 1.0))
-            if purse.left or not purse.demand:
-                await self._until_needed(purse)
-        self._purses.pop(purse.key, None)
+            if allowance.available or not allowance.demand:
+                await self._wait_until_needed(allowance)
+        self._allowances.pop(allowance.key, None)
 
-    def _is_wanted(self, purse: Purse) -> bool:
-        idle = self._clock.monotonic() - purse.wanted_at
-        return idle < _INTEREST_LASTS
+    def _is_in_use(self, allowance: ExposureAllowance) -> bool:
+        idle = self._clock.monotonic() - allowance.last_used_at
+        return idle < _IDLE_TIMEOUT
 
-    async def _until_needed(self, purse: Purse) -> None:
+    async def _wait_until_needed(self, allowance: ExposureAllowance) -> None:
         """Waits until leave is short, has lapsed, or nobody wants it."""
-        lasts = _INTEREST_LASTS
-        if purse.left:
-            lasts = purse.valid_until - self._clock.monotonic()
+        timeout = _IDLE_TIMEOUT
+        if allowance.available:
+            timeout = allowance.valid_until - self._clock.monotonic()
         try:
-            await self._clock.wait_for(purse.wake.wait(), lasts)
+            await self._clock.wait_for(allowance.wake.wait(), timeout)
         except TimeoutError:
             return
 
-    async def _fetch(self, purse: Purse) -> datetime.timedelta:
+    async def _fetch(self, allowance: ExposureAllowance) -> datetime.timedelta:
         """Asks for leave; returns how long to wait before the next ask."""
-        unused, purse.unused = purse.unused, 0
-        wanted = min(_LARGEST_ASK, max(1, purse.demand))
+        unused, allowance.unused = allowance.unused, 0
+        wanted = min(_MAX_REQUESTED, max(1, allowance.demand))
         # Counted from before the question, so that the leave never lasts
         # longer here than its granter believes.
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         take = ttypes.ExposureTake(
-            team=purse.key.team,
-            template_name=purse.key.template,
-            model_version=str(purse.key.model_version),
-            answers=wanted + purse.debt,
+            team=allowance.key.team,
+            template_name=allowance.key.template,
+            model_version=str(allowance.key.model_version),
+            answers=wanted + allowance.debt,
             unused=unused,
-            rollout_id=purse.rollout_id,
+            rollout_id=allowance.rollout_id,
         )
-        grant = await self._ask(take)
+        grant = await self._request_grant(take)
         if grant is None:
-            purse.unused += take.unused
+            allowance.unused += take.unused
             return _PAUSE_WITHOUT_HOLDER
         valid = datetime.timedelta(milliseconds=grant.valid_ms)
         if not grant.answers:
             return valid
-        self._receive(purse, grant, asked_at + valid)
+        self._receive(allowance, grant, requested_at + valid)
         return _NO_TIME
 
     def _receive(
         self,
-        purse: Purse,
+        allowance: ExposureAllowance,
         grant: ttypes.ExposureGrant,
         valid_until: datetime.timedelta,
     ) -> None:
-        if grant.rollout_id != purse.rollout_id:
+        if grant.rollout_id != allowance.rollout_id:
             # Leave and debt of an earlier roll-out mean nothing in this one.
-            purse.rollout_id = grant.rollout_id
-            purse.left = purse.debt = purse.unused = 0
-        purse.valid_until = valid_until
-        purse.demand = 0
-        paid = min(purse.debt, grant.answers)
-        purse.debt -= paid
-        purse.left += grant.answers - paid
-
-    async def _ask(
+            allowance.rollout_id = grant.rollout_id
+            allowance.available = allowance.debt = allowance.unused = 0
+        allowance.valid_until = valid_until
+        allowance.demand = 0
+        paid = min(allowance.debt, grant.answers)
+        allowance.debt -= paid
+        allowance.available += grant.answers - paid
+
+    async def _request_grant(
         self, take: ttypes.ExposureTake
     ) -> ttypes.ExposureGrant | None:
         """Asks the lease's likely holders in turn.
@@ -237,7 +247,7 @@
         for member in preference.candidates(LEASE_NAME, self._members):
             try:
                 return await self._caller.call(
-                    member.inner_address, take, timeout=_ASK_TIMEOUT
+                    member.inner_address, take, timeout=_REQUEST_TIMEOUT
                 )
             except peers.PeerUnreachableError:
                 take.unused = 0
--- a/src/nutmeghook/internal/rollout/pool.py
+++ b/src/nutmeghook/internal/rollout/pool.py
@@ -124,7 +124,7 @@
     return msgspec.json.decode(value, type=Pool)
 
 
-def under_holder(pool: Pool, token: int) -> Pool:
+def taken_over_by(pool: Pool, token: int) -> Pool:
     """Returns the pool as a holder takes it over.
 
     The new holder can't know what its predecessor granted, so all of it
@@ -144,11 +144,11 @@
     return msgspec.structs.replace(pool, holder_token=token, watches=watches)
 
 
-def following(pool: Pool, snapshot: documents.Snapshot) -> Pool:
+def with_versions_of(pool: Pool, snapshot: documents.Snapshot) -> Pool:
     """Returns the pool with exactly the versions in use watched."""
     known = {watch.key: watch for watch in pool.watches}
     watches = tuple(
-        _followed(known.get(key), key, entry, snapshot.revision)
+        _updated_watch(known.get(key), key, entry, snapshot.revision)
         for key, entry in _versions_in_use(snapshot)
     )
     return msgspec.structs.replace(
@@ -181,7 +181,7 @@
     )
 
 
-def matured(pool: Pool, now: datetime.datetime) -> Pool:
+def with_checkpoint(pool: Pool, now: datetime.datetime) -> Pool:
     """Returns the pool with a new checkpoint, if it is time for one."""
     before = pool.checkpoint_at
     if before is not None and before <= now < before + WRITTEN_OFF_AFTER:
@@ -197,15 +197,15 @@
     return msgspec.structs.replace(pool, checkpoint_at=now, watches=watches)
 
 
-def binds_successor(before: Pool, after: Pool) -> bool:
+def must_be_durable(before: Pool, after: Pool) -> bool:
     """Tells whether a change has to be known to the next holder.
 
     All but ratings has: those can be read again.
     """
-    return _binding(before) != _binding(after)
+    return _durable_state(before) != _durable_state(after)
 
 
-def _binding(pool: Pool) -> list[Watch]:
+def _durable_state(pool: Pool) -> list[Watch]:
     return [
         Watch(
             key=watch.key,
@@ -260,7 +260,7 @@
     return entry.state is documents.VersionState.ROLLING_OUT
 
 
-def _followed(
+def _updated_watch(
     watch: Watch | None,
     key: VersionKey,
     entry: documents.VersionEntry,
--- a/src/nutmeghook/internal/rollout/ready_gate.py
+++ b/src/nutmeghook/internal/rollout/ready_gate.py
@@ -49,14 +49,14 @@
             template=template, model_version=model_version
         )
 
-    def give_back(
+    def release(
         self,
         *,
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
         """Returns leave taken for an answer that will not be sent."""
-        self._gate.give_back(template=template, model_version=model_version)
+        self._gate.release(template=template, model_version=model_version)
 
 
 def _share_percent(
--- a/src/nutmeghook/internal/routing/version_choice.py
+++ b/src/nutmeghook/internal/routing/version_choice.py
@@ -90,7 +90,7 @@
     ) -> None:
         """Returns the leave of a choice of which no caller got any text."""
         if choice.rolling_out:
-            self._gate.give_back(
+            self._gate.release(
                 template=template, model_version=choice.model_version
             )
 
@@ -223,7 +223,7 @@
         if used is not None and used.model_version == taken.model_version:
             return
         if had_leave:
-            self._gate.give_back(
+            self._gate.release(
                 template=template, model_version=taken.model_version
             )
         if used is not None and used.rolling_out:
--- a/src/nutmeghook/internal/version_plans/tails.py
+++ b/src/nutmeghook/internal/version_plans/binomial_tail.py
@@ -3,7 +3,7 @@
 import math
 
 
-def at_least(bad: int, *, of: int, share: float) -> float:
+def probability_of_at_least(bad: int, *, of: int, share: float) -> float:
     """Returns the probability of so many bad answers or more.
 
     Args:
--- a/src/nutmeghook/internal/version_plans/driver.py
+++ b/src/nutmeghook/internal/version_plans/driver.py
@@ -41,7 +41,7 @@
         """Returns the write of the state."""
 
 
-class PlanRows(follower.TableReader):
+class PlanRowReader(follower.TableReader):
     """Takes in plans and the others' evidence."""
 
     __slots__ = ("_instance_id", "_orders", "_rollouts")
@@ -50,7 +50,7 @@
         self,
         *,
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         instance_id: str,
     ):
         self._rollouts = rollouts
@@ -69,14 +69,14 @@
             if row.deleted:
                 continue
             try:
-                self._take(row)
+                self._apply(row)
             except (msgspec.MsgspecError, ValueError) as error:
                 logs.note("roll_out:bad_row", key=row.key, error=str(error))
 
-    def _take(self, row: source.FollowedRow) -> None:
+    def _apply(self, row: source.FollowedRow) -> None:
         if row.key.startswith(PLAN_PREFIX):
             plan = msgspec.json.decode(row.value, type=plan_module.PlanRow)
-            self._rollouts.take_plan(plan)
+            self._rollouts.apply_plan(plan)
             logs.note(
                 "roll_out:plan",
                 service=plan.service,
@@ -102,6 +102,7 @@
 
     __slots__ = (
         "_clock",
+        "_final_reports_sent",
         "_fleet_rate_per_s",
         "_follower",
         "_instance_id",
@@ -113,7 +114,6 @@
         "_rollouts",
         "_status",
         "_table",
-        "_told_all",
         "_watch",
     )
 
@@ -124,7 +124,7 @@
         plans: follower.TableFollower,
         read_plans: Callable[[], Awaitable[None]],
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         status: StatusRows,
         fleet_rate_per_s: Callable[[str], float],
         watch: follower.StoreWatch,
@@ -146,7 +146,7 @@
         self._published_at = datetime.timedelta()
         self._published: dict[int, float] = {}
         # Orders of which all that was seen before the last stretch was told.
-        self._told_all: set[int] = set()
+        self._final_reports_sent: set[int] = set()
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -171,17 +171,17 @@
     async def step_all(self) -> None:
         """Moves every open order on by a step."""
         if self._watch.away:
-            self._note_out_of_touch()
+            self._note_store_unreachable()
             return
         for order in self._open_orders():
             try:
                 await self._step(order)
             except failures.PlatformError as error:
-                self._note_out_of_touch()
+                self._note_store_unreachable()
                 logs.note("roll_out:store_failed", error=str(error))
 
-    def _note_out_of_touch(self) -> None:
-        self._rollouts.progress.note_out_of_touch(
+    def _note_store_unreachable(self) -> None:
+        self._rollouts.progress.note_store_unreachable(
             order.order_id for order in self._orders.all()
         )
 
@@ -198,10 +198,10 @@
             await self._begin(order)
             return
         await self._publish(order, plan)
-        self._rollouts.progress.note_in_touch(plan)
+        self._rollouts.progress.note_store_reachable(plan)
         reason = self._rollouts.judge(order)
-        if reason is None and self._rollouts.progress.is_trial_over(plan):
-            reason = self._rollouts.suspect(order)
+        if reason is None and self._rollouts.progress.is_canary_over(plan):
+            reason = self._rollouts.suspicion(order)
         if reason is not None:
             await self._conclude(order, plan_module.Verdict.BAD, reason)
         elif self._rollouts.progress.may_complete(plan) and not (
@@ -224,7 +224,7 @@
         if row is not None:
             known = msgspec.json.decode(row.value, type=plan_module.PlanRow)
             if known.order_id >= order.order_id:
-                self._rollouts.take_plan(known)
+                self._rollouts.apply_plan(known)
                 return
         plan = plan_module.PlanRow(
             order_id=order.order_id,
@@ -232,7 +232,7 @@
             version=order.version,
             started_ms=store_time / datetime.timedelta(milliseconds=1),
             within_s=order.within_s,
-            trial_share=self._rollouts.progress.schedule.trial_share(
+            trial_share=self._rollouts.progress.schedule.canary_share(
                 order.within_s, self._fleet_rate_per_s(order.service)
             ),
         )
@@ -257,7 +257,7 @@
         if plan.order_id != order.order_id:
             return
         if not plan.is_open:
-            self._rollouts.take_plan(plan)
+            self._rollouts.apply_plan(plan)
             return
         plan = msgspec.structs.replace(plan, verdict=verdict, reason=reason)
         await self._write_plan(order, plan, row.version)
@@ -285,7 +285,7 @@
         )
         if not result.committed:
             return
-        self._rollouts.take_plan(plan)
+        self._rollouts.apply_plan(plan)
         logs.note(
             "roll_out:decided",
             service=plan.service,
@@ -303,7 +303,7 @@
         weight = own.weight
         if weight < self._published.get(
             order.order_id, 0.0
-        ) + 1.0 and not self._owes_all(order, plan):
+        ) + 1.0 and not self._owes_final_report(order, plan):
             return
         now = self._clock.monotonic()
         if now - self._published_at < _PUBLISH_EVERY:
@@ -319,9 +319,9 @@
         )
         self._published[order.order_id] = weight
         if self._rollouts.progress.is_final_report_due(plan):
-            self._told_all.add(order.order_id)
+            self._final_reports_sent.add(order.order_id)
 
-    def _owes_all(
+    def _owes_final_report(
         self,
         order: orders_module.RollOutOrder,
         plan: plan_module.PlanRow,
@@ -334,8 +334,8 @@
         own = self._rollouts.evidence_of(order).own
         return (
             self._rollouts.progress.is_final_report_due(plan)
-            and order.order_id not in self._told_all
-            and bool(own.paced or own.routes)
+            and order.order_id not in self._final_reports_sent
+            and bool(own.pace_count or own.routes)
         )
 
 
--- a/src/nutmeghook/internal/version_plans/evidence.py
+++ b/src/nutmeghook/internal/version_plans/evidence.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from nutmeghook.internal.rollout import evidence as proof
-from nutmeghook.internal.version_plans import tails
-from nutmeghook.internal.version_plans import usual as usual_module
+from nutmeghook.internal.rollout import evidence as rating_evidence
+from nutmeghook.internal.version_plans import baseline as baseline_module
+from nutmeghook.internal.version_plans import binomial_tail
 
 # A good version is reverted this rarely, for each route that it serves.
 FALSE_STOP_SHARE = 0.004
@@ -17,9 +17,9 @@
 # in 1,000 slow and 3.5 none of 300; a version that begins six times later in
 # 6 of 10 requests is found after 8 answers instead of 6 (medians, simulated).
 _SLOW_DEVIATIONS = 3.5
-_LEAST_PACED = 4
+_MIN_PACES = 4
 # So many standard deviations of slowness are worth telling like a bad answer.
-_PACE_WORTH_TELLING = 2.0
+_DEVIATIONS_PER_BAD_ANSWER = 2.0
 # Of one instance's few runs in the course of an order.
 _RUN_ID_BYTES = 4
 # As little as this is a suspicion: one good version in 160, by chance alone.
@@ -57,7 +57,7 @@
 
     order_id: int
     routes: dict[str, RouteCount] = {}
-    paces: dict[usual_module.Measure, PaceCount] = {}
+    paces: dict[baseline_module.LatencyMeasure, PaceCount] = {}
     run_id: str = ""
 
     @property
@@ -65,10 +65,10 @@
         """How much of it speaks against the version, in bad answers."""
         bad = sum(count.bad for count in self.routes.values())
         slow = sum(max(0.0, p.deviations) for p in self.paces.values())
-        return bad + slow / _PACE_WORTH_TELLING
+        return bad + slow / _DEVIATIONS_PER_BAD_ANSWER
 
     @property
-    def paced(self) -> int:
+    def pace_count(self) -> int:
         """How many paces were compared."""
         return sum(pace.answers for pace in self.paces.values())
 
@@ -76,11 +76,11 @@
     def size(self) -> int:
         """How much there is to tell of it; it only grows."""
         answers = sum(count.good + count.bad for count in self.routes.values())
-        return answers + self.paced
+        return answers + self.pace_count
 
-    def has_all_of(self, other: "EvidenceRow") -> bool:
+    def covers(self, other: "EvidenceRow") -> bool:
         """Tells whether it counts no less than an earlier row."""
-        return self.paced >= other.paced and all(
+        return self.pace_count >= other.pace_count and all(
             route in self.routes
             and self.routes[route].good >= count.good
             and self.routes[route].bad >= count.bad
@@ -97,7 +97,7 @@
     anew when what is usual has changed.
     """
 
-    __slots__ = ("_answers", "_own", "_replicas", "_seen", "order_id")
+    __slots__ = ("_answers", "_own", "_peer_rows", "_replicas", "order_id")
 
     def __init__(self, *, order_id: int):
         self.order_id = order_id
@@ -108,7 +108,7 @@
         self._answers: dict[str, list[bool]] = {}
         self._replicas: dict[str, set[str]] = {}
         # By instance and run.
-        self._seen: dict[tuple[str, str], EvidenceRow] = {}
+        self._peer_rows: dict[tuple[str, str], EvidenceRow] = {}
 
     @property
     def own(self) -> EvidenceRow:
@@ -118,19 +118,19 @@
     @property
     def answers(self) -> int:
         """How many answers and paces are known."""
-        rows = [self._own, *self._seen.values()]
-        paced = sum(row.paced for row in rows)
-        return self.answers_seen + paced
+        rows = [self._own, *self._peer_rows.values()]
+        pace_count = sum(row.pace_count for row in rows)
+        return self.answers_seen + pace_count
 
     @property
     def answers_seen(self) -> int:
         """How many answers of the version are known, of all instances."""
-        return len(self._answers.get(usual_module.ALL_ROUTES, ()))
+        return len(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
     @property
     def bad_seen(self) -> int:
         """How many of them were bad."""
-        return sum(self._answers.get(usual_module.ALL_ROUTES, ()))
+        return sum(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
     def note(self, route: str, replica_id: str, *, bad: bool) -> None:
         """Takes in an answer of the new version seen here."""
@@ -140,11 +140,11 @@
             count.bad_replicas.add(replica_id)
         else:
             count.good += 1
-        culprits = {replica_id} if bad else set()
-        self._add(route, [bad], culprits)
+        failing = {replica_id} if bad else set()
+        self._add(route, [bad], failing)
 
     def note_pace(
-        self, measure: usual_module.Measure, deviation: float
+        self, measure: baseline_module.LatencyMeasure, deviation: float
     ) -> None:
         """Takes in how much slower than usual an answer was."""
         count = self._own.paces.setdefault(measure, PaceCount())
@@ -156,11 +156,11 @@
         if row.order_id != self.order_id:
             return
         key = (instance_id, row.run_id)
-        before = self._seen.get(key)
-        if before is not None and not row.has_all_of(before):
+        before = self._peer_rows.get(key)
+        if before is not None and not row.covers(before):
             # An older row that was overtaken on its way.
             return
-        self._seen[key] = row
+        self._peer_rows[key] = row
         for route, count in row.routes.items():
             old = before.routes.get(route) if before else None
             old = old or RouteCount()
@@ -172,7 +172,7 @@
     def proven_bad(
         self,
         replicas: int,
-        usual: usual_module.UsualAnswers,
+        baseline: baseline_module.BaselineAnswers,
         *,
         false_stop_share: float = FALSE_STOP_SHARE,
     ) -> str | None:
@@ -180,7 +180,7 @@
 
         Args:
             replicas: How many of the version's replicas are known.
-            usual: What the version in full use does.
+            baseline: What the stable version does.
             false_stop_share: How rarely a good version is called bad.
         """
         slowness = self._slowness(
@@ -191,26 +191,26 @@
         if slowness is not None:
             return slowness
         for route, answers in self._answers.items():
-            culprits = len(self._replicas[route])
+            failing = len(self._replicas[route])
             # One failing replica is a fault of its own.
-            if culprits < min(2, replicas):
+            if failing < min(2, replicas):
                 continue
-            rule = proof.RollOutRule(
-                tolerated_bad_share=usual.tolerated_share(route),
+            rule = rating_evidence.RollOutRule(
+                tolerated_bad_share=baseline.tolerated_share(route),
                 false_stop_share=false_stop_share,
             )
-            folded = proof.Evidence()
+            folded = rating_evidence.Evidence()
             for bad in answers:
                 folded = rule.with_rating(folded, bad=bad)
             if rule.proves_bad(folded):
                 return (
                     f"{folded.bad} of {folded.ratings} answers on {route}"
-                    f" were bad, of {culprits} replicas"
+                    f" were bad, of {failing} replicas"
                 )
         return None
 
-    def suspect(
-        self, replicas: int, usual: usual_module.UsualAnswers
+    def suspicion(
+        self, replicas: int, baseline: baseline_module.BaselineAnswers
     ) -> str | None:
         """Returns what speaks against the version at the end of its trial.
 
@@ -219,16 +219,16 @@
         fail at.
         """
         found = self.proven_bad(
-            replicas, usual, false_stop_share=SUSPICION_SHARE
+            replicas, baseline, false_stop_share=SUSPICION_SHARE
         )
         if found is not None:
             return found
-        if not self.has_more_bad(replicas, usual):
+        if not self.exceeds_tolerance(replicas, baseline):
             return None
-        chance = tails.at_least(
+        chance = binomial_tail.probability_of_at_least(
             self.bad_seen,
             of=self.answers_seen,
-            share=usual.tolerated_share(usual_module.ALL_ROUTES),
+            share=baseline.tolerated_share(baseline_module.ALL_ROUTES),
         )
         if chance > SUSPICION_SHARE:
             return None
@@ -237,49 +237,49 @@
             " end of the trial"
         )
 
-    def has_more_bad(
-        self, replicas: int, usual: usual_module.UsualAnswers
+    def exceeds_tolerance(
+        self, replicas: int, baseline: baseline_module.BaselineAnswers
     ) -> bool:
         """Tells whether more is bad than a good version may have.
 
         One failing replica is a fault of its own, however often it fails.
         """
-        culprits = len(self._replicas.get(usual_module.ALL_ROUTES, ()))
-        if culprits < min(2, replicas):
+        failing = len(self._replicas.get(baseline_module.ALL_ROUTES, ()))
+        if failing < min(2, replicas):
             return False
-        tolerated = usual.tolerated_share(usual_module.ALL_ROUTES)
+        tolerated = baseline.tolerated_share(baseline_module.ALL_ROUTES)
         return self.bad_seen > tolerated * self.answers_seen
 
     def _slowness(self, deviations: float) -> str | None:
-        for measure in usual_module.Measure:
+        for measure in baseline_module.LatencyMeasure:
             found = self._slowness_by(measure, deviations)
             if found is not None:
                 return found
         return None
 
     def _slowness_by(
-        self, measure: usual_module.Measure, deviations: float
+        self, measure: baseline_module.LatencyMeasure, deviations: float
     ) -> str | None:
         """Returns how slow answers were if chance hardly explains it.
 
         What is usual is a mean of some answers itself, so that more answers
         of the new version do not make any difference from it a proof.
         """
-        rows = [self._own, *self._seen.values()]
+        rows = [self._own, *self._peer_rows.values()]
         counts = [row.paces[measure] for row in rows if measure in row.paces]
         answers = sum(count.answers for count in counts)
         total = sum(count.deviations for count in counts)
-        if answers < _LEAST_PACED:
+        if answers < _MIN_PACES:
             return None
-        of_usual = answers / usual_module.MEAN_PACE_ANSWERS
-        if total < deviations * (answers * (1.0 + of_usual)) ** 0.5:
+        baseline_ratio = answers / baseline_module.MEAN_PACE_ANSWERS
+        if total < deviations * (answers * (1.0 + baseline_ratio)) ** 0.5:
             return None
         return (
             f"{answers} answers were slower than usual in {measure.value}, by"
             f" {total / answers:.1f} standard deviations"
         )
 
-    def _add(self, route: str, answers: list[bool], culprits: set[str]) -> None:
-        for name in (route, usual_module.ALL_ROUTES):
+    def _add(self, route: str, answers: list[bool], failing: set[str]) -> None:
+        for name in (route, baseline_module.ALL_ROUTES):
             self._answers.setdefault(name, []).extend(answers)
-            self._replicas.setdefault(name, set()).update(culprits)
+            self._replicas.setdefault(name, set()).update(failing)
--- a/src/nutmeghook/internal/version_plans/news.py
+++ b/src/nutmeghook/internal/version_plans/gossip.py
@@ -23,18 +23,18 @@
 
 # Sessions may move 1.5 s after a roll-out's start; a word of one that may not
 # is sent twice before, in case a datagram is lost.
-TELL_EVERY = datetime.timedelta(milliseconds=250)
-TIMES_TOLD = 2
+GOSSIP_PERIOD = datetime.timedelta(milliseconds=250)
+SENDS_PER_SESSION = 2
 # A digest takes up to 10 bytes, and a datagram should fit into one packet.
-MOST_SESSIONS = 100
+MAX_SESSIONS_PER_DATAGRAM = 100
 # Bad answers are also written to the store, so of a large fleet a part is
 # told; sessions are told to all.
-PEERS_TOLD_EVIDENCE = 24
+EVIDENCE_FANOUT = 24
 # In bad answers. A slow one is about as much, and a datagram costs little.
-_WORTH_TELLING = 0.5
+_MIN_WEIGHT_GAIN = 0.5
 
 
-class _Told:
+class _SentState:
     """What peers were told of one order.
 
     Attributes:
@@ -47,12 +47,12 @@
 
     def __init__(self, *, order_id: int):
         self.order_id = order_id
-        self.positions = [0] * TIMES_TOLD
+        self.positions = [0] * SENDS_PER_SESSION
         self.weight = 0.0
         self.size = 0
 
 
-class RollOutNews(telling.PeriodicTeller):
+class RollOutGossip(telling.PeriodicTeller):
     """Sends and takes in news of open orders."""
 
     __slots__ = (
@@ -61,7 +61,7 @@
         "_messages",
         "_orders",
         "_rollouts",
-        "_told",
+        "_sent",
     )
 
     def __init__(
@@ -69,21 +69,21 @@
         *,
         instance_id: str,
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         messages: sealed_messages.SealedMessages,
         addresses: Callable[[], list[str]],
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
         super().__init__(
-            period=TELL_EVERY, clock=clock, random_source=random_source
+            period=GOSSIP_PERIOD, clock=clock, random_source=random_source
         )
         self._instance_id = instance_id
         self._rollouts = rollouts
         self._orders = orders
         self._messages = messages
         self._addresses = addresses
-        self._told: dict[str, _Told] = {}
+        self._sent: dict[str, _SentState] = {}
         messages.register(ttypes.RollOutNews, self._receive)
 
     def tell(self) -> None:
@@ -91,37 +91,37 @@
         for order in self._orders.all():
             plan = self._rollouts.plan_of(order)
             if plan is not None and plan.is_open:
-                self._tell_of(order, plan)
+                self._send_order_updates(order, plan)
 
-    def _tell_of(
+    def _send_order_updates(
         self, order: orders_module.RollOutOrder, plan: plan_module.PlanRow
     ) -> None:
-        told = self._told.get(order.service)
-        if told is None or told.order_id != order.order_id:
-            told = _Told(order_id=order.order_id)
-            self._told[order.service] = told
-        self._tell_sessions(order, told)
+        sent = self._sent.get(order.service)
+        if sent is None or sent.order_id != order.order_id:
+            sent = _SentState(order_id=order.order_id)
+            self._sent[order.service] = sent
+        self._send_sessions(order, sent)
         own = self._rollouts.evidence_of(order).own
-        if self._is_news(own, told, plan):
-            self._tell_evidence(order, own, told)
+        if self._is_evidence_due(own, sent, plan):
+            self._send_evidence(order, own, sent)
 
-    def _tell_sessions(
-        self, order: orders_module.RollOutOrder, told: _Told
+    def _send_sessions(
+        self, order: orders_module.RollOutOrder, sent: _SentState
     ) -> None:
-        held = self._rollouts.held_sessions(order)
-        first = told.positions.pop(0)
-        sessions = held.own_since(first)
-        told.positions.append(first + len(sessions))
-        for start in range(0, len(sessions), MOST_SESSIONS):
-            part = sessions[start : start + MOST_SESSIONS]
+        pinned = self._rollouts.pinned_sessions(order)
+        first = sent.positions.pop(0)
+        sessions = pinned.own_since(first)
+        sent.positions.append(first + len(sessions))
+        for start in range(0, len(sessions), MAX_SESSIONS_PER_DATAGRAM):
+            batch = sessions[start : start + MAX_SESSIONS_PER_DATAGRAM]
             self._messages.send(
-                self._addresses(), self._news(order, sessions=part)
+                self._addresses(), self._message(order, sessions=batch)
             )
 
-    def _is_news(
+    def _is_evidence_due(
         self,
         own: evidence_module.EvidenceRow,
-        told: _Told,
+        sent: _SentState,
         plan: plan_module.PlanRow,
     ) -> bool:
         """Tells whether peers are to hear now what was seen here.
@@ -130,26 +130,26 @@
         instance without the store can't write its final report, and those
         that decide would count none of what it saw.
         """
-        if own.weight >= told.weight + _WORTH_TELLING:
+        if own.weight >= sent.weight + _MIN_WEIGHT_GAIN:
             return True
         is_due = self._rollouts.progress.is_final_report_due(plan)
-        return is_due and own.size > told.size
+        return is_due and own.size > sent.size
 
-    def _tell_evidence(
+    def _send_evidence(
         self,
         order: orders_module.RollOutOrder,
         own: evidence_module.EvidenceRow,
-        told: _Told,
+        sent: _SentState,
     ) -> None:
-        told.weight = own.weight
-        told.size = own.size
+        sent.weight = own.weight
+        sent.size = own.size
         known = self._addresses()
-        peers = self._random.sample(known, min(PEERS_TOLD_EVIDENCE, len(known)))
+        peers = self._random.sample(known, min(EVIDENCE_FANOUT, len(known)))
         self._messages.send(
-            peers, self._news(order, evidence=msgspec.json.encode(own))
+            peers, self._message(order, evidence=msgspec.json.encode(own))
         )
 
-    def _news(
+    def _message(
         self,
         order: orders_module.RollOutOrder,
         *,
@@ -173,7 +173,7 @@
         order = self._orders.of_service(message.service_name)
         if order is None or order.order_id != message.order_id:
             return
-        self._rollouts.held_sessions(order).hear(message.held_sessions)
+        self._rollouts.pinned_sessions(order).receive(message.held_sessions)
         if message.evidence is None:
             return
         try:
--- a/src/nutmeghook/internal/version_plans/orders.py
+++ b/src/nutmeghook/internal/version_plans/orders.py
@@ -29,7 +29,7 @@
     order_id: int
 
 
-class OrderBook:
+class OrderRegistry:
     """The newest order for each service, as far as it was heard of."""
 
     __slots__ = ("_by_service",)
--- a/src/nutmeghook/internal/version_plans/held_sessions.py
+++ b/src/nutmeghook/internal/version_plans/pinned_sessions.py
@@ -21,12 +21,12 @@
     return digest >> (64 - _DIGEST_BITS)
 
 
-def point_of(digest: int) -> float:
+def fraction_of(digest: int) -> float:
     """Places a digest between 0 and 1."""
     return digest / 2.0**_DIGEST_BITS
 
 
-class HeldSessions:
+class PinnedSessions:
     """Digests of the sessions that one order leaves where they are."""
 
     __slots__ = ("_known", "_own", "order_id")
@@ -36,17 +36,17 @@
         self._known: set[int] = set()
         self._own: list[int] = []
 
-    def hold(self, digest: int) -> None:
+    def pin(self, digest: int) -> None:
         """Takes in a session that this instance saw under way."""
         if digest not in self._known:
             self._known.add(digest)
             self._own.append(digest)
 
-    def hear(self, digests: Iterable[int]) -> None:
+    def receive(self, digests: Iterable[int]) -> None:
         """Takes in sessions that a peer saw under way."""
         self._known.update(digests)
 
-    def holds(self, digest: int) -> bool:
+    def is_pinned(self, digest: int) -> bool:
         """Tells whether a session was under way."""
         return digest in self._known
 
--- a/src/nutmeghook/internal/version_plans/plan.py
+++ b/src/nutmeghook/internal/version_plans/plan.py
@@ -36,7 +36,7 @@
     verdict: Verdict = Verdict.OPEN
     reason: str = ""
 
-    def part_at(self, store_time: datetime.timedelta) -> float:
+    def elapsed_fraction_at(self, store_time: datetime.timedelta) -> float:
         """Returns which part of the order's time has passed."""
         started = datetime.timedelta(milliseconds=self.started_ms)
         passed_s = (store_time - started).total_seconds()
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -11,13 +11,13 @@
 
 # A version that begins its answers six times later in 6 of 10 requests is found
 # after 8 answers at the median and 18 in nine of ten (simulated).
-ENOUGH_AFTER_ABSENCE = 16
+ENOUGH_ANSWERS_AFTER_OUTAGE = 16
 # Shorter ones leave most of an order's time for a proof; it is 16 s or more.
-LONG_ABSENCE = datetime.timedelta(seconds=3)
+LONG_OUTAGE = datetime.timedelta(seconds=3)
 # A store that has answered nobody for so long is taken to be out. Feeds of its
 # readers return every 2 s at least; one word of it in a thousand is 1.9 s old
 # or more.
-_STORE_SILENT = datetime.timedelta(seconds=2.5)
+_STORE_SILENCE = datetime.timedelta(seconds=2.5)
 
 
 class RollOutProgress:
@@ -35,10 +35,10 @@
 
     __slots__ = (
         "_answers_seen",
-        "_away_since",
         "_clock",
-        "_had_absence",
-        "_stretch_since",
+        "_final_phase_since",
+        "_had_long_outage",
+        "_unreachable_since",
         "_watch",
         "schedule",
     )
@@ -57,50 +57,52 @@
         self._clock = clock
         # Since when an order's last stretch has gone on here, in touch with the
         # store all the while.
-        self._stretch_since: dict[int, datetime.timedelta] = {}
-        self._away_since: datetime.timedelta | None = None
+        self._final_phase_since: dict[int, datetime.timedelta] = {}
+        self._unreachable_since: datetime.timedelta | None = None
         # Orders in the course of which the store was away for long.
-        self._had_absence: set[int] = set()
+        self._had_long_outage: set[int] = set()
 
-    def part_of(self, plan: plan_module.PlanRow) -> float:
+    def elapsed_fraction(self, plan: plan_module.PlanRow) -> float:
         """Returns which part of a plan's time has passed."""
         store_time = self._watch.store_time()
-        return 0.0 if store_time is None else plan.part_at(store_time)
+        return (
+            0.0 if store_time is None else plan.elapsed_fraction_at(store_time)
+        )
 
-    def steady_part(self, plan: plan_module.PlanRow) -> float:
+    def steady_fraction(self, plan: plan_module.PlanRow) -> float:
         """Returns the time's part, held before the last stretch at need.
 
         Without the store nobody can complete the roll-out, and the others'
         evidence is unheard. An instance that reads nothing itself goes by what
         readers tell.
         """
-        part = self.part_of(plan)
-        silent = self._watch.silent_for() > _STORE_SILENT
-        if self._watch.away or silent or self._is_thin(plan):
-            part = min(part, schedule_module.MAY_MOVE_SESSIONS_AT)
-        return part
+        elapsed = self.elapsed_fraction(plan)
+        silent = self._watch.silent_for() > _STORE_SILENCE
+        if self._watch.away or silent or self._has_too_few_answers(plan):
+            elapsed = min(elapsed, schedule_module.MAY_MOVE_SESSIONS_AT)
+        return elapsed
 
-    def _is_thin(self, plan: plan_module.PlanRow) -> bool:
+    def _has_too_few_answers(self, plan: plan_module.PlanRow) -> bool:
         """Tells whether too little was seen of a version for its last stretch.
 
         After an absence of the store the order is late either way, and the
         trial goes on until enough answers are known. Without one the time
         decides, since some services get few requests in all.
         """
-        if plan.order_id not in self._had_absence:
+        if plan.order_id not in self._had_long_outage:
             return False
-        return self._answers_seen(plan) < ENOUGH_AFTER_ABSENCE
+        return self._answers_seen(plan) < ENOUGH_ANSWERS_AFTER_OUTAGE
 
-    def is_trial_over(self, plan: plan_module.PlanRow) -> bool:
+    def is_canary_over(self, plan: plan_module.PlanRow) -> bool:
         """Tells whether everything moves to the new version now."""
-        return self.schedule.is_trial_over_at(
-            self.steady_part(plan), plan.within_s
+        return self.schedule.is_canary_over_at(
+            self.steady_fraction(plan), plan.within_s
         )
 
     def is_final_report_due(self, plan: plan_module.PlanRow) -> bool:
         """Tells whether all that was seen is to be told, good and bad."""
         return self.schedule.is_final_report_due_at(
-            self.part_of(plan), plan.within_s
+            self.elapsed_fraction(plan), plan.within_s
         )
 
     def may_complete(self, plan: plan_module.PlanRow) -> bool:
@@ -109,25 +111,29 @@
         The last stretch has to have gone on here, in touch with the store: the
         clock alone says nothing of evidence that was told meanwhile.
         """
-        if not self.schedule.may_complete_at(self.part_of(plan), plan.within_s):
+        if not self.schedule.may_complete_at(
+            self.elapsed_fraction(plan), plan.within_s
+        ):
             return False
-        since = self._stretch_since.get(plan.order_id)
+        since = self._final_phase_since.get(plan.order_id)
         if since is None:
             return False
-        return self._clock.monotonic() - since >= schedule_module.LAST_WAIT
+        return (
+            self._clock.monotonic() - since >= schedule_module.COMPLETION_DELAY
+        )
 
-    def note_in_touch(self, plan: plan_module.PlanRow) -> None:
+    def note_store_reachable(self, plan: plan_module.PlanRow) -> None:
         """Takes in that the store answers while a plan is open."""
-        self._away_since = None
-        if self.is_trial_over(plan):
+        self._unreachable_since = None
+        if self.is_canary_over(plan):
             now = self._clock.monotonic()
-            self._stretch_since.setdefault(plan.order_id, now)
+            self._final_phase_since.setdefault(plan.order_id, now)
 
-    def note_out_of_touch(self, open_orders: Iterable[int]) -> None:
+    def note_store_unreachable(self, open_orders: Iterable[int]) -> None:
         """Takes in that the store does not answer, and orders it holds up."""
-        self._stretch_since.clear()
+        self._final_phase_since.clear()
         now = self._clock.monotonic()
-        if self._away_since is None:
-            self._away_since = now
-        if now - self._away_since >= LONG_ABSENCE:
-            self._had_absence = set(open_orders)
+        if self._unreachable_since is None:
+            self._unreachable_since = now
+        if now - self._unreachable_since >= LONG_OUTAGE:
+            self._had_long_outage = set(open_orders)
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -17,17 +17,17 @@
 from nutmeghook.internal.replicas import entries
 from nutmeghook.internal.replicas import replica as replica_module
 from nutmeghook.internal.replicas import send_gate
+from nutmeghook.internal.version_plans import baseline as baseline_module
 from nutmeghook.internal.version_plans import evidence as evidence_module
 from nutmeghook.internal.version_plans import filters
+from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import (
-    held_sessions as held_sessions_module,
+    pinned_sessions as pinned_sessions_module,
 )
-from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import progress as progress_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
 from nutmeghook.internal.version_plans import sessions as sessions_module
-from nutmeghook.internal.version_plans import usual as usual_module
 from nutmeghook.internal.version_plans import view
 
 
@@ -39,25 +39,25 @@
     """
 
     __slots__ = (
+        "_baseline",
+        "_baseline_paces",
         "_clock",
         "_directory",
         "_evidence",
         "_gate",
-        "_held",
         "_judged",
         "_local_verdicts",
         "_orders",
-        "_paces",
+        "_pinned",
         "_plans",
         "_sessions",
-        "_usual",
         "progress",
     )
 
     def __init__(
         self,
         *,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         directory: directory_module.ReplicaDirectory,
         gate: send_gate.SendGate,
         watch: follower.StoreWatch,
@@ -81,9 +81,9 @@
         self._plans: dict[str, plan_module.PlanRow] = {}
         self._evidence: dict[str, evidence_module.PooledEvidence] = {}
         # By service; of its newest order.
-        self._held: dict[str, held_sessions_module.HeldSessions] = {}
-        self._usual = usual_module.UsualAnswers()
-        self._paces = usual_module.UsualPaces()
+        self._pinned: dict[str, pinned_sessions_module.PinnedSessions] = {}
+        self._baseline = baseline_module.BaselineAnswers()
+        self._baseline_paces = baseline_module.BaselinePaces()
         # How many answers each order's evidence held when it was last judged.
         self._judged: dict[int, int] = {}
         # Proofs found here act here at once, before the verdict is written.
@@ -109,7 +109,7 @@
             return None
         return plan
 
-    def take_plan(self, plan: plan_module.PlanRow) -> None:
+    def apply_plan(self, plan: plan_module.PlanRow) -> None:
         """Takes in a plan's row; a verdict is never taken back."""
         known = self._plans.get(plan.service)
         if known is not None and (
@@ -123,40 +123,40 @@
         self._plans[plan.service] = plan
         if known is None or known.order_id != plan.order_id:
             self._local_verdicts.pop(plan.service, None)
-            self._hold_sessions(plan)
+            self._pin_active_sessions(plan)
 
-    def held_sessions(
+    def pinned_sessions(
         self, order: orders_module.RollOutOrder
-    ) -> held_sessions_module.HeldSessions:
+    ) -> pinned_sessions_module.PinnedSessions:
         """Returns the sessions that an order leaves where they are."""
-        return self._held_by(order.service, order.order_id)
+        return self._pinned_of(order.service, order.order_id)
 
-    def _held_by(
+    def _pinned_of(
         self, service: str, order_id: int
-    ) -> held_sessions_module.HeldSessions:
-        held = self._held.get(service)
-        if held is None or held.order_id != order_id:
-            held = held_sessions_module.HeldSessions(order_id=order_id)
-            self._held[service] = held
-        return held
-
-    def _hold_sessions(self, plan: plan_module.PlanRow) -> None:
+    ) -> pinned_sessions_module.PinnedSessions:
+        pinned = self._pinned.get(service)
+        if pinned is None or pinned.order_id != order_id:
+            pinned = pinned_sessions_module.PinnedSessions(order_id=order_id)
+            self._pinned[service] = pinned
+        return pinned
+
+    def _pin_active_sessions(self, plan: plan_module.PlanRow) -> None:
         """Holds the sessions under way that the trial would take."""
         now = self._clock.monotonic()
-        for session in self._sessions.under_way(plan.service, now):
-            self._hold_session(plan, session)
+        for session in self._sessions.active_sessions(plan.service, now):
+            self._pin_session(plan, session)
 
-    def _hold_session(self, plan: plan_module.PlanRow, session: str) -> None:
-        digest = held_sessions_module.digest_of(plan.order_id, session)
-        if self._is_of_trial(plan, digest):
-            self._held_by(plan.service, plan.order_id).hold(digest)
+    def _pin_session(self, plan: plan_module.PlanRow, session: str) -> None:
+        digest = pinned_sessions_module.digest_of(plan.order_id, session)
+        if self._is_in_canary(plan, digest):
+            self._pinned_of(plan.service, plan.order_id).pin(digest)
 
-    def _is_of_trial(self, plan: plan_module.PlanRow, digest: int) -> bool:
+    def _is_in_canary(self, plan: plan_module.PlanRow, digest: int) -> bool:
         """Tells whether the trial's share takes a session or request."""
-        share = plan.trial_share or self.progress.schedule.trial_share(
+        share = plan.trial_share or self.progress.schedule.canary_share(
             plan.within_s
         )
-        return held_sessions_module.point_of(digest) < share
+        return pinned_sessions_module.fraction_of(digest) < share
 
     def evidence_of(
         self, order: orders_module.RollOutOrder
@@ -182,19 +182,19 @@
         if self._judged.get(order.order_id) == pooled.answers:
             return None
         self._judged[order.order_id] = pooled.answers
-        reason = pooled.proven_bad(self._new_replicas(order), self._usual)
+        reason = pooled.proven_bad(self._new_replicas(order), self._baseline)
         if reason is not None:
             self._local_verdicts[order.service] = reason
         return reason
 
-    def suspect(self, order: orders_module.RollOutOrder) -> str | None:
+    def suspicion(self, order: orders_module.RollOutOrder) -> str | None:
         """Returns what speaks against the version without proving it bad.
 
         Asked once the trial is over: everything moves then, and completion
         can't be taken back.
         """
-        return self.evidence_of(order).suspect(
-            self._new_replicas(order), self._usual
+        return self.evidence_of(order).suspicion(
+            self._new_replicas(order), self._baseline
         )
 
     def is_in_doubt(self, order: orders_module.RollOutOrder) -> bool:
@@ -203,8 +203,8 @@
         Too few for a suspicion, they are no ground for completion either.
         Everything moves meanwhile, so a few more answers settle it.
         """
-        return self.evidence_of(order).has_more_bad(
-            self._new_replicas(order), self._usual
+        return self.evidence_of(order).exceeds_tolerance(
+            self._new_replicas(order), self._baseline
         )
 
     def _new_replicas(self, order: orders_module.RollOutOrder) -> int:
@@ -222,17 +222,19 @@
             return filters.any_version
         if self._uses_new(order, session, request_id):
             wanted = filters.is_version(order.version)
-            if self._some(service, wanted, self._gate.is_open):
+            if self._has_replica(service, wanted, self._gate.is_open):
                 return wanted
-            if self._is_on(order, session) and self._some(service, wanted):
+            if self._is_session_on(order, session) and self._has_replica(
+                service, wanted
+            ):
                 return wanted
             return filters.any_version
         wanted = filters.is_not_version(order.version)
-        if self._some(service, wanted) or self._is_withdrawn(order):
+        if self._has_replica(service, wanted) or self._is_withdrawn(order):
             return wanted
         return filters.any_version
 
-    def in_full_use(
+    def accepts_stable(
         self, service: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
         """Returns a test for replicas of a version that is not on trial."""
@@ -266,30 +268,30 @@
         plan = self.plan_of(order)
         if plan is None or not plan.is_open:
             return
-        self._hold_session(plan, session)
+        self._pin_session(plan, session)
 
     def note_answer(
         self,
         entry: entries.ReplicaEntry,
-        answer: usual_module.AnswerSeen,
+        answer: baseline_module.ObservedAnswer,
     ) -> None:
         """Takes in an answer of a replica."""
         order = self._orders.of_service(entry.service)
         if order is None or entry.version != order.version:
-            self._usual.note(answer)
+            self._baseline.note(answer)
             return
         plan = self.plan_of(order)
         if plan is None or not plan.is_open:
             return
         self.evidence_of(order).note(
-            answer.route, entry.replica_id, bad=self._usual.is_bad(answer)
+            answer.route, entry.replica_id, bad=self._baseline.is_bad(answer)
         )
 
     def note_pace(
         self,
         entry: entries.ReplicaEntry,
         *,
-        measure: usual_module.Measure,
+        measure: baseline_module.LatencyMeasure,
         kind: str,
         pace_s: float,
     ) -> None:
@@ -300,14 +302,16 @@
         """
         order = self._orders.of_service(entry.service)
         if order is None or entry.version != order.version:
-            self._paces.note(f"{measure.value}/{kind}", pace_s)
+            self._baseline_paces.note(f"{measure.value}/{kind}", pace_s)
             return
         plan = self.plan_of(order)
         if plan is None or not plan.is_open:
             return
-        if self.progress.is_trial_over(plan):
+        if self.progress.is_canary_over(plan):
             return
-        deviation = self._paces.deviation(f"{measure.value}/{kind}", pace_s)
+        deviation = self._baseline_paces.deviation(
+            f"{measure.value}/{kind}", pace_s
+        )
         if deviation is not None:
             self.evidence_of(order).note_pace(measure, deviation)
 
@@ -322,14 +326,18 @@
             return False
         if plan.verdict is plan_module.Verdict.GOOD:
             return True
-        if self.progress.is_trial_over(plan):
+        if self.progress.is_canary_over(plan):
             return True
         if session is None:
-            digest = held_sessions_module.digest_of(order.order_id, request_id)
-            return self._is_of_trial(plan, digest)
-        return self._is_on(order, session) or self._tries_session(plan, session)
+            digest = pinned_sessions_module.digest_of(
+                order.order_id, request_id
+            )
+            return self._is_in_canary(plan, digest)
+        return self._is_session_on(
+            order, session
+        ) or self._canary_takes_session(plan, session)
 
-    def _is_on(
+    def _is_session_on(
         self, order: orders_module.RollOutOrder, session: str | None
     ) -> bool:
         """Tells whether a session's last request ran on the order's version."""
@@ -340,19 +348,21 @@
         )
         return last == order.version
 
-    def _tries_session(self, plan: plan_module.PlanRow, session: str) -> bool:
+    def _canary_takes_session(
+        self, plan: plan_module.PlanRow, session: str
+    ) -> bool:
         """Tells whether the trial takes a session now."""
-        digest = held_sessions_module.digest_of(plan.order_id, session)
-        if not self._is_of_trial(plan, digest):
+        digest = pinned_sessions_module.digest_of(plan.order_id, session)
+        if not self._is_in_canary(plan, digest):
             return False
-        part = self.progress.steady_part(plan)
-        if part >= schedule_module.MAY_MOVE_SESSIONS_AT:
+        elapsed = self.progress.steady_fraction(plan)
+        if elapsed >= schedule_module.MAY_MOVE_SESSIONS_AT:
             return True
-        passed = datetime.timedelta(seconds=part * plan.within_s)
-        if passed < schedule_module.SESSIONS_FROM:
+        passed = datetime.timedelta(seconds=elapsed * plan.within_s)
+        if passed < schedule_module.SESSION_CANARY_DELAY:
             return False
-        held = self._held_by(plan.service, plan.order_id)
-        return not held.holds(digest)
+        pinned = self._pinned_of(plan.service, plan.order_id)
+        return not pinned.is_pinned(digest)
 
     def _is_withdrawn(self, order: orders_module.RollOutOrder) -> bool:
         plan = self.plan_of(order)
@@ -360,7 +370,7 @@
             return True
         return self.judge(order) is not None
 
-    def _some(
+    def _has_replica(
         self,
         service: str,
         wanted: Callable[[entries.ReplicaEntry], bool],
--- a/src/nutmeghook/internal/version_plans/sessions.py
+++ b/src/nutmeghook/internal/version_plans/sessions.py
@@ -6,7 +6,7 @@
 
 # Sessions remembered; at 20 requests a second and instance this is minutes
 # more than a session's time.
-MOST_SESSIONS = 20_000
+MAX_SESSIONS = 20_000
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -48,7 +48,7 @@
             version=version, at=now, until=deadline + self._session_time
         )
         self._last.move_to_end(key)
-        if len(self._last) > MOST_SESSIONS:
+        if len(self._last) > MAX_SESSIONS:
             self._last.popitem(last=False)
 
     def version_of(
@@ -60,7 +60,9 @@
             return None
         return last.version
 
-    def under_way(self, service: str, now: datetime.timedelta) -> list[str]:
+    def active_sessions(
+        self, service: str, now: datetime.timedelta
+    ) -> list[str]:
         """Returns the sessions that may go on."""
         return [
             session
--- a/src/nutmeghook/internal/version_plans/view.py
+++ b/src/nutmeghook/internal/version_plans/view.py
@@ -5,7 +5,7 @@
 import datetime
 
 from nutmeghook.internal.replicas import entries
-from nutmeghook.internal.version_plans import usual as usual_module
+from nutmeghook.internal.version_plans import baseline as baseline_module
 
 
 class VersionView(abc.ABC):
@@ -25,7 +25,7 @@
         """
 
     @abc.abstractmethod
-    def in_full_use(
+    def accepts_stable(
         self, service: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
         """Returns a test for replicas of a version that is not on trial."""
@@ -52,7 +52,7 @@
     def note_answer(
         self,
         entry: entries.ReplicaEntry,
-        answer: usual_module.AnswerSeen,
+        answer: baseline_module.ObservedAnswer,
     ) -> None:
         """Takes in an answer of a replica."""
 
@@ -61,7 +61,7 @@
         self,
         entry: entries.ReplicaEntry,
         *,
-        measure: usual_module.Measure,
+        measure: baseline_module.LatencyMeasure,
         kind: str,
         pace_s: float,
     ) -> None:
@@ -87,7 +87,7 @@
         """Accepts all."""
         return lambda entry: True
 
-    def in_full_use(
+    def accepts_stable(
         self, service: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
         """Accepts all."""
@@ -106,7 +106,7 @@
     def note_answer(
         self,
         entry: entries.ReplicaEntry,
-        answer: usual_module.AnswerSeen,
+        answer: baseline_module.ObservedAnswer,
     ) -> None:
         """Ignores it."""
 
@@ -114,7 +114,7 @@
         self,
         entry: entries.ReplicaEntry,
         *,
-        measure: usual_module.Measure,
+        measure: baseline_module.LatencyMeasure,
         kind: str,
         pace_s: float,
     ) -> None:
--- a/src/nutmeghook/platform/tables.py
+++ b/src/nutmeghook/platform/tables.py
@@ -29,7 +29,7 @@
         self,
         *,
         configuration: in_force_module.ConfigurationInForce,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         evacuations: evacuations_module.EvacuationBook,
     ):
         self._configuration = configuration
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -33,7 +33,7 @@
         self.book = evacuations.EvacuationBook(
             on_taken_back=self.taken_back.append
         )
-        self.orders = orders.OrderBook()
+        self.orders = orders.OrderRegistry()
         self.rows = tables.OperatorRows(
             configuration=in_force.ConfigurationInForce(),
             orders=self.orders,
--- a/tests/cover/test_guarantees_withdrawal.py
+++ b/tests/cover/test_guarantees_withdrawal.py
@@ -41,7 +41,7 @@
     def take_regardless(self, *, template, model_version):
         pass
 
-    def give_back(self, *, template, model_version):
+    def release(self, *, template, model_version):
         pass
 
 
--- a/tests/cover/test_relay_way_back.py
+++ b/tests/cover/test_relay_way_back.py
@@ -113,7 +113,7 @@
         def accepts(*_, **__):
             return lambda entry: entry.version not in withdrawn
 
-        for method in ("accepts", "in_full_use"):
+        for method in ("accepts", "accepts_stable"):
             patched = mock.patch.object(view.AnyVersion, method, accepts)
             patched.start()
             self.addCleanup(patched.stop)
--- a/tests/cover/test_rollout_controller.py
+++ b/tests/cover/test_rollout_controller.py
@@ -8,8 +8,8 @@
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.observe import events
+from nutmeghook.internal.rollout import allowance
 from nutmeghook.internal.rollout import config_editor
-from nutmeghook.internal.rollout import leave
 from nutmeghook.internal.rollout import pool
 from tests import rollout_fleet
 
@@ -171,8 +171,10 @@
             cut = fleet.instances[2]
             for other in fleet.instances[:2]:
                 fleet.network.cut_both_ways(cut.address, other.address)
-            self.assertGreater(cut.gate._purses[rollout_fleet.KEY].left, 0)
-            await fleet.clock.advance(leave.GRANT_VALID)
+            self.assertGreater(
+                cut.gate._allowances[rollout_fleet.KEY].available, 0
+            )
+            await fleet.clock.advance(allowance.GRANT_VALID)
             self.assertFalse(any(cut.wants() for _ in range(10)))
 
 
@@ -184,12 +186,12 @@
         fleet.is_bad = bad_from(0.0)
         taken = []
 
-        async def take(self, step):
+        async def apply(self, step):
             taken.append(step)
             return config_editor.StepOutcome.UNSETTLED
 
         with unittest.mock.patch.object(
-            config_editor.AccepterEditor, "take", take
+            config_editor.AccepterEditor, "apply", apply
         ):
             await fleet.ticks_until(lambda: any(s.withdraws for s in taken))
         self.assertIs((await fleet.watch()).verdict, pool.Verdict.BAD)
@@ -232,7 +234,7 @@
             await fleet.roll_out()
             revision = successor.replica.revision
             row = await fleet.table.read(pool.ROW_KEY)
-            outcome = asyncio.ensure_future(paused.editor.take(late))
+            outcome = asyncio.ensure_future(paused.editor.apply(late))
             await fleet.clock.advance(5 * rollout_fleet.SECOND)
             self.assertIsNot(await outcome, config_editor.StepOutcome.ACCEPTED)
             await fleet.step(paused)
--- a/tests/cover/test_rollout_evidence.py
+++ b/tests/cover/test_rollout_evidence.py
@@ -133,7 +133,7 @@
         )
         found = pool.Pool(watches=(watch,))
         snapshot = self._snapshot(50.0)
-        found = pool.following(found, snapshot)
+        found = pool.with_versions_of(found, snapshot)
         for bad in [False] * out_unrated + [False] * rated_since:
             found = self._rated(found, snapshot, bad)
         self.assertEqual(decisions.steps(found, snapshot), [])
@@ -143,11 +143,11 @@
 
     def test_many_bad_ratings_hold_a_version_before_they_prove_it_bad(self):
         snapshot = self._snapshot(50.0)
-        found = pool.following(pool.Pool(), snapshot)
+        found = pool.with_versions_of(pool.Pool(), snapshot)
         for _ in range(200):
             found = self._rated(found, snapshot, bad=False)
-        found = pool.following(found, self._snapshot(25.0))
-        found = pool.following(found, snapshot)
+        found = pool.with_versions_of(found, self._snapshot(25.0))
+        found = pool.with_versions_of(found, snapshot)
         for number in range(60):
             found = self._rated(found, snapshot, bad=number % 8 == 0)
         self.assertIs(found.watches[0].verdict, pool.Verdict.OPEN)
--- a/tests/cover/test_version_tails.py
+++ b/tests/cover/test_version_binomial_tail.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies
 
-from nutmeghook.internal.version_plans import tails
+from nutmeghook.internal.version_plans import binomial_tail
 
 
 def exactly(bad: int, of: int, share: fractions.Fraction) -> fractions.Fraction:
@@ -30,7 +30,9 @@
     )
     def test_it_is_the_exact_probability(self, of, part, share):
         bad = math.floor(part * of)
-        found = tails.at_least(bad, of=of, share=float(share))
+        found = binomial_tail.probability_of_at_least(
+            bad, of=of, share=float(share)
+        )
         self.assertAlmostEqual(found, float(exactly(bad, of, share)), places=9)
 
     @given(
@@ -43,7 +45,9 @@
         ends, and many of the answers were bad. The number of ways to choose
         them is beyond a float's range: the look at it ended the process.
         """
-        chance = tails.at_least(int(part * of), of=of, share=share)
+        chance = binomial_tail.probability_of_at_least(
+            int(part * of), of=of, share=share
+        )
         self.assertGreaterEqual(chance, 0.0)
         self.assertLessEqual(chance, 1.0)
 
--- a/tests/cover/test_version_driver.py
+++ b/tests/cover/test_version_driver.py
@@ -10,10 +10,10 @@
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.following import follower
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.version_plans import baseline as baseline_module
 from nutmeghook.internal.version_plans import driver as driver_module
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import progress as progress_module
-from nutmeghook.internal.version_plans import usual as usual_module
 from nutmeghook.platform import rollout_rows
 from nutmeghook.platform import store
 from nutmeghook.standins import users_store
@@ -42,7 +42,7 @@
         )
         plans = follower.TableFollower(
             table=store.PlatformTable(client=client, name=driver_module.TABLE),
-            reader=driver_module.PlanRows(
+            reader=driver_module.PlanRowReader(
                 rollouts=instance.rollouts,
                 orders=instance.orders,
                 instance_id=name,
@@ -66,7 +66,7 @@
             instance_id=name,
         )
 
-    def told(self) -> str:
+    def operator_state(self) -> str:
         """Returns the state that the operator reads."""
         value = self.store.value("status", f"rollout/{version_fixture.SERVICE}")
         return msgspec.json.decode(value)["state"]
@@ -106,7 +106,7 @@
         newcomer, starting = self.driver("newcomer")
         for _, driver in [*drivers, (newcomer, starting)]:
             await self.step(driver)
-        self.assertEqual(self.told(), "in_progress")
+        self.assertEqual(self.operator_state(), "in_progress")
         for position, (instance, _) in enumerate(drivers):
             instance.answer("v1", times=60)
             instance.answer("v2", number=1 + position, failed=True, times=2)
@@ -114,7 +114,7 @@
             await self.clock.advance(datetime.timedelta(seconds=0.7))
             for _, driver in drivers:
                 await self.step(driver)
-        self.assertEqual(self.told(), "reverted")
+        self.assertEqual(self.operator_state(), "reverted")
 
     async def test_a_version_seen_little_before_an_absence_is_not_completed(
         self,
@@ -127,26 +127,26 @@
         instance, driver = self.driver("only")
         await self.step(driver)
         for _ in range(2):
-            instance.rollouts.progress.note_out_of_touch(
+            instance.rollouts.progress.note_store_unreachable(
                 [version_fixture.ORDER.order_id]
             )
-            await self.clock.advance(progress_module.LONG_ABSENCE)
+            await self.clock.advance(progress_module.LONG_OUTAGE)
         instance.answer("v2", times=9)
         await self.to_the_end(driver)
         for _ in range(4):
             await self.clock.advance(datetime.timedelta(seconds=0.7))
             await self.step(driver)
-        self.assertEqual(self.told(), "in_progress")
+        self.assertEqual(self.operator_state(), "in_progress")
         self.assertFalse(
-            instance.rollouts.progress.is_trial_over(
+            instance.rollouts.progress.is_canary_over(
                 instance.rollouts.plan_of(version_fixture.ORDER)
             )
         )
-        instance.answer("v2", times=progress_module.ENOUGH_AFTER_ABSENCE)
+        instance.answer("v2", times=progress_module.ENOUGH_ANSWERS_AFTER_OUTAGE)
         for _ in range(4):
             await self.clock.advance(datetime.timedelta(seconds=0.7))
             await self.step(driver)
-        self.assertEqual(self.told(), "completed")
+        self.assertEqual(self.operator_state(), "completed")
 
     async def test_four_failures_in_sixteen_answers_are_not_completed(self):
         """Few requests reach a service while instances lose the store.
@@ -163,7 +163,7 @@
         self.assertIsNone(instance.rollouts.judge(version_fixture.ORDER))
         await self.to_the_end(driver)
         await self.step(driver)
-        self.assertEqual(self.told(), "reverted")
+        self.assertEqual(self.operator_state(), "reverted")
 
     async def test_doubt_holds_completion_back_until_answers_settle_it(self):
         """Three of fourteen answers failed, no ground to revert a version yet.
@@ -178,15 +178,15 @@
             instance.answer("v2", number=number, failed=True)
         await self.to_the_end(driver)
         await self.step(driver)
-        self.assertEqual(self.told(), "in_progress")
+        self.assertEqual(self.operator_state(), "in_progress")
         plan = instance.rollouts.plan_of(version_fixture.ORDER)
-        self.assertTrue(instance.rollouts.progress.is_trial_over(plan))
+        self.assertTrue(instance.rollouts.progress.is_canary_over(plan))
         instance.answer("v2", times=40)
         # The stand-in's steady time stands still, and each step believes it
         # a little more.
         await self.clock.advance(datetime.timedelta(seconds=1))
         await self.step(driver)
-        self.assertEqual(self.told(), "completed")
+        self.assertEqual(self.operator_state(), "completed")
 
     async def test_one_failing_replica_holds_no_completion_back(self):
         instance, driver = self.driver("only")
@@ -196,7 +196,7 @@
         instance.answer("v2", number=2, times=11)
         await self.to_the_end(driver)
         await self.step(driver)
-        self.assertEqual(self.told(), "completed")
+        self.assertEqual(self.operator_state(), "completed")
 
     async def test_the_first_instance_starts_the_plan_for_all(self):
         """Two instances hear of an order; the second a while later.
@@ -212,7 +212,7 @@
         self.assertIsNotNone(
             late_instance.rollouts.plan_of(version_fixture.ORDER)
         )
-        self.assertEqual(self.told(), "in_progress")
+        self.assertEqual(self.operator_state(), "in_progress")
 
     async def test_bad_answers_of_several_instances_add_up(self):
         """Each instance sees too few bad answers to prove anything.
@@ -230,7 +230,7 @@
         for _ in range(2):
             for _, driver in drivers:
                 await self.step(driver)
-        self.assertEqual(self.told(), "reverted")
+        self.assertEqual(self.operator_state(), "reverted")
         self.assertEqual(self.plan().verdict, plan_module.Verdict.BAD)
 
     async def test_a_frozen_instance_does_not_undo_a_verdict(self):
@@ -249,7 +249,7 @@
         plan = frozen_instance.rollouts.plan_of(version_fixture.ORDER)
         self.assertTrue(frozen_instance.rollouts.progress.may_complete(plan))
         await frozen._step(version_fixture.ORDER)
-        self.assertEqual(self.told(), "reverted")
+        self.assertEqual(self.operator_state(), "reverted")
         known = frozen_instance.rollouts.plan_of(version_fixture.ORDER)
         self.assertEqual(known.verdict, plan_module.Verdict.BAD)
 
@@ -265,7 +265,7 @@
             await driver._step(version_fixture.ORDER)
         self.store.fault = users_store.StoreFault.NONE
         await self.step(driver)
-        self.assertEqual(self.told(), "completed")
+        self.assertEqual(self.operator_state(), "completed")
         self.assertEqual(self.plan().verdict, plan_module.Verdict.GOOD)
 
     async def test_a_late_write_does_not_beat_a_newer_verdict(self):
@@ -286,7 +286,7 @@
             prover.answer("v2", number=number, failed=True)
         await self.step(proving)
         self.store.do_late_writes()
-        self.assertEqual(self.told(), "reverted")
+        self.assertEqual(self.operator_state(), "reverted")
 
     async def test_little_that_each_instance_saw_adds_up_before_the_end(self):
         """A version goes on slower in every answer, and each instance has seen
@@ -301,14 +301,14 @@
                 for pace_s in (0.015, 0.03):
                     instance.rollouts.note_pace(
                         version_fixture.entry(1, "v1"),
-                        measure=usual_module.Measure.GOING_ON,
+                        measure=baseline_module.LatencyMeasure.EVENT_INTERVAL,
                         kind="kind",
                         pace_s=pace_s,
                     )
             for _ in range(2):
                 instance.rollouts.note_pace(
                     version_fixture.entry(1, "v2"),
-                    measure=usual_module.Measure.GOING_ON,
+                    measure=baseline_module.LatencyMeasure.EVENT_INTERVAL,
                     kind="kind",
                     pace_s=0.035,
                 )
@@ -319,7 +319,7 @@
         for _ in range(2):
             for _, driver in drivers:
                 await self.step(driver)
-        self.assertEqual(self.told(), "reverted")
+        self.assertEqual(self.operator_state(), "reverted")
 
     async def test_a_good_version_costs_no_evidence_writes(self):
         instance, driver = self.driver("only")
--- a/tests/cover/test_version_absences.py
+++ b/tests/cover/test_version_outages.py
@@ -4,31 +4,31 @@
 import unittest
 
 from nutmeghook.internal.version_plans import plan as plan_module
-from tests import version_absences
 from tests import version_fixture
+from tests import version_outages
 
 
-def scene(*, bad_share: float) -> version_absences.Scene:
+def scene(*, bad_share: float) -> version_outages.Scene:
     """Nine instances, six away for 8 s or more, ten requests a second."""
     times = 2 * [(0.4, 8.0)] + [(3.0, 12.8)] + 3 * [(12.8, 60.0)]
-    absences = tuple(
-        version_absences.Absence(instance=number, from_s=begin, to_s=end)
+    outages = tuple(
+        version_outages.Outage(instance=number, from_s=begin, to_s=end)
         for number, (begin, end) in enumerate(times)
     )
-    return version_absences.Scene(
-        instances=9, per_s=9.5, bad_share=bad_share, absences=absences
+    return version_outages.Scene(
+        instances=9, per_s=9.5, bad_share=bad_share, outages=outages
     )
 
 
-class AbsencesTest(unittest.TestCase):
+class OutagesTest(unittest.TestCase):
     def endings(
         self, bad_share: float, *, seeds: int
-    ) -> list[version_absences.Ending]:
+    ) -> list[version_outages.Ending]:
         """Returns how an order ends, by seed."""
         # Runs of the loop in its debug mode take five times as long.
         return [
             asyncio.run(
-                version_absences.VersionFleet(
+                version_outages.VersionFleet(
                     scene=scene(bad_share=bad_share), seed=seed
                 ).to_verdict()
             )
--- a/tests/cover/test_version_plans.py
+++ b/tests/cover/test_version_plans.py
@@ -48,7 +48,7 @@
         schedule = schedule_module.Schedule(
             largest_bad_share=0.0975, bad_allowance=30.0
         )
-        self.assertGreaterEqual(356.0 * schedule.trial_share(24.0, 356.0), 5.0)
+        self.assertGreaterEqual(356.0 * schedule.canary_share(24.0, 356.0), 5.0)
 
     def stays_within_the_bound(
         self,
@@ -62,9 +62,11 @@
             largest_bad_share=largest_bad_share, bad_allowance=30.0
         )
         steps = 1000
-        trial = schedule.trial_share(within_s, per_s)
+        canary = schedule.canary_share(within_s, per_s)
         shares = [
-            1.0 if schedule.is_trial_over_at(step / steps, within_s) else trial
+            1.0
+            if schedule.is_canary_over_at(step / steps, within_s)
+            else canary
             for step in range(steps)
         ]
         requests = true_per_s * within_s
@@ -86,8 +88,8 @@
         schedule = schedule_module.Schedule(
             largest_bad_share=0.15, bad_allowance=30.0
         )
-        share = schedule.trial_share(24.0, 10.0)
-        starts_s = schedule_module.SESSIONS_FROM.total_seconds()
+        share = schedule.canary_share(24.0, 10.0)
+        starts_s = schedule_module.SESSION_CANARY_DELAY.total_seconds()
         self.assertGreaterEqual((8.5 - starts_s) * 10.0 * share, 8.0)
 
     async def test_everything_does_not_move_while_the_store_is_away(self):
@@ -129,13 +131,13 @@
             started_ms=0.0,
             within_s=version_fixture.WITHIN_S,
         )
-        self.instance.rollouts.take_plan(plan)
+        self.instance.rollouts.apply_plan(plan)
         progress = self.instance.rollouts.progress
-        progress.note_out_of_touch([6])
+        progress.note_store_unreachable([6])
         await self.advance(0.2)
-        progress.note_out_of_touch([6])
+        progress.note_store_unreachable([6])
         await self.advance(0.95)
-        self.assertFalse(progress.is_trial_over(plan))
+        self.assertFalse(progress.is_canary_over(plan))
 
     async def test_sessions_under_way_do_not_move_in_the_first_half(self):
         """Sessions are under way when a roll-out begins, some go on after.
@@ -150,7 +152,7 @@
         for instance in (here, there):
             instance.begin(started=datetime.timedelta())
         for _ in range(2):
-            here.news.tell()
+            here.gossip.tell()
         for part in (0.0, 0.1, 0.3, 0.5):
             await self.advance(part)
             for instance in (here, there):
@@ -168,7 +170,7 @@
         sessions = [f"early-{number}" for number in range(400)]
         for session in sessions:
             self.assertEqual(here.version_for(session), "v1")
-        here.news.tell()
+        here.gossip.tell()
         await self.advance(0.2)
         self.assertEqual({there.version_for(s) for s in sessions}, {"v1"})
 
@@ -180,9 +182,9 @@
         for instance in (here, there):
             instance.begin(started=datetime.timedelta())
         here.post.loses = True
-        here.news.tell()
+        here.gossip.tell()
         here.post.loses = False
-        here.news.tell()
+        here.gossip.tell()
         await self.advance(0.2)
         self.assertEqual({there.version_for(s) for s in sessions}, {"v1"})
 
@@ -215,7 +217,7 @@
             instance.watch.note_failure(ValueError("no answer"))
             instance.answer("v2", number=1 + number % 3, failed=True)
         for instance in fleet:
-            instance.news.tell()
+            instance.gossip.tell()
         await self.advance(0.95)
         for instance in fleet:
             self.assertIsNotNone(instance.rollouts.judge(version_fixture.ORDER))
@@ -234,10 +236,10 @@
         known = there.rollouts.evidence_of(version_fixture.ORDER)
         await self.advance(0.5)
         here.watch.note_failure(ValueError("no answer"))
-        here.news.tell()
+        here.gossip.tell()
         self.assertEqual(known.answers_seen, 0)
         await self.advance(0.87)
-        here.news.tell()
+        here.gossip.tell()
         self.assertEqual(known.answers_seen, 10)
 
     async def test_a_session_that_moved_does_not_move_back(self):
@@ -302,7 +304,7 @@
         There is no other of it; the caller would get the failure.
         """
         self.instance.begin()
-        accepts = self.instance.rollouts.in_full_use(version_fixture.SERVICE)
+        accepts = self.instance.rollouts.accepts_stable(version_fixture.SERVICE)
         self.assertTrue(accepts(version_fixture.entry(1, "v1")))
         self.assertFalse(accepts(version_fixture.entry(1, "v2")))
 
--- a/tests/cover/test_version_proofs.py
+++ b/tests/cover/test_version_proofs.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies
 
+from nutmeghook.internal.version_plans import baseline as baseline_module
 from nutmeghook.internal.version_plans import evidence as evidence_module
-from nutmeghook.internal.version_plans import usual as usual_module
 from tests import version_fixture
 
 
@@ -45,10 +45,10 @@
             pooled.note("one", f"v2-{number % 3}", bad=False)
             pooled.note("two", f"v2-{number % 3}", bad=False)
             pooled.note("bad", f"v2-{number % 3}", bad=number % 2 == 0)
-        usual = usual_module.UsualAnswers()
+        baseline = baseline_module.BaselineAnswers()
         for _ in range(40):
-            usual.note(version_fixture.seen(route="bad"))
-        self.assertIn("on bad", pooled.proven_bad(3, usual))
+            baseline.note(version_fixture.seen(route="bad"))
+        self.assertIn("on bad", pooled.proven_bad(3, baseline))
 
     async def test_a_version_that_is_several_times_slower_is_found(self):
         self.instance.begin()
@@ -84,8 +84,8 @@
         expected of each they spread by a factor of two.
         """
         drawn = random.Random(3)
-        usual = [math.exp(drawn.gauss(-0.3, 0.8)) for _ in range(200)]
-        self.pace("v1", *usual)
+        baseline = [math.exp(drawn.gauss(-0.3, 0.8)) for _ in range(200)]
+        self.pace("v1", *baseline)
         self.instance.begin()
         slow = [
             math.exp(drawn.gauss(-0.3, 0.8)) * (5 if number % 10 < 3 else 1)
@@ -128,7 +128,7 @@
         for pace_s in paces_s:
             self.instance.rollouts.note_pace(
                 version_fixture.entry(1, version),
-                measure=usual_module.Measure.GOING_ON,
+                measure=baseline_module.LatencyMeasure.EVENT_INTERVAL,
                 kind="kind",
                 pace_s=pace_s,
             )
@@ -144,7 +144,9 @@
                 f"replica-{drawn.randrange(6)}",
                 bad=drawn.random() < 0.02,
             )
-        self.assertIsNone(pooled.proven_bad(6, usual_module.UsualAnswers()))
+        self.assertIsNone(
+            pooled.proven_bad(6, baseline_module.BaselineAnswers())
+        )
 
     async def test_failures_that_are_usual_prove_nothing(self):
         """A service fails one in seven requests by its nature.
@@ -215,7 +217,7 @@
     def test_evidence_of_another_order_is_left_out(self):
         pooled = evidence_module.PooledEvidence(order_id=2)
         pooled.merge("other", evidence_module.EvidenceRow(order_id=1))
-        self.assertEqual(pooled._seen, {})
+        self.assertEqual(pooled._peer_rows, {})
 
 
 def _row_of(*, bad: int, run_id: str = "") -> evidence_module.EvidenceRow:
--- a/tests/cover/versions_fleet.py
+++ b/tests/cover/versions_fleet.py
@@ -111,7 +111,7 @@
     def take_regardless(self, *, template, model_version):
         self.used += 1
 
-    def give_back(self, *, template, model_version):
+    def release(self, *, template, model_version):
         self.used -= 1
 
 
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -21,10 +21,10 @@
 from nutmeghook.internal.leases import lease as lease_module
 from nutmeghook.internal.membership import members
 from nutmeghook.internal.observe import events
+from nutmeghook.internal.rollout import allowance
 from nutmeghook.internal.rollout import config_editor
 from nutmeghook.internal.rollout import controller
 from nutmeghook.internal.rollout import gate
-from nutmeghook.internal.rollout import leave
 from nutmeghook.internal.rollout import pool
 from nutmeghook.standins import memory_ratings
 from nutmeghook.standins import memory_table
@@ -75,7 +75,7 @@
     replica: replica_module.ConfigReplica
     accepter: acceptance.Accepter
     editor: config_editor.AccepterEditor
-    keeper: leave.LeaveKeeper
+    keeper: allowance.AllowanceKeeper
     controller: controller.RolloutController
     gate: gate.GrantedExposureGate
     events: events.EventRing
@@ -138,7 +138,7 @@
             random=self.random,
         )
         editor = config_editor.AccepterEditor(accepter=accepter, lease=lease)
-        keeper = leave.LeaveKeeper(lease=lease, members=view)
+        keeper = allowance.AllowanceKeeper(lease=lease, members=view)
         handlers = peers.PeerHandlers()
         keeper.register(handlers)
         caller = self.network.attach(myself.inner_address, handlers)
@@ -155,7 +155,7 @@
                 table=self.table,
                 ratings=self.ratings,
                 editor=editor,
-                leave=keeper,
+                keeper=keeper,
                 clock=self.clock,
                 events=ring,
             ),
--- a/tests/version_fixture.py
+++ b/tests/version_fixture.py
@@ -11,12 +11,12 @@
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import entries
 from nutmeghook.internal.replicas import send_gate
-from nutmeghook.internal.version_plans import news
+from nutmeghook.internal.version_plans import baseline as baseline_module
+from nutmeghook.internal.version_plans import gossip
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
-from nutmeghook.internal.version_plans import usual as usual_module
 from tests import lossy_post
 
 SERVICE = "service"
@@ -42,9 +42,9 @@
 
 def seen(
     *, failed: bool = False, duration_s: float = 0.1, route: str = "route"
-) -> usual_module.AnswerSeen:
+) -> baseline_module.ObservedAnswer:
     """Returns an answer."""
-    return usual_module.AnswerSeen(
+    return baseline_module.ObservedAnswer(
         route=route,
         model="small",
         failed=failed,
@@ -58,7 +58,7 @@
 
     def __init__(self, *, clock, orders=None):
         self.clock = clock
-        self.orders = orders or orders_module.OrderBook()
+        self.orders = orders or orders_module.OrderRegistry()
         self.watch = follower.StoreWatch(clock=clock)
         self.directory = directory_module.ReplicaDirectory(clock=clock)
         for number in (1, 2, 3):
@@ -80,7 +80,7 @@
             started = self.clock.monotonic()
         self.orders.place(ORDER)
         self.watch.note_answer(self.clock.monotonic())
-        self.rollouts.take_plan(
+        self.rollouts.apply_plan(
             plan_module.PlanRow(
                 order_id=ORDER.order_id,
                 service=SERVICE,
@@ -124,7 +124,7 @@
         instance = Instance(clock=clock)
         name = f"instance-{number}"
         instance.post = lossy_post.LossyPost(receivers=receivers, own=name)
-        instance.news = news.RollOutNews(
+        instance.gossip = gossip.RollOutGossip(
             instance_id=name,
             rollouts=instance.rollouts,
             orders=instance.orders,
--- a/tests/version_absences.py
+++ b/tests/version_outages.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Absence:
+class Outage:
     """An instance's time without the store.
 
     Attributes:
@@ -45,7 +45,7 @@
     instances: int
     per_s: float
     bad_share: float
-    absences: tuple[Absence, ...]
+    outages: tuple[Outage, ...]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -83,22 +83,22 @@
         self._ending = Ending()
         self._drivers = []
         self._readers = []
-        self._heard = [-1] * scene.instances
+        self._read_versions = [-1] * scene.instances
         self._step_at = []
-        self._tell_at = []
+        self._gossip_at = []
         for number, instance in enumerate(self._instances):
             instance.answer("v1", times=60)
             instance.orders.place(version_fixture.ORDER)
             self._drivers.append(self._driver(instance, f"instance-{number}"))
             self._readers.append(
-                driver_module.PlanRows(
+                driver_module.PlanRowReader(
                     rollouts=instance.rollouts,
                     orders=instance.orders,
                     instance_id=f"instance-{number}",
                 )
             )
             self._step_at.append(self._draw.uniform(0.1, 0.4))
-            self._tell_at.append(self._draw.uniform(0.0, 0.3))
+            self._gossip_at.append(self._draw.uniform(0.0, 0.3))
 
     def _driver(self, instance, name: str) -> driver_module.RollOutDriver:
         return driver_module.RollOutDriver(
@@ -143,13 +143,13 @@
     async def _tick(self) -> None:
         rows = await self._rows()
         for number, instance in enumerate(self._instances):
-            self._hear_of_the_store(number, rows)
+            self._read_store(number, rows)
             if self._now_s() >= self._step_at[number]:
                 self._step_at[number] += self._draw.uniform(0.1, 0.4)
                 await self._drivers[number].step_all()
-            if self._now_s() >= self._tell_at[number]:
-                self._tell_at[number] += self._draw.uniform(0.19, 0.31)
-                instance.news.tell()
+            if self._now_s() >= self._gossip_at[number]:
+                self._gossip_at[number] += self._draw.uniform(0.19, 0.31)
+                instance.gossip.tell()
         expected = self._scene.per_s * _TICK.total_seconds()
         while self._draw.random() < expected:
             expected -= 1.0
@@ -165,7 +165,7 @@
             for row in await self._store.scan(prefix=_PREFIX)
         )
 
-    def _hear_of_the_store(
+    def _read_store(
         self, number: int, rows: tuple[source.FollowedRow, ...]
     ) -> None:
         instance = self._instances[number]
@@ -173,17 +173,19 @@
             instance.watch.note_failure(ValueError("no answer"))
             return
         instance.watch.note_answer(self.clock.monotonic())
-        heard = self._heard[number]
+        last_read = self._read_versions[number]
         self._readers[number].change(
-            tuple(row for row in rows if row.version > heard)
+            tuple(row for row in rows if row.version > last_read)
+        )
+        self._read_versions[number] = max(
+            (row.version for row in rows), default=last_read
         )
-        self._heard[number] = max((row.version for row in rows), default=heard)
 
     def _is_away(self, number: int) -> bool:
         return any(
-            absence.instance == number
-            and absence.from_s <= self._now_s() < absence.to_s
-            for absence in self._scene.absences
+            outage.instance == number
+            and outage.from_s <= self._now_s() < outage.to_s
+            for outage in self._scene.outages
         )
 
     def _request(self) -> None:
