--- a/src/nutmeghook/internal/version_plans/baseline.py
+++ b/src/nutmeghook/internal/version_plans/baseline.py
@@ -1,54 +1,56 @@
-"""What the version in full use does: how long it takes, how often it fails.
+"""Baseline of a new version: latency and failures of the stable version.
 
-A new version is compared with it, as it is now: a busy minute, a grey replica
-or a service that fails some requests by its nature must not speak against it.
+The new version is compared with the stable one as it is now, so that a burst
+of load, a grey failure of a replica or a service that always fails some
+requests does not count against the new version.
 """
 
 import dataclasses
 import enum
 import math
 
-# A version may fail this share of its requests beyond what the version in full
-# use fails, and still count as good: other faults hit its replicas too.
+# A version may fail this share of its requests more than the stable version and
+# still count as good, since other faults hit its replicas too.
 TOLERATED_BEYOND_BASELINE = 0.05
-# The usual share is an estimate of few answers; this much of it is allowed.
+# The baseline's share of bad answers is estimated from few answers, so it is
+# tolerated times this factor.
 BASELINE_FACTOR = 1.6
-# What is taken for the usual share before there are answers, and how many
-# answers that guess is worth.
+# Prior for the baseline's share of bad answers: bad answers, and all answers.
 _PRIOR_BAD = 0.6
 _PRIOR_ANSWERS = 12.0
-# Answers of the version in full use that count; older ones fade.
+# Number of answers in the exponentially weighted mean of the baseline.
 _BASELINE_MEMORY_ANSWERS = 60.0
-# An answer is slow if it takes this many times as long as is usual on the same
+# An answer is slow if it takes this many times as long as the baseline of its
 # route and model: bad versions are several times slower, and prompts of one
 # route differ by a factor of two to three in length.
 SLOW_FACTOR = 4.0
-# And if it uses up this part of the route's target: a fifth of it more or less
-# harms no caller, whatever the factor.
+# It also has to take this part of the route's target: a fifth of it more or
+# less harms no caller, whatever the factor.
 SLOW_FRACTION_OF_TARGET = 0.2
-# Of each answer in the mean and spread that it is compared with.
+# Weight of each answer in the exponentially weighted mean of log-durations.
 _DURATION_WEIGHT = 0.05
-# The usual duration of a kind counts after so many answers.
+# The baseline of a kind is used after this many answers.
 _MIN_BASELINE_ANSWERS = 6
-# The logarithm of paces of one kind is taken to vary by so much at least; with
-# less, a few equal answers would make any other look like an exception.
+# Least standard deviation of the logarithm of paces of one kind; with less, a
+# few equal answers would make any other look like an outlier.
 _MIN_PACE_DEVIATION = 0.3
-# One answer counts for at most so many standard deviations.
+# One answer counts for at most this many standard deviations.
 _MAX_DEVIATION = 3.0
-# Of each pace in the mean and spread that it is compared with: some 60 answers
-# count, since what is expected of each takes the load into account already.
+# Weight of each pace in the exponentially weighted mean and variance: some 60
+# answers count, since the expected pace of each already accounts for the load.
 _PACE_WEIGHT = 0.033
-# So many answers the mean of paces is as sure as: 2 / weight - 1.
+# Number of answers whose plain mean has the same variance as the weighted mean:
+# 2 / weight - 1.
 MEAN_PACE_ANSWERS = 2.0 / _PACE_WEIGHT - 1.0
-# Answers of all routes together, beside those of each.
+# Key of the answers of all routes together.
 ALL_ROUTES = "all routes"
 
 
 class LatencyMeasure(enum.Enum):
-    """What is measured of an answer's pace.
+    """Part of an answer whose latency is compared.
 
-    A version may be slow in one of them only; added up, the other would hide
-    it.
+    A version may be slow in one part only, which the other would hide in their
+    sum.
     """
 
     FIRST_EVENT = "beginning"
@@ -61,8 +63,8 @@
 
     Attributes:
         model: Answers of one route and model take about as long.
-        duration_s: From sending to the first sign of the answer.
-        target_s: Answers within it have their full worth.
+        duration_s: Seconds from sending to the first sign of the answer.
+        target_s: Answers within this many seconds have their full worth.
     """
 
     route: str
@@ -73,12 +75,12 @@
 
     @property
     def kind(self) -> str:
-        """What tells answers apart that take about as long."""
+        """Key of the answers that take about as long as this one."""
         return f"{self.route}/{self.model}"
 
 
 class BaselineAnswers:
-    """How long answers of the version in full use take, and how many fail."""
+    """Durations and failures of the stable version's answers."""
 
     __slots__ = ("_answers", "_bad", "_count", "_log")
 
@@ -89,7 +91,7 @@
         self._bad: dict[str, float] = {}
 
     def note(self, answer: ObservedAnswer) -> None:
-        """Takes in an answer of the version in full use."""
+        """Adds an answer of the stable version."""
         bad = self.is_bad(answer)
         for route in (answer.route, ALL_ROUTES):
             fade = 1.0 - 1.0 / _BASELINE_MEMORY_ANSWERS
@@ -105,7 +107,7 @@
         self._count[answer.kind] = count + 1
 
     def is_bad(self, answer: ObservedAnswer) -> bool:
-        """Tells whether an answer failed or took far longer than usual."""
+        """Tells whether an answer failed or was far slower than the baseline."""
         if answer.failed:
             return True
         if self._count.get(answer.kind, 0) < _MIN_BASELINE_ANSWERS:
@@ -124,10 +126,10 @@
 
 
 class BaselinePaces:
-    """How quickly answers of the version in full use go on, by kind.
+    """Paces of the stable version's answers, by kind.
 
     Paces vary by a factor of two to ten with the load, so one slow answer
-    says little; but a version that is slow is slow in nearly all of them.
+    proves little, while a slow version is slow in nearly all answers.
     """
 
     __slots__ = ("_count", "_mean", "_variance")
@@ -138,7 +140,7 @@
         self._count: dict[str, int] = {}
 
     def note(self, kind: str, pace_s: float) -> None:
-        """Takes in the pace of one answer."""
+        """Adds the pace of one answer."""
         value = math.log(max(pace_s, 1e-4))
         count = self._count.get(kind, 0)
         mean = self._mean.get(kind, value)
@@ -152,7 +154,7 @@
         self._count[kind] = count + 1
 
     def deviation(self, kind: str, pace_s: float) -> float | None:
-        """Returns by how many standard deviations a pace is slower."""
+        """Returns by how many standard deviations a pace is slower, or None."""
         if self._count.get(kind, 0) < _MIN_BASELINE_ANSWERS:
             return None
         spread = max(_MIN_PACE_DEVIATION, math.sqrt(self._variance[kind]))
--- a/src/nutmeghook/internal/version_plans/binomial_tail.py
+++ b/src/nutmeghook/internal/version_plans/binomial_tail.py
@@ -1,15 +1,15 @@
-"""How likely chance alone gives so many bad answers, looked at once."""
+"""Upper tail of the binomial distribution, for a test that is made once."""
 
 import math
 
 
 def probability_of_at_least(bad: int, *, of: int, share: float) -> float:
-    """Returns the probability of so many bad answers or more.
+    """Returns the probability of at least `bad` bad answers.
 
     Args:
-        bad: So many were bad.
-        of: So many answers there were.
-        share: Each is bad with this probability.
+        bad: Number of bad answers.
+        of: Number of all answers.
+        share: Probability that an answer is bad.
     """
     fewer = sum(
         math.exp(_log_chance(count, of=of, share=share)) for count in range(bad)
@@ -18,11 +18,10 @@
 
 
 def _log_chance(bad: int, *, of: int, share: float) -> float:
-    """Returns the logarithm of the probability of just so many.
+    """Returns the logarithm of the probability of exactly so many.
 
-    The numbers of ways to choose are beyond a float's range from some
-    thousand answers on, and ended the process that looked; their logarithms
-    are not.
+    Logarithms are used since from some thousand answers on the binomial
+    coefficients exceed a float's range, and the overflow ended the process.
     """
     ways = (
         math.lgamma(of + 1) - math.lgamma(bad + 1) - math.lgamma(of - bad + 1)
--- a/src/nutmeghook/internal/version_plans/driver.py
+++ b/src/nutmeghook/internal/version_plans/driver.py
@@ -1,4 +1,4 @@
-"""Writes plans, evidence and verdicts, and reads those of the others."""
+"""Writes plans, evidence and verdicts, and reads those of other instances."""
 
 import abc
 import asyncio
@@ -23,16 +23,17 @@
 TABLE = "rollouts"
 PLAN_PREFIX = "plan/"
 EVIDENCE_PREFIX = "evidence/"
-# How often a verdict is looked for. A proof acts on this instance at once;
-# this only bounds how soon the others hear of it.
+# Base interval between two steps. A proof acts on this instance at once; the
+# step only bounds how soon the others learn of it.
 _STEP = datetime.timedelta(milliseconds=200)
-# Evidence is published this often at most, and only if it has grown by a bad
-# answer: a good version costs no writes.
+# Shortest interval between two writes of evidence. Before the final report,
+# evidence is written only once it has grown by a bad answer, so a good version
+# costs no writes.
 _PUBLISH_EVERY = datetime.timedelta(milliseconds=600)
 
 
 class StatusRows(abc.ABC):
-    """Spells what the operator reads of an order."""
+    """Encodes the status of an order for the operator."""
 
     @abc.abstractmethod
     def put(
@@ -42,7 +43,7 @@
 
 
 class PlanRowReader(follower.TableReader):
-    """Takes in plans and the others' evidence."""
+    """Applies plans and other instances' evidence from the store."""
 
     __slots__ = ("_instance_id", "_orders", "_rollouts")
 
@@ -60,11 +61,11 @@
     def replace(
         self, rows: tuple[source.FollowedRow, ...], revision: int
     ) -> None:
-        """Takes in the whole table."""
+        """Applies the whole table."""
         self.change(rows)
 
     def change(self, rows: tuple[source.FollowedRow, ...]) -> None:
-        """Takes in changes."""
+        """Applies changed rows."""
         for row in rows:
             if row.deleted:
                 continue
@@ -98,7 +99,7 @@
 
 
 class RollOutDriver:
-    """Moves every open order on, a step at a time."""
+    """Advances every open order step by step."""
 
     __slots__ = (
         "_clock",
@@ -145,7 +146,7 @@
         self._instance_id = instance_id
         self._published_at = datetime.timedelta()
         self._published: dict[int, float] = {}
-        # Orders of which all that was seen before the last stretch was told.
+        # Orders whose final report was written.
         self._final_reports_sent: set[int] = set()
 
     async def run(self) -> None:
@@ -164,12 +165,12 @@
 
     async def _drive(self) -> None:
         while True:
-            # Spread, so that one instance writes and the others read of it.
+            # Jitter lets one instance write first and the others read it.
             await self._clock.sleep(_STEP * self._random.uniform(0.5, 2.0))
             await self.step_all()
 
     async def step_all(self) -> None:
-        """Moves every open order on by a step."""
+        """Advances every open order by one step."""
         if self._watch.away:
             self._note_store_unreachable()
             return
@@ -211,12 +212,12 @@
             await self._conclude(
                 order,
                 plan_module.Verdict.GOOD,
-                f"nothing speaks against it: {known.bad_seen} of"
+                f"no evidence against the version: {known.bad_seen} of"
                 f" {known.answers_seen} answers known here were bad",
             )
 
     async def _begin(self, order: orders_module.RollOutOrder) -> None:
-        """Writes the plan's start unless another instance has."""
+        """Writes the plan unless another instance has."""
         store_time = self._watch.store_time()
         if store_time is None or self._follower.revision < 0:
             return
@@ -247,8 +248,8 @@
     ) -> None:
         """Writes a verdict, unless another instance has.
 
-        The condition lets the first of two verdicts stand; who comes later
-        reads it.
+        The write is a compare-and-swap on the row's version, so the first of
+        two verdicts stands; the other instance reads it.
         """
         row = await self._table.read(_plan_key(order.service))
         if row is None:
@@ -268,10 +269,9 @@
         plan: plan_module.PlanRow,
         version: int,
     ) -> None:
-        """Writes the plan and what the operator reads, both or neither.
+        """Writes the plan and the operator's status row.
 
-        Both are written in one transaction, so that the operator hears of each
-        verdict.
+        One transaction writes both, so that the operator sees each verdict.
         """
         key = _plan_key(plan.service)
         result = await self._table.commit(
@@ -326,10 +326,10 @@
         order: orders_module.RollOutOrder,
         plan: plan_module.PlanRow,
     ) -> bool:
-        """Tells whether what was seen is to be told although none of it is bad.
+        """Tells whether the final report is due and was not written yet.
 
-        What each instance saw may be too little to be worth a write, and
-        together a proof.
+        It also holds evidence that was too weak to be written before: pooled
+        over all instances it may be a proof.
         """
         own = self._rollouts.evidence_of(order).own
         return (
--- a/src/nutmeghook/internal/version_plans/evidence.py
+++ b/src/nutmeghook/internal/version_plans/evidence.py
@@ -8,21 +8,22 @@
 from nutmeghook.internal.version_plans import baseline as baseline_module
 from nutmeghook.internal.version_plans import binomial_tail
 
-# A good version is reverted this rarely, for each route that it serves.
+# Largest probability that a good version is reverted, for each of its routes.
 FALSE_STOP_SHARE = 0.004
-# Before completion, which can't be taken back, this much less proof counts.
+# The same before completion, which can't be undone: weaker evidence suffices.
 SUSPICION_SHARE = 0.05
-# A version is slow if its paces deviate by so many standard errors, over so
-# many answers. Looked at after each of 60 answers, 3.0 calls 13 good versions
-# in 1,000 slow and 3.5 none of 300; a version that begins six times later in
-# 6 of 10 requests is found after 8 answers instead of 6 (medians, simulated).
+# A version is slow if its paces deviate by this many standard errors over at
+# least `_MIN_PACES` answers. Tested after each of 60 answers, 3.0 finds 13 good
+# versions in 1,000 slow and 3.5 none of 300, while a version whose first event
+# comes six times later in 6 of 10 requests is found after a median of 8 answers
+# instead of 6.
 _SLOW_DEVIATIONS = 3.5
 _MIN_PACES = 4
-# So many standard deviations of slowness are worth telling like a bad answer.
+# This many standard deviations of slowness weigh as much as a bad answer.
 _DEVIATIONS_PER_BAD_ANSWER = 2.0
-# Of one instance's few runs in the course of an order.
+# Enough to tell apart the few runs of an instance during one order.
 _RUN_ID_BYTES = 4
-# As little as this is a suspicion: one good version in 160, by chance alone.
+# Threshold of a suspicion: one good version in 160 exceeds it by chance alone.
 _SUSPECT_DEVIATIONS = 2.5
 
 
@@ -31,16 +32,16 @@
 
     good: int = 0
     bad: int = 0
-    # Replicas that gave a bad answer. One failing replica is a fault of its
-    # own; a bad version fails on several.
+    # Replicas that gave a bad answer. A bad version fails on several replicas;
+    # a fault of one machine does not.
     bad_replicas: set[str] = set()
 
 
 class PaceCount(msgspec.Struct, kw_only=True):
-    """Answers whose pace was compared with what is usual.
+    """Answers whose pace was compared with the baseline.
 
     Attributes:
-        deviations: Theirs, in standard deviations, summed up.
+        deviations: Sum of their deviations, in standard deviations.
     """
 
     answers: int = 0
@@ -48,11 +49,11 @@
 
 
 class EvidenceRow(msgspec.Struct, kw_only=True):
-    """What one instance saw in the course of one order.
+    """Answers of the new version that one instance saw during one order.
 
     Attributes:
-        paces: By what was measured.
-        run_id: Tells rows of one instance's runs apart; each counts anew.
+        paces: Paces by latency measure.
+        run_id: Identifies the instance's run; each run counts from 0.
     """
 
     order_id: int
@@ -62,7 +63,7 @@
 
     @property
     def weight(self) -> float:
-        """How much of it speaks against the version, in bad answers."""
+        """Strength of the evidence against the version, in bad answers."""
         bad = sum(count.bad for count in self.routes.values())
         slow = sum(max(0.0, p.deviations) for p in self.paces.values())
         return bad + slow / _DEVIATIONS_PER_BAD_ANSWER
@@ -74,12 +75,12 @@
 
     @property
     def size(self) -> int:
-        """How much there is to tell of it; it only grows."""
+        """Number of answers and paces; it only grows."""
         answers = sum(count.good + count.bad for count in self.routes.values())
         return answers + self.pace_count
 
     def covers(self, other: "EvidenceRow") -> bool:
-        """Tells whether it counts no less than an earlier row."""
+        """Tells whether no count is smaller than in an earlier row."""
         return self.pace_count >= other.pace_count and all(
             route in self.routes
             and self.routes[route].good >= count.good
@@ -89,12 +90,12 @@
 
 
 class PooledEvidence:
-    """Folds all instances' counts of one order into a verdict.
+    """Combines all instances' counts of one order into a verdict.
 
     Counts only grow, so a row that is read twice or out of order adds
-    nothing; an instance that restarts begins with a row of its own again.
-    Answers are kept in the order in which they were heard of, and folded
-    anew when what is usual has changed.
+    nothing; an instance that restarts begins a new row. Answers are kept in
+    the order in which they were received, and are evaluated again when the
+    baseline has changed.
     """
 
     __slots__ = ("_answers", "_own", "_peer_rows", "_replicas", "order_id")
@@ -112,7 +113,7 @@
 
     @property
     def own(self) -> EvidenceRow:
-        """What this instance saw, to be published."""
+        """This instance's own evidence, to be published."""
         return self._own
 
     @property
@@ -133,7 +134,7 @@
         return sum(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
     def note(self, route: str, replica_id: str, *, bad: bool) -> None:
-        """Takes in an answer of the new version seen here."""
+        """Adds an answer of the new version that this instance saw."""
         count = self._own.routes.setdefault(route, RouteCount())
         if bad:
             count.bad += 1
@@ -146,19 +147,19 @@
     def note_pace(
         self, measure: baseline_module.LatencyMeasure, deviation: float
     ) -> None:
-        """Takes in how much slower than usual an answer was."""
+        """Adds an answer's deviation from the baseline pace."""
         count = self._own.paces.setdefault(measure, PaceCount())
         count.answers += 1
         count.deviations += deviation
 
     def merge(self, instance_id: str, row: EvidenceRow) -> None:
-        """Takes in what another instance saw."""
+        """Adds the evidence of another instance."""
         if row.order_id != self.order_id:
             return
         key = (instance_id, row.run_id)
         before = self._peer_rows.get(key)
         if before is not None and not row.covers(before):
-            # An older row that was overtaken on its way.
+            # An older row that arrived after a newer one.
             return
         self._peer_rows[key] = row
         for route, count in row.routes.items():
@@ -181,7 +182,8 @@
         Args:
             replicas: How many of the version's replicas are known.
             baseline: What the stable version does.
-            false_stop_share: How rarely a good version is called bad.
+            false_stop_share: Largest probability that a good version is
+                found bad.
         """
         slowness = self._slowness(
             _SLOW_DEVIATIONS
@@ -192,7 +194,7 @@
             return slowness
         for route, answers in self._answers.items():
             failing = len(self._replicas[route])
-            # One failing replica is a fault of its own.
+            # One failing replica does not prove the version bad.
             if failing < min(2, replicas):
                 continue
             rule = rating_evidence.RollOutRule(
@@ -212,11 +214,11 @@
     def suspicion(
         self, replicas: int, baseline: baseline_module.BaselineAnswers
     ) -> str | None:
-        """Returns what speaks against the version at the end of its trial.
+        """Returns the evidence against the version at the end of its canary.
 
-        A test that may be looked at after each answer pays for looking all the
-        time. Here a good version has only the few looks of the last stretch to
-        fail at.
+        A sequential test, valid after each answer, needs more evidence than a
+        test made once. This one is made only a few times in the final phase,
+        so a plain binomial tail suffices beside it.
         """
         found = self.proven_bad(
             replicas, baseline, false_stop_share=SUSPICION_SHARE
@@ -234,15 +236,16 @@
             return None
         return (
             f"{self.bad_seen} of {self.answers_seen} answers were bad at the"
-            " end of the trial"
+            " end of the canary"
         )
 
     def exceeds_tolerance(
         self, replicas: int, baseline: baseline_module.BaselineAnswers
     ) -> bool:
-        """Tells whether more is bad than a good version may have.
+        """Tells whether more answers are bad than a good version may have.
 
-        One failing replica is a fault of its own, however often it fails.
+        The bad answers have to come from more than one replica, since one
+        failing replica does not prove the version bad.
         """
         failing = len(self._replicas.get(baseline_module.ALL_ROUTES, ()))
         if failing < min(2, replicas):
@@ -260,10 +263,11 @@
     def _slowness_by(
         self, measure: baseline_module.LatencyMeasure, deviations: float
     ) -> str | None:
-        """Returns how slow answers were if chance hardly explains it.
+        """Returns how slow answers were if chance is an unlikely reason.
 
-        What is usual is a mean of some answers itself, so that more answers
-        of the new version do not make any difference from it a proof.
+        The baseline is itself a mean of a limited number of answers. Its
+        uncertainty is taken into account; otherwise enough answers of the new
+        version would turn any small difference into a proof.
         """
         rows = [self._own, *self._peer_rows.values()]
         counts = [row.paces[measure] for row in rows if measure in row.paces]
@@ -275,8 +279,8 @@
         if total < deviations * (answers * (1.0 + baseline_ratio)) ** 0.5:
             return None
         return (
-            f"{answers} answers were slower than usual in {measure.value}, by"
-            f" {total / answers:.1f} standard deviations"
+            f"{answers} answers were slower than the baseline in"
+            f" {measure.value}, by {total / answers:.1f} standard deviations"
         )
 
     def _add(self, route: str, answers: list[bool], failing: set[str]) -> None:
--- a/src/nutmeghook/internal/version_plans/filters.py
+++ b/src/nutmeghook/internal/version_plans/filters.py
@@ -1,4 +1,4 @@
-"""Tests of replicas' entries by their version."""
+"""Predicates on replicas' entries by version."""
 
 from collections.abc import Callable
 
@@ -6,15 +6,15 @@
 
 
 def any_version(entry: entries.ReplicaEntry) -> bool:
-    """Accepts all."""
+    """Accepts every replica."""
     return True
 
 
 def is_version(version: str) -> Callable[[entries.ReplicaEntry], bool]:
-    """Returns a test for one version."""
+    """Returns a predicate for one version."""
     return lambda entry: entry.version == version
 
 
 def is_not_version(version: str) -> Callable[[entries.ReplicaEntry], bool]:
-    """Returns a test for all others."""
+    """Returns a predicate for all other versions."""
     return lambda entry: entry.version != version
--- a/src/nutmeghook/internal/version_plans/gossip.py
+++ b/src/nutmeghook/internal/version_plans/gossip.py
@@ -1,8 +1,8 @@
-"""Tells peers at once what an instance learns in the course of an order.
+"""Gossips what an instance learns during an order.
 
-Two things can't wait for the store, or do without it: which sessions were
-under way when the roll-out began, and bad answers. While the store is
-away, each instance alone may know of too few to withdraw the version.
+Two things are sent to peers directly: which sessions were under way when the
+roll-out began, which can't wait for the store, and bad answers, of which each
+instance alone may know too few to withdraw the version during a store outage.
 """
 
 from collections.abc import Callable
@@ -21,26 +21,28 @@
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 
-# Sessions may move 1.5 s after a roll-out's start; a word of one that may not
-# is sent twice before, in case a datagram is lost.
+# Sessions may move 1.5 s after a roll-out's start. Before that a pinned session
+# is sent twice, in case a datagram is lost.
 GOSSIP_PERIOD = datetime.timedelta(milliseconds=250)
 SENDS_PER_SESSION = 2
 # A digest takes up to 10 bytes, and a datagram should fit into one packet.
 MAX_SESSIONS_PER_DATAGRAM = 100
-# Bad answers are also written to the store, so of a large fleet a part is
-# told; sessions are told to all.
+# Number of peers that evidence is sent to. It is also written to the store, so
+# a part of a large fleet suffices; sessions are sent to all peers.
 EVIDENCE_FANOUT = 24
-# In bad answers. A slow one is about as much, and a datagram costs little.
+# Evidence is sent once its weight has grown by this, in bad answers. A slow
+# answer weighs about as much, and a datagram costs little.
 _MIN_WEIGHT_GAIN = 0.5
 
 
 class _SentState:
-    """What peers were told of one order.
+    """What was sent to peers about one order.
 
     Attributes:
-        positions: In the list of held sessions, after each of the last ticks.
-        size: Of the evidence.
-        weight: Of the evidence.
+        positions: In the list of pinned sessions, after each of the last
+            updates.
+        size: Of the evidence last sent.
+        weight: Of the evidence last sent.
     """
 
     __slots__ = ("order_id", "positions", "size", "weight")
@@ -53,7 +55,7 @@
 
 
 class RollOutGossip(telling.PeriodicTeller):
-    """Sends and takes in news of open orders."""
+    """Sends and receives updates of open orders."""
 
     __slots__ = (
         "_addresses",
@@ -87,7 +89,7 @@
         messages.register(ttypes.RollOutNews, self._receive)
 
     def tell(self) -> None:
-        """Tells peers what is new of each open order."""
+        """Sends peers what is new about each open order."""
         for order in self._orders.all():
             plan = self._rollouts.plan_of(order)
             if plan is not None and plan.is_open:
@@ -124,11 +126,11 @@
         sent: _SentState,
         plan: plan_module.PlanRow,
     ) -> bool:
-        """Tells whether peers are to hear now what was seen here.
+        """Tells whether this instance's evidence is to be sent now.
 
-        Before the last stretch that is all of it, good answers too: an
-        instance without the store can't write its final report, and those
-        that decide would count none of what it saw.
+        When the final report is due, good answers are sent too: an instance
+        that can't reach the store can't write the report, and the instances
+        that decide would miss all its answers.
         """
         if own.weight >= sent.weight + _MIN_WEIGHT_GAIN:
             return True
@@ -165,10 +167,10 @@
         )
 
     def _receive(self, message: ttypes.RollOutNews) -> None:
-        """Takes in a peer's news.
+        """Applies a peer's update.
 
-        News may come before this instance has heard of the order; the peer's
-        second message, or the store's row, makes up for what is dropped.
+        An update that arrives before this instance knows the order is dropped;
+        the peer's second message, or the store's row, makes up for it.
         """
         order = self._orders.of_service(message.service_name)
         if order is None or order.order_id != message.order_id:
--- a/src/nutmeghook/internal/version_plans/orders.py
+++ b/src/nutmeghook/internal/version_plans/orders.py
@@ -1,4 +1,4 @@
-"""Orders to bring in a version, and how they stand."""
+"""Operators' orders to roll out a version, and their states."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class OrderState(enum.Enum):
-    """How an order stands."""
+    """State of an order."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -20,7 +20,7 @@
 
     Attributes:
         order_id: Tells this order from an earlier one with the same text.
-        within_s: Time from the order to its end.
+        within_s: Seconds from the order to its end.
     """
 
     service: str
@@ -30,7 +30,7 @@
 
 
 class OrderRegistry:
-    """The newest order for each service, as far as it was heard of."""
+    """The newest known order for each service."""
 
     __slots__ = ("_by_service",)
 
@@ -38,7 +38,7 @@
         self._by_service: dict[str, RollOutOrder] = {}
 
     def place(self, order: RollOutOrder) -> None:
-        """Takes in an order; it replaces the one before."""
+        """Adds an order; it replaces an older one of its service."""
         known = self._by_service.get(order.service)
         if known is not None and known.order_id >= order.order_id:
             return
@@ -52,7 +52,7 @@
         )
 
     def withdraw(self, service: str) -> None:
-        """Takes in that the operator took its order back."""
+        """Removes an order that the operator has withdrawn."""
         if self._by_service.pop(service, None) is not None:
             logs.note("roll_out:order_withdrawn", service=service)
 
--- a/src/nutmeghook/internal/version_plans/plan.py
+++ b/src/nutmeghook/internal/version_plans/plan.py
@@ -1,4 +1,4 @@
-"""How a roll-out stands, as all instances agree on it through one row."""
+"""State of a roll-out, shared by all instances in one row."""
 
 import datetime
 import enum
@@ -9,7 +9,7 @@
 
 
 class Verdict(enum.Enum):
-    """What was decided on the new version."""
+    """Decision on the new version."""
 
     OPEN = "open"
     BAD = "bad"
@@ -20,11 +20,13 @@
     """The row of one service.
 
     Attributes:
-        order_id: The order that it carries out.
-        started_ms: The store's steady time when the first instance saw it.
-        trial_share: The new version's share of requests until the last
-            stretch; 0 where whoever wrote the row did not say.
-        reason: What the verdict rests on.
+        order_id: The order that the plan carries out.
+        started_ms: The store's steady time, in milliseconds, when the first
+            instance saw the order.
+        within_s: Seconds from the order to its end.
+        trial_share: The new version's share of requests before the final
+            phase (the canary's share); 0 if the row's writer did not set it.
+        reason: Grounds for the verdict.
     """
 
     order_id: int
@@ -37,19 +39,19 @@
     reason: str = ""
 
     def elapsed_fraction_at(self, store_time: datetime.timedelta) -> float:
-        """Returns which part of the order's time has passed."""
+        """Returns the elapsed fraction of the order's time; may exceed 1."""
         started = datetime.timedelta(milliseconds=self.started_ms)
         passed_s = (store_time - started).total_seconds()
         return max(0.0, passed_s / max(self.within_s, 1.0))
 
     @property
     def is_open(self) -> bool:
-        """Tells whether nothing was decided yet."""
+        """Tells whether there is no verdict yet."""
         return self.verdict is Verdict.OPEN
 
     @property
     def state(self) -> orders.OrderState:
-        """What the operator is told."""
+        """The order's state as shown to the operator."""
         if self.verdict is Verdict.BAD:
             return orders.OrderState.REVERTED
         if self.verdict is Verdict.GOOD:
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -1,4 +1,4 @@
-"""How far an order is, by the store's clock and by what is known here."""
+"""An order's progress, by the store's clock and by what is known here."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -9,14 +9,14 @@
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
 
-# A version that begins its answers six times later in 6 of 10 requests is found
-# after 8 answers at the median and 18 in nine of ten (simulated).
+# A version whose first event comes six times later in 6 of 10 requests is found
+# slow after 8 answers at the median, and after 18 in nine of ten roll-outs.
 ENOUGH_ANSWERS_AFTER_OUTAGE = 16
-# Shorter ones leave most of an order's time for a proof; it is 16 s or more.
+# Shorter outages leave most of an order's time, 16 s or more, for a proof.
 LONG_OUTAGE = datetime.timedelta(seconds=3)
-# A store that has answered nobody for so long is taken to be out. Feeds of its
-# readers return every 2 s at least; one word of it in a thousand is 1.9 s old
-# or more.
+# A store of which no answer is known for this long counts as out. Readers' feed
+# requests return within 2 s, and one report of an answer in a thousand is 1.9 s
+# old or more.
 _STORE_SILENCE = datetime.timedelta(seconds=2.5)
 
 
@@ -25,7 +25,7 @@
 
     Args:
         schedule: Which share a new version gets, and when.
-        watch: What is known of the store.
+        watch: The store's time and availability.
         answers_seen: How many answers of a plan's version are known here.
         clock: Measures time.
 
@@ -55,26 +55,27 @@
         self._watch = watch
         self._answers_seen = answers_seen
         self._clock = clock
-        # Since when an order's last stretch has gone on here, in touch with the
-        # store all the while.
+        # Since when an order's final phase has lasted here with the store
+        # reachable throughout.
         self._final_phase_since: dict[int, datetime.timedelta] = {}
         self._unreachable_since: datetime.timedelta | None = None
-        # Orders in the course of which the store was away for long.
+        # Orders during which there was a long store outage.
         self._had_long_outage: set[int] = set()
 
     def elapsed_fraction(self, plan: plan_module.PlanRow) -> float:
-        """Returns which part of a plan's time has passed."""
+        """Returns the elapsed fraction of a plan's time."""
         store_time = self._watch.store_time()
         return (
             0.0 if store_time is None else plan.elapsed_fraction_at(store_time)
         )
 
     def steady_fraction(self, plan: plan_module.PlanRow) -> float:
-        """Returns the time's part, held before the last stretch at need.
+        """Returns the elapsed fraction, at need capped before the final phase.
 
-        Without the store nobody can complete the roll-out, and the others'
-        evidence is unheard. An instance that reads nothing itself goes by what
-        readers tell.
+        The cap holds while the store is out, since then nobody can complete the
+        roll-out and other instances' evidence does not arrive, and while too
+        few answers are known after an outage. An instance that does not read
+        the store itself relies on the readers' reports of its answers.
         """
         elapsed = self.elapsed_fraction(plan)
         silent = self._watch.silent_for() > _STORE_SILENCE
@@ -83,24 +84,24 @@
         return elapsed
 
     def _has_too_few_answers(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether too little was seen of a version for its last stretch.
+        """Tells whether too few answers are known for the final phase.
 
-        After an absence of the store the order is late either way, and the
-        trial goes on until enough answers are known. Without one the time
-        decides, since some services get few requests in all.
+        After a long store outage the order is late anyway, so the canary lasts
+        until enough answers are known. Without an outage the time decides,
+        since some services get few requests in all.
         """
         if plan.order_id not in self._had_long_outage:
             return False
         return self._answers_seen(plan) < ENOUGH_ANSWERS_AFTER_OUTAGE
 
     def is_canary_over(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether everything moves to the new version now."""
+        """Tells whether all requests go to the new version now."""
         return self.schedule.is_canary_over_at(
             self.steady_fraction(plan), plan.within_s
         )
 
     def is_final_report_due(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether all that was seen is to be told, good and bad."""
+        """Tells whether all answers seen are to be reported, good and bad."""
         return self.schedule.is_final_report_due_at(
             self.elapsed_fraction(plan), plan.within_s
         )
@@ -108,8 +109,8 @@
     def may_complete(self, plan: plan_module.PlanRow) -> bool:
         """Tells whether the old version's replicas may stop.
 
-        The last stretch has to have gone on here, in touch with the store: the
-        clock alone says nothing of evidence that was told meanwhile.
+        The final phase has to have lasted here with the store reachable: the
+        clock alone does not show that the others' evidence has been read.
         """
         if not self.schedule.may_complete_at(
             self.elapsed_fraction(plan), plan.within_s
@@ -123,14 +124,14 @@
         )
 
     def note_store_reachable(self, plan: plan_module.PlanRow) -> None:
-        """Takes in that the store answers while a plan is open."""
+        """Records that the store answers while a plan is open."""
         self._unreachable_since = None
         if self.is_canary_over(plan):
             now = self._clock.monotonic()
             self._final_phase_since.setdefault(plan.order_id, now)
 
     def note_store_unreachable(self, open_orders: Iterable[int]) -> None:
-        """Takes in that the store does not answer, and orders it holds up."""
+        """Records that the store does not answer, and the orders open then."""
         self._final_phase_since.clear()
         now = self._clock.monotonic()
         if self._unreachable_since is None:
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -1,11 +1,12 @@
 """Carries out orders: shares by the clock, verdicts by pooled evidence.
 
-Nobody is in charge. The first instance that sees an order writes the plan's
-start, insert-if-absent; from then on each instance works out the share from
-the store's steady clock. Each counts what it sees of the new version and
-publishes it when there is something bad; whoever finds the proof writes the
-verdict, conditional on the plan being open. An instance that was killed,
-frozen or cut off therefore holds nothing up, and its late writes fail.
+There is no leader. The first instance that sees an order writes the plan,
+insert-if-absent; from then on each instance computes the share from the
+store's steady clock. Each counts the new version's answers that it sees and
+publishes the counts when there are bad ones; the instance that finds a proof
+writes the verdict, conditional on the plan being open. An instance that was
+killed, stalled or partitioned therefore blocks nothing, and its late writes
+fail.
 """
 
 from collections.abc import Callable
@@ -32,10 +33,10 @@
 
 
 class RollOuts(view.VersionView):
-    """What this instance knows of all roll-outs.
+    """This instance's state of all roll-outs.
 
     Attributes:
-        progress: How far each order is.
+        progress: Progress of each order.
     """
 
     __slots__ = (
@@ -80,21 +81,21 @@
         self._clock = clock
         self._plans: dict[str, plan_module.PlanRow] = {}
         self._evidence: dict[str, evidence_module.PooledEvidence] = {}
-        # By service; of its newest order.
+        # Pinned sessions of each service's newest order.
         self._pinned: dict[str, pinned_sessions_module.PinnedSessions] = {}
         self._baseline = baseline_module.BaselineAnswers()
         self._baseline_paces = baseline_module.BaselinePaces()
-        # How many answers each order's evidence held when it was last judged.
+        # Number of answers in each order's evidence when it was last judged.
         self._judged: dict[int, int] = {}
-        # Proofs found here act here at once, before the verdict is written.
+        # Reasons of proofs found here; they act at once, before the verdict is
+        # written.
         self._local_verdicts: dict[str, str] = {}
 
     @property
     def is_ready(self) -> bool:
         """Tells whether every order's plan is known.
 
-        An instance that does not know how far a roll-out is would move sessions
-        back.
+        An instance without a plan would move sessions back.
         """
         return all(
             self.plan_of(order) is not None for order in self._orders.all()
@@ -110,7 +111,7 @@
         return plan
 
     def apply_plan(self, plan: plan_module.PlanRow) -> None:
-        """Takes in a plan's row; a verdict is never taken back."""
+        """Applies a plan's row; a verdict is never replaced."""
         known = self._plans.get(plan.service)
         if known is not None and (
             known.order_id > plan.order_id
@@ -128,7 +129,7 @@
     def pinned_sessions(
         self, order: orders_module.RollOutOrder
     ) -> pinned_sessions_module.PinnedSessions:
-        """Returns the sessions that an order leaves where they are."""
+        """Returns the sessions that an order leaves on their version."""
         return self._pinned_of(order.service, order.order_id)
 
     def _pinned_of(
@@ -141,7 +142,7 @@
         return pinned
 
     def _pin_active_sessions(self, plan: plan_module.PlanRow) -> None:
-        """Holds the sessions under way that the trial would take."""
+        """Pins the sessions under way that the canary would take."""
         now = self._clock.monotonic()
         for session in self._sessions.active_sessions(plan.service, now):
             self._pin_session(plan, session)
@@ -152,7 +153,7 @@
             self._pinned_of(plan.service, plan.order_id).pin(digest)
 
     def _is_in_canary(self, plan: plan_module.PlanRow, digest: int) -> bool:
-        """Tells whether the trial's share takes a session or request."""
+        """Tells whether a session or request falls into the canary's share."""
         share = plan.trial_share or self.progress.schedule.canary_share(
             plan.within_s
         )
@@ -161,7 +162,7 @@
     def evidence_of(
         self, order: orders_module.RollOutOrder
     ) -> evidence_module.PooledEvidence:
-        """Returns what is known of the order's version."""
+        """Returns the evidence on the order's version."""
         pooled = self._evidence.get(order.service)
         if pooled is None or pooled.order_id != order.order_id:
             pooled = evidence_module.PooledEvidence(order_id=order.order_id)
@@ -188,20 +189,20 @@
         return reason
 
     def suspicion(self, order: orders_module.RollOutOrder) -> str | None:
-        """Returns what speaks against the version without proving it bad.
+        """Returns evidence against the version that is weaker than a proof.
 
-        Asked once the trial is over: everything moves then, and completion
-        can't be taken back.
+        It is used once the canary is over, since all requests move then and
+        completion can't be undone.
         """
         return self.evidence_of(order).suspicion(
             self._new_replicas(order), self._baseline
         )
 
     def is_in_doubt(self, order: orders_module.RollOutOrder) -> bool:
-        """Tells whether more of the version's answers are bad than may be.
+        """Tells whether the version's bad answers exceed the tolerated share.
 
-        Too few for a suspicion, they are no ground for completion either.
-        Everything moves meanwhile, so a few more answers settle it.
+        They may be too few for a suspicion, but completion waits for more
+        answers; those come soon, since all requests go to the version by then.
         """
         return self.evidence_of(order).exceeds_tolerance(
             self._new_replicas(order), self._baseline
@@ -216,7 +217,7 @@
     def accepts(
         self, service: str, *, session: str | None, request_id: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
-        """Returns a test for the replicas that may run a request."""
+        """Returns a predicate for the replicas that may run a request."""
         order = self._orders.of_service(service)
         if order is None:
             return filters.any_version
@@ -237,7 +238,7 @@
     def accepts_stable(
         self, service: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
-        """Returns a test for replicas of a version that is not on trial."""
+        """Returns a predicate for replicas of a stable version."""
         order = self._orders.of_service(service)
         if order is None:
             return filters.any_version
@@ -254,7 +255,7 @@
         entry: entries.ReplicaEntry,
         deadline: datetime.timedelta,
     ) -> None:
-        """Takes in which version a request goes to."""
+        """Records which version a request goes to."""
         self._sessions.note(
             service,
             session,
@@ -275,7 +276,7 @@
         entry: entries.ReplicaEntry,
         answer: baseline_module.ObservedAnswer,
     ) -> None:
-        """Takes in an answer of a replica."""
+        """Records an answer of a replica."""
         order = self._orders.of_service(entry.service)
         if order is None or entry.version != order.version:
             self._baseline.note(answer)
@@ -295,10 +296,11 @@
         kind: str,
         pace_s: float,
     ) -> None:
-        """Takes in how quickly an answer went on.
+        """Records the pace of an answer.
 
-        Only the trial is compared: in the last stretch the new version alone
-        carries the load, and nothing tells a busy minute from a slow version.
+        Paces are compared only during the canary: in the final phase the new
+        version alone carries the load, and a burst of load can't be told from
+        a slow version.
         """
         order = self._orders.of_service(entry.service)
         if order is None or entry.version != order.version:
@@ -351,7 +353,7 @@
     def _canary_takes_session(
         self, plan: plan_module.PlanRow, session: str
     ) -> bool:
-        """Tells whether the trial takes a session now."""
+        """Tells whether the canary takes a session now."""
         digest = pinned_sessions_module.digest_of(plan.order_id, session)
         if not self._is_in_canary(plan, digest):
             return False
--- a/src/nutmeghook/internal/version_plans/sessions.py
+++ b/src/nutmeghook/internal/version_plans/sessions.py
@@ -1,11 +1,11 @@
-"""Which version each session was last sent to by this instance."""
+"""The version that this instance last sent each session to."""
 
 import collections
 import dataclasses
 import datetime
 
-# Sessions remembered; at 20 requests a second and instance this is minutes
-# more than a session's time.
+# At 20 requests a second and instance this covers minutes more than a session's
+# time.
 MAX_SESSIONS = 20_000
 
 
@@ -14,8 +14,9 @@
     """A session's last request.
 
     Attributes:
-        until: It may still be under way at this monotonic time, or another
-            one may follow it.
+        at: Monotonic time at which it was sent.
+        until: Monotonic time until which it may be under way, or another one
+            may follow it.
     """
 
     version: str
@@ -24,7 +25,7 @@
 
 
 class SessionVersions:
-    """Remembers sessions that are under way, by service and session."""
+    """Last uses of sessions, by service and session."""
 
     __slots__ = ("_last", "_session_time")
 
@@ -42,7 +43,7 @@
         now: datetime.timedelta,
         deadline: datetime.timedelta,
     ) -> None:
-        """Takes in that a session's request goes to a version."""
+        """Records that a session's request goes to a version."""
         key = (service, session)
         self._last[key] = LastUse(
             version=version, at=now, until=deadline + self._session_time
--- a/src/nutmeghook/internal/version_plans/view.py
+++ b/src/nutmeghook/internal/version_plans/view.py
@@ -9,26 +9,26 @@
 
 
 class VersionView(abc.ABC):
-    """Knows what is rolling out and what was withdrawn."""
+    """Knows which versions are rolling out and which were withdrawn."""
 
     @abc.abstractmethod
     def accepts(
         self, service: str, *, session: str | None, request_id: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
-        """Returns a test for the replicas that may run a request.
+        """Returns a predicate for the replicas that may run a request.
 
         Args:
             service: The request's service.
             session: Requests with the same one get the same version; None if
                 the request belongs to none.
-            request_id: Tells requests without a session apart.
+            request_id: Decides on the version of a request without a session.
         """
 
     @abc.abstractmethod
     def accepts_stable(
         self, service: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
-        """Returns a test for replicas of a version that is not on trial."""
+        """Returns a predicate for replicas of a stable version."""
 
     @abc.abstractmethod
     def note_sent(
@@ -39,13 +39,13 @@
         entry: entries.ReplicaEntry,
         deadline: datetime.timedelta,
     ) -> None:
-        """Takes in which version a request goes to.
+        """Records which version a request goes to.
 
         Args:
             service: The request's service.
             session: Its session.
             entry: The replica.
-            deadline: Monotonic time at which it has ended at last.
+            deadline: Monotonic time by which the request has ended.
         """
 
     @abc.abstractmethod
@@ -54,7 +54,7 @@
         entry: entries.ReplicaEntry,
         answer: baseline_module.ObservedAnswer,
     ) -> None:
-        """Takes in an answer of a replica."""
+        """Records an answer of a replica."""
 
     @abc.abstractmethod
     def note_pace(
@@ -65,14 +65,15 @@
         kind: str,
         pace_s: float,
     ) -> None:
-        """Takes in how quickly an answer went on.
+        """Records the pace of an answer.
 
         Args:
-            entry: Who answered.
+            entry: The replica that answered.
             measure: What was measured.
-            kind: Answers of one kind are about as quick.
-            pace_s: Time between two events, or until a whole answer; or until
-                an answer's first event, as parts of what was expected.
+            kind: Answers of one kind have about the same pace.
+            pace_s: Seconds between two events, or until a whole answer; or the
+                ratio of the time to an answer's first event to what was
+                expected.
         """
 
 
@@ -84,13 +85,13 @@
     def accepts(
         self, service: str, *, session: str | None, request_id: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
-        """Accepts all."""
+        """Accepts every replica."""
         return lambda entry: True
 
     def accepts_stable(
         self, service: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
-        """Accepts all."""
+        """Accepts every replica."""
         return lambda entry: True
 
     def note_sent(
@@ -101,14 +102,14 @@
         entry: entries.ReplicaEntry,
         deadline: datetime.timedelta,
     ) -> None:
-        """Ignores it."""
+        """Does nothing."""
 
     def note_answer(
         self,
         entry: entries.ReplicaEntry,
         answer: baseline_module.ObservedAnswer,
     ) -> None:
-        """Ignores it."""
+        """Does nothing."""
 
     def note_pace(
         self,
@@ -118,4 +119,4 @@
         kind: str,
         pace_s: float,
     ) -> None:
-        """Ignores it."""
+        """Does nothing."""
