--- a/src/nutmeghook/internal/rollout/allowance.py
+++ b/src/nutmeghook/internal/rollout/allowance.py
@@ -1,4 +1,4 @@
-"""The lease holder's side of exposure: hands out the leave made ready."""
+"""The lease holder's grants of reserved exposure allowance."""
 
 import dataclasses
 import datetime
@@ -13,24 +13,24 @@
 from nutmeghook.internal.rollout import pool as pool_module
 
 GRANT_VALID = datetime.timedelta(seconds=60)
-# Instances that get nothing ask again after a pause that grows with their
-# number, so that the holder hears no more questions a second than this.
+# Largest rate of requests to the holder from instances that got nothing; they
+# ask again after a pause that grows with their number.
 _MAX_REQUESTS_PER_S = 25
 _MIN_PAUSE = datetime.timedelta(seconds=1)
-# One instance may take this part of what is ready, so that the first to ask
-# leaves something for the others.
+# Largest part of the available allowance in one grant, so that the first
+# instance to ask leaves some for the others.
 _MAX_PART_PER_GRANT = 0.5
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class VersionAllowance:
-    """Leave of one version's roll-out, counted over one holder's time.
+    """Allowance of one version's roll-out, counted over one holder's term.
 
     Attributes:
-        reserved: Answers that the row says this holder may grant.
-        granted: Answers granted of them.
-        unused: Answers that instances gave back.
+        reserved: Answers that this holder may grant, as stored in the row.
+        granted: Those that it has granted.
+        unused: Granted answers that instances returned.
     """
 
     rollout_id: int
@@ -45,11 +45,11 @@
 
 
 class AllowanceKeeper:
-    """Grants leave from what the controller reserved in the row first.
+    """Grants allowance that the controller has reserved in the row before.
 
-    Reserving before granting is what keeps the bound over a change of holder:
-    a holder that dies, or is paused and wakes, never granted more than the
-    row says, and its successor counts all of that as sent.
+    Reserving before granting keeps the bound over a change of holder: a holder
+    that dies or is paused has never granted more than the row says, and its
+    successor counts all of that as sent.
     """
 
     __slots__ = ("_allowances", "_lease", "_members", "_token")
@@ -66,7 +66,7 @@
         self._allowances: dict[pool_module.VersionKey, VersionAllowance] = {}
 
     def register(self, handlers: peers.PeerHandlers) -> None:
-        """Answers instances that ask for leave."""
+        """Registers the handler of instances' requests for allowance."""
         handlers.register(ttypes.ExposureTake, self._handle)
 
     def counts(self, key: pool_module.VersionKey) -> VersionAllowance | None:
@@ -74,13 +74,13 @@
         return self._allowances.get(key)
 
     def begin(self, token: int) -> None:
-        """Starts counting anew where the lease is held anew."""
+        """Resets the counts if the lease was acquired again."""
         if token != self._token:
             self._allowances.clear()
             self._token = token
 
     def publish(self, pool: pool_module.Pool) -> None:
-        """Takes over what the row says may be granted."""
+        """Applies the reservations that the row now has."""
         rolling = {
             watch.key: watch
             for watch in pool.watches
@@ -127,7 +127,7 @@
         )
 
     def _empty_grant(self, *, rollout_id: int) -> ttypes.ExposureGrant:
-        """Returns a grant of nothing, valid until it is worth asking again."""
+        """Returns a grant of 0 answers, valid until the next request is due."""
         instances = len(self._members.members())
         pause = max(
             _MIN_PAUSE,
--- a/src/nutmeghook/internal/rollout/config_editor.py
+++ b/src/nutmeghook/internal/rollout/config_editor.py
@@ -1,4 +1,4 @@
-"""How the roll-out controller changes the configuration."""
+"""Configuration changes by the roll-out controller."""
 
 import abc
 import datetime
@@ -20,10 +20,10 @@
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True):
-    """A state that a version shall reach; reaching it twice does no harm.
+    """A change of a version's share; it is idempotent.
 
     Attributes:
-        rollout_id: The watch that the step belongs to.
+        rollout_id: `Watch.rollout_id` that the step belongs to.
         share_percent: The share to serve; 0 withdraws the version.
         reason: Shown to operators beside the change.
     """
@@ -35,12 +35,12 @@
 
     @property
     def withdraws(self) -> bool:
-        """Whether the step takes the version out."""
+        """Whether the step withdraws the version."""
         return self.share_percent == 0
 
 
 class StepOutcome(enum.Enum):
-    """What became of a step."""
+    """Outcome of a step."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -48,22 +48,22 @@
 
 
 class ConfigEditor(abc.ABC):
-    """Makes a step part of the configuration."""
+    """Applies steps to the configuration."""
 
     @abc.abstractmethod
     async def apply(self, step: Step) -> StepOutcome:
-        """Accepts a step, on condition that the lease is still held.
+        """Applies a step, on condition that the lease is still held.
 
         Repeating a step whose outcome is `UNSETTLED` settles it.
         """
 
 
 class AccepterEditor(ConfigEditor):
-    """Makes steps through the same acceptance as operators' changes.
+    """Applies steps through the same acceptance as operators' changes.
 
-    The change is conditional on the lease's row. A holder that was paused
-    between its decision and the commit finds that row changed by its
-    successor; without that it could roll out what others have withdrawn.
+    The change is conditional on the lease's row. The commit of a holder that
+    was paused after its decision fails, since its successor has changed that
+    row; otherwise it could roll out a version that others have withdrawn.
     """
 
     __slots__ = ("_accepter", "_attempts", "_lease")
@@ -73,11 +73,11 @@
     ):
         self._accepter = accepter
         self._lease = lease
-        # A settled refusal is for ever; the next try needs another id.
+        # A refusal is final for its operation id; the next try needs another.
         self._attempts: dict[pool_module.VersionKey, int] = {}
 
     async def apply(self, step: Step) -> StepOutcome:
-        """Accepts a step, on condition that the lease is still held."""
+        """Applies a step, on condition that the lease is still held."""
         token = self._lease.fencing_token()
         if token is None:
             return StepOutcome.UNSETTLED
--- a/src/nutmeghook/internal/rollout/controller.py
+++ b/src/nutmeghook/internal/rollout/controller.py
@@ -1,8 +1,8 @@
 """Drives all roll-outs from the one instance that holds their lease.
 
-Nothing of a roll-out lives in this task: shares are in the templates, ratings
-and reserved leave in one row. Any instance that gets the lease goes on from
-there, and a step that two holders both try takes effect once.
+The controller keeps no state of its own: shares are in the templates, ratings
+and reserved allowances in one row. Any instance that gets the lease continues
+from there, and a step that two holders both try takes effect once.
 """
 
 import datetime
@@ -24,13 +24,13 @@
 
 TICK = datetime.timedelta(seconds=1)
 _PAGES_PER_TICK = 5
-# Ratings that change nothing yet are written this seldom. A successor reads
-# them from the rating service again, from the row's cursor on.
+# Longest time for which ratings that change no decision stay unwritten. A
+# successor reads them from the rating service again, from the row's cursor on.
 _WRITE_EVERY = datetime.timedelta(seconds=10)
 
 
 class RolloutController:
-    """Reads ratings, reserves leave, and moves versions on or out."""
+    """Reads ratings, reserves allowances, and grows or withdraws versions."""
 
     __slots__ = (
         "_clock",
@@ -70,16 +70,16 @@
         self._clock = clock
         self._events = events
         self._pool: pool_module.Pool | None = None
-        # The pool in memory is ahead of the row.
+        # Whether the pool in memory is ahead of the row.
         self._dirty = False
-        # Revision of the configuration that a step was refused on.
+        # Revision of the configuration at which a step was refused.
         self._refused_at: dict[pool_module.VersionKey, int] = {}
         self._row_version = table_module.ABSENT_VERSION
         self._written_at = clock.monotonic() - _WRITE_EVERY
         self._waiting: set[pool_module.VersionKey] = set()
 
     async def run(self) -> None:
-        """Takes a step each tick until cancelled."""
+        """Runs a step each tick until cancelled."""
         while True:
             await self.step()
             await self._clock.sleep(TICK)
@@ -97,7 +97,7 @@
         try:
             await self._step(token)
         except failures.PlatformError:
-            # The outcome of a write may be unknown: only the row tells.
+            # A write may be in doubt; only the row shows its outcome.
             self._pool = None
 
     async def _step(self, token: int) -> None:
@@ -108,13 +108,13 @@
         new_ratings = await self._new_ratings(pool.cursor)
         snapshot = self._view.snapshot
         if snapshot.revision < pool.revision:
-            # This instance has yet to hear of a change that its predecessor
-            # acted on. It would take a running roll-out for a new one, with
-            # no answers out, and give its leave a second time.
+            # This instance has not received a change that its predecessor
+            # acted on. It would take a running roll-out for a new one, without
+            # unrated answers, and grant its allowance a second time.
             return
         after = pool_module.taken_over_by(pool, token)
-        # In this order: ratings that came before a roll-out began anew are
-        # not the new one's.
+        # Ratings are added first: those read before a roll-out restarts do not
+        # belong to the new one.
         after = pool_module.with_ratings(after, new_ratings, snapshot)
         after = pool_module.with_versions_of(after, snapshot)
         after = pool_module.with_checkpoint(after, self._clock.now())
@@ -133,10 +133,10 @@
     def _must_write(
         self, before: pool_module.Pool, after: pool_module.Pool
     ) -> bool:
-        """Tells whether the row has to follow the pool now.
+        """Tells whether the pool has to be written to the row now.
 
-        Leave is granted and versions are withdrawn only on what the row says;
-        else a successor would not know of it.
+        Allowances are granted and versions withdrawn only after the row says
+        so; otherwise a successor would not know.
         """
         if not self._dirty:
             return False
@@ -155,7 +155,7 @@
         return pool_module.decode(row.value)
 
     async def _new_ratings(self, cursor: int) -> list[ratings_module.Rating]:
-        """Reads the ratings behind the cursor; none if the service is out.
+        """Reads the ratings after the cursor; none if the service is out.
 
         Withdrawals that are already decided must not wait for the rating
         service, so its failure does not end the step.
@@ -165,7 +165,7 @@
         )
 
     async def _commit(self, pool: pool_module.Pool) -> bool:
-        """Writes the row, unless the lease or the row has moved on."""
+        """Writes the row unless the lease's row or this one has changed."""
         result = await self._table.commit(
             table_module.Transaction(
                 conditions=(
@@ -191,11 +191,11 @@
         return result.committed
 
     async def _apply(self, step: config_editor.Step, revision: int) -> None:
-        """Carries a step out, if the lease is held at this very moment.
+        """Applies a step if the lease is held now.
 
-        A step that was refused (say, it would leave a stage without a
-        version) waits for the configuration to change: each try would add
-        one more refused operation to the store, every second.
+        A step that was refused, for example since it would leave a stage
+        without a version, is retried only after the configuration has changed:
+        each try would add a refused operation to the store, every second.
         """
         if self._lease.fencing_token() is None:
             return
@@ -211,10 +211,10 @@
             self._record(events_module.EventKind.ROLLOUT_STEP_REFUSED, step)
 
     def _drop_if_withdrawn(self, step: config_editor.Step) -> None:
-        """Ends the watch of a version that is out.
+        """Removes the watch of a version that was withdrawn.
 
         An operator may roll it out again at once; the old verdict must not
-        take it out a second time.
+        withdraw it a second time.
         """
         if not step.withdraws or self._pool is None:
             return
@@ -239,7 +239,7 @@
     def _record_waiting(
         self, pool: pool_module.Pool, snapshot: documents.Snapshot
     ) -> None:
-        """Records once when a roll-out begins to wait for ratings."""
+        """Records an event when a roll-out begins to wait for ratings."""
         waiting = {
             watch.key
             for watch in pool.watches
--- a/src/nutmeghook/internal/rollout/decisions.py
+++ b/src/nutmeghook/internal/rollout/decisions.py
@@ -1,4 +1,4 @@
-"""What the pooled ratings call for: leave, the next share, a withdrawal."""
+"""Decides on allowances, next shares and withdrawals from pooled ratings."""
 
 import math
 
@@ -10,15 +10,15 @@
 from nutmeghook.internal.rollout import pool as pool_module
 
 _FULL_SHARE_PERCENT = 100.0
-# A version under suspicion stays at its share until that is settled: with
-# the threshold at 100 to 1, this is 10 to 1.
+# Strength of the evidence from which a version keeps its share: with the
+# threshold of a proof at 100 to 1, this is 10 to 1.
 _SUSPICION = 0.1
-# So many standard deviations more bad ratings at a share than tolerated hold
-# the version there. It costs a good version time at worst, so it may be far
-# less strict than the proof that stops one.
+# A version keeps its share if its bad ratings there exceed the tolerated number
+# by this many standard deviations. That costs a good version time at worst, so
+# much weaker evidence suffices than for a withdrawal.
 _HOLD_AT_DEVIATIONS = 1.0
-# Leave made ready ahead, as a part of the cap: what a holder's death may
-# leave counted as sent for a while.
+# Allowance reserved in advance, as a part of the cap. If the holder dies,
+# this much may count as sent for a while although it was not.
 _PREPARED_PART_OF_CAP = 0.25
 
 
@@ -27,7 +27,7 @@
     snapshot: documents.Snapshot,
     keeper: allowance_module.AllowanceKeeper,
 ) -> pool_module.Pool:
-    """Returns the pool with as much leave reserved as the caps allow."""
+    """Returns the pool with as much allowance reserved as the caps permit."""
     watches = tuple(
         _with_allowance(
             watch, _policy(watch, snapshot), keeper.counts(watch.key)
@@ -52,7 +52,7 @@
 def waits_for_ratings(
     watch: pool_module.Watch, snapshot: documents.Snapshot
 ) -> bool:
-    """Tells whether a roll-out stands still at its cap."""
+    """Tells whether a roll-out waits at its cap of unrated answers."""
     policy = _policy(watch, snapshot)
     return watch.rolling_out and watch.unrated_answers() >= policy.unrated_cap
 
--- a/src/nutmeghook/internal/rollout/evidence.py
+++ b/src/nutmeghook/internal/rollout/evidence.py
@@ -1,10 +1,9 @@
-"""When ratings prove that a version is bad, at whatever moment one looks.
+"""Sequential tests of whether ratings prove that a version is bad.
 
-Looking at an error share after each rating and stopping at the first look
-above a threshold stops good versions too: each look is one more chance to err.
-The two rules here may be looked at after each rating. Both weigh the ratings
-so far against a handful of worse bad shares, for every moment at which the
-version may have turned bad:
+Comparing the share of bad ratings with a threshold after each rating stops good
+versions too, since each comparison is one more chance of a false alarm. The two
+rules here are valid after each rating. Both compute likelihood ratios of a few
+larger bad shares, for every moment at which the version may have turned bad:
 
 * `RollOutRule` bounds the probability that a version within tolerance is ever
   stopped in its whole roll-out (a mixture of test martingales over the
@@ -20,22 +19,22 @@
 
 import msgspec
 
-# Bad shares to look for, as parts of the way from tolerated to always bad:
-# wide enough for a version that fails each tenth caller, or all.
+# Alternative bad shares, as fractions of the way from tolerated to always bad.
+# They cover versions that fail from each tenth caller to all.
 _ALTERNATIVES = (0.03, 0.08, 0.2, 0.45, 0.8)
 _RATINGS_UNTIL_CHANGE = 300.0
 _WEIGHT_BAD_FROM_START = 0.5
-# Sums stay far below this before a verdict; it only guards the arithmetic.
+# Guards against float overflow; sums are far smaller before a verdict.
 _LARGEST_SUM = 1e200
 
 
 class Evidence(msgspec.Struct, frozen=True, kw_only=True):
-    """What the ratings of one version say so far; small enough for a row.
+    """Sufficient statistics of one version's ratings, stored in a row.
 
     Attributes:
-        ratings: How many were taken in.
-        bad: How many of them were bad.
-        sums: One weighted sum of likelihood ratios for each alternative.
+        ratings: Number of ratings.
+        bad: Number of bad ones.
+        sums: A weighted sum of likelihood ratios for each alternative.
     """
 
     ratings: int = 0
@@ -44,7 +43,7 @@
 
 
 class Rule(abc.ABC):
-    """Folds ratings into evidence and tells when it suffices."""
+    """Adds ratings to evidence and tells when it suffices."""
 
     __slots__ = ("_threshold", "_tolerated")
 
@@ -71,12 +70,12 @@
         )
 
     def strength(self, evidence: Evidence) -> float:
-        """Returns how far the proof is: from 0 to 1, where it suffices."""
+        """Returns the evidence as a fraction of a proof, from 0 to 1."""
         mean = sum(evidence.sums) / len(evidence.sums)
         return min(1.0, mean / self._threshold)
 
     def proves_bad(self, evidence: Evidence) -> bool:
-        """Tells whether the version has to go."""
+        """Tells whether the version has to be withdrawn."""
         return self.strength(evidence) >= 1.0
 
     @abc.abstractmethod
@@ -91,7 +90,7 @@
 
 
 class RollOutRule(Rule):
-    """Stops a version that is in roll-out.
+    """Finds that a version in roll-out is bad.
 
     Args:
         tolerated_bad_share: Share of bad ratings that is still fine.
@@ -118,11 +117,12 @@
 
 
 class FullShareRule(Rule):
-    """Notices that a version at full share has turned bad.
+    """Detects that a version at full share has turned bad.
 
     Args:
         tolerated_bad_share: Share of bad ratings that is still fine.
-        ratings_between_false_alarms: The least mean number of them.
+        ratings_between_false_alarms: Least mean number of ratings from one
+            false alarm to the next.
     """
 
     __slots__ = ()
--- a/src/nutmeghook/internal/rollout/exposure.py
+++ b/src/nutmeghook/internal/rollout/exposure.py
@@ -1,4 +1,4 @@
-"""Leave to send answers of versions in roll-out, as an interface."""
+"""Interface of the allowance to send answers of versions in roll-out."""
 
 import abc
 
@@ -16,10 +16,10 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> bool:
-        """Takes leave for one answer; False: use the serving version.
+        """Takes allowance for one answer; False: use the serving version.
 
-        It answers from leave fetched earlier, never waits, and starts
-        fetching more in the background.
+        It uses allowance fetched earlier, never waits, and starts fetching
+        more in the background.
         """
 
     @abc.abstractmethod
@@ -29,11 +29,10 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Counts an answer that is sent whether there is leave or not.
+        """Counts an answer that is sent with or without allowance.
 
-        A session's pin goes before leave. What such answers take beyond the
-        leave is a debt that later leave pays off first, so that a new
-        session waits for it.
+        A session's pin takes precedence over the allowance. Answers beyond it
+        are a debt that later grants pay off first, so new sessions wait.
         """
 
     @abc.abstractmethod
@@ -43,11 +42,11 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Returns leave taken for an answer that will not be sent."""
+        """Returns the allowance of an answer that will not be sent."""
 
 
 class NoExposureGate(ExposureGate):
-    """Never gives leave: no roll-out gets new sessions here."""
+    """Has no allowance, so no version in roll-out gets new sessions."""
 
     __slots__ = ()
 
@@ -74,4 +73,4 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Has nothing to take back."""
+        """Does nothing."""
--- a/src/nutmeghook/internal/rollout/gate.py
+++ b/src/nutmeghook/internal/rollout/gate.py
@@ -1,4 +1,4 @@
-"""An instance's side of exposure: leave in hand, fetched ahead of use."""
+"""An instance's exposure allowance, fetched from the lease holder."""
 
 import asyncio
 import dataclasses
@@ -18,7 +18,8 @@
 LEASE_NAME = "rollouts"
 _REQUEST_TIMEOUT = datetime.timedelta(milliseconds=500)
 _PAUSE_WITHOUT_HOLDER = datetime.timedelta(seconds=1)
-# How long after the last request for a version leave is kept ready for it.
+# Allowance of a version is fetched in advance until this long after its last
+# request.
 _IDLE_TIMEOUT = datetime.timedelta(minutes=10)
 _MAX_REQUESTED = 16
 _NO_TIME = datetime.timedelta()
@@ -26,16 +27,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ExposureAllowance:
-    """Leave of one version on this instance.
+    """Allowance of one version on this instance.
 
     Attributes:
-        left: Answers that may be sent; more than 0 only without debt.
-        debt: Answers sent without leave, to be paid from later leave.
-        unused: Answers of ended grants that were not sent, to be given back.
-        demand: Answers wanted since the last grant; sizes the next ask.
-        valid_until: Monotonic time at which `left` lapses.
-        wanted_at: Monotonic time of the last request for the version.
-        wake: Set when there is reason to ask.
+        available: Answers that may be sent; more than 0 only without debt.
+        debt: Answers sent without allowance, to be paid from later grants.
+        unused: Answers of expired grants that were not sent, to be returned.
+        demand: Answers wanted since the last grant; sizes the next request.
+        valid_until: Monotonic time at which `available` expires.
+        last_used_at: Monotonic time of the last request for the version.
+        wake: Set when there is reason to request a grant.
     """
 
     key: pool_module.VersionKey
@@ -50,11 +51,11 @@
 
 
 class GrantedExposureGate(exposure.ExposureGate):
-    """Takes from leave that the lease holder granted earlier.
+    """Takes from allowance that the lease holder granted earlier.
 
-    Without a reachable holder the leave in hand runs out, and new sessions
-    get the serving version: the roll-out pauses, no caller waits, and no
-    answer goes uncounted.
+    Without a reachable holder the allowance runs out, and new sessions get the
+    serving version: the roll-out pauses, no caller waits, and every answer is
+    counted.
     """
 
     __slots__ = (
@@ -87,7 +88,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> bool:
-        """Takes leave for one answer, if some is in hand."""
+        """Takes allowance for one answer, if there is any."""
         allowance = self._allowance(template, model_version)
         self._expire(allowance)
         allowance.demand += 1
@@ -104,7 +105,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Counts an answer that is sent whether there is leave or not."""
+        """Counts an answer that is sent with or without allowance."""
         allowance = self._allowance(template, model_version)
         self._expire(allowance)
         allowance.demand += 1
@@ -120,7 +121,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Returns leave taken for an answer that will not be sent."""
+        """Returns the allowance of an answer that will not be sent."""
         allowance = self._allowance(template, model_version)
         allowance.demand = max(0, allowance.demand - 1)
         if allowance.debt > 0:
@@ -131,7 +132,7 @@
             allowance.unused += 1
 
     async def close(self) -> None:
-        """Stops fetching; leave in hand is lost, which errs to the safe."""
+        """Stops fetching; unused allowance is lost and counts as sent."""
         work = list(self._tasks)
         for task in work:
             task.cancel()
@@ -170,7 +171,7 @@
             allowance.available = 0
 
     async def _maintain(self, allowance: ExposureAllowance) -> None:
-        """Keeps leave at hand for as long as requests want the version."""
+        """Fetches allowance while there are requests for the version."""
         while self._is_in_use(allowance):
             allowance.wake.clear()
             self._expire(allowance)
@@ -186,7 +187,7 @@
         return idle < _IDLE_TIMEOUT
 
     async def _wait_until_needed(self, allowance: ExposureAllowance) -> None:
-        """Waits until leave is short, has lapsed, or nobody wants it."""
+        """Waits until the allowance is used up, expired or idle."""
         timeout = _IDLE_TIMEOUT
         if allowance.available:
             timeout = allowance.valid_until - self._clock.monotonic()
@@ -196,11 +197,11 @@
             return
 
     async def _fetch(self, allowance: ExposureAllowance) -> datetime.timedelta:
-        """Asks for leave; returns how long to wait before the next ask."""
+        """Requests a grant; returns the pause before the next request."""
         unused, allowance.unused = allowance.unused, 0
         wanted = min(_MAX_REQUESTED, max(1, allowance.demand))
-        # Counted from before the question, so that the leave never lasts
-        # longer here than its granter believes.
+        # Validity counts from before the request, so that the grant never lasts
+        # longer here than at the lease holder.
         requested_at = self._clock.monotonic()
         take = ttypes.ExposureTake(
             team=allowance.key.team,
@@ -227,7 +228,7 @@
         valid_until: datetime.timedelta,
     ) -> None:
         if grant.rollout_id != allowance.rollout_id:
-            # Leave and debt of an earlier roll-out mean nothing in this one.
+            # Allowance and debt of an earlier roll-out don't apply to this one.
             allowance.rollout_id = grant.rollout_id
             allowance.available = allowance.debt = allowance.unused = 0
         allowance.valid_until = valid_until
@@ -239,10 +240,11 @@
     async def _request_grant(
         self, take: ttypes.ExposureTake
     ) -> ttypes.ExposureGrant | None:
-        """Asks the lease's likely holders in turn.
+        """Sends the request to the lease's likely holders in turn.
 
-        A question without a reply may have been granted. That leave is lost:
-        asking for it again could send more answers than were counted.
+        A request without a reply may have been granted. That grant is lost, and
+        so is the returned `unused`: using either twice could send more answers
+        than were counted.
         """
         for member in preference.candidates(LEASE_NAME, self._members):
             try:
--- a/src/nutmeghook/internal/rollout/pool.py
+++ b/src/nutmeghook/internal/rollout/pool.py
@@ -1,8 +1,8 @@
-"""What is known of each version under watch, pooled over the fleet.
+"""Ratings of each watched version, pooled over the fleet.
 
-One row holds it all: the position in the rating service's list and what the
-ratings up to it say. They change together or not at all, so that each rating
-counts once, whichever instance read it.
+One row holds the position in the rating service's list and the evidence of the
+ratings up to it. They change atomically, so that each rating counts once,
+whichever instance reads it.
 """
 
 import datetime
@@ -16,15 +16,15 @@
 from nutmeghook.internal.rollout import evidence as evidence_module
 
 ROW_KEY = "rollouts/pool"
-# Some answers are never rated: an instance died before it handed them in, or
-# the rating service lost them. After a time so many for each rated one are
+# Some answers are never rated: an instance died before it submitted them, or
+# the rating service lost them. After a time this many for each rated one are
 # written off; were there more, bad answers might be those that go unrated.
 WRITTEN_OFF_PER_RATED = 0.05
 WRITTEN_OFF_AFTER = datetime.timedelta(minutes=5)
 
 
 class Verdict(enum.Enum):
-    """What the ratings say of a version."""
+    """Verdict on a version by its ratings."""
 
     OPEN = "open"
     BAD = "bad"
@@ -39,7 +39,7 @@
 
 
 class Watch(msgspec.Struct, frozen=True, kw_only=True):
-    """One version under watch.
+    """State of one watched version.
 
     Attributes:
         rollout_id: Revision at which the watch began; a version that is
@@ -48,15 +48,15 @@
         share_percent: The version's share now.
         ratings_at_share: Ratings of answers that were sent at this share.
             Below 0 while ratings of earlier answers are still to come: those
-            say nothing of a version that turns bad at a larger share.
-        bad_at_share: Those of them, from 0 on, that were bad.
+            say nothing about a version that turns bad at a larger share.
+        bad_at_share: Bad ones among them, counted from 0 on.
         rated: Ratings since the watch began.
-        reserved: Answers for which leave was ever made ready.
-        reserved_by_holder: Those of them by the present lease holder.
+        reserved: Answers ever reserved as allowance.
+        reserved_by_holder: Those reserved by the present lease holder.
         unused: Answers reserved under earlier holders that were not sent.
         unused_by_holder: The same under the present holder.
-        reserved_lately: What `reserved` was at the pool's last checkpoint.
-        reserved_long_ago: And at the one before.
+        reserved_lately: Value of `reserved` at the pool's last checkpoint.
+        reserved_long_ago: Its value at the checkpoint before.
     """
 
     key: VersionKey
@@ -76,10 +76,10 @@
     reserved_long_ago: int = 0
 
     def unrated_answers(self) -> int:
-        """Returns the most answers that may be out without a rating.
+        """Returns the largest possible number of sent, unrated answers.
 
-        Leave that was made ready counts as an answer sent: whoever had it may
-        have used it and died.
+        Reserved allowance counts as sent: an instance may have used it and
+        died.
         """
         settled = self.rated + self.unused + self.unused_by_holder
         missing = max(0, self.reserved_long_ago - settled)
@@ -91,12 +91,13 @@
     """The row: all versions under watch.
 
     Attributes:
-        cursor: The last rating taken in.
-        checkpoint_at: When the watches' `reserved_lately` was noted. Wall
-            time, since holders change; a jump of it only shifts the moment
-            at which a bounded number of answers is written off.
-        revision: Of the configuration that the watches follow.
-        holder_token: Fencing token of the holder that wrote it.
+        cursor: Cursor of the last rating counted.
+        checkpoint_at: Wall-clock time at which `reserved_lately` of the watches
+            was set. Holders change, so monotonic time can't be used; a jump of
+            the clock only shifts the moment at which a bounded number of
+            answers is written off.
+        revision: Revision of the configuration that the watches follow.
+        holder_token: Fencing token of the holder that wrote the row.
     """
 
     cursor: int = 0
@@ -110,7 +111,7 @@
         return next((w for w in self.watches if w.key == key), None)
 
     def bad_versions(self) -> set[VersionKey]:
-        """Returns the versions that have to go."""
+        """Returns the versions that have to be withdrawn."""
         return {w.key for w in self.watches if w.verdict is Verdict.BAD}
 
 
@@ -125,10 +126,10 @@
 
 
 def taken_over_by(pool: Pool, token: int) -> Pool:
-    """Returns the pool as a holder takes it over.
+    """Returns the pool after a holder has taken it over.
 
-    The new holder can't know what its predecessor granted, so all of it
-    counts as sent until ratings show otherwise.
+    The new holder can't know what its predecessor granted, so all that it
+    reserved counts as sent until ratings show otherwise.
     """
     if pool.holder_token == token:
         return pool
@@ -145,7 +146,7 @@
 
 
 def with_versions_of(pool: Pool, snapshot: documents.Snapshot) -> Pool:
-    """Returns the pool with exactly the versions in use watched."""
+    """Returns the pool with a watch for exactly the versions in use."""
     known = {watch.key: watch for watch in pool.watches}
     watches = tuple(
         _updated_watch(known.get(key), key, entry, snapshot.revision)
@@ -161,7 +162,7 @@
     new_ratings: list[ratings_module.Rating],
     snapshot: documents.Snapshot,
 ) -> Pool:
-    """Returns the pool with ratings taken in, in order."""
+    """Returns the pool with ratings added in their order."""
     watches = {watch.key: watch for watch in pool.watches}
     cursor = pool.cursor
     for rating in new_ratings:
@@ -182,7 +183,7 @@
 
 
 def with_checkpoint(pool: Pool, now: datetime.datetime) -> Pool:
-    """Returns the pool with a new checkpoint, if it is time for one."""
+    """Returns the pool with a new checkpoint, if one is due."""
     before = pool.checkpoint_at
     if before is not None and before <= now < before + WRITTEN_OFF_AFTER:
         return pool
@@ -198,9 +199,9 @@
 
 
 def must_be_durable(before: Pool, after: Pool) -> bool:
-    """Tells whether a change has to be known to the next holder.
+    """Tells whether a change has to be stored for the next holder.
 
-    All but ratings has: those can be read again.
+    Only ratings need not be: they can be read again.
     """
     return _durable_state(before) != _durable_state(after)
 
@@ -291,8 +292,8 @@
     evidence = rule.with_rating(watch.evidence, bad=bad)
     verdict = watch.verdict
     if rule.proves_bad(evidence):
-        # Kept even if later ratings are good: the decision must not be
-        # lost when the holder dies before it could carry it out.
+        # Kept even if later ratings are good: the decision must not be lost if
+        # the holder dies before it is carried out.
         verdict = Verdict.BAD
     return msgspec.structs.replace(
         watch,
--- a/src/nutmeghook/internal/rollout/ready_gate.py
+++ b/src/nutmeghook/internal/rollout/ready_gate.py
@@ -1,4 +1,4 @@
-"""Keeps new sessions off a version that too few engines have loaded yet."""
+"""Keeps new sessions off a version that too few engines have loaded."""
 
 from collections.abc import Callable
 
@@ -11,10 +11,10 @@
 
 
 class ReadyExposureGate(exposure.ExposureGate):
-    """Gives leave only for versions that are loaded; else asks another gate.
+    """Passes requests on to another gate only for versions that are loaded.
 
-    A roll-out is accepted before its version is anywhere: loading takes
-    minutes and waits for the weight store. Without this check the first
+    A roll-out is accepted before any backend server has its version: loading
+    takes minutes and waits for the weight store. Without this check the first
     sessions of its share would find no backend server and be refused.
     """
 
@@ -30,7 +30,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> bool:
-        """Takes leave for one answer if the version is loaded."""
+        """Takes allowance for one answer if the version is loaded."""
         share_percent = _share_percent(template, model_version)
         if not self._is_ready(model_version, share_percent):
             return False
@@ -44,7 +44,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Counts an answer that is sent whether there is leave or not."""
+        """Counts an answer that is sent with or without allowance."""
         self._gate.take_regardless(
             template=template, model_version=model_version
         )
@@ -55,7 +55,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Returns leave taken for an answer that will not be sent."""
+        """Returns the allowance of an answer that will not be sent."""
         self._gate.release(template=template, model_version=model_version)
 
 
--- a/src/nutmeghook/internal/version_plans/baseline.py
+++ b/src/nutmeghook/internal/version_plans/baseline.py
@@ -107,7 +107,7 @@
         self._count[answer.kind] = count + 1
 
     def is_bad(self, answer: ObservedAnswer) -> bool:
-        """Tells whether an answer failed or was far slower than the baseline."""
+        """Tells whether an answer failed or was far slower than baseline."""
         if answer.failed:
             return True
         if self._count.get(answer.kind, 0) < _MIN_BASELINE_ANSWERS:
