--- a/tests/cover/test_rollout_controller.py
+++ b/tests/cover/test_rollout_controller.py
@@ -39,7 +39,7 @@
     """Runs on a fleet."""
 
     async def asyncSetUp(self):
-        # Debug mode records a stack for each callback: ten times slower.
+        # Debug mode records a stack for each callback, ten times slower.
         asyncio.get_running_loop().set_debug(False)
 
 
@@ -49,9 +49,9 @@
     async def test_a_version_that_turns_bad_at_any_share_is_withdrawn(self):
         """Callers get bad answers from some share on.
 
-        At most the cap of answers is out unrated, so what they got before
-        the ratings proved it is bounded whatever the share. Then the version
-        is withdrawn, the old one has the whole share, and no more is sent.
+        The cap on unrated answers bounds the bad answers sent before the proof,
+        whatever the share. Then the version is withdrawn, the old one gets the
+        whole share, and no more answers of the new one are sent.
         """
         for first_share in (1.0, 5.0, 50.0):
             with self.subTest(first_share=first_share):
@@ -67,11 +67,10 @@
                     self.assertEqual(fleet.sent, sent)
 
     async def test_a_version_that_turns_bad_at_full_share_is_withdrawn(self):
-        """The version was rolled out in full and served well for a while.
+        """The version turns bad some time after it was rolled out in full.
 
-        Then callers get bad answers. The watch on full-share versions
-        notices from the sampled ratings, and the version before it, kept at
-        no share, gets all of the work back.
+        The rule for full-share versions detects it from the sampled ratings,
+        and the version before it, kept at share 0, gets all requests again.
         """
         async with running_fleet() as fleet:
             await fleet.ticks_until(lambda: fleet.entry().share_percent == 100)
@@ -96,11 +95,11 @@
             await fleet.roll_out()
             await fleet.ticks_until(lambda: fleet.entry().share_percent == 100)
 
-    async def test_the_last_version_is_not_taken_away(self):
-        """The bad version is the only one left; callers depend on it.
+    async def test_the_last_version_is_not_withdrawn(self):
+        """The bad version is the only one left, and callers depend on it.
 
-        The withdrawal is refused, once for each configuration and not once
-        a second, and stands in the events for an operator to decide.
+        The withdrawal is refused once for each configuration, not once a
+        second, and is recorded as an event for the operator.
         """
         async with running_fleet() as fleet:
             await fleet.ticks_until(lambda: fleet.entry().share_percent == 100)
@@ -123,12 +122,12 @@
 class MissingRatingsTest(FleetTestCase):
     """The rating service stops, or rates only some answers."""
 
-    async def test_without_ratings_a_roll_out_stands_still_at_the_cap(self):
-        """The rating service takes answers in but rates none.
+    async def test_without_ratings_a_roll_out_stops_at_the_cap(self):
+        """The rating service accepts answers but rates none.
 
         Callers get answers of the new version up to the cap and then the
-        serving version's; the share does not move. When ratings come again,
-        the roll-out goes on by itself and ends.
+        serving version's; the share stays. When ratings come again, the
+        roll-out continues by itself and ends.
         """
         async with running_fleet() as fleet:
             await fleet.ticks_until(lambda: fleet.entry().share_percent == 5)
@@ -143,8 +142,8 @@
     async def test_bad_answers_that_go_unrated_do_not_go_unnoticed(self):
         """Half the answers are bad, and only good ones get ratings.
 
-        All ratings look fine. But the unrated answers fill the cap, and the
-        roll-out stands still and says that it waits for ratings.
+        All ratings are good, but the unrated answers fill the cap: the
+        roll-out stops growing and records that it waits for ratings.
         """
         async with running_fleet() as fleet:
             fleet.is_bad = bad_from(0.0, bad_share=0.5)
@@ -157,11 +156,10 @@
             self.assertIn(events.EventKind.ROLLOUT_WAITING, kinds)
 
     async def test_an_instance_without_the_holder_stops_sending(self):
-        """One instance is cut from the lease holder while it has leave.
+        """One instance with allowance is partitioned from the lease holder.
 
-        Its leave lapses. Then its callers get the serving version at once:
-        nothing waits, and nothing is sent that the holder may have written
-        off by then.
+        Its allowance expires. Then its callers get the serving version without
+        waiting, so no answer is sent that the holder may have written off.
         """
         async with running_fleet() as fleet:
             for _ in range(20):
@@ -179,7 +177,7 @@
 
 
 class LeaseHolderTest(FleetTestCase):
-    """Holders that die, pause, or both believe that they hold."""
+    """Holders that die, pause, or hold the lease at the same time."""
 
     async def _until_proven_bad(self, fleet):
         """Runs until the row has the verdict, with the edit held back."""
@@ -198,11 +196,11 @@
         self.assertIs(fleet.entry().state, State.ROLLING_OUT)
         return taken[-1]
 
-    async def test_a_holder_killed_before_the_withdrawal_is_followed_up(self):
+    async def test_a_successor_withdraws_for_a_killed_holder(self):
         """The holder records that the version is bad, then dies.
 
-        The rating service is out by then. The next holder finds the verdict
-        in the row and withdraws the version in its first step.
+        The rating service is out by then. The next holder reads the verdict
+        from the row and withdraws the version in its first step.
         """
         async with running_fleet() as fleet:
             await self._until_proven_bad(fleet)
@@ -217,9 +215,9 @@
     async def test_a_paused_holder_that_wakes_changes_nothing(self):
         """The holder decides to withdraw and is paused before the commit.
 
-        Meanwhile another takes over, and an operator has rolled the version
-        out again after a repair. The first wakes and still believes that it
-        holds: neither its change nor its row may take effect.
+        Meanwhile another takes over, and an operator rolls the version out
+        again after a repair. The first resumes as if it held the lease: neither
+        its change nor its row may take effect.
         """
         async with running_fleet() as fleet:
             late = await self._until_proven_bad(fleet)
@@ -243,11 +241,11 @@
             self.assertEqual(await fleet.table.read(pool.ROW_KEY), row)
 
     async def test_two_holders_count_each_rating_and_each_answer_once(self):
-        """Two instances both believe that they hold the lease.
+        """Two instances both act as the lease's holder.
 
-        Both read ratings and reserve leave each second. Only one can commit;
-        the evidence counts each rating once, and the answers out unrated
-        stay under the cap although instances ask both for leave.
+        Both read ratings and reserve allowance each second. Only one can
+        commit; each rating counts once, and the unrated answers stay under the
+        cap although instances request allowance of both.
         """
         long_steps = documents.RollOutPolicy(
             unrated_cap=CAP, ratings_per_step=10_000
@@ -263,11 +261,11 @@
             self.assertGreater(watch.rated, 100)
             self.assertLessEqual(watch.rated, len(fleet.ratings._ratings))
 
-    async def test_a_new_holder_counts_all_granted_leave_as_sent(self):
-        """The holder has granted all leave there is, and dies at once.
+    async def test_a_new_holder_counts_all_granted_allowance_as_sent(self):
+        """The holder has granted the whole allowance, and dies at once.
 
-        Its row is all that the successor knows. Instances ask it for more:
-        they get none until ratings of the answers sent come in.
+        Its row is all that the successor knows. Instances get no more from it
+        until ratings of the answers sent come in.
         """
         async with running_fleet(rating_delay_s=1_000) as fleet:
             for _ in range(20):
@@ -280,11 +278,11 @@
                 await fleet.tick()
             self.assertEqual(fleet.sent, CAP)
 
-    async def test_lost_answers_of_the_store_lose_no_leave(self):
-        """The table service's answers get lost after its writes took effect.
+    async def test_lost_answers_of_the_store_lose_no_allowance(self):
+        """The table service's answers are lost after its writes took effect.
 
         The holder can't know what it reserved, so it reads the row again.
-        The roll-out still ends, and the cap holds all the while.
+        The roll-out still ends, and never exceeds the cap.
         """
         async with running_fleet() as fleet:
             second = 0
--- a/tests/cover/test_rollout_evidence.py
+++ b/tests/cover/test_rollout_evidence.py
@@ -1,4 +1,4 @@
-"""The rules that judge versions keep the bounds that they promise."""
+"""Error bounds of the rules that judge versions."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
 
 
 class BoundTest(unittest.TestCase):
-    """What makes the bounds hold is an equation, so it is tested as one."""
+    """The inequality from which the error bounds follow."""
 
     @hypothesis.given(SHARES, PASTS, strategies.floats(0, 1))
     def test_within_tolerance_a_rating_adds_no_more_than_its_weight(
@@ -57,11 +57,11 @@
         self.assertGreater(total, 0.95)
 
     def test_good_versions_are_rarely_stopped_and_bad_ones_soon(self):
-        """Versions just within tolerance are watched for 400 ratings each.
+        """Versions just within tolerance are tested after each of 400 ratings.
 
-        An operator looks after each rating. At most one in a hundred may be
-        stopped, while a version that fails each third caller is stopped
-        within 40 ratings in most runs, also when it turned bad late.
+        At most one in a hundred may be stopped, while a version that fails
+        each third caller is stopped within 40 ratings in most runs, also if it
+        turned bad late.
         """
         source = random.Random(11)
         rule = evidence.RollOutRule(tolerated_bad_share=0.05)
@@ -87,7 +87,7 @@
 
 
 class GrowthTest(unittest.TestCase):
-    """When a version may go on to its next share."""
+    """When a version may grow to its next share."""
 
     def _snapshot(self, percent):
         entries = (
@@ -114,11 +114,11 @@
     def test_ratings_of_earlier_answers_do_not_count_for_the_next_share(
         self, out_unrated, rated_since
     ):
-        """The version goes to 50%, where it turns bad.
+        """The version grows to 50%, where it turns bad.
 
-        Ratings of answers sent at 25% still come in, all good. Had they
-        counted, callers would all have got the version before a single
-        answer sent at 50% was rated.
+        Good ratings of answers sent at 25% still come in. If they counted, all
+        callers would get the version before a single answer sent at 50% was
+        rated.
         """
         version = engine.ModelVersion(model="m", version="2")
         key = pool.VersionKey(team="t", template="n", model_version=version)
--- a/tests/cover/test_rollout_ready.py
+++ b/tests/cover/test_rollout_ready.py
@@ -1,4 +1,4 @@
-"""A roll-out's version gets sessions only once engines have it."""
+"""A version in roll-out gets sessions only once engines have loaded it."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class OpenGate(exposure.NoExposureGate):
-    """Always gives leave, and counts it."""
+    """Always gives allowance, and counts it."""
 
     def __init__(self):
         self.taken = 0
@@ -49,10 +49,9 @@
 class ReadyGateTest(unittest.TestCase):
     @hypothesis.given(strategies.floats(1, 100), strategies.floats(0, 100))
     def test_no_session_before_the_version_is_loaded(self, share, loaded_for):
-        """An operator rolls a version out; the orders to load it are on their
-        way, or only as many engines have it as an earlier step needed. A
-        session given the version now would find no engine, or a crowded one;
-        it must get the serving version, and no leave may be used up.
+        """A version in roll-out is not loaded yet, or only on as many engines
+        as an earlier step needed. A session on it would find no engine or an
+        overloaded one; it gets the serving version, and uses no allowance.
         """
         inner = OpenGate()
         gate = ready_gate.ReadyExposureGate(
--- a/tests/cover/test_version_binomial_tail.py
+++ b/tests/cover/test_version_binomial_tail.py
@@ -1,4 +1,4 @@
-"""How likely chance alone gives so many bad answers."""
+"""Probability that chance alone gives a number of bad answers."""
 
 import fractions
 import math
@@ -11,7 +11,7 @@
 
 
 def exactly(bad: int, of: int, share: fractions.Fraction) -> fractions.Fraction:
-    """Returns the probability of so many bad answers or more, in fractions."""
+    """Returns the probability of at least `bad` bad answers, in fractions."""
     return sum(
         math.comb(of, count) * share**count * (1 - share) ** (of - count)
         for count in range(bad, of + 1)
@@ -41,9 +41,8 @@
         share=strategies.floats(min_value=0.001, max_value=0.9),
     )
     def test_any_number_of_answers_gives_a_probability(self, of, part, share):
-        """A service has answered thousands of times when its roll-out's trial
-        ends, and many of the answers were bad. The number of ways to choose
-        them is beyond a float's range: the look at it ended the process.
+        """With thousands of answers, many of them bad, binomial coefficients
+        exceed a float's range, and the overflow could end the process.
         """
         chance = binomial_tail.probability_of_at_least(
             int(part * of), of=of, share=share
--- a/tests/cover/test_version_driver.py
+++ b/tests/cover/test_version_driver.py
@@ -34,7 +34,7 @@
         await self.store.stop()
 
     def driver(self, name: str) -> tuple[version_fixture.Instance, object]:
-        """Returns an instance that has heard the order, and its driver."""
+        """Returns an instance that knows the order, and its driver."""
         instance = version_fixture.Instance(clock=self.clock)
         instance.orders.place(version_fixture.ORDER)
         client = store.StoreClient(
@@ -77,25 +77,24 @@
         return msgspec.json.decode(value, type=plan_module.PlanRow)
 
     async def step(self, driver) -> None:
-        """Reads, then moves the order on once."""
+        """Reads, then advances the order by one step."""
         await driver._follower.step()
         await driver._step(version_fixture.ORDER)
 
     async def to_the_end(self, *drivers) -> None:
-        """Moves through the last stretch, with a step at its beginning."""
+        """Moves through the final phase, with a step at its start."""
         within = datetime.timedelta(seconds=version_fixture.WITHIN_S)
-        # The stand-in's steady time is the machine's, which hardly moves.
+        # The stand-in's steady time is the machine's, which hardly advances.
         await self.clock.advance(0.93 * within)
         for driver in drivers:
             await self.step(driver)
         await self.clock.advance(0.07 * within)
 
-    async def test_what_the_store_s_absence_hid_is_not_completed(self):
-        """The store is away while everything should move to the new version.
-        It comes back at the order's end. No instance has heard the others'
-        evidence since, and some have just started; a version that failed half
-        of its requests was completed so (a soak's seed 8). It has to serve
-        for a while in touch with the store first, and is found.
+    async def test_no_completion_right_after_a_store_outage(self):
+        """A store outage covers the final phase and ends with the order's time.
+        Instances have not read each other's evidence, and one has just started,
+        so a version that fails half of its requests could be completed. It has
+        to serve for a while with the store reachable, and is found bad.
         """
         drivers = [self.driver(f"instance-{n}") for n in range(3)]
         for _, driver in drivers:
@@ -116,13 +115,12 @@
                 await self.step(driver)
         self.assertEqual(self.operator_state(), "reverted")
 
-    async def test_a_version_seen_little_before_an_absence_is_not_completed(
+    async def test_few_answers_before_an_outage_prolong_the_canary(
         self,
     ):
-        """The store is away for half of an order, and back at its end.
-        Nine answers of the new version are known, none of them bad. It is
-        not completed on them; the trial goes on, and once enough are known
-        it is.
+        """The store is out for half of an order and returns at its end.
+        Nine answers of the new version are known, none bad: too few to
+        complete it. The canary goes on until enough are known.
         """
         instance, driver = self.driver("only")
         await self.step(driver)
@@ -150,9 +148,9 @@
 
     async def test_four_failures_in_sixteen_answers_are_not_completed(self):
         """Few requests reach a service while instances lose the store.
-        At the end of the trial sixteen answers of the new version are known,
-        four of them failures, where the old one has none. The proof that may
-        be looked at after each answer takes six; the version was completed.
+        At the end of the canary four of sixteen answers are failures, and none
+        of the old version's. The sequential test needs six for a proof, so the
+        version would be completed without a test at that time.
         """
         instance, driver = self.driver("only")
         await self.step(driver)
@@ -165,10 +163,10 @@
         await self.step(driver)
         self.assertEqual(self.operator_state(), "reverted")
 
-    async def test_doubt_holds_completion_back_until_answers_settle_it(self):
-        """Three of fourteen answers failed, no ground to revert a version yet.
-        They are none to complete it either. It goes on at the full share, and
-        once most answers are good after all it is completed.
+    async def test_doubt_delays_completion_until_more_answers(self):
+        """Three of fourteen answers failed: too few to revert a version,
+        too many to complete it. It stays at the full share, and is completed
+        once most answers are good.
         """
         instance, driver = self.driver("only")
         await self.step(driver)
@@ -182,13 +180,13 @@
         plan = instance.rollouts.plan_of(version_fixture.ORDER)
         self.assertTrue(instance.rollouts.progress.is_canary_over(plan))
         instance.answer("v2", times=40)
-        # The stand-in's steady time stands still, and each step believes it
-        # a little more.
+        # The stand-in's steady time does not advance, and each step relies on
+        # it a little more.
         await self.clock.advance(datetime.timedelta(seconds=1))
         await self.step(driver)
         self.assertEqual(self.operator_state(), "completed")
 
-    async def test_one_failing_replica_holds_no_completion_back(self):
+    async def test_one_failing_replica_does_not_delay_completion(self):
         instance, driver = self.driver("only")
         await self.step(driver)
         instance.answer("v1", times=60)
@@ -199,8 +197,8 @@
         self.assertEqual(self.operator_state(), "completed")
 
     async def test_the_first_instance_starts_the_plan_for_all(self):
-        """Two instances hear of an order; the second a while later.
-        There is one start, the first's, and both count from it.
+        """Two instances learn of an order, the second 3 s later.
+        Both count from the start that the first has written.
         """
         _, first = self.driver("first")
         late_instance, late = self.driver("late")
@@ -215,9 +213,9 @@
         self.assertEqual(self.operator_state(), "in_progress")
 
     async def test_bad_answers_of_several_instances_add_up(self):
-        """Each instance sees too few bad answers to prove anything.
-        Together they prove it; without pooling a large fleet would send
-        hundreds of requests to a bad version before one instance knew.
+        """Each instance sees too few bad answers for a proof.
+        Without pooling, a large fleet would send hundreds of requests to a bad
+        version before one instance had a proof.
         """
         drivers = [self.driver(f"instance-{n}") for n in range(4)]
         for _, driver in drivers:
@@ -235,8 +233,8 @@
 
     async def test_a_frozen_instance_does_not_undo_a_verdict(self):
         """One instance proves the version bad while another is frozen.
-        It wakes after the order's time and would call the version good; its
-        write fails, and it reads the verdict instead.
+        That one resumes after the order's time and would call the version
+        good; its write fails, and it reads the verdict instead.
         """
         prover, proving = self.driver("prover")
         frozen_instance, frozen = self.driver("frozen")
@@ -254,8 +252,8 @@
         self.assertEqual(known.verdict, plan_module.Verdict.BAD)
 
     async def test_a_lost_answer_leaves_one_verdict(self):
-        """The store does the write and its answer is lost.
-        The next step reads the verdict, and the operator is told once.
+        """The store applies a verdict's write, but its answer is lost.
+        The next step reads the verdict instead of writing another.
         """
         _, driver = self.driver("only")
         await self.step(driver)
@@ -269,9 +267,9 @@
         self.assertEqual(self.plan().verdict, plan_module.Verdict.GOOD)
 
     async def test_a_late_write_does_not_beat_a_newer_verdict(self):
-        """A verdict's write is done seconds after it was sent, unanswered.
-        Meanwhile another instance has written the opposite; the late one's
-        condition no longer holds.
+        """A verdict's write is applied seconds after it was sent, unanswered.
+        Meanwhile another instance has written the opposite, so the late
+        write's condition no longer holds.
         """
         _, late = self.driver("late")
         prover, proving = self.driver("prover")
@@ -288,10 +286,12 @@
         self.store.do_late_writes()
         self.assertEqual(self.operator_state(), "reverted")
 
-    async def test_little_that_each_instance_saw_adds_up_before_the_end(self):
-        """A version goes on slower in every answer, and each instance has seen
-        two. Neither is worth a write by itself; told before everything moves,
-        they prove it together.
+    async def test_weak_evidence_of_each_instance_adds_up_in_final_reports(
+        self,
+    ):
+        """Every answer of a version is slower; each instance has seen two.
+        That is too little for a write of its own; the final reports before the
+        final phase prove it together.
         """
         drivers = [self.driver(f"instance-{n}") for n in range(4)]
         for _, driver in drivers:
--- a/tests/cover/test_version_outages.py
+++ b/tests/cover/test_version_outages.py
@@ -1,4 +1,4 @@
-"""Roll-outs of a fleet of which parts lose the store, in virtual time."""
+"""Roll-outs of a fleet of which some instances lose the store."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 
 
 def scene(*, bad_share: float) -> version_outages.Scene:
-    """Nine instances, six away for 8 s or more, ten requests a second."""
+    """Nine instances, six cut off for 8 s or more, ten requests a second."""
     times = 2 * [(0.4, 8.0)] + [(3.0, 12.8)] + 3 * [(12.8, 60.0)]
     outages = tuple(
         version_outages.Outage(instance=number, from_s=begin, to_s=end)
@@ -24,8 +24,8 @@
     def endings(
         self, bad_share: float, *, seeds: int
     ) -> list[version_outages.Ending]:
-        """Returns how an order ends, by seed."""
-        # Runs of the loop in its debug mode take five times as long.
+        """Returns how an order ends with each seed."""
+        # The loop's debug mode would make them five times as slow.
         return [
             asyncio.run(
                 version_outages.VersionFleet(
@@ -36,9 +36,9 @@
         ]
 
     def test_a_bad_version_is_rarely_completed(self):
-        """A version fails 35 of 100 requests, and 10 answers of it are seen.
-        Those that were in touch throughout decide. Half of the orders were
-        completed. One in five still is, since so little can be seen.
+        """Instances that never lost the store decide on few answers.
+        A version fails 35 of 100 requests and 10 answers are seen. Half of the
+        orders could be completed; with so few answers one in five still is.
         """
         endings = self.endings(0.35, seeds=40)
         completed = [
@@ -49,8 +49,8 @@
         self.assertLessEqual(len(completed), len(endings) // 4)
 
     def test_a_good_version_is_completed_in_time(self):
-        """A version fails 2 of 100 requests.
-        All orders are completed within their time, for all the doubt.
+        """A version fails 2 of 100 requests; caution must not delay it.
+        All orders are completed within their time.
         """
         for ending in self.endings(0.02, seeds=20):
             self.assertEqual(ending.verdict, plan_module.Verdict.GOOD)
--- a/tests/cover/test_version_plans.py
+++ b/tests/cover/test_version_plans.py
@@ -1,4 +1,4 @@
-"""Which version a session gets while a new one is rolled out."""
+"""Which version a session gets during a roll-out."""
 
 import dataclasses
 import datetime
@@ -10,7 +10,7 @@
 
 
 class SharesTest(version_fixture.PlanCase):
-    async def test_the_share_stays_small_until_the_last_stretch(self):
+    async def test_the_share_stays_small_until_the_final_phase(self):
         self.instance.begin()
         for part in (0.0, 0.45, 0.8):
             await self.advance(part)
@@ -19,9 +19,9 @@
         self.assertEqual(self.new_share("after"), 1.0)
 
     async def test_a_version_never_proven_bad_stays_within_the_bound(self):
-        """A version is bad in a way that nobody sees in time.
-        Even so it gets no more than the bound's share of all requests from
-        the order to its end, for every time that an order may have.
+        """A version is bad in a way that is not detected in time.
+        It still gets no more than the bound's share of all requests from the
+        order to its end, whatever the order's time.
         """
         for within_s in (16.0, 20.0, 24.0, 60.0, 240.0):
             for per_s in (1.0, 3.0, 10.0, 50.0, 100.0, 1000.0):
@@ -32,8 +32,8 @@
                 self.stays_within_the_bound(within_s, per_s, 2.0 * per_s)
 
     async def test_a_narrow_bound_holds_too(self):
-        """A large fleet may give a bad version less than a tenth of all.
-        The last stretch alone, a tenth of the time, took more than that.
+        """A bad version may get less than a tenth of a large fleet's requests.
+        A final phase of a tenth of the time would exceed that alone.
         """
         for within_s in (24.0, 60.0, 240.0):
             for per_s in (10.0, 25.0, 100.0, 356.0, 1000.0):
@@ -41,9 +41,9 @@
                     within_s, per_s, per_s, largest_bad_share=0.0975
                 )
 
-    async def test_a_large_fleet_s_trial_finds_a_bad_version_in_seconds(self):
-        """Of 356 requests a second the trial took 1.3. A version that fails a
-        third of its requests was unproven when the store went away.
+    async def test_a_large_fleet_s_canary_finds_a_bad_version_in_seconds(self):
+        """With 1.3 of 356 requests a second in the canary, a version that fails
+        a third of its requests is unproven when a store outage begins.
         """
         schedule = schedule_module.Schedule(
             largest_bad_share=0.0975, bad_allowance=30.0
@@ -57,7 +57,7 @@
         true_per_s: float,
         largest_bad_share: float = 0.15,
     ) -> None:
-        """Asserts it of a rate that was taken for another one."""
+        """Asserts it for an estimated and a true request rate."""
         schedule = schedule_module.Schedule(
             largest_bad_share=largest_bad_share, bad_allowance=30.0
         )
@@ -80,10 +80,9 @@
         self,
     ):
         """Ten requests a second reach a service, in an order of 24 s.
-        By the bound's share alone nine answers of a new version were known
-        after 15 s, and a store outage began at 18 s. Its allowance is spent
-        from the beginning: eight answers, which prove a version that fails
-        half of them, come within 8.5 s.
+        By the bound's share alone nine answers are known after 15 s; a store
+        outage may begin at 18 s. With the allowance, eight answers, which prove
+        bad a version that fails half of them, come within 8.5 s.
         """
         schedule = schedule_module.Schedule(
             largest_bad_share=0.15, bad_allowance=30.0
@@ -92,9 +91,9 @@
         starts_s = schedule_module.SESSION_CANARY_DELAY.total_seconds()
         self.assertGreaterEqual((8.5 - starts_s) * 10.0 * share, 8.0)
 
-    async def test_everything_does_not_move_while_the_store_is_away(self):
-        """The last stretch begins in a store outage.
-        Nobody could complete the roll-out or hear of the others' evidence.
+    async def test_no_final_phase_during_a_store_outage(self):
+        """The final phase would begin during a store outage.
+        Nobody could complete the roll-out or read the others' evidence.
         """
         self.instance.begin()
         await self.advance(0.85)
@@ -102,10 +101,10 @@
         await self.advance(0.95)
         self.assertLess(self.new_share("away"), 0.11)
 
-    async def test_everything_does_not_move_once_readers_hear_nothing(self):
-        """The store falls silent before the last stretch. This instance makes
-        no calls itself, so none of its own fails; readers' word that the
-        store answers is three seconds old.
+    async def test_no_final_phase_while_readers_report_no_answers(self):
+        """The store stops answering before the final phase. This instance makes
+        no calls that could fail; the readers' last report of an answer is
+        three seconds old.
         """
         self.instance.begin()
         await self.advance(0.8)
@@ -115,9 +114,9 @@
     async def test_an_earlier_order_s_answers_are_not_enough_for_the_next(
         self,
     ):
-        """Twenty answers of an order's version are known, and a new order
-        comes. The store is away for long, and nothing was seen of the new
-        version. What was seen of the one before doesn't end its trial.
+        """Twenty answers of an order's version are known when the next comes.
+        After a long store outage no answer of the new order's version is
+        known; the earlier ones must not end its canary.
         """
         self.instance.begin()
         self.instance.answer("v2", times=20)
@@ -140,10 +139,9 @@
         self.assertFalse(progress.is_canary_over(plan))
 
     async def test_sessions_under_way_do_not_move_in_the_first_half(self):
-        """Sessions are under way when a roll-out begins, some go on after.
-        They go from instance to instance. Where each went by what it
-        remembered, one session changed its version four times. Instances tell
-        each other, so none moves in the first half, wherever it goes on.
+        """Sessions under way at a roll-out's start go on at other instances.
+        If each relied on its own memory, a session could change its version
+        four times. Instances gossip them, so none moves in the first half.
         """
         here, there = version_fixture.fleet(2, clock=self.clock)
         sessions = [f"old-{number}" for number in range(400)]
@@ -159,9 +157,9 @@
                 moved = {instance.version_for(s) for s in sessions}
                 self.assertEqual(moved, {"v1"}, part)
 
-    async def test_a_session_that_began_before_the_trial_is_told_of(self):
+    async def test_a_session_that_began_before_the_canary_is_gossiped(self):
         """A session's first request comes after the order and before the
-        trial takes sessions. It runs on the old version, and stays there.
+        canary takes sessions. It runs on the old version, and stays there.
         """
         here, there = version_fixture.fleet(2, clock=self.clock)
         for instance in (here, there):
@@ -174,7 +172,7 @@
         await self.advance(0.2)
         self.assertEqual({there.version_for(s) for s in sessions}, {"v1"})
 
-    async def test_a_lost_word_of_a_session_is_told_again(self):
+    async def test_a_lost_update_of_a_session_is_sent_again(self):
         here, there = version_fixture.fleet(2, clock=self.clock)
         sessions = [f"old-{number}" for number in range(400)]
         for session in sessions:
@@ -188,8 +186,8 @@
         await self.advance(0.2)
         self.assertEqual({there.version_for(s) for s in sessions}, {"v1"})
 
-    async def test_new_sessions_are_on_trial_in_the_first_half(self):
-        """Every request belongs to a session, as on a drafting service.
+    async def test_the_canary_takes_new_sessions_in_the_first_half(self):
+        """All requests belong to sessions, as on a drafting service.
         A session that begins in the first half runs on one version from its
         first request, the same on all instances.
         """
@@ -204,11 +202,10 @@
         await self.advance(0.3)
         self.assertEqual([there.version_for(s) for s in sessions], at_first)
 
-    async def test_bad_answers_are_told_without_the_store(self):
-        """The store is away from before the proof to the end of the order.
-        Four instances have each seen one bad answer. Told among each other,
-        they withdraw the version at once, and on the store's return the
-        operator is told.
+    async def test_bad_answers_are_gossiped_without_the_store(self):
+        """A store outage lasts from before the proof to the end of the order.
+        Four instances have each seen one bad answer, too few for a proof. With
+        gossip they withdraw the version at once.
         """
         fleet = version_fixture.fleet(4, clock=self.clock)
         for number, instance in enumerate(fleet):
@@ -224,10 +221,10 @@
             versions = {instance.version_for(f"s-{n}") for n in range(400)}
             self.assertEqual(versions, {"v1"})
 
-    async def test_good_answers_are_told_before_the_last_stretch(self):
+    async def test_good_answers_are_gossiped_before_the_final_phase(self):
         """An instance without the store has seen ten good answers.
-        It can't write its final report, and whoever decides counted only the
-        bad ones. Peers hear of them; before, they are worth no message.
+        It can't write its final report, so the instances that decide would
+        miss them. They are gossiped, but only once the report is due.
         """
         here, there = version_fixture.fleet(2, clock=self.clock)
         for instance in (here, there):
@@ -243,9 +240,8 @@
         self.assertEqual(known.answers_seen, 10)
 
     async def test_a_session_that_moved_does_not_move_back(self):
-        """A session meets an instance that knows it, then one that does not,
-        over the whole second half. Once one of them has sent it to the new
-        version, the others do too.
+        """In the second half a session reaches an instance new to it.
+        Once one instance has sent it to the new version, the others do too.
         """
         self.instance.begin()
         moved = set()
@@ -262,9 +258,10 @@
             moved = now
         self.assertEqual(len(moved), 400)
 
-    async def test_requests_without_a_session_are_on_trial_from_the_start(self):
-        """A plain service has no sessions, and its version may be bad.
-        The sooner some requests meet it, the sooner it is found.
+    async def test_the_canary_takes_requests_without_a_session_at_once(self):
+        """A plain service has no sessions, and its new version may be bad.
+        Requests without a session are in the canary from the start, so that
+        the proof comes early.
         """
         self.instance.begin()
         await self.advance(0.1)
@@ -278,7 +275,7 @@
         self.assertLess(sum(accepted), 60)
 
     async def test_sessions_on_the_new_version_stay_there(self):
-        """A session moved to the new version during the trial.
+        """A session moved to the new version during the canary.
         As long as the version isn't proven bad, it must not go back.
         """
         self.instance.begin()
@@ -292,16 +289,18 @@
             self.assertEqual(versions, {"v2"}, part)
 
     async def test_nothing_goes_to_a_new_version_without_a_plan(self):
-        """An instance sees an order and can't reach the store any more.
-        It doesn't know how far the roll-out is, so it stays with the old.
+        """An instance knows an order but can't reach the store.
+        It doesn't know the roll-out's progress, so it uses the old version.
         """
         self.instance.orders.place(version_fixture.ORDER)
         self.assertEqual(self.new_share("any"), 0.0)
         self.assertFalse(self.instance.rollouts.is_ready)
 
-    async def test_a_request_that_failed_on_trial_may_go_on_with_the_old(self):
+    async def test_a_request_that_failed_in_canary_may_use_the_old_version(
+        self,
+    ):
         """The new version's only replica fails a request.
-        There is no other of it; the caller would get the failure.
+        Without a retry on the old version the caller would get the failure.
         """
         self.instance.begin()
         accepts = self.instance.rollouts.accepts_stable(version_fixture.SERVICE)
--- a/tests/cover/test_version_proofs.py
+++ b/tests/cover/test_version_proofs.py
@@ -15,8 +15,8 @@
 class ProofTest(version_fixture.PlanCase):
     async def test_a_proof_acts_at_once_and_for_good(self):
         """The new version fails half of its requests.
-        After a handful of bad answers of two replicas nothing goes there, and
-        a plan read late, still open, doesn't bring it back.
+        After a few bad answers of two replicas it gets no requests, and a
+        stale plan that is still open doesn't bring it back.
         """
         self.instance.answer("v1", times=60)
         self.instance.begin()
@@ -28,16 +28,16 @@
         self.assertEqual(self.new_share("later"), 0.0)
 
     async def test_one_failing_replica_is_not_a_bad_version(self):
-        """One replica of the new version is broken, the others are fine.
-        The version would be reverted for a fault of one machine.
+        """One replica of the new version fails, the others are fine.
+        The version must not be reverted for a fault of one machine.
         """
         self.instance.begin()
         self.instance.answer("v2", number=1, failed=True, times=20)
         self.assertIsNone(self.instance.rollouts.judge(version_fixture.ORDER))
 
     async def test_a_version_bad_on_one_route_only_is_found(self):
-        """A version fails on one of three routes.
-        In the sum of all its failures are few; by route they are a half.
+        """A version fails half of the requests of one of three routes.
+        Over all routes its share of failures is small.
         """
         self.instance.begin()
         pooled = self.instance.rollouts.evidence_of(version_fixture.ORDER)
@@ -63,9 +63,9 @@
         )
 
     async def test_a_version_whose_every_answer_is_slower_is_found(self):
-        """A version answers in time and goes on three times slower.
-        Paces differ as much by load, so no single answer is an exception;
-        all of them together are.
+        """A version's events come at three times the interval.
+        Load alone makes single answers differ as much, so only all of them
+        together are a proof.
         """
         drawn = random.Random(1)
         paces = [math.exp(drawn.gauss(-3.5, 0.5)) for _ in range(60)]
@@ -79,9 +79,9 @@
         )
 
     async def test_a_version_slow_in_some_first_events_is_found(self):
-        """A version begins answers five times later in 3 of 10 requests.
-        First events differ as much by prompt and queue; as parts of what was
-        expected of each they spread by a factor of two.
+        """A version's first event comes five times later in 3 of 10 requests.
+        Prompt and queue make first events differ as much; relative to what was
+        expected of each they vary by a factor of two.
         """
         drawn = random.Random(3)
         baseline = [math.exp(drawn.gauss(-0.3, 0.8)) for _ in range(200)]
@@ -96,10 +96,10 @@
             self.instance.rollouts.judge(version_fixture.ORDER)
         )
 
-    async def test_a_version_whose_first_events_are_usual_is_not_called_slow(
+    async def test_a_version_with_baseline_first_events_is_not_called_slow(
         self,
     ):
-        """A hundred good versions, each looked at after eighty answers."""
+        """A hundred good versions, each tested after each of eighty answers."""
         for seed in range(100):
             drawn = random.Random(seed)
             self.setUp()
@@ -113,9 +113,9 @@
                     self.instance.rollouts.judge(version_fixture.ORDER), seed
                 )
 
-    async def test_a_busy_last_stretch_is_not_a_slow_version(self):
-        """Everything runs on the new version and a burst comes.
-        Its answers go on slower than the old ones did before the burst.
+    async def test_load_in_the_final_phase_is_not_a_slow_version(self):
+        """All requests go to the new version when a burst of load comes.
+        Its events come slower than the old version's before the burst.
         """
         self.pace("v1", *[0.02, 0.03] * 20)
         self.instance.begin()
@@ -124,7 +124,7 @@
         self.assertIsNone(self.instance.rollouts.judge(version_fixture.ORDER))
 
     def pace(self, version: str, *paces_s: float) -> None:
-        """Takes in how quickly answers of a version went on."""
+        """Records paces of a version's answers."""
         for pace_s in paces_s:
             self.instance.rollouts.note_pace(
                 version_fixture.entry(1, version),
@@ -148,9 +148,9 @@
             pooled.proven_bad(6, baseline_module.BaselineAnswers())
         )
 
-    async def test_failures_that_are_usual_prove_nothing(self):
-        """A service fails one in seven requests by its nature.
-        The new version does the same; it would be reverted for it.
+    async def test_failures_as_in_the_baseline_prove_nothing(self):
+        """A service's old and new version both fail one in seven requests.
+        The new one must not be reverted for it.
         """
         for number in range(70):
             self.instance.answer("v1", failed=number % 7 == 0)
@@ -161,9 +161,9 @@
             )
         self.assertIsNone(self.instance.rollouts.judge(version_fixture.ORDER))
 
-    async def test_slowness_that_all_suffer_proves_nothing(self):
+    async def test_slowness_of_all_versions_proves_nothing(self):
         """A burst makes every answer ten times slower, on both versions.
-        The new one is compared with the old as it is now, not as it was.
+        The new one is compared with the old as it is now, not before the burst.
         """
         self.instance.answer("v1", times=20)
         self.instance.begin()
@@ -182,7 +182,7 @@
 class PooledEvidenceTest(unittest.TestCase):
     def test_counts_read_twice_or_out_of_order_add_nothing(self):
         """A row of another instance is read again after a 410.
-        Counted twice, a few bad answers would look like many.
+        Counted twice, a few bad answers could become a proof.
         """
         row = evidence_module.EvidenceRow(
             order_id=1,
@@ -199,9 +199,9 @@
             often.merge("other", row)
         self.assertEqual(once._answers, often._answers)
 
-    def test_a_row_that_was_overtaken_adds_nothing(self):
-        """Two datagrams of one instance arrive in the wrong order, then the
-        later one's row comes from the store too.
+    def test_a_stale_row_adds_nothing(self):
+        """Two datagrams of an instance arrive in the wrong order, and the newer
+        row arrives once more from the store.
         """
         pooled = evidence_module.PooledEvidence(order_id=1)
         for bad in (2, 1, 2, 1, 2):
--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""A few instances that roll a version out, on fakes and a fake clock."""
+"""A few instances with roll-outs, on fakes and a fake clock."""
 
 import asyncio
 import dataclasses
@@ -39,7 +39,7 @@
 
 
 class RowLease(lease_module.Lease):
-    """A lease on a real row; it never lapses by time, only by take-over."""
+    """A lease on a real row; it never expires, but can be taken over."""
 
     def __init__(self, store):
         self._store = store
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Instance:
-    """One entry instance's parts that a roll-out needs."""
+    """The parts of an entry instance that a roll-out needs."""
 
     address: str
     lease: RowLease
@@ -81,7 +81,7 @@
     events: events.EventRing
 
     def wants(self, version=NEW):
-        """Asks the gate as a request would; returns whether it is sent."""
+        """Asks the gate as a request does; returns whether it is sent."""
         template = self.replica.snapshot.template("agency", "lookup")
         return self.gate.try_take(template=template, model_version=version)
 
@@ -92,7 +92,7 @@
     Attributes:
         is_bad: Tells whether the next answer of the new version is bad.
         sent: Answers of the new version given to callers.
-        bad_sent: Those of them that were bad.
+        bad_sent: Bad ones among them.
     """
 
     def __init__(self, *, instances=3, policy=POLICY, rating_delay_s=5):
@@ -230,7 +230,7 @@
         self.spread()
 
     def spread(self):
-        """Brings the newest configuration to each instance."""
+        """Applies the newest configuration on each instance."""
         newest = max(
             (i.replica.state for i in self.instances), key=lambda s: s.revision
         )
@@ -247,12 +247,12 @@
         return next(e for e in stage.versions if e.version == version)
 
     async def watch(self):
-        """Returns what the row says of the new version."""
+        """Returns the row's watch of the new version."""
         row = await self.table.read(pool.ROW_KEY)
         return pool.decode(row.value).watch(KEY)
 
     async def tick(self, requests=20):
-        """Lets a second pass with so many requests for the new version."""
+        """Advances by a second with a number of requests."""
         share = self.entry().share_percent
         for number in range(requests):
             instance = self.instances[number % len(self.instances)]
@@ -274,7 +274,7 @@
         await task
 
     async def ticks_until(self, reached, *, limit=2_000, requests=20):
-        """Runs on until something is so; returns the seconds it took."""
+        """Ticks until a condition holds; returns the seconds it took."""
         for second in range(limit):
             if reached():
                 return second
--- a/tests/version_fixture.py
+++ b/tests/version_fixture.py
@@ -75,7 +75,7 @@
         )
 
     def begin(self, *, started: datetime.timedelta | None = None) -> None:
-        """Places the order and its plan, as of now or of a given time."""
+        """Adds the order and its plan, started now or at a given time."""
         if started is None:
             started = self.clock.monotonic()
         self.orders.place(ORDER)
@@ -109,7 +109,7 @@
         return accepted[0].version
 
     def answer(self, version: str, *, number=1, failed=False, times=1) -> None:
-        """Takes in answers of a replica."""
+        """Records answers of a replica."""
         for _ in range(times):
             self.rollouts.note_answer(
                 entry(number, version), seen(failed=failed)
@@ -117,7 +117,7 @@
 
 
 def fleet(count: int, *, clock) -> list[Instance]:
-    """Returns instances that tell each other news of roll-outs."""
+    """Returns instances that gossip about roll-outs."""
     receivers: dict = {}
     instances = []
     for number in range(count):
@@ -148,12 +148,12 @@
         self.instance = Instance(clock=self.clock)
 
     async def advance(self, part: float) -> None:
-        """Moves to a part of the order's time; the store answers readers."""
+        """Moves to a fraction of the order's time; the store answers."""
         await self.advance_in_silence(part)
         self.instance.watch.note_answered(self.clock.monotonic())
 
     async def advance_in_silence(self, part: float) -> None:
-        """Moves to a part of the order's time, with no word of the store."""
+        """Moves to a fraction of the order's time; the store is silent."""
         wanted = datetime.timedelta(seconds=part * WITHIN_S)
         await self.clock.advance(wanted - self.clock.monotonic())
 
--- a/tests/version_outages.py
+++ b/tests/version_outages.py
@@ -16,16 +16,16 @@
 
 _TICK = datetime.timedelta(milliseconds=50)
 _PREFIX = f"{driver_module.TABLE}/"
-# An order that is not concluded by then, in parts of its time, is left open.
+# Orders without a verdict after this multiple of their time are left open.
 _LAST_PART = 3.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Outage:
-    """An instance's time without the store.
+    """An interval in which an instance can't reach the store.
 
     Attributes:
-        instance: Its number.
+        instance: The instance's number.
     """
 
     instance: int
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Scene:
-    """What happens in the course of an order.
+    """Conditions during an order.
 
     Attributes:
-        per_s: Requests of the service in the whole fleet.
-        bad_share: Of the new version's answers.
+        per_s: Requests a second of the service in the whole fleet.
+        bad_share: Share of bad answers of the new version.
     """
 
     instances: int
@@ -53,9 +53,9 @@
     """How an order ended.
 
     Attributes:
-        verdict: Open where nothing was decided.
-        at_s: From the order's start.
-        answers: Of the new version, until then.
+        verdict: Open if there is none.
+        at_s: Seconds from the order's start to the end.
+        answers: Answers of the new version until then.
     """
 
     verdict: plan_module.Verdict = plan_module.Verdict.OPEN
@@ -70,7 +70,7 @@
 
 
 class VersionFleet:
-    """Instances with drivers and news, on one store and a fake clock."""
+    """Instances with drivers and gossip, on one store and a fake clock."""
 
     def __init__(self, *, scene: Scene, seed: int):
         self._scene = scene
--- a/tests/whole/test_soak.py
+++ b/tests/whole/test_soak.py
@@ -12,7 +12,7 @@
 # Seeds that found something, played in full. Their causes:
 # 8: the store was away while a bad version should have got everything; on its
 #    return a router that had just started completed the roll-out. See also
-#    cover/test_version_driver, what_the_store_s_absence_hid_is_not_completed.
+#    cover/test_version_driver, no_completion_right_after_a_store_outage.
 SEEDS_THAT_FOUND = (8,)
 # The same, with copies of a request that ends its replicas:
 # 14: a replica of the bad version failed a copy before it ran it, which was
