--- a/src/nutmeghook/experiment/emulated_fleet.py
+++ b/src/nutmeghook/experiment/emulated_fleet.py
@@ -110,7 +110,7 @@
         self.gossip = load_gossip.ReplicaLoadGossip(
             directory=self.directory,
             messages=messages,
-            near_addresses=lambda: [
+            local_addresses=lambda: [
                 a
                 for a in post
                 if a != str(number)
--- a/src/nutmeghook/experiment/fleet_emulator.py
+++ b/src/nutmeghook/experiment/fleet_emulator.py
@@ -113,8 +113,8 @@
         )
         if self._shares_loads:
             for instance in self._instances:
-                instance.gossip.tell()
-                instance.backlogs.tell()
+                instance.gossip.send_update()
+                instance.backlogs.send_update()
         period_s = load_gossip.TELL_EVERY.total_seconds()
         self._at(self._clock.at_s + period_s, self._gossip)
 
--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -22,7 +22,6 @@
 from nutmeghook.internal.entry import drain as drain_module
 from nutmeghook.internal.entry import listener as listener_module
 from nutmeghook.internal.entry import shutdown
-from nutmeghook.internal.following import audience
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import identifiers
 from nutmeghook.internal.inner import peer_messages
@@ -48,6 +47,7 @@
 from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
 from nutmeghook.internal.suspects import rows
+from nutmeghook.internal.table_replication import peer_sampling
 
 # One read of the platform's list serves all parts; these take one this old.
 _MEMBERSHIP_LIST_AGE = datetime.timedelta(seconds=3)
@@ -350,18 +350,18 @@
             random_source=self._random,
         )
 
-    def _some_members(self, *, near: int, far: float) -> list[str]:
+    def _some_members(self, *, local: int, remote: float) -> list[str]:
         """Returns where some other instances listen."""
         others = [m for m in self.members.members() if m != self.members.myself]
-        told = audience.Audience(
+        told = peer_sampling.PeerSampler(
             data_centre=self._settings.text("data_centre"),
             random_source=self._random,
         )
         return told.choose(
             {m.incarnation: m.inner_address for m in others},
             {m.incarnation: m.data_centre for m in others},
-            near=near,
-            far=far,
+            local=local,
+            remote=remote,
         )
 
     def _quarantine_rows(self) -> rows.QuarantineRows:
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -13,9 +13,6 @@
 from nutmeghook.internal.assembly import relay_path
 from nutmeghook.internal.assembly import router_peers
 from nutmeghook.internal.assembly import send_limits as send_limits_module
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import logs
@@ -27,6 +24,9 @@
 from nutmeghook.internal.routes import model
 from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import rows
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import shared_table
+from nutmeghook.internal.table_replication import table_copy
 from nutmeghook.internal.upstream import pool as pool_module
 from nutmeghook.internal.version_plans import driver
 from nutmeghook.internal.version_plans import orders as orders_module
@@ -104,7 +104,7 @@
         self._store = store.StoreClient(
             session=self._session, address=settings.store_address
         )
-        self._watch = follower.StoreWatch(
+        self._watch = follower.StoreMonitor(
             clock=clock, on_return=self._distrust_list
         )
         self.configuration = in_force_module.ConfigurationInForce()
@@ -323,9 +323,9 @@
         )
 
     def _shared(
-        self, table: str, reader: follower.TableReader
+        self, table: str, reader: follower.TableListener
     ) -> shared_table.SharedTable:
-        copy = copies.TableCopy(reader=reader)
+        copy = table_copy.TableCopy(reader=reader)
         return shared_table.SharedTable(
             copy=copy,
             table_follower=follower.TableFollower(
--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -6,18 +6,14 @@
 
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.dependencies import table as table_module
-from nutmeghook.internal.following import gossip as gossip_module
-from nutmeghook.internal.following import link_allowance
-from nutmeghook.internal.following import registration
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import addresses
 from nutmeghook.internal.inner import datagrams
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner import peers
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.inner import tcp_client
 from nutmeghook.internal.inner import tcp_server
-from nutmeghook.internal.inner import telling
 from nutmeghook.internal.inner import traffic
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.replicas import backlog_gossip
@@ -26,6 +22,10 @@
 from nutmeghook.internal.replicas import load_gossip
 from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
+from nutmeghook.internal.table_replication import bandwidth_limiter
+from nutmeghook.internal.table_replication import gossip as gossip_module
+from nutmeghook.internal.table_replication import registration
+from nutmeghook.internal.table_replication import shared_table
 from nutmeghook.internal.version_plans import news
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
@@ -151,7 +151,7 @@
             caller=caller,
             handlers=handlers,
             deletion_grace=self._directory,
-            allowance=link_allowance.LinkAllowance(
+            allowance=bandwidth_limiter.BandwidthLimiter(
                 link_mbit_per_s=self._link_mbit_per_s, clock=self._clock
             ),
             change_time=self._change_time,
@@ -188,7 +188,7 @@
         self,
         messages: sealed_messages.SealedMessages,
         gossip: gossip_module.TableGossip,
-    ) -> tuple[telling.Teller, ...]:
+    ) -> tuple[gossip_senders.GossipSender, ...]:
         """Returns what tells peers of things that are not in tables."""
         common = {
             "messages": messages,
@@ -198,14 +198,15 @@
         return (
             load_gossip.ReplicaLoadGossip(
                 directory=self._directory,
-                near_addresses=gossip.near_addresses,
+                local_addresses=gossip.local_addresses,
                 **common,
             ),
             backlog_gossip.BacklogGossip(
                 instance_id=self._instance_id,
                 directory=self._directory,
                 audience=lambda: gossip.some_living(
-                    near=backlog_gossip.NEAR_TOLD, far=backlog_gossip.FAR_TOLD
+                    local=backlog_gossip.NEAR_TOLD,
+                    remote=backlog_gossip.FAR_TOLD,
                 ),
                 **common,
             ),
--- a/src/nutmeghook/internal/inner/telling.py
+++ b/src/nutmeghook/internal/inner/gossip_senders.py
@@ -14,7 +14,7 @@
 _LONGEST_PART = 1.25
 
 
-class Teller(abc.ABC):
+class GossipSender(abc.ABC):
     """Tells peers something."""
 
     __slots__ = ()
@@ -24,7 +24,7 @@
         """Tells peers until cancelled."""
 
 
-class PeriodicTeller(Teller):
+class PeriodicGossipSender(GossipSender):
     """Tells peers until cancelled, over and over.
 
     Args:
@@ -45,7 +45,7 @@
         self._random = random_source
 
     @abc.abstractmethod
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Tells peers what there is to tell now."""
 
     async def run(self) -> None:
@@ -53,10 +53,10 @@
         while True:
             part = self._random.uniform(_SHORTEST_PART, _LONGEST_PART)
             await self._clock.sleep(part * self._period)
-            self.tell()
+            self.send_update()
 
 
-class MessageTeller(PeriodicTeller):
+class MessageGossipSender(PeriodicGossipSender):
     """Tells peers by messages of one kind, and takes in theirs.
 
     Args:
--- a/src/nutmeghook/internal/replicas/backlog_gossip.py
+++ b/src/nutmeghook/internal/replicas/backlog_gossip.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 import datetime
 
-from nutmeghook.internal.inner import telling
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.replicas import backlog as backlog_module
 from nutmeghook.internal.replicas import directory as directory_module
@@ -26,7 +26,7 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class BacklogGossip(telling.MessageTeller):
+class BacklogGossip(gossip_senders.MessageGossipSender):
     """Sends this instance's backlogs and takes in those of its peers.
 
     Args:
@@ -58,7 +58,7 @@
         self._audience = audience
         self._told_any = False
 
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Tells peers what this instance has under way, if anything.
 
         Once nothing is, they are told once more; whoever misses that counts
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -7,7 +7,6 @@
 import datetime
 import itertools
 
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.replicas import address_holders
@@ -17,6 +16,7 @@
 from nutmeghook.internal.replicas import peer_backlogs as peer_backlogs_module
 from nutmeghook.internal.replicas import replica as replica_module
 from nutmeghook.internal.routing import affinity
+from nutmeghook.internal.table_replication import shared_table
 
 # Entries lapse while the store is away and are back within two seconds of
 # its return. Until then, and some slack, a missing entry proves nothing.
--- a/src/nutmeghook/internal/replicas/load_gossip.py
+++ b/src/nutmeghook/internal/replicas/load_gossip.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 import datetime
 
-from nutmeghook.internal.inner import telling
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import replica as replica_module
@@ -27,19 +27,19 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class ReplicaLoadGossip(telling.MessageTeller):
+class ReplicaLoadGossip(gossip_senders.MessageGossipSender):
     """Sends and takes in counts of replicas' requests."""
 
     __slots__ = (
         "_directory",
-        "_near_addresses",
+        "_local_addresses",
     )
 
     def __init__(
         self,
         *,
         directory: directory_module.ReplicaDirectory,
-        near_addresses: Callable[[], list[str]],
+        local_addresses: Callable[[], list[str]],
         **telling_parts,
     ):
         super().__init__(
@@ -48,11 +48,11 @@
             **telling_parts,
         )
         self._directory = directory
-        self._near_addresses = near_addresses
+        self._local_addresses = local_addresses
 
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Tells a few peers the counts that were learnt last."""
-        near = self._near_addresses()
+        near = self._local_addresses()
         told = self._directory.last_reported(MOST_COUNTS, age=OLDEST_TOLD)
         if not near or not told:
             return
--- a/src/nutmeghook/internal/suspects/gossip.py
+++ b/src/nutmeghook/internal/suspects/gossip.py
@@ -13,8 +13,8 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import identities
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner import messages as messages_module
-from nutmeghook.internal.inner import telling
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.suspects import book as book_module
 
@@ -33,7 +33,7 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class SuspectGossip(telling.Teller):
+class SuspectGossip(gossip_senders.GossipSender):
     """Sends and takes in suspicions.
 
     Args:
@@ -73,22 +73,22 @@
     def tell_news(self) -> None:
         """Tells many peers what has just been learnt."""
         while news := self._book.take_news(MOST_TOLD):
-            self._send(news, near=NEAR_TOLD, far=FAR_TOLD)
+            self._send(news, local=NEAR_TOLD, remote=FAR_TOLD)
 
     def remind(self) -> None:
         """Tells a peer or two of the gravest suspicions again."""
         grave = self._book.grave(MOST_TOLD, age=_SINGLE_TOLD_FOR)
         if grave:
-            self._send(grave, near=NEAR_REMINDED, far=FAR_REMINDED)
+            self._send(grave, local=NEAR_REMINDED, remote=FAR_REMINDED)
 
     def _send(
-        self, told: list[book_module.Suspicion], *, near: int, far: float
+        self, told: list[book_module.Suspicion], *, local: int, remote: float
     ) -> None:
         now = self._clock.monotonic()
         message = ttypes.CrashSuspects(
             suspects=[_encoded(suspicion, now) for suspicion in told]
         )
-        self._messages.send(self._audience(near=near, far=far), message)
+        self._messages.send(self._audience(local=local, remote=remote), message)
 
     def _receive(self, message: ttypes.CrashSuspects) -> None:
         now = self._clock.monotonic()
--- a/src/nutmeghook/internal/following/link_allowance.py
+++ b/src/nutmeghook/internal/table_replication/bandwidth_limiter.py
@@ -16,7 +16,7 @@
 _BYTES_PER_MBIT = 1_000_000 / _BITS_A_BYTE
 
 
-class LinkAllowance:
+class BandwidthLimiter:
     """A token bucket of bytes, filled with a share of the link.
 
     Args:
--- a/src/nutmeghook/internal/following/follower.py
+++ b/src/nutmeghook/internal/table_replication/follower.py
@@ -6,9 +6,9 @@
 import random
 
 from nutmeghook.internal.dependencies import failures
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
+from nutmeghook.internal.table_replication import source
 
 # A feed that falls silent for good on an open connection shows only by this
 # limit. It has to be well under the time in which a change must be in force
@@ -20,7 +20,7 @@
 LONGEST_PAUSE = datetime.timedelta(seconds=1)
 
 
-class TableReader(abc.ABC):
+class TableListener(abc.ABC):
     """Takes in what a follower reads."""
 
     @abc.abstractmethod
@@ -34,7 +34,7 @@
         """Takes in changes, in order."""
 
 
-class StoreWatch:
+class StoreMonitor:
     """What is known of the store by own calls and by peers' word.
 
     Args:
@@ -142,8 +142,8 @@
         self,
         *,
         table: source.FollowedTable,
-        reader: TableReader,
-        watch: StoreWatch,
+        reader: TableListener,
+        watch: StoreMonitor,
         clock: clock_module.Clock,
         random_source: random.Random,
         wait: datetime.timedelta = FEED_WAIT,
--- a/src/nutmeghook/internal/following/gossip.py
+++ b/src/nutmeghook/internal/table_replication/gossip.py
@@ -16,21 +16,21 @@
 import datetime
 import random
 
-from nutmeghook.internal.following import audience
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import giving
-from nutmeghook.internal.following import link_allowance
-from nutmeghook.internal.following import reader_ranks
-from nutmeghook.internal.following import shared_table
-from nutmeghook.internal.following import taking
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import peers as peers_module
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.inner.generated import ttypes
+from nutmeghook.internal.table_replication import bandwidth_limiter
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import page_fetcher
+from nutmeghook.internal.table_replication import page_server
+from nutmeghook.internal.table_replication import peer_sampling
+from nutmeghook.internal.table_replication import reader_election
+from nutmeghook.internal.table_replication import shared_table
 
 # A change has to be in force 2 s after it was accepted. A push that is lost is
 # made good by the next digest, and a reader that died by another one within
-# `reader_ranks.HEARD_RECENTLY` and a call; two others read meanwhile.
+# `reader_election.HEARD_RECENTLY` and a call; two others read meanwhile.
 TELL_EVERY = datetime.timedelta(milliseconds=400)
 # Digests of 180 bytes to 5.5 peers, 2.5 times a second, are 2.5 KB/s, a tenth
 # of it to other data centres. In a simulation of 73 to 420 instances in three
@@ -131,7 +131,7 @@
         caller: peers_module.PeerCaller,
         handlers: peers_module.PeerHandlers,
         deletion_grace: shared_table.DeletionGrace,
-        allowance: link_allowance.LinkAllowance,
+        allowance: bandwidth_limiter.BandwidthLimiter,
         change_time: datetime.timedelta,
         clock: clock_module.Clock,
         random_source: random.Random,
@@ -145,7 +145,7 @@
         self._deletion_grace = deletion_grace
         self._clock = clock
         self._random = random_source
-        self._audience = audience.Audience(
+        self._audience = peer_sampling.PeerSampler(
             data_centre=data_centre, random_source=random_source
         )
         self._longest_unproven = max(
@@ -157,15 +157,15 @@
         self._told: dict[str, int] = {}
         # By table; the last word of a peer that knew more than this instance.
         self._newest_heard: dict[str, _Heard] = {}
-        self._ranks = reader_ranks.ReaderRanks(
+        self._ranks = reader_election.ReaderElection(
             instance_id=instance_id, clock=clock
         )
         self._data_centres: dict[str, str] = {}
         self.peers: dict[str, str] = {}
-        giver = giving.PageGiver(
+        giver = page_server.PageServer(
             tables=tables, deletion_grace=deletion_grace, allowance=allowance
         )
-        handlers.register(ttypes.TablePull, giver.give)
+        handlers.register(ttypes.TablePull, giver.serve)
         messages.register(ttypes.TablesDigest, self._receive)
 
     async def run(self) -> None:
@@ -190,14 +190,14 @@
         """
         if self._is_unproven(table):
             return datetime.timedelta()
-        if reader_ranks.is_large(self._fleet_size):
+        if reader_election.is_large(self._fleet_size):
             return _LARGE_FLEET_WAIT
         return follower.FEED_WAIT
 
     def failure_pause(self) -> datetime.timedelta | None:
         """Returns how long to wait after a failed call; None: as usual."""
         is_reader = self._ranks.is_reader(fleet_size=self._fleet_size)
-        if is_reader or not reader_ranks.is_large(self._fleet_size):
+        if is_reader or not reader_election.is_large(self._fleet_size):
             return None
         return _PAUSE_OF_OTHERS
 
@@ -219,7 +219,7 @@
             return False
         return self._clock.monotonic() - heard.at <= _HEARSAY_LIFE
 
-    def near_addresses(self) -> list[str]:
+    def local_addresses(self) -> list[str]:
         """Returns where instances of the own data centre listen.
 
         Those that have been silent for long are left out, and those that are
@@ -231,11 +231,11 @@
             if self._data_centres.get(peer_id) == self._data_centre
         ]
 
-    def some_living(self, *, near: int, far: float) -> list[str]:
+    def some_living(self, *, local: int, remote: float) -> list[str]:
         """Returns where some instances listen, near ones and a few others."""
         living = {peer_id: self.peers[peer_id] for peer_id in self._living()}
         return self._audience.choose(
-            living, self._data_centres, near=near, far=far
+            living, self._data_centres, local=local, remote=remote
         )
 
     def living_addresses(self) -> list[str]:
@@ -250,7 +250,7 @@
         oldest = self._clock.monotonic() - span
         return [i for i, at in self._heard_at.items() if at >= oldest]
 
-    def _tell(self, *, near: int, far: float) -> None:
+    def _tell(self, *, local: int, remote: float) -> None:
         now = self._clock.monotonic()
         low = self._ranks.living(fleet_size=self._fleet_size)
         digest = ttypes.TablesDigest(
@@ -271,7 +271,7 @@
             ],
         )
         told = self._audience.choose(
-            self.peers, self._data_centres, near=near, far=far
+            self.peers, self._data_centres, local=local, remote=remote
         )
         self._messages.send(told, digest)
 
@@ -313,7 +313,7 @@
 
     async def _tell_forever(self) -> None:
         while True:
-            self._tell(near=NEAR_TOLD, far=FAR_TOLD)
+            self._tell(local=NEAR_TOLD, remote=FAR_TOLD)
             await self._clock.sleep(
                 TELL_EVERY * self._random.uniform(0.75, 1.25)
             )
@@ -324,7 +324,7 @@
             revisions = {n: t.revision for n, t in self._tables.items()}
             if revisions != self._told:
                 self._told = revisions
-                self._tell(near=NEAR_PUSHED, far=FAR_PUSHED)
+                self._tell(local=NEAR_PUSHED, remote=FAR_PUSHED)
             await self._clock.sleep(_IDLE / 4)
 
     async def _catch_up_forever(self, name: str) -> None:
@@ -335,7 +335,7 @@
         """
         ahead = self._ahead[name]
         table = self._tables[name]
-        taker = taking.PageTaker(
+        taker = page_fetcher.PageFetcher(
             name=name,
             table=table,
             caller=self._caller,
@@ -356,7 +356,7 @@
     async def _catch_up(
         self,
         table: shared_table.SharedTable,
-        taker: taking.PageTaker,
+        taker: page_fetcher.PageFetcher,
         address: str,
         revision: int,
     ) -> bool:
@@ -368,7 +368,7 @@
             if table.revision >= revision:
                 return True
         outcome = await taker.catch_up(address)
-        return outcome is not taking.Outcome.TRY_AGAIN
+        return outcome is not page_fetcher.Outcome.TRY_AGAIN
 
 
 async def follow(
--- a/src/nutmeghook/internal/following/taking.py
+++ b/src/nutmeghook/internal/table_replication/page_fetcher.py
@@ -4,13 +4,13 @@
 import datetime
 import enum
 
-from nutmeghook.internal.following import pages
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.inner import peers as peers_module
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.observe import logs
+from nutmeghook.internal.table_replication import pages
+from nutmeghook.internal.table_replication import shared_table
 
 # For one piece, which takes 26 ms on a slow link and some ms on others. A peer
 # that is slower is not worth waiting for, as others know the same; the pieces
@@ -43,7 +43,7 @@
     data: bytearray
 
 
-class PageTaker:
+class PageFetcher:
     """Catches up with one table.
 
     A large change arrives even where each giver ends in the middle: the next
--- a/src/nutmeghook/internal/following/giving.py
+++ b/src/nutmeghook/internal/table_replication/page_server.py
@@ -6,12 +6,12 @@
 
 import xxhash
 
-from nutmeghook.internal.following import link_allowance
-from nutmeghook.internal.following import pages
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.inner.generated import ttypes
+from nutmeghook.internal.table_replication import bandwidth_limiter
+from nutmeghook.internal.table_replication import pages
+from nutmeghook.internal.table_replication import shared_table
 
 # On a link of 5 Mbit/s a piece takes 26 ms, so callers' answers wait little
 # behind one, and a peer that still sends is told from one that does not.
@@ -37,7 +37,7 @@
     hash_of_data: int
 
 
-class PageGiver:
+class PageServer:
     """Answers peers that ask for a table's changes.
 
     Full copies for all that ask would share a slow link until each takes longer
@@ -53,7 +53,7 @@
         *,
         tables: dict[str, shared_table.SharedTable],
         deletion_grace: shared_table.DeletionGrace,
-        allowance: link_allowance.LinkAllowance,
+        allowance: bandwidth_limiter.BandwidthLimiter,
     ):
         self._tables = tables
         self._deletion_grace = deletion_grace
@@ -62,7 +62,7 @@
             tuple[str, int, bool], _Content
         ] = collections.OrderedDict()
 
-    async def give(self, request: ttypes.TablePull) -> ttypes.TablePiece:
+    async def serve(self, request: ttypes.TablePull) -> ttypes.TablePiece:
         """Returns the next piece of what a peer lacks.
 
         Raises:
--- a/src/nutmeghook/internal/following/pages.py
+++ b/src/nutmeghook/internal/table_replication/pages.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import differences
-from nutmeghook.internal.following import source
+from nutmeghook.internal.table_replication import deltas
+from nutmeghook.internal.table_replication import source
+from nutmeghook.internal.table_replication import table_copy
 
 # 300 KB of routes take 4 ms of a core; higher levels save a tenth at twice
 # the time.
@@ -42,7 +42,7 @@
 def encode(
     rows: tuple[source.FollowedRow, ...],
     *,
-    table: copies.TableCopy,
+    table: table_copy.TableCopy,
     known_revision: int | None,
 ) -> bytes:
     """Returns rows as bytes.
@@ -58,7 +58,7 @@
 
 
 def decode(
-    content: bytes, *, table: copies.TableCopy
+    content: bytes, *, table: table_copy.TableCopy
 ) -> tuple[source.FollowedRow, ...]:
     """Returns the rows.
 
@@ -78,7 +78,7 @@
 def _sent(
     row: source.FollowedRow,
     *,
-    table: copies.TableCopy,
+    table: table_copy.TableCopy,
     revision: int | None,
 ) -> _SentRow:
     steps = () if revision is None else table.steps_after(row.key, revision)
@@ -97,7 +97,7 @@
     )
 
 
-def _row(sent: _SentRow, *, table: copies.TableCopy) -> source.FollowedRow:
+def _row(sent: _SentRow, *, table: table_copy.TableCopy) -> source.FollowedRow:
     value = sent.value
     if sent.base_version:
         value = _value_by_steps(sent, table.row(sent.key))
@@ -114,7 +114,7 @@
     value = former.value
     try:
         for step in sent.steps:
-            value = differences.apply(value, step)
-    except differences.UnusableDifferenceError as error:
+            value = deltas.apply(value, step)
+    except deltas.UnusableDifferenceError as error:
         raise UnusablePageError(f"{sent.key}: {error}") from error
     return value
--- a/src/nutmeghook/internal/following/audience.py
+++ b/src/nutmeghook/internal/table_replication/peer_sampling.py
@@ -8,10 +8,10 @@
 import math
 import random
 
-from nutmeghook.internal.following import reader_ranks
+from nutmeghook.internal.table_replication import reader_election
 
 
-class Audience:
+class PeerSampler:
     """Chooses addresses to tell.
 
     Args:
@@ -30,30 +30,30 @@
         peers: dict[str, str],
         data_centres: dict[str, str],
         *,
-        near: int,
-        far: float,
+        local: int,
+        remote: float,
     ) -> list[str]:
         """Returns addresses of some peers.
 
         Args:
             peers: Addresses by instance id.
             data_centres: By instance id, where known.
-            near: How many of the own data centre. Where it has fewer, others
+            local: How many of the own data centre. Where it has fewer, others
                 take their place, first those of which it is not known.
-            far: How many others besides, on average.
+            remote: How many others besides, on average.
         """
-        if not reader_ranks.is_large(len(peers) + 1):
+        if not reader_election.is_large(len(peers) + 1):
             # Everybody is told within a round or two, and a data centre has so
             # few instances that a word must not depend on one crossing.
-            most = min(len(peers), near + math.ceil(far))
+            most = min(len(peers), local + math.ceil(remote))
             return self._random.sample(list(peers.values()), most)
         ranked: tuple[list[str], list[str], list[str]] = ([], [], [])
         for peer_id, address in peers.items():
             ranked[self._distance(data_centres.get(peer_id))].append(address)
         chosen: list[str] = []
         for addresses in ranked:
-            chosen += self._some(addresses, near - len(chosen))
-        chosen += self._some(ranked[-1], self._rounded(far))
+            chosen += self._some(addresses, local - len(chosen))
+        chosen += self._some(ranked[-1], self._rounded(remote))
         return list(dict.fromkeys(chosen))
 
     def _distance(self, data_centre: str | None) -> int:
--- a/src/nutmeghook/internal/following/reader_ranks.py
+++ b/src/nutmeghook/internal/table_replication/reader_election.py
@@ -27,7 +27,7 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-def rank_of(instance_id: str) -> int:
+def priority_of(instance_id: str) -> int:
     """Places an instance among the others; neighbours by name lie apart."""
     return xxhash.xxh32_intdigest(instance_id.encode()) >> 1
 
@@ -37,13 +37,13 @@
     return fleet_size > _SMALL_FLEET
 
 
-class ReaderRanks:
+class ReaderElection:
     """Knows which instances of low rank live."""
 
     __slots__ = ("_clock", "_lived_at", "_rank")
 
     def __init__(self, *, instance_id: str, clock: clock_module.Clock):
-        self._rank = rank_of(instance_id)
+        self._rank = priority_of(instance_id)
         self._clock = clock
         # When the instance of a rank was last known to live; the lowest only.
         self._lived_at: dict[int, datetime.timedelta] = {}
@@ -69,7 +69,7 @@
         """
         now = self._clock.monotonic()
         if sender_id is not None:
-            self._note_living(rank_of(sender_id), now)
+            self._note_living(priority_of(sender_id), now)
         for rank, age_ms in zip(ranks, ages_ms, strict=False):
             if age_ms >= 0 and rank != self._rank:
                 self._note_living(rank, now - age_ms * _MILLISECOND)
--- a/src/nutmeghook/internal/following/shared_table.py
+++ b/src/nutmeghook/internal/table_replication/shared_table.py
@@ -3,10 +3,10 @@
 import abc
 import datetime
 
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import source
+from nutmeghook.internal.table_replication import table_copy
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 _NEVER_MS = -1
@@ -37,7 +37,7 @@
     def __init__(
         self,
         *,
-        copy: copies.TableCopy,
+        copy: table_copy.TableCopy,
         table_follower: follower.TableFollower,
         clock: clock_module.Clock,
     ):
--- a/src/nutmeghook/internal/following/copies.py
+++ b/src/nutmeghook/internal/table_replication/table_copy.py
@@ -4,9 +4,9 @@
 from collections.abc import Iterable
 import dataclasses
 
-from nutmeghook.internal.following import differences
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import source
+from nutmeghook.internal.table_replication import deltas
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import source
 
 # Deletions kept for peers that are a little behind; with fewer they get the
 # whole table. A busy minute of 400 replicas is about as many.
@@ -20,13 +20,13 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class RowStep:
+class RowDelta:
     """How a row went from one version to a later one.
 
     Attributes:
         base_version: The version before.
         version: The version after.
-        difference: Of the values; see `differences`.
+        difference: Of the values; see `deltas`.
     """
 
     base_version: int
@@ -34,7 +34,7 @@
     difference: bytes
 
 
-class TableCopy(follower.TableReader):
+class TableCopy(follower.TableListener):
     """Keeps the rows and passes everything on to the reader behind it.
 
     Of a row that changed several times only the newest state is kept and
@@ -44,12 +44,12 @@
 
     __slots__ = ("_complete_after", "_deletions", "_reader", "_rows", "_steps")
 
-    def __init__(self, *, reader: follower.TableReader):
+    def __init__(self, *, reader: follower.TableListener):
         self._reader = reader
         self._rows: dict[str, source.FollowedRow] = {}
         # By key, in the order of their versions.
         self._deletions: dict[str, source.FollowedRow] = {}
-        self._steps: dict[str, collections.deque[RowStep]] = {}
+        self._steps: dict[str, collections.deque[RowDelta]] = {}
         # All deletions after this revision are kept.
         self._complete_after = -1
 
@@ -103,7 +103,7 @@
         ]
         return _in_order(changed)
 
-    def steps_after(self, key: str, revision: int) -> tuple[RowStep, ...]:
+    def steps_after(self, key: str, revision: int) -> tuple[RowDelta, ...]:
         """Returns the steps from a row's version at a revision to its newest.
 
         Empty where they are not kept. The base of the first may be another
@@ -129,10 +129,10 @@
             row.key, collections.deque(maxlen=_MOST_STEPS)
         )
         steps.append(
-            RowStep(
+            RowDelta(
                 base_version=former.version,
                 version=row.version,
-                difference=differences.between(former.value, row.value),
+                difference=deltas.between(former.value, row.value),
             )
         )
         # Steps that are together as long as the row are no gain.
--- a/src/nutmeghook/internal/version_plans/driver.py
+++ b/src/nutmeghook/internal/version_plans/driver.py
@@ -11,10 +11,10 @@
 
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.dependencies import table as table_module
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import source
 from nutmeghook.internal.version_plans import evidence as evidence_module
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import plan as plan_module
@@ -41,7 +41,7 @@
         """Returns the write of the state."""
 
 
-class PlanRows(follower.TableReader):
+class PlanRows(follower.TableListener):
     """Takes in plans and the others' evidence."""
 
     __slots__ = ("_instance_id", "_orders", "_rollouts")
@@ -127,7 +127,7 @@
         orders: orders_module.OrderBook,
         status: StatusRows,
         fleet_rate_per_s: Callable[[str], float],
-        watch: follower.StoreWatch,
+        watch: follower.StoreMonitor,
         clock: clock_module.Clock,
         random_source: random.Random,
         instance_id: str,
--- a/src/nutmeghook/internal/version_plans/news.py
+++ b/src/nutmeghook/internal/version_plans/news.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner import sealed_messages
-from nutmeghook.internal.inner import telling
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.version_plans import evidence as evidence_module
@@ -52,7 +52,7 @@
         self.size = 0
 
 
-class RollOutNews(telling.PeriodicTeller):
+class RollOutNews(gossip_senders.PeriodicGossipSender):
     """Sends and takes in news of open orders."""
 
     __slots__ = (
@@ -86,7 +86,7 @@
         self._told: dict[str, _Told] = {}
         messages.register(ttypes.RollOutNews, self._receive)
 
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Tells peers what is new of each open order."""
         for order in self._orders.all():
             plan = self._rollouts.plan_of(order)
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 import datetime
 
-from nutmeghook.internal.following import follower
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.table_replication import follower
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
 
@@ -47,7 +47,7 @@
         self,
         *,
         schedule: schedule_module.Schedule,
-        watch: follower.StoreWatch,
+        watch: follower.StoreMonitor,
         answers_seen: Callable[[plan_module.PlanRow], int],
         clock: clock_module.Clock,
     ):
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 import datetime
 
-from nutmeghook.internal.following import follower
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import entries
 from nutmeghook.internal.replicas import replica as replica_module
 from nutmeghook.internal.replicas import send_gate
+from nutmeghook.internal.table_replication import follower
 from nutmeghook.internal.version_plans import evidence as evidence_module
 from nutmeghook.internal.version_plans import filters
 from nutmeghook.internal.version_plans import (
@@ -60,7 +60,7 @@
         orders: orders_module.OrderBook,
         directory: directory_module.ReplicaDirectory,
         gate: send_gate.SendGate,
-        watch: follower.StoreWatch,
+        watch: follower.StoreMonitor,
         schedule: schedule_module.Schedule,
         session_time: datetime.timedelta,
         clock: clock_module.Clock,
--- a/src/nutmeghook/platform/store.py
+++ b/src/nutmeghook/platform/store.py
@@ -9,7 +9,7 @@
 
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.dependencies import table as table_module
-from nutmeghook.internal.following import source
+from nutmeghook.internal.table_replication import source
 
 # The store answers in 4 ms; on its slow days some 60 times as long. A call
 # that takes longer than this is better made anew: the answer may be lost.
--- a/src/nutmeghook/platform/tables.py
+++ b/src/nutmeghook/platform/tables.py
@@ -1,12 +1,12 @@
 """Feeds rows of the platform's tables into the router."""
 
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import source
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import entries
 from nutmeghook.internal.replicas import evacuations as evacuations_module
 from nutmeghook.internal.routes import in_force as in_force_module
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import source
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.platform import configuration as configuration_wire
 from nutmeghook.platform import replicas as replicas_wire
@@ -20,7 +20,7 @@
 _FROM_STORE = "store"
 
 
-class OperatorRows(follower.TableReader):
+class OperatorRows(follower.TableListener):
     """Takes in the operator's configuration, orders and evacuations."""
 
     __slots__ = ("_configuration", "_evacuations", "_orders")
@@ -80,7 +80,7 @@
                 self._evacuations.evacuate(data_centre)
 
 
-class ReplicaRows(follower.TableReader):
+class ReplicaRows(follower.TableListener):
     """Takes in the replica list."""
 
     __slots__ = ("_directory",)
--- a/tests/cover/test_backlogs.py
+++ b/tests/cover/test_backlogs.py
@@ -126,7 +126,7 @@
         first, _ = self.one.send(need(own=2 * SECOND))
         unaware = self.two.chooser.forecast(need()).replica
         self.assertEqual(unaware.entry.replica_id, first.entry.replica_id)
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         aware = self.two.chooser.forecast(need()).replica
         self.assertNotEqual(aware.entry.replica_id, first.entry.replica_id)
 
@@ -144,12 +144,12 @@
 
     def test_what_was_read_no_longer_counts(self):
         replica, reading = self.one.send(need())
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         self.assertEqual(
             self.two.waiting(replica.entry.replica_id), reading.time
         )
         self.one.directory.end_reading(replica, reading)
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         self.assertEqual(self.two.waiting(replica.entry.replica_id), 0 * MS)
 
     def test_a_lost_message_counts_only_until_it_is_old(self):
@@ -157,10 +157,10 @@
         What it told is not taken for work that goes on for ever.
         """
         replica, reading = self.one.send(need())
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         self.one.wire.loses = True
         self.one.directory.end_reading(replica, reading)
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         self.assertEqual(
             self.two.waiting(replica.entry.replica_id), reading.time
         )
@@ -206,19 +206,19 @@
     def test_nothing_is_told_while_there_is_nothing_to_tell(self):
         heard = []
         self.receivers["two"] = heard.append
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         self.assertEqual(heard, [])
         replica, reading = self.one.send(need())
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         self.one.directory.end_reading(replica, reading)
         for _ in range(3):
-            self.one.gossip.tell()
+            self.one.gossip.send_update()
         self.assertEqual(len(heard), 2)
 
     def test_a_replica_that_started_again_has_nothing_to_read(self):
         """A replica crashes with a backlog and starts under its old id."""
         replica, reading = self.one.send(need())
-        self.one.gossip.tell()
+        self.one.gossip.send_update()
         replica_id = replica.entry.replica_id
         number = int(replica_id[1:])
         for instance in (self.one, self.two):
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies
 import msgspec
 
-from nutmeghook.internal.following import source
 from nutmeghook.internal.replicas import cold_senders
 from nutmeghook.internal.replicas import evacuations
 from nutmeghook.internal.replicas import send_gate
 from nutmeghook.internal.routes import in_force
 from nutmeghook.internal.routes import model
+from nutmeghook.internal.table_replication import source
 from nutmeghook.internal.version_plans import orders
 from nutmeghook.platform import rollout_rows
 from nutmeghook.platform import tables
--- a/tests/cover/test_followed_tables.py
+++ b/tests/cover/test_followed_tables.py
@@ -7,9 +7,9 @@
 import aiohttp
 
 from nutmeghook.internal.dependencies import failures
-from nutmeghook.internal.following import follower
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.replicas import directory as directory_module
+from nutmeghook.internal.table_replication import follower
 from nutmeghook.platform import store
 from nutmeghook.platform import tables
 from nutmeghook.standins import users_store
@@ -26,7 +26,7 @@
         self.session = aiohttp.ClientSession()
         self.clock = clock_module.FakeClock()
         self.directory = directory_module.ReplicaDirectory(clock=self.clock)
-        self.watch = follower.StoreWatch(
+        self.watch = follower.StoreMonitor(
             clock=self.clock,
             on_return=lambda: self.directory.distrust_deletions(
                 self.clock.monotonic() + directory_module.LAPSE_GRACE
--- a/tests/cover/test_load_gossip.py
+++ b/tests/cover/test_load_gossip.py
@@ -50,7 +50,7 @@
             messages=sealed_messages.SealedMessages(
                 datagrams=self.post, seal=SEAL
             ),
-            near_addresses=lambda: self.near,
+            local_addresses=lambda: self.near,
             clock=clock,
             random_source=random.Random(number),
         )
@@ -103,7 +103,7 @@
         for _ in range(count):
             await self.clock.advance(load_gossip.TELL_EVERY)
             for instance in self.instances:
-                instance.gossip.tell()
+                instance.gossip.send_update()
 
     async def test_a_queue_that_one_instance_saw_is_known_to_all(self):
         """A replica's queue grows, and one instance of 24 hears of it.
--- a/tests/cover/test_peer_messages.py
+++ b/tests/cover/test_peer_messages.py
@@ -38,7 +38,7 @@
             messages=peer_messages.PeerMessages(
                 caller=caller, handlers=handlers
             ),
-            audience=lambda *, near, far: others,
+            audience=lambda *, local, remote: others,
             clock=self.clock,
             random_source=random.Random(1),
         )
--- a/tests/cover/test_readers_lost.py
+++ b/tests/cover/test_readers_lost.py
@@ -11,7 +11,7 @@
 import unittest
 
 from bench import _virtual_time
-from nutmeghook.internal.following import gossip as gossip_module
+from nutmeghook.internal.table_replication import gossip as gossip_module
 from tests import gossip_fleet
 
 _SECOND = datetime.timedelta(seconds=1)
--- a/tests/cover/test_registration.py
+++ b/tests/cover/test_registration.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from nutmeghook.internal.following import registration
+from nutmeghook.internal.table_replication import registration
 from nutmeghook.platform import store
 from nutmeghook.standins import users_store
 
--- a/tests/cover/test_replica_directory.py
+++ b/tests/cover/test_replica_directory.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies
 import msgspec
 
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import replica as replica_module
+from nutmeghook.internal.table_replication import source
 from nutmeghook.platform import tables
 from tests import platform_rows
 
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -41,9 +41,11 @@
             random_source=self._draw,
         )
 
-    def _audience(self, *, near: int, far: float) -> list[str]:
+    def _audience(self, *, local: int, remote: float) -> list[str]:
         others = [i for i in self._fleet.instances if i is not self]
-        told = self._draw.sample(others, min(len(others), near + round(far)))
+        told = self._draw.sample(
+            others, min(len(others), local + round(remote))
+        )
         return [other.address for other in told]
 
 
--- a/tests/cover/test_table_gossip.py
+++ b/tests/cover/test_table_gossip.py
@@ -7,18 +7,18 @@
 
 import aiohttp
 
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import gossip as gossip_module
-from nutmeghook.internal.following import link_allowance
-from nutmeghook.internal.following import reader_ranks
-from nutmeghook.internal.following import shared_table
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import datagrams
 from nutmeghook.internal.inner import peers
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.replicas import directory as directory_module
+from nutmeghook.internal.table_replication import bandwidth_limiter
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import gossip as gossip_module
+from nutmeghook.internal.table_replication import reader_election
+from nutmeghook.internal.table_replication import shared_table
+from nutmeghook.internal.table_replication import source
+from nutmeghook.internal.table_replication import table_copy
 from nutmeghook.platform import store
 from nutmeghook.platform import tables
 from nutmeghook.standins import users_store
@@ -94,7 +94,9 @@
     def instance(self, name: str):
         """Returns an instance's gossip and what it knows of replicas."""
         directory = directory_module.ReplicaDirectory(clock=self.clock)
-        copy = copies.TableCopy(reader=tables.ReplicaRows(directory=directory))
+        copy = table_copy.TableCopy(
+            reader=tables.ReplicaRows(directory=directory)
+        )
         table = shared_table.SharedTable(
             copy=copy,
             table_follower=follower.TableFollower(
@@ -105,7 +107,7 @@
                     name=TABLE,
                 ),
                 reader=copy,
-                watch=follower.StoreWatch(clock=self.clock),
+                watch=follower.StoreMonitor(clock=self.clock),
                 clock=self.clock,
                 random_source=random.Random(1),
                 wait=datetime.timedelta(),
@@ -125,7 +127,7 @@
             caller=self.calls,
             handlers=self.handlers[name],
             deletion_grace=directory,
-            allowance=link_allowance.LinkAllowance(
+            allowance=bandwidth_limiter.BandwidthLimiter(
                 link_mbit_per_s=100.0, clock=self.clock
             ),
             change_time=3 * _SECOND,
@@ -166,7 +168,7 @@
         self.put("2")
         self.store.delete("servers", "1")
         await served[1].follower.step()
-        served[0]._tell(near=5, far=0)
+        served[0]._tell(local=5, remote=0)
         await self.catch_up(refused)
         self.assertEqual(self.listed(refused), ["2"])
 
@@ -181,7 +183,7 @@
         self.put("2")
         for instance in (sound, silent):
             await instance[1].follower.step()
-            instance[0]._tell(near=5, far=0)
+            instance[0]._tell(local=5, remote=0)
         del self.handlers["a"]
         await self.catch_up(late)
         self.assertEqual(self.listed(late), ["1", "2"])
@@ -194,7 +196,7 @@
         self.put("2")
         await ahead[1].follower.step()
         self.assertFalse(behind[0].is_behind(TABLE))
-        ahead[0]._tell(near=5, far=0)
+        ahead[0]._tell(local=5, remote=0)
         self.assertTrue(behind[0].is_behind(TABLE))
         await self.catch_up(behind)
         self.assertFalse(behind[0].is_behind(TABLE))
@@ -207,7 +209,7 @@
         self.connect(dead, instance)
         await instance[1].follower.step()
         dead[1].follower.revision = 99
-        dead[0]._tell(near=5, far=0)
+        dead[0]._tell(local=5, remote=0)
         self.assertTrue(instance[0].is_behind(TABLE))
         await self.clock.advance(4 * _SECOND)
         self.assertFalse(instance[0].is_behind(TABLE))
@@ -216,7 +218,7 @@
         old, new = self.instance("a"), self.instance("b")
         self.connect(old, new)
         await old[1].follower.step()
-        old[0]._tell(near=5, far=0)
+        old[0]._tell(local=5, remote=0)
         await self.catch_up(new)
         self.assertEqual(self.listed(new), ["1"])
 
@@ -264,16 +266,16 @@
         self.connect(*everyone)
         for instance in everyone:
             await instance[1].follower.step()
-            instance[0]._tell(near=10, far=0)
+            instance[0]._tell(local=10, remote=0)
         for instance in everyone:
-            instance[0]._tell(near=10, far=0)
-        ranked = sorted("abcdefg", key=reader_ranks.rank_of)
+            instance[0]._tell(local=10, remote=0)
+        ranked = sorted("abcdefg", key=reader_election.priority_of)
         self.assertEqual(self.reading(everyone), sorted(ranked[:3]))
         living = [i for i in everyone if i[0]._instance_id != ranked[0]]
         await self.clock.advance(1.4 * _SECOND)
         for instance in living:
             await instance[1].follower.step()
-            instance[0]._tell(near=10, far=0)
+            instance[0]._tell(local=10, remote=0)
         self.assertEqual(self.reading(living), sorted(ranked[1:4]))
 
     async def test_as_few_read_in_a_fleet_in_which_each_hears_a_part(self):
@@ -283,13 +285,14 @@
         over in time.
         """
         everyone = [self.instance(f"i{number}") for number in range(70)]
-        enough = reader_ranks.ENOUGH_READERS
+        enough = reader_election.ENOUGH_READERS
         self.connect(*everyone)
         await self.tell_for(everyone, rounds=12)
         self.assertGreaterEqual(len(self.reading(everyone)), enough)
         self.assertLessEqual(len(self.reading(everyone)), enough + 1)
         ranked = sorted(
-            (i[0]._instance_id for i in everyone), key=reader_ranks.rank_of
+            (i[0]._instance_id for i in everyone),
+            key=reader_election.priority_of,
         )
         dead = ranked[:enough]
         living = [i for i in everyone if i[0]._instance_id not in dead]
@@ -305,10 +308,11 @@
         """
         everyone = [self.instance(f"i{number}") for number in range(40)]
         self.connect(*everyone)
-        enough = reader_ranks.ENOUGH_READERS
+        enough = reader_election.ENOUGH_READERS
         await self.tell_for(everyone, rounds=12)
         ranked = sorted(
-            (i[0]._instance_id for i in everyone), key=reader_ranks.rank_of
+            (i[0]._instance_id for i in everyone),
+            key=reader_election.priority_of,
         )
         for gossip, table, _ in everyone:
             if gossip._instance_id in ranked[:enough]:
@@ -325,7 +329,7 @@
                 if gossip.reads(table) and table.follower.is_in_touch:
                     await table.follower.step()
                 gossip._tell(
-                    near=gossip_module.NEAR_TOLD, far=gossip_module.FAR_TOLD
+                    local=gossip_module.NEAR_TOLD, remote=gossip_module.FAR_TOLD
                 )
 
     def reading(self, everyone) -> list[str]:
@@ -343,7 +347,7 @@
         for _ in range(12):
             await self.clock.advance(_SECOND / 2)
             for instance in everyone:
-                instance[0]._tell(near=10, far=0)
+                instance[0]._tell(local=10, remote=0)
         self.assertEqual(self.reading(everyone), ["a", "b", "c", "d"])
 
     async def test_a_peer_s_wait_for_lapsed_entries_is_taken_over(self):
@@ -360,7 +364,7 @@
         )
         self.store.delete("servers", "1")
         await reader[1].follower.step()
-        reader[0]._tell(near=5, far=0)
+        reader[0]._tell(local=5, remote=0)
         await self.catch_up(other)
         self.assertEqual(self.listed(other), ["1"])
         await self.clock.advance(3 * _SECOND)
--- a/tests/cover/test_table_pages.py
+++ b/tests/cover/test_table_pages.py
@@ -9,19 +9,19 @@
 import hypothesis
 from hypothesis import strategies
 
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import differences
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import giving
-from nutmeghook.internal.following import link_allowance
-from nutmeghook.internal.following import pages
-from nutmeghook.internal.following import shared_table
-from nutmeghook.internal.following import source
-from nutmeghook.internal.following import taking
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.inner import peers
 from nutmeghook.internal.inner.generated import ttypes
+from nutmeghook.internal.table_replication import bandwidth_limiter
+from nutmeghook.internal.table_replication import deltas
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import page_fetcher
+from nutmeghook.internal.table_replication import page_server
+from nutmeghook.internal.table_replication import pages
+from nutmeghook.internal.table_replication import shared_table
+from nutmeghook.internal.table_replication import source
+from nutmeghook.internal.table_replication import table_copy
 from tests import configuration_rows
 
 _SECOND = datetime.timedelta(seconds=1)
@@ -33,7 +33,7 @@
 _BIG_VALUES = _VALUES.map(lambda value: value * 400)
 
 
-class Nobody(follower.TableReader):
+class Nobody(follower.TableListener):
     """Takes rows in and forgets them."""
 
     def replace(self, rows, revision) -> None:
@@ -55,13 +55,13 @@
 
 def shared(clock) -> shared_table.SharedTable:
     """Returns an empty table that peers fill."""
-    copy = copies.TableCopy(reader=Nobody())
+    copy = table_copy.TableCopy(reader=Nobody())
     return shared_table.SharedTable(
         copy=copy,
         table_follower=follower.TableFollower(
             table=None,
             reader=copy,
-            watch=follower.StoreWatch(clock=clock),
+            watch=follower.StoreMonitor(clock=clock),
             clock=clock,
             random_source=random.Random(1),
         ),
@@ -77,18 +77,18 @@
 class DifferencesTest(unittest.TestCase):
     @hypothesis.given(former=_VALUES, value=_VALUES)
     def test_applied_to_the_former_value_give_the_new_one(self, former, value):
-        step = differences.between(former, value)
-        self.assertEqual(differences.apply(former, step), value)
+        step = deltas.between(former, value)
+        self.assertEqual(deltas.apply(former, step), value)
 
     @hypothesis.given(former=_VALUES, step=strategies.binary(max_size=40))
     def test_any_bytes_give_a_value_or_are_refused(self, former, step):
-        with contextlib.suppress(differences.UnusableDifferenceError):
-            differences.apply(former, step)
+        with contextlib.suppress(deltas.UnusableDifferenceError):
+            deltas.apply(former, step)
 
     def test_one_more_route_costs_its_own_size(self):
         former = configuration_rows.configuration(routes=1400)
         value = configuration_rows.configuration(routes=1401)
-        self.assertLess(len(differences.between(former, value)), 600)
+        self.assertLess(len(deltas.between(former, value)), 600)
 
 
 class PagesTest(unittest.TestCase):
@@ -103,8 +103,8 @@
         )
     )
     def test_a_peer_that_asks_now_and_then_has_the_same_rows(self, changes):
-        giver = copies.TableCopy(reader=Nobody())
-        taker = copies.TableCopy(reader=Nobody())
+        giver = table_copy.TableCopy(reader=Nobody())
+        taker = table_copy.TableCopy(reader=Nobody())
         asked_at = 0
         for version, (key, value, asks) in enumerate(changes, start=1):
             giver.change(
@@ -131,14 +131,14 @@
         taker.change(pages.decode(content, table=taker))
 
     def test_of_a_series_only_the_newest_state_is_sent(self):
-        table = copies.TableCopy(reader=Nobody())
+        table = table_copy.TableCopy(reader=Nobody())
         for version in range(1, 20):
             table.change((row(version, b"small"),))
         self.assertEqual(table.changes_after(0), (row(19, b"small"),))
 
     def test_more_deletions_than_are_kept_need_the_whole_table(self):
-        table = copies.TableCopy(reader=Nobody())
-        for version in range(1, copies.MOST_DELETIONS + 2):
+        table = table_copy.TableCopy(reader=Nobody())
+        for version in range(1, table_copy.MOST_DELETIONS + 2):
             table.change(
                 (
                     source.FollowedRow(
@@ -154,7 +154,7 @@
 
     @hypothesis.given(content=strategies.binary(max_size=60))
     def test_any_bytes_are_rows_or_are_refused(self, content):
-        table = copies.TableCopy(reader=Nobody())
+        table = table_copy.TableCopy(reader=Nobody())
         with contextlib.suppress(pages.UnusablePageError):
             pages.decode(content, table=table)
 
@@ -167,7 +167,7 @@
     """
 
     def __init__(self):
-        self.givers: dict[str, giving.PageGiver] = {}
+        self.givers: dict[str, page_server.PageServer] = {}
         self.breaks_after: dict[str, int] = {}
         self.received_bytes = 0
 
@@ -177,7 +177,7 @@
             raise peers.PeerUnreachableError("no reply")
         self.breaks_after[inner_address] = left - 1
         try:
-            piece = await self.givers[inner_address].give(request)
+            piece = await self.givers[inner_address].serve(request)
         except errors.CodedError as error:
             raise peers.PeerRefusedError(
                 code_number=error.code.number, detail=error.detail
@@ -191,7 +191,7 @@
         self.clock = clock_module.FakeClock()
         self.wire = Wire()
         self.table = shared(self.clock)
-        self.taker = taking.PageTaker(
+        self.taker = page_fetcher.PageFetcher(
             name="op",
             table=self.table,
             caller=self.wire,
@@ -202,10 +202,10 @@
     def giver(self, address: str, *, link_mbit_per_s: float = 1000.0):
         """Adds a peer and returns its table."""
         table = shared(self.clock)
-        self.wire.givers[address] = giving.PageGiver(
+        self.wire.givers[address] = page_server.PageServer(
             tables={"op": table},
             deletion_grace=NoGrace(),
-            allowance=link_allowance.LinkAllowance(
+            allowance=bandwidth_limiter.BandwidthLimiter(
                 link_mbit_per_s=link_mbit_per_s, clock=self.clock
             ),
         )
@@ -216,12 +216,16 @@
         The rest comes from another one; nothing is sent twice.
         """
         # Random bytes can't be compressed, so that there are four pieces.
-        value = random.Random(1).randbytes(3 * giving.PIECE_BYTES + 100)
+        value = random.Random(1).randbytes(3 * page_server.PIECE_BYTES + 100)
         for address in "ab":
             self.giver(address).take((row(5, value),), 5, whole=True)
         self.wire.breaks_after["a"] = 1
-        self.assertIs(await self.taker.catch_up("a"), taking.Outcome.FAILED)
-        self.assertIs(await self.taker.catch_up("b"), taking.Outcome.CAUGHT_UP)
+        self.assertIs(
+            await self.taker.catch_up("a"), page_fetcher.Outcome.FAILED
+        )
+        self.assertIs(
+            await self.taker.catch_up("b"), page_fetcher.Outcome.CAUGHT_UP
+        )
         self.assertEqual(self.table.copy.rows(), (row(5, value),))
         self.assertLess(self.wire.received_bytes, len(value) + 300)
 
@@ -230,12 +234,16 @@
         off. Joined, the two would be nobody's configuration.
         """
         draw = random.Random(2)
-        first, second = (draw.randbytes(2 * giving.PIECE_BYTES) for _ in "ab")
+        first, second = (
+            draw.randbytes(2 * page_server.PIECE_BYTES) for _ in "ab"
+        )
         self.giver("a").take((row(5, first),), 5, whole=True)
         self.giver("b").take((row(6, second),), 6, whole=True)
         self.wire.breaks_after["a"] = 1
         await self.taker.catch_up("a")
-        self.assertIs(await self.taker.catch_up("b"), taking.Outcome.CAUGHT_UP)
+        self.assertIs(
+            await self.taker.catch_up("b"), page_fetcher.Outcome.CAUGHT_UP
+        )
         self.assertEqual(self.table.copy.rows(), (row(6, second),))
 
     async def test_steps_from_a_row_that_is_not_here_are_asked_for_whole(self):
@@ -249,8 +257,12 @@
         peer.take((row(1, values[1]),), 1, whole=True)
         peer.take((row(3, values[3]),), 3, whole=False)
         self.table.take((row(2, values[2]),), 2, whole=True)
-        self.assertIs(await self.taker.catch_up("a"), taking.Outcome.TRY_AGAIN)
-        self.assertIs(await self.taker.catch_up("a"), taking.Outcome.CAUGHT_UP)
+        self.assertIs(
+            await self.taker.catch_up("a"), page_fetcher.Outcome.TRY_AGAIN
+        )
+        self.assertIs(
+            await self.taker.catch_up("a"), page_fetcher.Outcome.CAUGHT_UP
+        )
         self.assertEqual(self.table.copy.rows(), (row(3, values[3]),))
 
     async def test_a_busy_link_is_left_to_callers(self):
@@ -258,19 +270,19 @@
         It gives what a part of a tenth of a second carries, and says to the
         others that it is busy, so that they ask elsewhere.
         """
-        value = random.Random(3).randbytes(giving.PIECE_BYTES)
+        value = random.Random(3).randbytes(page_server.PIECE_BYTES)
         self.giver("a", link_mbit_per_s=5.0).take(
             (row(5, value),), 5, whole=True
         )
         pull = ttypes.TablePull(table_name="op", after_revision=-1)
         outcomes = await asyncio.gather(
-            *(self.wire.givers["a"].give(pull) for _ in range(50)),
+            *(self.wire.givers["a"].serve(pull) for _ in range(50)),
             return_exceptions=True,
         )
         given = [o for o in outcomes if isinstance(o, ttypes.TablePiece)]
-        self.assertLessEqual(len(given) * giving.PIECE_BYTES, 62_500)
+        self.assertLessEqual(len(given) * page_server.PIECE_BYTES, 62_500)
         await self.clock.advance(_SECOND / 10)
-        await self.wire.givers["a"].give(pull)
+        await self.wire.givers["a"].serve(pull)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_talk_between_data_centres.py
+++ b/tests/cover/test_talk_between_data_centres.py
@@ -11,7 +11,7 @@
 import unittest
 
 from bench import _virtual_time
-from nutmeghook.internal.following import audience
+from nutmeghook.internal.table_replication import peer_sampling
 from tests import gossip_fleet
 
 _SECOND = datetime.timedelta(seconds=1)
@@ -50,35 +50,37 @@
 
 class AudienceTest(unittest.TestCase):
     def setUp(self):
-        self.audience = audience.Audience(
+        self.audience = peer_sampling.PeerSampler(
             data_centre="a", random_source=random.Random(1)
         )
 
-    def choose(self, places: str, *, near: int, far: float) -> list[str]:
+    def choose(self, places: str, *, local: int, remote: float) -> list[str]:
         """Returns whom is told, by data centres in the order of peers."""
         peers = {str(n): f"{place}{n}" for n, place in enumerate(places)}
         known = {str(n): p for n, p in enumerate(places) if p != "?"}
-        return self.audience.choose(peers, known, near=near, far=far)
+        return self.audience.choose(peers, known, local=local, remote=remote)
 
     def test_most_are_near(self):
         chosen = [
             address
             for _ in range(200)
-            for address in self.choose("a" * 20 + "b" * 60, near=5, far=0.5)
+            for address in self.choose("a" * 20 + "b" * 60, local=5, remote=0.5)
         ]
-        far = [address for address in chosen if address.startswith("b")]
-        self.assertEqual(len(chosen) - len(far), 1000)
-        self.assertTrue(70 <= len(far) <= 130, len(far))
+        remote = [address for address in chosen if address.startswith("b")]
+        self.assertEqual(len(chosen) - len(remote), 1000)
+        self.assertTrue(70 <= len(remote) <= 130, len(remote))
 
     def test_an_instance_alone_in_its_data_centre_tells_others_as_much(self):
-        self.assertGreaterEqual(len(self.choose("b" * 30, near=5, far=0)), 5)
+        self.assertGreaterEqual(
+            len(self.choose("b" * 30, local=5, remote=0)), 5
+        )
 
     def test_one_that_has_just_started_tells_those_it_knows_nothing_of(self):
-        chosen = self.choose("?" * 20 + "b" * 20, near=5, far=0)
+        chosen = self.choose("?" * 20 + "b" * 20, local=5, remote=0)
         self.assertEqual([c[0] for c in chosen], ["?"] * 5)
 
     def test_in_a_small_fleet_all_are_alike(self):
-        chosen = self.choose("a" * 4 + "b" * 4, near=5, far=1.0)
+        chosen = self.choose("a" * 4 + "b" * 4, local=5, remote=1.0)
         self.assertEqual(len(chosen), 6)
 
 
--- a/tests/cover/test_version_driver.py
+++ b/tests/cover/test_version_driver.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from nutmeghook.internal.dependencies import failures
-from nutmeghook.internal.following import follower
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.table_replication import follower
 from nutmeghook.internal.version_plans import driver as driver_module
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import progress as progress_module
--- a/tests/cover/test_version_plans.py
+++ b/tests/cover/test_version_plans.py
@@ -150,7 +150,7 @@
         for instance in (here, there):
             instance.begin(started=datetime.timedelta())
         for _ in range(2):
-            here.news.tell()
+            here.news.send_update()
         for part in (0.0, 0.1, 0.3, 0.5):
             await self.advance(part)
             for instance in (here, there):
@@ -168,7 +168,7 @@
         sessions = [f"early-{number}" for number in range(400)]
         for session in sessions:
             self.assertEqual(here.version_for(session), "v1")
-        here.news.tell()
+        here.news.send_update()
         await self.advance(0.2)
         self.assertEqual({there.version_for(s) for s in sessions}, {"v1"})
 
@@ -180,9 +180,9 @@
         for instance in (here, there):
             instance.begin(started=datetime.timedelta())
         here.post.loses = True
-        here.news.tell()
+        here.news.send_update()
         here.post.loses = False
-        here.news.tell()
+        here.news.send_update()
         await self.advance(0.2)
         self.assertEqual({there.version_for(s) for s in sessions}, {"v1"})
 
@@ -215,7 +215,7 @@
             instance.watch.note_failure(ValueError("no answer"))
             instance.answer("v2", number=1 + number % 3, failed=True)
         for instance in fleet:
-            instance.news.tell()
+            instance.news.send_update()
         await self.advance(0.95)
         for instance in fleet:
             self.assertIsNotNone(instance.rollouts.judge(version_fixture.ORDER))
@@ -234,10 +234,10 @@
         known = there.rollouts.evidence_of(version_fixture.ORDER)
         await self.advance(0.5)
         here.watch.note_failure(ValueError("no answer"))
-        here.news.tell()
+        here.news.send_update()
         self.assertEqual(known.answers_seen, 0)
         await self.advance(0.87)
-        here.news.tell()
+        here.news.send_update()
         self.assertEqual(known.answers_seen, 10)
 
     async def test_a_session_that_moved_does_not_move_back(self):
--- a/tests/gossip_fleet.py
+++ b/tests/gossip_fleet.py
@@ -7,17 +7,17 @@
 
 from bench import _virtual_time
 from nutmeghook.internal.dependencies import failures
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import gossip as gossip_module
-from nutmeghook.internal.following import link_allowance
-from nutmeghook.internal.following import shared_table
-from nutmeghook.internal.following import source
 from nutmeghook.internal.inner import codec
 from nutmeghook.internal.inner import datagrams
 from nutmeghook.internal.inner import peers
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.inner import serving
+from nutmeghook.internal.table_replication import bandwidth_limiter
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import gossip as gossip_module
+from nutmeghook.internal.table_replication import shared_table
+from nutmeghook.internal.table_replication import source
+from nutmeghook.internal.table_replication import table_copy
 
 TABLE = "op"
 SEAL = datagrams.Seal(credential="shared")
@@ -182,7 +182,7 @@
         return codec.decode(reply.data).message
 
 
-class Kept(follower.TableReader):
+class Kept(follower.TableListener):
     """Keeps the newest value."""
 
     value = b""
@@ -226,8 +226,8 @@
 
     def _add(self, name: str) -> None:
         self.kept[name] = Kept()
-        copy = copies.TableCopy(reader=self.kept[name])
-        watch = follower.StoreWatch(clock=self.clock)
+        copy = table_copy.TableCopy(reader=self.kept[name])
+        watch = follower.StoreMonitor(clock=self.clock)
         table = shared_table.SharedTable(
             copy=copy,
             table_follower=follower.TableFollower(
@@ -253,7 +253,7 @@
                 caller=Calls(links=self.links, own=name, clock=self.clock),
                 handlers=self.links.handlers[name],
                 deletion_grace=NoGrace(),
-                allowance=link_allowance.LinkAllowance(
+                allowance=bandwidth_limiter.BandwidthLimiter(
                     link_mbit_per_s=self.links.mbit_per_s[name],
                     clock=self.clock,
                 ),
--- a/tests/version_absences.py
+++ b/tests/version_absences.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.table_replication import source
 from nutmeghook.internal.version_plans import driver as driver_module
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.platform import rollout_rows
@@ -149,7 +149,7 @@
                 await self._drivers[number].step_all()
             if self._now_s() >= self._tell_at[number]:
                 self._tell_at[number] += self._draw.uniform(0.19, 0.31)
-                instance.news.tell()
+                instance.news.send_update()
         expected = self._scene.per_s * _TICK.total_seconds()
         while self._draw.random() < expected:
             expected -= 1.0
--- a/tests/version_fixture.py
+++ b/tests/version_fixture.py
@@ -4,13 +4,13 @@
 import random
 import unittest
 
-from nutmeghook.internal.following import follower
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import datagrams
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import entries
 from nutmeghook.internal.replicas import send_gate
+from nutmeghook.internal.table_replication import follower
 from nutmeghook.internal.version_plans import news
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import plan as plan_module
@@ -59,7 +59,7 @@
     def __init__(self, *, clock, orders=None):
         self.clock = clock
         self.orders = orders or orders_module.OrderBook()
-        self.watch = follower.StoreWatch(clock=clock)
+        self.watch = follower.StoreMonitor(clock=clock)
         self.directory = directory_module.ReplicaDirectory(clock=clock)
         for number in (1, 2, 3):
             self.directory.put(entry(number, "v1"))
