--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -72,8 +72,8 @@
         "_session",
         "_settings",
         "_store",
+        "_store_monitor",
         "_was_ready",
-        "_watch",
         "_wire_format",
         "budgets",
         "configuration",
@@ -104,7 +104,7 @@
         self._store = store.StoreClient(
             session=self._session, address=settings.store_address
         )
-        self._watch = follower.StoreMonitor(
+        self._store_monitor = follower.StoreMonitor(
             clock=clock, on_return=self._distrust_list
         )
         self.configuration = in_force_module.ConfigurationInForce()
@@ -123,7 +123,7 @@
             orders=self.orders,
             directory=self.directory,
             gate=self.send_limits.gate,
-            watch=self._watch,
+            store_monitor=self._store_monitor,
             schedule=_schedule(settings),
             session_time=settings.session_time,
             clock=clock,
@@ -302,7 +302,7 @@
                 self.budgets.budget_for(service).requests_per_s()
                 * peers.fleet_size
             ),
-            watch=self._watch,
+            store_monitor=self._store_monitor,
             clock=self._clock,
             random_source=self._random,
             instance_id=self._settings.instance_id,
@@ -318,20 +318,20 @@
 
     def _distrust_list(self) -> None:
         """Holds deletions back after a store outage; entries lapse in it."""
-        self.directory.distrust_deletions(
+        self.directory.hold_deletions(
             self._clock.monotonic() + directory_module.LAPSE_GRACE
         )
 
     def _shared(
-        self, table: str, reader: follower.TableListener
+        self, table: str, listener: follower.TableListener
     ) -> shared_table.SharedTable:
-        copy = table_copy.TableCopy(reader=reader)
+        copy = table_copy.TableCopy(listener=listener)
         return shared_table.SharedTable(
             copy=copy,
             table_follower=follower.TableFollower(
                 table=store.PlatformTable(client=self._store, name=table),
-                reader=copy,
-                watch=self._watch,
+                listener=copy,
+                store_monitor=self._store_monitor,
                 clock=self._clock,
                 random_source=self._random,
             ),
--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -105,15 +105,15 @@
         """How many instances were heard of lately, this one included."""
         if self._gossip is None:
             return 1
-        return len(self._gossip.living_addresses()) + 1
+        return len(self._gossip.live_addresses()) + 1
 
     def is_behind(self, name: str) -> bool:
         """Tells whether a peer was heard lately to know more of a table."""
         return self._gossip is not None and self._gossip.is_behind(name)
 
-    async def follow(self, name: str) -> None:
+    async def follow_once(self, name: str) -> None:
         """Reads a table once, or waits a little if peers read it."""
-        await gossip_module.follow(
+        await gossip_module.follow_once(
             self._tables[name], self._gossip, self._clock
         )
 
@@ -151,7 +151,7 @@
             caller=caller,
             handlers=handlers,
             deletion_grace=self._directory,
-            allowance=bandwidth_limiter.BandwidthLimiter(
+            limiter=bandwidth_limiter.BandwidthLimiter(
                 link_mbit_per_s=self._link_mbit_per_s, clock=self._clock
             ),
             change_time=self._change_time,
@@ -159,7 +159,9 @@
             random_source=self._random,
         )
         self._gossip.peers.update(registered.peers)
-        self._cold_senders.register(registered.peers, self._gossip.heard_within)
+        self._cold_senders.register(
+            registered.peers, self._gossip.peers_seen_within
+        )
         logs.note("peer:registered", peers=sorted(registered.peers))
         try:
             async with asyncio.TaskGroup() as tasks:
@@ -204,7 +206,7 @@
             backlog_gossip.BacklogGossip(
                 instance_id=self._instance_id,
                 directory=self._directory,
-                audience=lambda: gossip.some_living(
+                audience=lambda: gossip.sample_live_addresses(
                     local=backlog_gossip.NEAR_TOLD,
                     remote=backlog_gossip.FAR_TOLD,
                 ),
@@ -218,7 +220,9 @@
                 **common,
             ),
             suspect_gossip.SuspectGossip(
-                book=self._suspects, audience=gossip.some_living, **common
+                book=self._suspects,
+                audience=gossip.sample_live_addresses,
+                **common,
             ),
         )
 
--- a/src/nutmeghook/internal/inner/codec.py
+++ b/src/nutmeghook/internal/inner/codec.py
@@ -125,11 +125,11 @@
 
 
 def _kind_in(body: ttypes.Body | None) -> str:
-    held = [
+    kinds = [
         kind
         for kind in _FIELD_OF_TYPE.values()
         if getattr(body, kind, None) is not None
     ]
-    if len(held) != 1:
-        raise MalformedError(f"the body holds {len(held)} messages, not one")
-    return held[0]
+    if len(kinds) != 1:
+        raise MalformedError(f"the body holds {len(kinds)} messages, not one")
+    return kinds[0]
--- a/src/nutmeghook/internal/inner/datagrams.py
+++ b/src/nutmeghook/internal/inner/datagrams.py
@@ -48,11 +48,11 @@
         frames.check_credential(credential)
         self._key = hashlib.blake2b(credential.encode()).digest()
 
-    def close(self, envelope: bytes) -> bytes:
+    def wrap(self, envelope: bytes) -> bytes:
         """Returns a datagram with an envelope."""
         return self._hash(envelope) + envelope
 
-    def open(self, datagram: bytes) -> bytes:
+    def unwrap(self, datagram: bytes) -> bytes:
         """Returns the envelope of a datagram.
 
         Raises:
--- a/src/nutmeghook/internal/inner/frames.py
+++ b/src/nutmeghook/internal/inner/frames.py
@@ -73,7 +73,7 @@
     )
 
 
-def shows_credential(first: codec.Received, credential: str) -> bool:
+def has_credential(first: codec.Received, credential: str) -> bool:
     """Tells, in constant time, whether an envelope holds the credential."""
     return hmac.compare_digest(first.credential.encode(), credential.encode())
 
--- a/src/nutmeghook/internal/inner/gossip_senders.py
+++ b/src/nutmeghook/internal/inner/gossip_senders.py
@@ -10,8 +10,8 @@
 
 # Around the period, so that instances which started together do not send
 # together.
-_SHORTEST_PART = 0.75
-_LONGEST_PART = 1.25
+_MIN_JITTER = 0.75
+_MAX_JITTER = 1.25
 
 
 class GossipSender(abc.ABC):
@@ -51,8 +51,8 @@
     async def run(self) -> None:
         """Tells peers until cancelled."""
         while True:
-            part = self._random.uniform(_SHORTEST_PART, _LONGEST_PART)
-            await self._clock.sleep(part * self._period)
+            jitter = self._random.uniform(_MIN_JITTER, _MAX_JITTER)
+            await self._clock.sleep(jitter * self._period)
             self.send_update()
 
 
--- a/src/nutmeghook/internal/inner/local.py
+++ b/src/nutmeghook/internal/inner/local.py
@@ -32,9 +32,9 @@
         "_default_delay",
         "_delays",
         "_handlers",
+        "_tasks",
         "_thawed",
         "_traffic",
-        "_work",
     )
 
     def __init__(
@@ -50,7 +50,7 @@
         self._handlers: dict[str, peers.PeerHandlers] = {}
         self._thawed: dict[str, asyncio.Event] = {}
         self._traffic: dict[str, traffic_module.Traffic] = {}
-        self._work: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()
 
     def attach(
         self,
@@ -119,7 +119,7 @@
         """Tells whether an instance is attached."""
         return inner_address in self._handlers
 
-    async def carry(self, source: str, target: str) -> bool:
+    async def transmit(self, source: str, target: str) -> bool:
         """Takes a message along a link; returns whether it arrives."""
         if (source, target) in self._cut_links:
             return False
@@ -155,11 +155,11 @@
         reply: asyncio.Future[bytes] = (
             asyncio.get_running_loop().create_future()
         )
-        work = asyncio.create_task(
+        task = asyncio.create_task(
             self._deliver(source, target, request, reply)
         )
-        self._work.add(work)
-        work.add_done_callback(self._work.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return await self._clock.wait_for(reply, timeout)
 
     async def _deliver(
@@ -170,7 +170,7 @@
         reply: asyncio.Future[bytes],
     ) -> None:
         self._count_sent(source, request)
-        if not await self.carry(source, target):
+        if not await self.transmit(source, target):
             return
         self._count_received(target, request)
         handlers = self._handlers.get(target)
@@ -184,7 +184,7 @@
         if self._handlers.get(target) is not handlers:
             return
         self._count_sent(target, answer)
-        if not await self.carry(target, source):
+        if not await self.transmit(target, source):
             return
         self._count_received(source, answer)
         if not reply.done():
--- a/src/nutmeghook/internal/inner/local_datagrams.py
+++ b/src/nutmeghook/internal/inner/local_datagrams.py
@@ -20,7 +20,7 @@
         "_network",
         "_random",
         "_sockets",
-        "_work",
+        "_tasks",
         "lost_percent",
     )
 
@@ -34,7 +34,7 @@
         self._network = network
         self._random = random
         self._sockets: dict[str, LocalDatagrams] = {}
-        self._work: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task] = set()
         self.lost_percent = lost_percent
 
     def attach(self, inner_address: str) -> "LocalDatagrams":
@@ -51,12 +51,12 @@
         """Carries a datagram, or loses it."""
         if self._random.uniform(0, 100) < self.lost_percent:
             return
-        work = asyncio.create_task(self._carry(source, target, data))
-        self._work.add(work)
-        work.add_done_callback(self._work.discard)
+        task = asyncio.create_task(self._transmit(source, target, data))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _carry(self, source: str, target: str, data: bytes) -> None:
-        if not await self._network.carry(source, target):
+    async def _transmit(self, source: str, target: str, data: bytes) -> None:
+        if not await self._network.transmit(source, target):
             return
         socket = self._sockets.get(target)
         if socket is not None:
--- a/src/nutmeghook/internal/inner/peer_messages.py
+++ b/src/nutmeghook/internal/inner/peer_messages.py
@@ -9,20 +9,20 @@
 from nutmeghook.internal.inner.generated import ttypes
 
 # What is told is told again; a peer that takes longer is left out this time.
-_TELL_TIMEOUT = datetime.timedelta(seconds=1)
+_SEND_TIMEOUT = datetime.timedelta(seconds=1)
 
 
 class PeerMessages(messages.Messages):
     """Sends each message as a call whose reply says nothing."""
 
-    __slots__ = ("_caller", "_handlers", "_telling")
+    __slots__ = ("_caller", "_handlers", "_sends")
 
     def __init__(
         self, *, caller: peers.PeerCaller, handlers: peers.PeerHandlers
     ):
         self._caller = caller
         self._handlers = handlers
-        self._telling: set[asyncio.Task[None]] = set()
+        self._sends: set[asyncio.Task[None]] = set()
 
     def register(self, message_type: type, handler: messages.Handler) -> None:
         """Has messages of a type given to a handler."""
@@ -36,14 +36,14 @@
     def send(self, inner_addresses: list[str], message: Any) -> None:
         """Sends one message to several instances."""
         for inner_address in inner_addresses:
-            telling = asyncio.create_task(self._tell(inner_address, message))
-            self._telling.add(telling)
-            telling.add_done_callback(self._telling.discard)
+            task = asyncio.create_task(self._send_one(inner_address, message))
+            self._sends.add(task)
+            task.add_done_callback(self._sends.discard)
 
-    async def _tell(self, inner_address: str, message: Any) -> None:
+    async def _send_one(self, inner_address: str, message: Any) -> None:
         try:
             await self._caller.call(
-                inner_address, message, timeout=_TELL_TIMEOUT
+                inner_address, message, timeout=_SEND_TIMEOUT
             )
         except (peers.PeerUnreachableError, peers.PeerRefusedError):
             # It hears of it later, from others too.
--- a/src/nutmeghook/internal/inner/sealed_messages.py
+++ b/src/nutmeghook/internal/inner/sealed_messages.py
@@ -38,7 +38,7 @@
     def send(self, inner_addresses: list[str], message: Any) -> None:
         """Sends one message to several instances."""
         encoded = codec.encode(message, sequence=0)
-        data = self._seal.close(encoded.data)
+        data = self._seal.wrap(encoded.data)
         size_bytes = datagrams_module.HEADER_BYTES + len(data)
         for inner_address in inner_addresses:
             self._traffic.count_sent(encoded.kind, size_bytes)
@@ -46,7 +46,7 @@
 
     def _receive(self, datagram: bytes) -> None:
         try:
-            received = codec.decode(self._seal.open(datagram))
+            received = codec.decode(self._seal.unwrap(datagram))
         except codec.MalformedError as error:
             logs.note("peer:bad_datagram", error=str(error))
             return
--- a/src/nutmeghook/internal/inner/tcp_client.py
+++ b/src/nutmeghook/internal/inner/tcp_client.py
@@ -76,15 +76,17 @@
     async def close(self, *, grace: datetime.timedelta) -> None:
         """Ends: no new calls; waits at most `grace` for those running."""
         self._closing = True
-        everyone = list(self._peers.values())
-        waiting = asyncio.gather(*(peer.until_quiet() for peer in everyone))
+        peer_connections = list(self._peers.values())
+        idle = asyncio.gather(
+            *(peer.wait_until_idle() for peer in peer_connections)
+        )
         # Calls that take longer fail as unreachable, which is true of them.
         with contextlib.suppress(TimeoutError):
-            await self._clock.wait_for(waiting, grace)
-        for peer in everyone:
+            await self._clock.wait_for(idle, grace)
+        for peer in peer_connections:
             peer.task.cancel()
         await asyncio.gather(
-            *(peer.task for peer in everyone), return_exceptions=True
+            *(peer.task for peer in peer_connections), return_exceptions=True
         )
 
     def _add(self, inner_address: str) -> "_Peer":
@@ -112,9 +114,9 @@
         "_backoff_until",
         "_clock",
         "_credential",
+        "_idle",
         "_inner_address",
         "_pending",
-        "_quiet",
         "_random",
         "_sequences",
         "_slots",
@@ -146,15 +148,15 @@
         self._unsent: dict[int, codec.Encoded] = {}
         self._writer: asyncio.StreamWriter | None = None
         self._wanted = asyncio.Event()
-        self._quiet = asyncio.Event()
-        self._quiet.set()
+        self._idle = asyncio.Event()
+        self._idle.set()
         self._backoff = _FIRST_BACKOFF
         self._backoff_until = clock.monotonic()
         self.task: asyncio.Task | None = None
 
-    async def until_quiet(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Waits until no call is running."""
-        await self._quiet.wait()
+        await self._idle.wait()
 
     async def exchange(self, request: peers.Message) -> peers.Message:
         """Sends a request and waits for its reply, a failure included."""
@@ -166,22 +168,22 @@
             sequence = next(self._sequences)
             reply = asyncio.get_running_loop().create_future()
             self._pending[sequence] = reply
-            self._quiet.clear()
+            self._idle.clear()
             try:
                 envelope = codec.encode(
                     request, sequence=sequence, wants_reply=True
                 )
-                await self._submit(sequence, envelope)
+                await self._send(sequence, envelope)
                 return await reply
             finally:
-                self._withdraw(sequence)
+                self._remove(sequence)
 
     async def run(self) -> None:
         """Connects when a call wants it; ends after a long idle time."""
         try:
             while await self._is_wanted():
                 try:
-                    await self._hold_connection()
+                    await self._run_connection()
                 except peers.PeerRefusedError as error:
                     self._back_off()
                     self._fail_pending(error)
@@ -203,7 +205,7 @@
                 return self._wanted.is_set()
         return True
 
-    async def _submit(self, sequence: int, envelope: codec.Encoded) -> None:
+    async def _send(self, sequence: int, envelope: codec.Encoded) -> None:
         if self._writer is None:
             # Written once connected, unless its caller has given up by then.
             self._unsent[sequence] = envelope
@@ -214,13 +216,13 @@
             frames.write(self._writer, envelope, traffic=self._traffic)
             await self._writer.drain()
 
-    def _withdraw(self, sequence: int) -> None:
+    def _remove(self, sequence: int) -> None:
         self._unsent.pop(sequence, None)
         self._pending.pop(sequence, None)
         if not self._pending:
-            self._quiet.set()
+            self._idle.set()
 
-    async def _hold_connection(self) -> None:
+    async def _run_connection(self) -> None:
         """Connects and reads replies until the connection ends.
 
         Raises:
@@ -234,7 +236,7 @@
             asyncio.open_connection(host, port), _CONNECT_TIMEOUT
         )
         try:
-            self._prepare(writer)
+            self._start_connection(writer)
             while True:
                 await self._read_reply(reader)
         except TimeoutError:
@@ -245,7 +247,7 @@
             self._wanted.clear()
             writer.transport.abort()
 
-    def _prepare(self, writer: asyncio.StreamWriter) -> None:
+    def _start_connection(self, writer: asyncio.StreamWriter) -> None:
         sockets.set_options(writer)
         frames.write(
             writer, frames.hello(self._credential), traffic=self._traffic
--- a/src/nutmeghook/internal/inner/tcp_server.py
+++ b/src/nutmeghook/internal/inner/tcp_server.py
@@ -72,14 +72,14 @@
         for connection in self._connections.values():
             connection.stop_reading()
         try:
-            await self._clock.wait_for(self._until_empty(), grace)
+            await self._clock.wait_for(self._wait_until_empty(), grace)
         except TimeoutError:
             eliot.log_message("inner:close_cut_replies")
             for connection in self._connections.values():
                 connection.abort()
-            await self._until_empty()
+            await self._wait_until_empty()
 
-    async def _until_empty(self) -> None:
+    async def _wait_until_empty(self) -> None:
         if self._connections:
             await asyncio.wait(list(self._connections))
 
@@ -167,7 +167,7 @@
 
     async def _read_requests(self) -> None:
         try:
-            if not await self._greeted():
+            if not await self._authenticate():
                 return
             while True:
                 await self._read_request()
@@ -183,7 +183,7 @@
                 "inner:malformed", peer=self._peer_name(), reason=str(error)
             )
 
-    async def _greeted(self) -> bool:
+    async def _authenticate(self) -> bool:
         first = await self._clock.wait_for(
             frames.read(
                 self._reader,
@@ -192,7 +192,7 @@
             ),
             _HELLO_TIMEOUT,
         )
-        if frames.shows_credential(first, self._credential):
+        if frames.has_credential(first, self._credential):
             return True
         eliot.log_message("inner:credential_refused", peer=self._peer_name())
         refusal = ttypes.Failure(
@@ -214,9 +214,9 @@
             raise
         task = asyncio.create_task(self._handle(request))
         self._running.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_request_done)
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _on_request_done(self, task: asyncio.Task) -> None:
         self._running.discard(task)
         self._slots.release()
 
--- a/src/nutmeghook/internal/inner/traffic.py
+++ b/src/nutmeghook/internal/inner/traffic.py
@@ -42,10 +42,10 @@
 
     def total(self) -> KindTraffic:
         """Returns the sum over all kinds."""
-        sum_of_all = KindTraffic()
+        total_traffic = KindTraffic()
         for entry in self._kinds.values():
-            sum_of_all.sent_messages += entry.sent_messages
-            sum_of_all.sent_bytes += entry.sent_bytes
-            sum_of_all.received_messages += entry.received_messages
-            sum_of_all.received_bytes += entry.received_bytes
-        return sum_of_all
+            total_traffic.sent_messages += entry.sent_messages
+            total_traffic.sent_bytes += entry.sent_bytes
+            total_traffic.received_messages += entry.received_messages
+            total_traffic.received_bytes += entry.received_bytes
+        return total_traffic
--- a/src/nutmeghook/internal/membership/gossip.py
+++ b/src/nutmeghook/internal/membership/gossip.py
@@ -188,7 +188,7 @@
                 )
             message.rumours.pop()
             encoded = codec.encode(message, sequence=sequence)
-        data = self._seal.close(encoded.data)
+        data = self._seal.wrap(encoded.data)
         self._traffic.count_sent(
             encoded.kind, len(data) + datagrams_module.HEADER_BYTES
         )
@@ -196,7 +196,7 @@
 
     def _receive(self, data: bytes) -> None:
         try:
-            received = codec.decode(self._seal.open(data))
+            received = codec.decode(self._seal.unwrap(data))
             sender = self._sender_of(received)
         except (codec.MalformedError, claims.BadClaimError) as error:
             eliot.log_message("membership:malformed", reason=str(error))
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -231,12 +231,12 @@
         """Returns what replicas of a service have reported lately."""
         return self._usual_load.get(service, _NO_LOAD)
 
-    def left(self) -> datetime.timedelta:
+    def remaining(self) -> datetime.timedelta:
         """Returns for how much longer deletions are held back."""
         left = self._trusted_from - self._clock.monotonic()
         return max(left, datetime.timedelta())
 
-    def distrust_deletions(self, until: datetime.timedelta) -> None:
+    def hold_deletions(self, until: datetime.timedelta) -> None:
         """Holds deletions back until a monotonic time."""
         self._trusted_from = max(self._trusted_from, until)
 
--- a/src/nutmeghook/internal/table_replication/bandwidth_limiter.py
+++ b/src/nutmeghook/internal/table_replication/bandwidth_limiter.py
@@ -8,7 +8,7 @@
 # the other half still carries some 300 KB/s of them. The more is left to
 # tables, the sooner a large change is everywhere; peers pass it on, so half
 # doubles the fleet's reach with each copy that is through.
-_TABLES_SHARE = 0.5
+_TABLE_SHARE = 0.5
 # What may be sent at once after a pause. Any more would wait in the link's
 # queue, before callers' answers.
 _BURST = datetime.timedelta(milliseconds=100)
@@ -31,16 +31,16 @@
             raise ValueError(
                 f"link_mbit_per_s is {link_mbit_per_s}; give a positive number"
             )
-        self._bytes_per_s = link_mbit_per_s * _BYTES_PER_MBIT * _TABLES_SHARE
+        self._bytes_per_s = link_mbit_per_s * _BYTES_PER_MBIT * _TABLE_SHARE
         self._clock = clock
-        self._level_bytes = self._most_bytes
+        self._level_bytes = self._capacity_bytes
         self._filled_at = clock.monotonic()
 
     @property
-    def _most_bytes(self) -> float:
+    def _capacity_bytes(self) -> float:
         return self._bytes_per_s * _BURST.total_seconds()
 
-    def take(self, size_bytes: int) -> bool:
+    def try_take(self, size_bytes: int) -> bool:
         """Takes bytes, and tells whether they may be sent now.
 
         Something is always allowed while the bucket is not empty, whatever its
@@ -51,7 +51,8 @@
         passed_s = (now - self._filled_at).total_seconds()
         self._filled_at = now
         self._level_bytes = min(
-            self._most_bytes, self._level_bytes + passed_s * self._bytes_per_s
+            self._capacity_bytes,
+            self._level_bytes + passed_s * self._bytes_per_s,
         )
         if self._level_bytes <= 0:
             return False
--- a/src/nutmeghook/internal/table_replication/deltas.py
+++ b/src/nutmeghook/internal/table_replication/deltas.py
@@ -16,47 +16,47 @@
 _BLOCK_END = b"}"
 
 
-class UnusableDifferenceError(ValueError):
+class InvalidDeltaError(ValueError):
     """The difference does not fit the value that it is applied to."""
 
 
-class _Difference(msgspec.Struct, frozen=True, array_like=True):
+class _Delta(msgspec.Struct, frozen=True, array_like=True):
     # Each is new bytes, or first and end of what the former value had.
     parts: list[bytes | tuple[int, int]]
 
 
-_DECODER = msgspec.msgpack.Decoder(_Difference)
+_DECODER = msgspec.msgpack.Decoder(_Delta)
 
 
-def between(former: bytes, value: bytes) -> bytes:
+def compute(former: bytes, value: bytes) -> bytes:
     """Returns what makes `value` of `former`."""
     known = _blocks_by_content(former)
     parts: list[bytes | tuple[int, int]] = []
-    fresh = bytearray()
+    new_bytes = bytearray()
     for block in _blocks(value):
         first = known.get(block)
         if first is None:
-            fresh += block
+            new_bytes += block
             continue
-        if fresh:
-            parts.append(bytes(fresh))
-            fresh.clear()
+        if new_bytes:
+            parts.append(bytes(new_bytes))
+            new_bytes.clear()
         _append_range(parts, first, first + len(block))
-    if fresh:
-        parts.append(bytes(fresh))
-    return msgspec.msgpack.encode(_Difference(parts=parts))
+    if new_bytes:
+        parts.append(bytes(new_bytes))
+    return msgspec.msgpack.encode(_Delta(parts=parts))
 
 
-def apply(former: bytes, difference: bytes) -> bytes:
+def apply(former: bytes, delta: bytes) -> bytes:
     """Returns the value that a difference makes of `former`.
 
     Raises:
         UnusableDifferenceError: It is malformed, or made for another value.
     """
     try:
-        parts = _DECODER.decode(difference).parts
+        parts = _DECODER.decode(delta).parts
     except msgspec.MsgspecError as error:
-        raise UnusableDifferenceError(f"malformed: {error}") from error
+        raise InvalidDeltaError(f"malformed: {error}") from error
     value = bytearray()
     for part in parts:
         if isinstance(part, bytes):
@@ -64,7 +64,7 @@
             continue
         first, end = part
         if not 0 <= first < end <= len(former):
-            raise UnusableDifferenceError(
+            raise InvalidDeltaError(
                 f"bytes {first} to {end} of a value of {len(former)}"
             )
         value += former[first:end]
--- a/src/nutmeghook/internal/table_replication/follower.py
+++ b/src/nutmeghook/internal/table_replication/follower.py
@@ -16,8 +16,8 @@
 FEED_WAIT = datetime.timedelta(seconds=2)
 # After a failed call. The first returns quickly, since many failures are one
 # broken connection; then a store that is out is asked about once a second.
-FIRST_PAUSE = datetime.timedelta(milliseconds=100)
-LONGEST_PAUSE = datetime.timedelta(seconds=1)
+INITIAL_RETRY_DELAY = datetime.timedelta(milliseconds=100)
+MAX_RETRY_DELAY = datetime.timedelta(seconds=1)
 
 
 class TableListener(abc.ABC):
@@ -50,7 +50,7 @@
         "_answered_at",
         "_clock",
         "_on_return",
-        "away",
+        "is_unreachable",
         "time_offset",
     )
 
@@ -62,16 +62,16 @@
     ):
         self._clock = clock
         self._on_return = on_return
-        self.away = False
+        self.is_unreachable = False
         self.time_offset: datetime.timedelta | None = None
         self._answered_at: datetime.timedelta | None = None
 
-    def note_answer(self, store_time: datetime.timedelta) -> None:
+    def record_response(self, store_time: datetime.timedelta) -> None:
         """Takes in an answer."""
         now = self._clock.monotonic()
-        self.note_answered(now)
-        if self.away:
-            self.away = False
+        self.record_contact(now)
+        if self.is_unreachable:
+            self.is_unreachable = False
             logs.note("store:back")
             self._on_return()
         offset = store_time - now
@@ -82,12 +82,12 @@
         else:
             self.time_offset += (offset - self.time_offset) * 0.02
 
-    def note_answered(self, at: datetime.timedelta) -> None:
+    def record_contact(self, at: datetime.timedelta) -> None:
         """Takes in that the store answered this instance or a peer."""
         if self._answered_at is None or at > self._answered_at:
             self._answered_at = at
 
-    def silent_for(self) -> datetime.timedelta:
+    def time_since_contact(self) -> datetime.timedelta:
         """Returns how long ago the store last answered anyone known here.
 
         Most instances of a large fleet make no calls of their own, so a store
@@ -97,10 +97,10 @@
             return datetime.timedelta()
         return self._clock.monotonic() - self._answered_at
 
-    def note_failure(self, error: Exception) -> None:
+    def record_failure(self, error: Exception) -> None:
         """Takes in a failed call."""
-        if not self.away:
-            self.away = True
+        if not self.is_unreachable:
+            self.is_unreachable = True
             logs.note("store:away", error=str(error))
 
     def store_time(self) -> datetime.timedelta | None:
@@ -128,12 +128,12 @@
     __slots__ = (
         "_clock",
         "_feed_position",
-        "_pause",
+        "_listener",
         "_random",
-        "_reader",
+        "_retry_delay",
+        "_store_monitor",
         "_table",
         "_wait",
-        "_watch",
         "confirmed_at",
         "revision",
     )
@@ -142,32 +142,32 @@
         self,
         *,
         table: source.FollowedTable,
-        reader: TableListener,
-        watch: StoreMonitor,
+        listener: TableListener,
+        store_monitor: StoreMonitor,
         clock: clock_module.Clock,
         random_source: random.Random,
         wait: datetime.timedelta = FEED_WAIT,
     ):
         self._table = table
-        self._reader = reader
-        self._watch = watch
+        self._listener = listener
+        self._store_monitor = store_monitor
         self._clock = clock
         self._random = random_source
         self._wait = wait
-        self._pause = FIRST_PAUSE
+        self._retry_delay = INITIAL_RETRY_DELAY
         # Up to where the store's answers are taken in; -1: read all first.
         self._feed_position = -1
         self.revision = -1
         self.confirmed_at: datetime.timedelta | None = None
 
-    def note_answered(self, at: datetime.timedelta) -> None:
+    def record_contact(self, at: datetime.timedelta) -> None:
         """Takes in that the store answered a peer."""
-        self._watch.note_answered(at)
+        self._store_monitor.record_contact(at)
 
     @property
-    def is_in_touch(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Tells whether the store answered the last call, or none was made."""
-        return not self._watch.away
+        return not self._store_monitor.is_unreachable
 
     async def run(self) -> None:
         """Follows the table until cancelled."""
@@ -178,25 +178,26 @@
         self,
         wait: datetime.timedelta | None = None,
         *,
-        pause: datetime.timedelta | None = None,
+        retry_delay: datetime.timedelta | None = None,
     ) -> None:
         """Reads once; after a failure it waits a little instead.
 
         Args:
             wait: For a change; the follower's own where it is None.
-            pause: After a failure; one that grows with each where it is None.
+            retry_delay: After a failure; the follower's own back-off where it
+                is None.
         """
         try:
             await self._read(self._wait if wait is None else wait)
-            self._pause = FIRST_PAUSE
+            self._retry_delay = INITIAL_RETRY_DELAY
         except source.HistoryGoneError:
             logs.note("store:history_gone", table=self._table.name)
             self._feed_position = -1
         except failures.PlatformError as error:
-            self._watch.note_failure(error)
+            self._store_monitor.record_failure(error)
             jitter = 0.75 + 0.5 * self._random.random()
-            await self._clock.sleep((pause or self._pause) * jitter)
-            self._pause = min(self._pause * 2, LONGEST_PAUSE)
+            await self._clock.sleep((retry_delay or self._retry_delay) * jitter)
+            self._retry_delay = min(self._retry_delay * 2, MAX_RETRY_DELAY)
 
     def skip_to(self, revision: int) -> None:
         """Goes on after a revision that the reader got from elsewhere."""
@@ -204,23 +205,23 @@
         self._feed_position = max(self._feed_position, revision)
 
     async def _read(self, wait: datetime.timedelta) -> None:
-        began_at = self._feed_position
-        if began_at < 0:
+        start_position = self._feed_position
+        if start_position < 0:
             page = await self._table.read_all()
         else:
-            page = await self._table.changes(began_at, wait)
-        self._watch.note_answer(page.store_time)
+            page = await self._table.changes(start_position, wait)
+        self._store_monitor.record_response(page.store_time)
         # A peer's rows may have been taken in meanwhile. What is older would
         # bring back rows that those said are deleted.
         if page.revision < self.revision:
             return
-        if began_at < 0:
-            self._reader.replace(page.rows, page.revision)
+        if start_position < 0:
+            self._listener.replace(page.rows, page.revision)
             # Which rows were deleted last is not known, so no lower number is
             # safe: whoever has it may still have those.
             self.revision = page.revision
         elif page.rows:
-            self._reader.change(page.rows)
+            self._listener.change(page.rows)
             newest = max(row.version for row in page.rows)
             self.revision = max(self.revision, newest)
         self._feed_position = max(self._feed_position, page.revision)
--- a/src/nutmeghook/internal/table_replication/gossip.py
+++ b/src/nutmeghook/internal/table_replication/gossip.py
@@ -30,38 +30,38 @@
 
 # A change has to be in force 2 s after it was accepted. A push that is lost is
 # made good by the next digest, and a reader that died by another one within
-# `reader_election.HEARD_RECENTLY` and a call; two others read meanwhile.
-TELL_EVERY = datetime.timedelta(milliseconds=400)
+# `reader_election.LIVENESS_WINDOW` and a call; two others read meanwhile.
+GOSSIP_PERIOD = datetime.timedelta(milliseconds=400)
 # Digests of 180 bytes to 5.5 peers, 2.5 times a second, are 2.5 KB/s, a tenth
 # of it to other data centres. In a simulation of 73 to 420 instances in three
 # to nine data centres, one in a thousand has a proof older than 1.9 s; told
 # six of all alike, 1.5 to 1.9 s, at eight times the bytes between them.
-NEAR_TOLD = 5
-FAR_TOLD = 0.5
+LOCAL_FANOUT = 5
+REMOTE_FANOUT = 0.5
 # Told at once of a change, by everyone whom it reaches; the rest hear of it a
 # digest later. Each change costs a fleet so many digests per instance.
-NEAR_PUSHED = 8
-FAR_PUSHED = 1.0
+LOCAL_PUSH_FANOUT = 8
+REMOTE_PUSH_FANOUT = 1.0
 # An instance that has no younger proof that what it knows is the newest reads
 # for itself, whatever it has heard, so that a change that no reader hears of
 # is still in force in time. What is left of that time is for noticing, one
 # call and a slow store. Of a fleet of 7 to 420 one instance in a thousand has
 # a proof older than 1.8 s at a given moment (simulated, with the readers,
 # digests and feeds as they are here), so such reads are rare.
-_KEPT_FOR_READING = datetime.timedelta(seconds=1)
+_READ_RESERVE = datetime.timedelta(seconds=1)
 # Each reader proves it once a feed's wait; below it all would read for
 # themselves where readers' feeds happen to return together.
-_LEAST_UNCONFIRMED = follower.FEED_WAIT + datetime.timedelta(milliseconds=250)
+_MIN_UNCONFIRMED = follower.FEED_WAIT + datetime.timedelta(milliseconds=250)
 # A feed's wait in a large fleet. Three readers with this cost as many calls as
 # five with the usual one while nothing changes, prove as often, and make three
 # calls for each change in place of five.
-_LARGE_FLEET_WAIT = datetime.timedelta(milliseconds=1200)
+_LARGE_FLEET_FEED_WAIT = datetime.timedelta(milliseconds=1200)
 # After news. Replicas that start or leave come in series, and each change alone
 # is a call of every reader; together they are one. Well under the time in
 # which a change must be in force.
-GATHER_CHANGES = datetime.timedelta(milliseconds=100)
+CHANGE_BATCH_DELAY = datetime.timedelta(milliseconds=100)
 # Between looks at whether to read.
-_IDLE = datetime.timedelta(milliseconds=100)
+_POLL_INTERVAL = datetime.timedelta(milliseconds=100)
 # A reader's own feed usually brings a change by itself within this.
 _READER_DELAY = datetime.timedelta(milliseconds=250)
 # After a failed call, of an instance of a large fleet that is no reader. The
@@ -69,20 +69,20 @@
 # and again; of 200, some 400 calls a second, which are paid for and meet the
 # store on its return. Whoever is answered first tells the others, and readers
 # go on asking every second, so one in four seconds from each is plenty.
-_PAUSE_OF_OTHERS = datetime.timedelta(seconds=4)
+_NON_READER_RETRY_DELAY = datetime.timedelta(seconds=4)
 # Before a peer whose link was busy is asked again. Its share of a slow link
 # refills by a piece within this.
-_BUSY_PAUSE = datetime.timedelta(milliseconds=50)
-_MOST_PEERS = 1000
+_BUSY_RETRY_DELAY = datetime.timedelta(milliseconds=50)
+_MAX_PEERS = 1000
 # Each peer is heard about every five seconds at 73 instances.
-_SILENT_FOR_LONG = datetime.timedelta(seconds=15)
+_PEER_TIMEOUT = datetime.timedelta(seconds=15)
 # Nobody that knew more can be reached any longer, or was mistaken.
-_HEARSAY_LIFE = datetime.timedelta(seconds=3)
+_REPORT_LIFETIME = datetime.timedelta(seconds=3)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class _Heard:
+class _RevisionReport:
     """That someone knows a table up to a revision, and when it was heard."""
 
     revision: int
@@ -100,23 +100,23 @@
     """
 
     __slots__ = (
-        "_ahead",
-        "_audience",
         "_caller",
         "_clock",
         "_data_centre",
         "_data_centres",
         "_deletion_grace",
-        "_heard_at",
+        "_election",
         "_inner_address",
         "_instance_id",
-        "_longest_unproven",
+        "_last_seen",
+        "_max_unconfirmed",
         "_messages",
-        "_newest_heard",
+        "_newest_report",
+        "_peer_sampler",
+        "_peers_ahead",
+        "_pushed_revisions",
         "_random",
-        "_ranks",
         "_tables",
-        "_told",
         "peers",
     )
 
@@ -131,7 +131,7 @@
         caller: peers_module.PeerCaller,
         handlers: peers_module.PeerHandlers,
         deletion_grace: shared_table.DeletionGrace,
-        allowance: bandwidth_limiter.BandwidthLimiter,
+        limiter: bandwidth_limiter.BandwidthLimiter,
         change_time: datetime.timedelta,
         clock: clock_module.Clock,
         random_source: random.Random,
@@ -145,40 +145,40 @@
         self._deletion_grace = deletion_grace
         self._clock = clock
         self._random = random_source
-        self._audience = peer_sampling.PeerSampler(
+        self._peer_sampler = peer_sampling.PeerSampler(
             data_centre=data_centre, random_source=random_source
         )
-        self._longest_unproven = max(
-            change_time - _KEPT_FOR_READING, _LEAST_UNCONFIRMED
+        self._max_unconfirmed = max(
+            change_time - _READ_RESERVE, _MIN_UNCONFIRMED
         )
-        self._heard_at: dict[str, datetime.timedelta] = {}
+        self._last_seen: dict[str, datetime.timedelta] = {}
         # By table: the revisions of peers that know more, by their address.
-        self._ahead: dict[str, dict[str, int]] = {n: {} for n in tables}
-        self._told: dict[str, int] = {}
+        self._peers_ahead: dict[str, dict[str, int]] = {n: {} for n in tables}
+        self._pushed_revisions: dict[str, int] = {}
         # By table; the last word of a peer that knew more than this instance.
-        self._newest_heard: dict[str, _Heard] = {}
-        self._ranks = reader_election.ReaderElection(
+        self._newest_report: dict[str, _RevisionReport] = {}
+        self._election = reader_election.ReaderElection(
             instance_id=instance_id, clock=clock
         )
         self._data_centres: dict[str, str] = {}
         self.peers: dict[str, str] = {}
-        giver = page_server.PageServer(
-            tables=tables, deletion_grace=deletion_grace, allowance=allowance
+        server = page_server.PageServer(
+            tables=tables, deletion_grace=deletion_grace, limiter=limiter
         )
-        handlers.register(ttypes.TablePull, giver.serve)
+        handlers.register(ttypes.TablePull, server.serve)
         messages.register(ttypes.TablesDigest, self._receive)
 
     async def run(self) -> None:
         """Tells and catches up until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._tell_forever())
-            tasks.create_task(self._push_forever())
+            tasks.create_task(self._send_digests())
+            tasks.create_task(self._push_changes())
             for name in self._tables:
-                tasks.create_task(self._catch_up_forever(name))
+                tasks.create_task(self._keep_caught_up(name))
 
-    def reads(self, table: shared_table.SharedTable) -> bool:
+    def should_read(self, table: shared_table.SharedTable) -> bool:
         """Tells whether this instance reads a table from the store."""
-        return self._is_unproven(table) or self._ranks.is_reader(
+        return self._is_unconfirmed(table) or self._election.is_reader(
             fleet_size=self._fleet_size
         )
 
@@ -188,36 +188,36 @@
         Without a proof an answer is wanted at once, and it is a proof for the
         peers too.
         """
-        if self._is_unproven(table):
+        if self._is_unconfirmed(table):
             return datetime.timedelta()
         if reader_election.is_large(self._fleet_size):
-            return _LARGE_FLEET_WAIT
+            return _LARGE_FLEET_FEED_WAIT
         return follower.FEED_WAIT
 
-    def failure_pause(self) -> datetime.timedelta | None:
+    def retry_delay(self) -> datetime.timedelta | None:
         """Returns how long to wait after a failed call; None: as usual."""
-        is_reader = self._ranks.is_reader(fleet_size=self._fleet_size)
+        is_reader = self._election.is_reader(fleet_size=self._fleet_size)
         if is_reader or not reader_election.is_large(self._fleet_size):
             return None
-        return _PAUSE_OF_OTHERS
+        return _NON_READER_RETRY_DELAY
 
     @property
     def _fleet_size(self) -> int:
         return len(self.peers) + 1
 
-    def _is_unproven(self, table: shared_table.SharedTable) -> bool:
+    def _is_unconfirmed(self, table: shared_table.SharedTable) -> bool:
         confirmed_at = table.confirmed_at()
         if confirmed_at is None:
             return True
         age = self._clock.monotonic() - confirmed_at
-        return age > self._longest_unproven
+        return age > self._max_unconfirmed
 
     def is_behind(self, name: str) -> bool:
         """Tells whether a peer was heard lately to know more of a table."""
-        heard = self._newest_heard.get(name)
-        if heard is None or heard.revision <= self._tables[name].revision:
+        report = self._newest_report.get(name)
+        if report is None or report.revision <= self._tables[name].revision:
             return False
-        return self._clock.monotonic() - heard.at <= _HEARSAY_LIFE
+        return self._clock.monotonic() - report.at <= _REPORT_LIFETIME
 
     def local_addresses(self) -> list[str]:
         """Returns where instances of the own data centre listen.
@@ -227,32 +227,34 @@
         """
         return [
             self.peers[peer_id]
-            for peer_id in self._living()
+            for peer_id in self._live_peer_ids()
             if self._data_centres.get(peer_id) == self._data_centre
         ]
 
-    def some_living(self, *, local: int, remote: float) -> list[str]:
+    def sample_live_addresses(self, *, local: int, remote: float) -> list[str]:
         """Returns where some instances listen, near ones and a few others."""
-        living = {peer_id: self.peers[peer_id] for peer_id in self._living()}
-        return self._audience.choose(
+        living = {
+            peer_id: self.peers[peer_id] for peer_id in self._live_peer_ids()
+        }
+        return self._peer_sampler.choose(
             living, self._data_centres, local=local, remote=remote
         )
 
-    def living_addresses(self) -> list[str]:
+    def live_addresses(self) -> list[str]:
         """Returns where instances listen that were heard of lately."""
-        return [self.peers[peer_id] for peer_id in self._living()]
+        return [self.peers[peer_id] for peer_id in self._live_peer_ids()]
 
-    def _living(self) -> list[str]:
-        return self.heard_within(_SILENT_FOR_LONG)
+    def _live_peer_ids(self) -> list[str]:
+        return self.peers_seen_within(_PEER_TIMEOUT)
 
-    def heard_within(self, span: datetime.timedelta) -> list[str]:
+    def peers_seen_within(self, window: datetime.timedelta) -> list[str]:
         """Returns the ids of peers that were heard of within a time."""
-        oldest = self._clock.monotonic() - span
-        return [i for i, at in self._heard_at.items() if at >= oldest]
+        oldest = self._clock.monotonic() - window
+        return [i for i, at in self._last_seen.items() if at >= oldest]
 
-    def _tell(self, *, local: int, remote: float) -> None:
+    def _send_digest(self, *, local: int, remote: float) -> None:
         now = self._clock.monotonic()
-        low = self._ranks.living(fleet_size=self._fleet_size)
+        priorities = self._election.live_priorities(fleet_size=self._fleet_size)
         digest = ttypes.TablesDigest(
             sender_address=self._inner_address,
             sender_id=self._instance_id,
@@ -263,21 +265,21 @@
             ],
             data_centre=self._data_centre,
             out_of_touch=not all(
-                t.follower.is_in_touch for t in self._tables.values()
+                t.follower.is_store_reachable for t in self._tables.values()
             ),
-            low_ranks=list(low),
+            low_ranks=list(priorities),
             low_ages_ms=[
-                round((now - at) / _MILLISECOND) for at in low.values()
+                round((now - at) / _MILLISECOND) for at in priorities.values()
             ],
         )
-        told = self._audience.choose(
+        receivers = self._peer_sampler.choose(
             self.peers, self._data_centres, local=local, remote=remote
         )
-        self._messages.send(told, digest)
+        self._messages.send(receivers, digest)
 
     def _receive(self, message: ttypes.TablesDigest) -> None:
         """Takes in a peer's digest."""
-        self._note_peer(message)
+        self._record_peer(message)
         for name, revision, age_ms in zip(
             message.tables,
             message.revisions,
@@ -287,21 +289,21 @@
             table = self._tables.get(name)
             if table is None:
                 continue
-            table.note_peer(revision, age_ms)
+            table.record_peer(revision, age_ms)
             if revision > table.revision:
-                self._newest_heard[name] = _Heard(
+                self._newest_report[name] = _RevisionReport(
                     revision=revision, at=self._clock.monotonic()
                 )
-                self._ahead[name][message.sender_address] = revision
+                self._peers_ahead[name][message.sender_address] = revision
 
-    def _note_peer(self, digest: ttypes.TablesDigest) -> None:
+    def _record_peer(self, digest: ttypes.TablesDigest) -> None:
         peer_id = digest.sender_id
         if peer_id == self._instance_id:
             return
-        if peer_id not in self.peers and len(self.peers) >= _MOST_PEERS:
+        if peer_id not in self.peers and len(self.peers) >= _MAX_PEERS:
             return
         self.peers[peer_id] = digest.sender_address
-        self._ranks.note(
+        self._election.record_digest(
             None if digest.out_of_touch else digest.sender_id,
             digest.low_ranks or (),
             digest.low_ages_ms or (),
@@ -309,33 +311,35 @@
         )
         if digest.data_centre is not None:
             self._data_centres[peer_id] = digest.data_centre
-        self._heard_at[peer_id] = self._clock.monotonic()
+        self._last_seen[peer_id] = self._clock.monotonic()
 
-    async def _tell_forever(self) -> None:
+    async def _send_digests(self) -> None:
         while True:
-            self._tell(local=NEAR_TOLD, remote=FAR_TOLD)
+            self._send_digest(local=LOCAL_FANOUT, remote=REMOTE_FANOUT)
             await self._clock.sleep(
-                TELL_EVERY * self._random.uniform(0.75, 1.25)
+                GOSSIP_PERIOD * self._random.uniform(0.75, 1.25)
             )
 
-    async def _push_forever(self) -> None:
+    async def _push_changes(self) -> None:
         """Tells many peers at once of what has just become known here."""
         while True:
             revisions = {n: t.revision for n, t in self._tables.items()}
-            if revisions != self._told:
-                self._told = revisions
-                self._tell(local=NEAR_PUSHED, remote=FAR_PUSHED)
-            await self._clock.sleep(_IDLE / 4)
+            if revisions != self._pushed_revisions:
+                self._pushed_revisions = revisions
+                self._send_digest(
+                    local=LOCAL_PUSH_FANOUT, remote=REMOTE_PUSH_FANOUT
+                )
+            await self._clock.sleep(_POLL_INTERVAL / 4)
 
-    async def _catch_up_forever(self, name: str) -> None:
+    async def _keep_caught_up(self, name: str) -> None:
         """Fetches one table's news from whoever is ahead, the latest first.
 
         Digests may pass where replies are lost. So a peer that fails is left
         out until it tells again, and tables do not wait for each other.
         """
-        ahead = self._ahead[name]
+        ahead = self._peers_ahead[name]
         table = self._tables[name]
-        taker = page_fetcher.PageFetcher(
+        fetcher = page_fetcher.PageFetcher(
             name=name,
             table=table,
             caller=self._caller,
@@ -346,46 +350,48 @@
             busy: dict[str, int] = {}
             while ahead:
                 address, revision = ahead.popitem()
-                if not await self._catch_up(table, taker, address, revision):
+                if not await self._catch_up(table, fetcher, address, revision):
                     busy[address] = revision
-            pause = _BUSY_PAUSE if busy else _IDLE / 4
-            await self._clock.sleep(pause * self._random.uniform(0.5, 1.5))
+            retry_delay = _BUSY_RETRY_DELAY if busy else _POLL_INTERVAL / 4
+            await self._clock.sleep(
+                retry_delay * self._random.uniform(0.5, 1.5)
+            )
             for address, revision in busy.items():
                 ahead.setdefault(address, revision)
 
     async def _catch_up(
         self,
         table: shared_table.SharedTable,
-        taker: page_fetcher.PageFetcher,
+        fetcher: page_fetcher.PageFetcher,
         address: str,
         revision: int,
     ) -> bool:
         """Asks a peer that is still ahead; False if it is to be asked again."""
         if table.revision >= revision:
             return True
-        if self.reads(table):
+        if self.should_read(table):
             await self._clock.sleep(_READER_DELAY)
             if table.revision >= revision:
                 return True
-        outcome = await taker.catch_up(address)
+        outcome = await fetcher.catch_up(address)
         return outcome is not page_fetcher.Outcome.TRY_AGAIN
 
 
-async def follow(
+async def follow_once(
     table: shared_table.SharedTable,
     gossip: TableGossip | None,
     clock: clock_module.Clock,
 ) -> None:
     """Reads a table once, or waits a little if peers read it."""
-    if gossip is not None and not gossip.reads(table):
-        await clock.sleep(_IDLE)
+    if gossip is not None and not gossip.should_read(table):
+        await clock.sleep(_POLL_INTERVAL)
         return
     before = table.revision
     if gossip is None:
         await table.follower.step()
     else:
         await table.follower.step(
-            gossip.feed_wait(table), pause=gossip.failure_pause()
+            gossip.feed_wait(table), retry_delay=gossip.retry_delay()
         )
     if table.revision != before:
-        await clock.sleep(GATHER_CHANGES)
+        await clock.sleep(CHANGE_BATCH_DELAY)
--- a/src/nutmeghook/internal/table_replication/page_fetcher.py
+++ b/src/nutmeghook/internal/table_replication/page_fetcher.py
@@ -81,7 +81,7 @@
 
     async def catch_up(self, address: str) -> Outcome:
         """Takes pieces from a peer until nothing is missing."""
-        before = self._table.revision
+        previous_revision = self._table.revision
         try:
             piece = await self._next_piece(address)
             while not self._is_complete(piece):
@@ -94,7 +94,7 @@
                 return Outcome.TRY_AGAIN
             logs.note("peer:pull_failed", peer=address, error=str(error))
             return Outcome.FAILED
-        return self._take(piece, address, before)
+        return self._apply(piece, address, previous_revision)
 
     async def _next_piece(self, address: str) -> ttypes.TablePiece:
         """Asks for what follows the pieces at hand, and adds it to them."""
@@ -131,8 +131,8 @@
     def _is_complete(self, piece: ttypes.TablePiece) -> bool:
         return len(self._partial.data) >= piece.content_bytes
 
-    def _take(
-        self, piece: ttypes.TablePiece, address: str, before: int
+    def _apply(
+        self, piece: ttypes.TablePiece, address: str, previous_revision: int
     ) -> Outcome:
         partial, self._partial = self._partial, None
         if not piece.whole and self._table.revision != partial.after_revision:
@@ -140,21 +140,21 @@
             return Outcome.TRY_AGAIN
         try:
             rows = pages.decode(bytes(partial.data), table=self._table.copy)
-        except pages.UnusablePageError as error:
+        except pages.InvalidPageError as error:
             logs.note("peer:page_unusable", peer=address, error=str(error))
             self._whole_values = True
             return Outcome.TRY_AGAIN
         self._whole_values = False
         if piece.settle_ms > 0:
-            self._deletion_grace.distrust_deletions(
+            self._deletion_grace.hold_deletions(
                 self._clock.monotonic() + piece.settle_ms * _MILLISECOND
             )
-        self._table.take(rows, piece.revision, whole=piece.whole)
+        self._table.apply_update(rows, piece.revision, whole=piece.whole)
         logs.note(
             "peer:caught_up",
             table=self._name,
             revision=piece.revision,
-            before=before,
+            before=previous_revision,
             peer=address,
             bytes=len(partial.data),
         )
--- a/src/nutmeghook/internal/table_replication/page_server.py
+++ b/src/nutmeghook/internal/table_replication/page_server.py
@@ -17,7 +17,7 @@
 # behind one, and a peer that still sends is told from one that does not.
 PIECE_BYTES = 16 * 1024
 # Peers lag behind at a few different revisions at a time.
-_CONTENTS_KEPT = 6
+_MAX_CACHED_CONTENTS = 6
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
@@ -34,7 +34,7 @@
     revision: int
     whole: bool
     data: bytes
-    hash_of_data: int
+    data_hash: int
 
 
 class PageServer:
@@ -46,18 +46,18 @@
     peer is the better one to ask.
     """
 
-    __slots__ = ("_allowance", "_contents", "_deletion_grace", "_tables")
+    __slots__ = ("_contents", "_deletion_grace", "_limiter", "_tables")
 
     def __init__(
         self,
         *,
         tables: dict[str, shared_table.SharedTable],
         deletion_grace: shared_table.DeletionGrace,
-        allowance: bandwidth_limiter.BandwidthLimiter,
+        limiter: bandwidth_limiter.BandwidthLimiter,
     ):
         self._tables = tables
         self._deletion_grace = deletion_grace
-        self._allowance = allowance
+        self._limiter = limiter
         self._contents: collections.OrderedDict[
             tuple[str, int, bool], _Content
         ] = collections.OrderedDict()
@@ -82,18 +82,18 @@
             whole_values=bool(request.whole_values),
         )
         first_byte = 0
-        if request.content_hash == content.hash_of_data:
+        if request.content_hash == content.data_hash:
             first_byte = min(max(0, request.first_byte), len(content.data))
         data = content.data[first_byte : first_byte + PIECE_BYTES]
-        if not self._allowance.take(len(data)):
+        if not self._limiter.try_take(len(data)):
             raise errors.CodedError(
                 code=codes.Code.OVERLOADED, detail="the link is busy"
             )
         return ttypes.TablePiece(
             revision=table.revision,
             whole=content.whole,
-            settle_ms=round(self._deletion_grace.left() / _MILLISECOND),
-            content_hash=content.hash_of_data,
+            settle_ms=round(self._deletion_grace.remaining() / _MILLISECOND),
+            content_hash=content.data_hash,
             content_bytes=len(content.data),
             first_byte=first_byte,
             data=data,
@@ -125,10 +125,10 @@
             whole=whole,
             data=data,
             # Half of the range, as thrift's numbers have a sign.
-            hash_of_data=xxhash.xxh3_64_intdigest(data) >> 1,
+            data_hash=xxhash.xxh3_64_intdigest(data) >> 1,
         )
         self._contents[key] = made
         self._contents.move_to_end(key)
-        if len(self._contents) > _CONTENTS_KEPT:
+        if len(self._contents) > _MAX_CACHED_CONTENTS:
             self._contents.popitem(last=False)
         return made
--- a/src/nutmeghook/internal/table_replication/pages.py
+++ b/src/nutmeghook/internal/table_replication/pages.py
@@ -19,10 +19,10 @@
 # the time.
 _COMPRESSION_LEVEL = 4
 # Above any table: the store's rows have 64 KB to 1 MB, a list 4,400 entries.
-MOST_BYTES = 16 * 1024 * 1024
+MAX_BYTES = 16 * 1024 * 1024
 
 
-class UnusablePageError(ValueError):
+class InvalidPageError(ValueError):
     """The bytes are no page, or need a row that is not at hand."""
 
 
@@ -33,7 +33,7 @@
     value: bytes = b""
     # Where it is not 0, `steps` lead from this version to the value.
     base_version: int = 0
-    steps: list[bytes] = []
+    row_deltas: list[bytes] = []
 
 
 _DECODER = msgspec.msgpack.Decoder(list[_SentRow])
@@ -68,10 +68,10 @@
     """
     inflater = zlib.decompressobj()
     try:
-        data = inflater.decompress(content, MOST_BYTES)
+        data = inflater.decompress(content, MAX_BYTES)
         sent = _DECODER.decode(data)
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise UnusablePageError(f"malformed: {error!r}") from error
+        raise InvalidPageError(f"malformed: {error!r}") from error
     return tuple(_row(row, table=table) for row in sent)
 
 
@@ -81,8 +81,10 @@
     table: table_copy.TableCopy,
     revision: int | None,
 ) -> _SentRow:
-    steps = () if revision is None else table.steps_after(row.key, revision)
-    if not steps or row.deleted:
+    row_deltas = (
+        () if revision is None else table.deltas_after(row.key, revision)
+    )
+    if not row_deltas or row.deleted:
         return _SentRow(
             key=row.key,
             version=row.version,
@@ -92,29 +94,29 @@
     return _SentRow(
         key=row.key,
         version=row.version,
-        base_version=steps[0].base_version,
-        steps=[step.difference for step in steps],
+        base_version=row_deltas[0].base_version,
+        row_deltas=[row_delta.delta for row_delta in row_deltas],
     )
 
 
 def _row(sent: _SentRow, *, table: table_copy.TableCopy) -> source.FollowedRow:
     value = sent.value
     if sent.base_version:
-        value = _value_by_steps(sent, table.row(sent.key))
+        value = _apply_deltas(sent, table.row(sent.key))
     return source.FollowedRow(
         key=sent.key, value=value, version=sent.version, deleted=sent.deleted
     )
 
 
-def _value_by_steps(sent: _SentRow, former: source.FollowedRow | None) -> bytes:
+def _apply_deltas(sent: _SentRow, former: source.FollowedRow | None) -> bytes:
     if former is None or former.version != sent.base_version:
-        raise UnusablePageError(
+        raise InvalidPageError(
             f"{sent.key} starts from version {sent.base_version}"
         )
     value = former.value
     try:
-        for step in sent.steps:
-            value = deltas.apply(value, step)
-    except deltas.UnusableDifferenceError as error:
-        raise UnusablePageError(f"{sent.key}: {error}") from error
+        for row_delta in sent.row_deltas:
+            value = deltas.apply(value, row_delta)
+    except deltas.InvalidDeltaError as error:
+        raise InvalidPageError(f"{sent.key}: {error}") from error
     return value
--- a/src/nutmeghook/internal/table_replication/peer_sampling.py
+++ b/src/nutmeghook/internal/table_replication/peer_sampling.py
@@ -47,24 +47,26 @@
             # few instances that a word must not depend on one crossing.
             most = min(len(peers), local + math.ceil(remote))
             return self._random.sample(list(peers.values()), most)
-        ranked: tuple[list[str], list[str], list[str]] = ([], [], [])
+        by_locality: tuple[list[str], list[str], list[str]] = ([], [], [])
         for peer_id, address in peers.items():
-            ranked[self._distance(data_centres.get(peer_id))].append(address)
+            by_locality[self._locality_rank(data_centres.get(peer_id))].append(
+                address
+            )
         chosen: list[str] = []
-        for addresses in ranked:
-            chosen += self._some(addresses, local - len(chosen))
-        chosen += self._some(ranked[-1], self._rounded(remote))
+        for addresses in by_locality:
+            chosen += self._sample(addresses, local - len(chosen))
+        chosen += self._sample(by_locality[-1], self._round_randomly(remote))
         return list(dict.fromkeys(chosen))
 
-    def _distance(self, data_centre: str | None) -> int:
+    def _locality_rank(self, data_centre: str | None) -> int:
         if data_centre is None:
             return 1
         return 0 if data_centre == self._data_centre else 2
 
-    def _some(self, addresses: list[str], most: int) -> list[str]:
+    def _sample(self, addresses: list[str], most: int) -> list[str]:
         count = max(0, min(most, len(addresses)))
         return self._random.sample(addresses, count)
 
-    def _rounded(self, number: float) -> int:
+    def _round_randomly(self, number: float) -> int:
         """Rounds up or down at random, so that the mean is the number."""
         return int(number + self._random.random())
--- a/src/nutmeghook/internal/table_replication/reader_election.py
+++ b/src/nutmeghook/internal/table_replication/reader_election.py
@@ -13,17 +13,17 @@
 from nutmeghook.internal.foundation import clock as clock_module
 
 # Each is a call for each change and each wait of its feed. One that dies is
-# replaced within `HEARD_RECENTLY`; two others read meanwhile. The store may
+# replaced within `LIVENESS_WINDOW`; two others read meanwhile. The store may
 # turn all of them away at once; then their proofs grow old, and others read
 # for themselves in time (see `gossip`).
-ENOUGH_READERS = 3
-HEARD_RECENTLY = datetime.timedelta(milliseconds=1300)
+READER_COUNT = 3
+LIVENESS_WINDOW = datetime.timedelta(milliseconds=1300)
 # In a fleet of this size each instance hears all others within a second. In a
 # larger one word of a reader takes up to three digests to arrive.
 _SMALL_FLEET = 12
-_HEARD_RECENTLY_IN_A_LARGE_FLEET = datetime.timedelta(milliseconds=2200)
+_LARGE_FLEET_LIVENESS_WINDOW = datetime.timedelta(milliseconds=2200)
 # Ranks told: a few more than read, to replace those that die.
-_RANKS_TOLD = 8
+_MAX_PRIORITIES_SENT = 8
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
@@ -40,24 +40,24 @@
 class ReaderElection:
     """Knows which instances of low rank live."""
 
-    __slots__ = ("_clock", "_lived_at", "_rank")
+    __slots__ = ("_clock", "_last_seen", "_priority")
 
     def __init__(self, *, instance_id: str, clock: clock_module.Clock):
-        self._rank = priority_of(instance_id)
+        self._priority = priority_of(instance_id)
         self._clock = clock
         # When the instance of a rank was last known to live; the lowest only.
-        self._lived_at: dict[int, datetime.timedelta] = {}
+        self._last_seen: dict[int, datetime.timedelta] = {}
 
     def is_reader(self, *, fleet_size: int) -> bool:
         """Tells whether too few of lower rank live."""
-        living = self.living(fleet_size=fleet_size)
-        lower = sum(rank < self._rank for rank in living)
-        return lower < ENOUGH_READERS
+        live = self.live_priorities(fleet_size=fleet_size)
+        lower = sum(priority < self._priority for priority in live)
+        return lower < READER_COUNT
 
-    def note(
+    def record_digest(
         self,
         sender_id: str | None,
-        ranks: Iterable[int],
+        priorities: Iterable[int],
         ages_ms: Iterable[int],
         *,
         fleet_size: int,
@@ -69,24 +69,28 @@
         """
         now = self._clock.monotonic()
         if sender_id is not None:
-            self._note_living(priority_of(sender_id), now)
-        for rank, age_ms in zip(ranks, ages_ms, strict=False):
-            if age_ms >= 0 and rank != self._rank:
-                self._note_living(rank, now - age_ms * _MILLISECOND)
-        self._lived_at = self.living(fleet_size=fleet_size)
-
-    def living(self, *, fleet_size: int) -> dict[int, datetime.timedelta]:
+            self._record_live(priority_of(sender_id), now)
+        for priority, age_ms in zip(priorities, ages_ms, strict=False):
+            if age_ms >= 0 and priority != self._priority:
+                self._record_live(priority, now - age_ms * _MILLISECOND)
+        self._last_seen = self.live_priorities(fleet_size=fleet_size)
+
+    def live_priorities(
+        self, *, fleet_size: int
+    ) -> dict[int, datetime.timedelta]:
         """Returns the lowest ranks known to live and when, lowest first."""
-        recently = HEARD_RECENTLY
+        window = LIVENESS_WINDOW
         if is_large(fleet_size):
-            recently = _HEARD_RECENTLY_IN_A_LARGE_FLEET
-        oldest = self._clock.monotonic() - recently
-        living = sorted(
-            (rank, at) for rank, at in self._lived_at.items() if at >= oldest
+            window = _LARGE_FLEET_LIVENESS_WINDOW
+        oldest = self._clock.monotonic() - window
+        live = sorted(
+            (priority, at)
+            for priority, at in self._last_seen.items()
+            if at >= oldest
         )
-        return dict(living[:_RANKS_TOLD])
+        return dict(live[:_MAX_PRIORITIES_SENT])
 
-    def _note_living(self, rank: int, at: datetime.timedelta) -> None:
-        known = self._lived_at.get(rank)
+    def _record_live(self, priority: int, at: datetime.timedelta) -> None:
+        known = self._last_seen.get(priority)
         if known is None or at > known:
-            self._lived_at[rank] = at
+            self._last_seen[priority] = at
--- a/src/nutmeghook/internal/table_replication/shared_table.py
+++ b/src/nutmeghook/internal/table_replication/shared_table.py
@@ -16,11 +16,11 @@
     """Knows for how long missing rows are not taken for deletions."""
 
     @abc.abstractmethod
-    def left(self) -> datetime.timedelta:
+    def remaining(self) -> datetime.timedelta:
         """Returns for how much longer, 0 at least."""
 
     @abc.abstractmethod
-    def distrust_deletions(self, until: datetime.timedelta) -> None:
+    def hold_deletions(self, until: datetime.timedelta) -> None:
         """Holds deletions back until a monotonic time."""
 
 
@@ -67,18 +67,18 @@
             return _NEVER_MS
         return round((self._clock.monotonic() - confirmed_at) / _MILLISECOND)
 
-    def note_peer(self, revision: int, age_ms: int) -> None:
+    def record_peer(self, revision: int, age_ms: int) -> None:
         """Takes in a peer's proof; it holds if the peer knows no more."""
         if age_ms < 0:
             return
         proven_at = self._clock.monotonic() - age_ms * _MILLISECOND
-        self.follower.note_answered(proven_at)
+        self.follower.record_contact(proven_at)
         if revision != self.revision:
             return
         if self._confirmed_at is None or proven_at > self._confirmed_at:
             self._confirmed_at = proven_at
 
-    def take(
+    def apply_update(
         self,
         rows: tuple[source.FollowedRow, ...],
         revision: int,
--- a/src/nutmeghook/internal/table_replication/table_copy.py
+++ b/src/nutmeghook/internal/table_replication/table_copy.py
@@ -10,13 +10,13 @@
 
 # Deletions kept for peers that are a little behind; with fewer they get the
 # whole table. A busy minute of 400 replicas is about as many.
-MOST_DELETIONS = 400
+MAX_DELETIONS = 400
 # Rows smaller than this are sent whole: a replica's entry has some 300 bytes,
 # and a difference would save little of it.
-_LEAST_COMPARED_BYTES = 2048
+_MIN_DELTA_BYTES = 2048
 # Steps kept of each large row. Configurations come in series of some twenty
 # within a few seconds; a peer further behind gets the row whole.
-_MOST_STEPS = 32
+_MAX_DELTAS = 32
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -31,7 +31,7 @@
 
     base_version: int
     version: int
-    difference: bytes
+    delta: bytes
 
 
 class TableCopy(follower.TableListener):
@@ -42,14 +42,20 @@
     one. Of large rows the steps are kept too, as differences.
     """
 
-    __slots__ = ("_complete_after", "_deletions", "_reader", "_rows", "_steps")
+    __slots__ = (
+        "_complete_after",
+        "_deletions",
+        "_listener",
+        "_row_deltas",
+        "_rows",
+    )
 
-    def __init__(self, *, reader: follower.TableListener):
-        self._reader = reader
+    def __init__(self, *, listener: follower.TableListener):
+        self._listener = listener
         self._rows: dict[str, source.FollowedRow] = {}
         # By key, in the order of their versions.
         self._deletions: dict[str, source.FollowedRow] = {}
-        self._steps: dict[str, collections.deque[RowDelta]] = {}
+        self._row_deltas: dict[str, collections.deque[RowDelta]] = {}
         # All deletions after this revision are kept.
         self._complete_after = -1
 
@@ -60,23 +66,23 @@
         present = [row for row in rows if not row.deleted]
         keys = {row.key for row in present}
         for key in [key for key in self._rows if key not in keys]:
-            self._forget(key)
+            self._remove_row(key)
         for row in present:
-            self._put(row)
+            self._set_row(row)
         self._deletions.clear()
         self._complete_after = revision
-        self._reader.replace(rows, revision)
+        self._listener.replace(rows, revision)
 
     def change(self, rows: tuple[source.FollowedRow, ...]) -> None:
         """Takes in changes."""
         for row in rows:
             if row.deleted:
-                self._forget(row.key)
-                self._note_deletion(row)
+                self._remove_row(row.key)
+                self._record_deletion(row)
             else:
                 self._deletions.pop(row.key, None)
-                self._put(row)
-        self._reader.change(rows)
+                self._set_row(row)
+        self._listener.change(rows)
 
     def rows(self) -> tuple[source.FollowedRow, ...]:
         """Returns all rows, by version."""
@@ -103,50 +109,50 @@
         ]
         return _in_order(changed)
 
-    def steps_after(self, key: str, revision: int) -> tuple[RowDelta, ...]:
+    def deltas_after(self, key: str, revision: int) -> tuple[RowDelta, ...]:
         """Returns the steps from a row's version at a revision to its newest.
 
         Empty where they are not kept. The base of the first may be another
         version than the one that a peer at that revision has, where this
         instance skipped one; the peer has to compare.
         """
-        steps = self._steps.get(key, ())
-        before = [s for s in steps if s.base_version <= revision]
+        row_deltas = self._row_deltas.get(key, ())
+        before = [s for s in row_deltas if s.base_version <= revision]
         if not before or before[-1].version <= revision:
             return ()
         base_version = before[-1].base_version
-        return tuple(s for s in steps if s.base_version >= base_version)
+        return tuple(s for s in row_deltas if s.base_version >= base_version)
 
-    def _put(self, row: source.FollowedRow) -> None:
+    def _set_row(self, row: source.FollowedRow) -> None:
         former = self._rows.get(row.key)
         self._rows[row.key] = row
         if former is None or former.version == row.version:
             return
-        if min(len(former.value), len(row.value)) < _LEAST_COMPARED_BYTES:
-            self._steps.pop(row.key, None)
+        if min(len(former.value), len(row.value)) < _MIN_DELTA_BYTES:
+            self._row_deltas.pop(row.key, None)
             return
-        steps = self._steps.setdefault(
-            row.key, collections.deque(maxlen=_MOST_STEPS)
+        row_deltas = self._row_deltas.setdefault(
+            row.key, collections.deque(maxlen=_MAX_DELTAS)
         )
-        steps.append(
+        row_deltas.append(
             RowDelta(
                 base_version=former.version,
                 version=row.version,
-                difference=deltas.between(former.value, row.value),
+                delta=deltas.compute(former.value, row.value),
             )
         )
         # Steps that are together as long as the row are no gain.
-        while sum(len(s.difference) for s in steps) > len(row.value):
-            steps.popleft()
+        while sum(len(s.delta) for s in row_deltas) > len(row.value):
+            row_deltas.popleft()
 
-    def _forget(self, key: str) -> None:
+    def _remove_row(self, key: str) -> None:
         self._rows.pop(key, None)
-        self._steps.pop(key, None)
+        self._row_deltas.pop(key, None)
 
-    def _note_deletion(self, row: source.FollowedRow) -> None:
+    def _record_deletion(self, row: source.FollowedRow) -> None:
         self._deletions.pop(row.key, None)
         self._deletions[row.key] = row
-        if len(self._deletions) > MOST_DELETIONS:
+        if len(self._deletions) > MAX_DELETIONS:
             oldest = next(iter(self._deletions))
             dropped = self._deletions.pop(oldest)
             self._complete_after = max(self._complete_after, dropped.version)
--- a/src/nutmeghook/internal/version_plans/driver.py
+++ b/src/nutmeghook/internal/version_plans/driver.py
@@ -112,9 +112,9 @@
         "_read_plans",
         "_rollouts",
         "_status",
+        "_store_monitor",
         "_table",
         "_told_all",
-        "_watch",
     )
 
     def __init__(
@@ -127,7 +127,7 @@
         orders: orders_module.OrderBook,
         status: StatusRows,
         fleet_rate_per_s: Callable[[str], float],
-        watch: follower.StoreMonitor,
+        store_monitor: follower.StoreMonitor,
         clock: clock_module.Clock,
         random_source: random.Random,
         instance_id: str,
@@ -139,7 +139,7 @@
         self._orders = orders
         self._status = status
         self._fleet_rate_per_s = fleet_rate_per_s
-        self._watch = watch
+        self._store_monitor = store_monitor
         self._clock = clock
         self._random = random_source
         self._instance_id = instance_id
@@ -170,7 +170,7 @@
 
     async def step_all(self) -> None:
         """Moves every open order on by a step."""
-        if self._watch.away:
+        if self._store_monitor.is_unreachable:
             self._note_out_of_touch()
             return
         for order in self._open_orders():
@@ -217,7 +217,7 @@
 
     async def _begin(self, order: orders_module.RollOutOrder) -> None:
         """Writes the plan's start unless another instance has."""
-        store_time = self._watch.store_time()
+        store_time = self._store_monitor.store_time()
         if store_time is None or self._follower.revision < 0:
             return
         row = await self._table.read(_plan_key(order.service))
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -25,7 +25,7 @@
 
     Args:
         schedule: Which share a new version gets, and when.
-        watch: What is known of the store.
+        store_monitor: What is known of the store.
         answers_seen: How many answers of a plan's version are known here.
         clock: Measures time.
 
@@ -38,8 +38,8 @@
         "_away_since",
         "_clock",
         "_had_absence",
+        "_store_monitor",
         "_stretch_since",
-        "_watch",
         "schedule",
     )
 
@@ -47,12 +47,12 @@
         self,
         *,
         schedule: schedule_module.Schedule,
-        watch: follower.StoreMonitor,
+        store_monitor: follower.StoreMonitor,
         answers_seen: Callable[[plan_module.PlanRow], int],
         clock: clock_module.Clock,
     ):
         self.schedule = schedule
-        self._watch = watch
+        self._store_monitor = store_monitor
         self._answers_seen = answers_seen
         self._clock = clock
         # Since when an order's last stretch has gone on here, in touch with the
@@ -64,7 +64,7 @@
 
     def part_of(self, plan: plan_module.PlanRow) -> float:
         """Returns which part of a plan's time has passed."""
-        store_time = self._watch.store_time()
+        store_time = self._store_monitor.store_time()
         return 0.0 if store_time is None else plan.part_at(store_time)
 
     def steady_part(self, plan: plan_module.PlanRow) -> float:
@@ -75,8 +75,8 @@
         readers tell.
         """
         part = self.part_of(plan)
-        silent = self._watch.silent_for() > _STORE_SILENT
-        if self._watch.away or silent or self._is_thin(plan):
+        silent = self._store_monitor.time_since_contact() > _STORE_SILENT
+        if self._store_monitor.is_unreachable or silent or self._is_thin(plan):
             part = min(part, schedule_module.MAY_MOVE_SESSIONS_AT)
         return part
 
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -60,7 +60,7 @@
         orders: orders_module.OrderBook,
         directory: directory_module.ReplicaDirectory,
         gate: send_gate.SendGate,
-        watch: follower.StoreMonitor,
+        store_monitor: follower.StoreMonitor,
         schedule: schedule_module.Schedule,
         session_time: datetime.timedelta,
         clock: clock_module.Clock,
@@ -70,7 +70,7 @@
         self._gate = gate
         self.progress = progress_module.RollOutProgress(
             schedule=schedule,
-            watch=watch,
+            store_monitor=store_monitor,
             answers_seen=self._answers_seen,
             clock=clock,
         )
--- a/tests/cover/test_backlogs.py
+++ b/tests/cover/test_backlogs.py
@@ -18,7 +18,7 @@
 from nutmeghook.internal.replicas import entries
 from nutmeghook.internal.replicas import peer_backlogs
 from nutmeghook.internal.replicas import send_gate
-from tests import lossy_post
+from tests import lossy_datagrams
 
 MS = datetime.timedelta(milliseconds=1)
 SECOND = datetime.timedelta(seconds=1)
@@ -71,7 +71,9 @@
             data_centre=HERE,
             clock=clock,
         )
-        self.wire = lossy_post.LossyPost(receivers=receivers, own=name)
+        self.wire = lossy_datagrams.LossyDatagrams(
+            receivers=receivers, own=name
+        )
         self.gossip = backlog_gossip.BacklogGossip(
             instance_id=name,
             directory=self.directory,
--- a/tests/cover/test_followed_tables.py
+++ b/tests/cover/test_followed_tables.py
@@ -26,9 +26,9 @@
         self.session = aiohttp.ClientSession()
         self.clock = clock_module.FakeClock()
         self.directory = directory_module.ReplicaDirectory(clock=self.clock)
-        self.watch = follower.StoreMonitor(
+        self.store_monitor = follower.StoreMonitor(
             clock=self.clock,
-            on_return=lambda: self.directory.distrust_deletions(
+            on_return=lambda: self.directory.hold_deletions(
                 self.clock.monotonic() + directory_module.LAPSE_GRACE
             ),
         )
@@ -39,8 +39,8 @@
                 ),
                 name=tables.REPLICA_TABLE,
             ),
-            reader=tables.ReplicaRows(directory=self.directory),
-            watch=self.watch,
+            listener=tables.ReplicaRows(directory=self.directory),
+            store_monitor=self.store_monitor,
             clock=self.clock,
             random_source=random.Random(1),
             wait=datetime.timedelta(),
@@ -77,7 +77,7 @@
         self.store.fault = fault
         with self.assertRaises(failures.NotDoneError) as caught:
             await self.follower._read(datetime.timedelta())
-        self.watch.note_failure(caught.exception)
+        self.store_monitor.record_failure(caught.exception)
         self.store.fault = users_store.StoreFault.NONE
 
     async def test_a_deletion_without_an_outage_counts_at_once(self):
--- a/tests/cover/test_talk_between_data_centres.py
+++ b/tests/cover/test_gossip_traffic.py
@@ -19,46 +19,52 @@
 CHANGES = 5
 
 
-class TalkTest(unittest.TestCase):
+class GossipTrafficTest(unittest.TestCase):
     def test_a_small_change_is_everywhere_in_a_second_and_cheap(self):
-        _virtual_time.run(self._talk())
+        _virtual_time.run(self._check_traffic())
 
-    async def _talk(self) -> None:
+    async def _check_traffic(self) -> None:
         fleet = gossip_fleet.Fleet(size=SIZE, seed=5, data_centres=5)
         fleet.put(fleet.names, b"first", 1)
         tasks = [asyncio.ensure_future(g.run()) for g in fleet.gossips]
         # Data centres are learnt from digests.
         await fleet.clock.sleep(3 * _SECOND)
-        fleet.links.digests.clear()
+        fleet.links.datagram_bytes.clear()
         for version in range(2, 2 + CHANGES):
             fleet.put(fleet.names[:5], b"%d" % version, version)
             await fleet.clock.sleep(_SECOND)
             self.assertEqual(fleet.behind(version), [])
-        digests = fleet.links.digests
+        datagram_bytes = fleet.links.datagram_bytes
         await gossip_fleet.stop(tasks)
         per_instance_s = SIZE * CHANGES
-        crossing = sum(
+        between_data_centres = sum(
             size
-            for (sender, receiver), size in digests.items()
+            for (sender, receiver), size in datagram_bytes.items()
             if fleet.data_centre(sender) != fleet.data_centre(receiver)
         )
         # The 3 KB/s that an instance may spend on control are without changes;
         # each change here is pushed to nine peers by everybody.
-        self.assertLess(digests.total() / per_instance_s, 4000)
-        self.assertLess(crossing / per_instance_s, 500)
+        self.assertLess(datagram_bytes.total() / per_instance_s, 4000)
+        self.assertLess(between_data_centres / per_instance_s, 500)
 
 
-class AudienceTest(unittest.TestCase):
+class PeerSamplerTest(unittest.TestCase):
     def setUp(self):
-        self.audience = peer_sampling.PeerSampler(
+        self.peer_sampler = peer_sampling.PeerSampler(
             data_centre="a", random_source=random.Random(1)
         )
 
-    def choose(self, places: str, *, local: int, remote: float) -> list[str]:
+    def choose(
+        self, localities: str, *, local: int, remote: float
+    ) -> list[str]:
         """Returns whom is told, by data centres in the order of peers."""
-        peers = {str(n): f"{place}{n}" for n, place in enumerate(places)}
-        known = {str(n): p for n, p in enumerate(places) if p != "?"}
-        return self.audience.choose(peers, known, local=local, remote=remote)
+        peers = {
+            str(n): f"{locality}{n}" for n, locality in enumerate(localities)
+        }
+        known = {str(n): p for n, p in enumerate(localities) if p != "?"}
+        return self.peer_sampler.choose(
+            peers, known, local=local, remote=remote
+        )
 
     def test_most_are_near(self):
         chosen = [
--- a/tests/cover/test_large_changes.py
+++ b/tests/cover/test_large_changes.py
@@ -58,7 +58,7 @@
         self.assertLess(took, 2 * _SECOND)
         wanted = configuration_rows.configuration(routes=1400)
         for name in self.living(fleet):
-            self.assertEqual(fleet.kept[name].value, wanted)
+            self.assertEqual(fleet.listeners[name].value, wanted)
         # Digests are left out of the count; they pass the links' queues by.
         needed_bytes = size * len(zlib.compress(wanted))
         self.assertLess(fleet.links.sent_bytes, 1.5 * needed_bytes)
--- a/tests/cover/test_membership_table.py
+++ b/tests/cover/test_membership_table.py
@@ -152,7 +152,7 @@
             for credential in ("of a stranger", "local fleet"):
                 self.assertEqual(healths, [])
                 seal = datagrams.Seal(credential=credential)
-                stranger.send(fleet.address(0), seal.close(envelope))
+                stranger.send(fleet.address(0), seal.wrap(envelope))
                 await fake.advance(20 * second)
             self.assertEqual(healths, [HEALTHS[2], HEALTHS[0]])
             fleet.stop()
@@ -198,7 +198,7 @@
             await fake.advance(2 * second)
             stranger = fleet.datagrams.attach("10.9.9.9:1")
             for envelope in envelopes:
-                stranger.send(fleet.address(0), seal.close(envelope))
+                stranger.send(fleet.address(0), seal.wrap(envelope))
             await fake.advance(second)
             known = [m.inner_address for m in services[0].members()]
             self.assertIn(fleet.address(1), known)
--- a/tests/cover/test_readers_lost.py
+++ b/tests/cover/test_readers_lost.py
@@ -15,15 +15,19 @@
 from tests import gossip_fleet
 
 _SECOND = datetime.timedelta(seconds=1)
-_TURNED_AWAY_SHARE = 0.35
+_REFUSED_SHARE = 0.35
 
 
 class ReadersLostTest(unittest.TestCase):
-    def check(self, *, size: int, bound: datetime.timedelta, outages: int):
-        worst = _virtual_time.run(self.worst(size, bound, outages))
-        self.assertLess(worst, bound)
-
-    async def worst(
+    def check_worst_delay(
+        self, *, size: int, bound: datetime.timedelta, outages: int
+    ):
+        worst_delay = _virtual_time.run(
+            self.worst_delay_of(size, bound, outages)
+        )
+        self.assertLess(worst_delay, bound)
+
+    async def worst_delay_of(
         self, size: int, bound: datetime.timedelta, outages: int
     ) -> datetime.timedelta:
         """Returns the longest time until all have a change."""
@@ -34,22 +38,22 @@
             asyncio.ensure_future(_follow_forever(fleet, gossip))
             for gossip in fleet.gossips
         ]
-        worst = datetime.timedelta()
+        worst_delay = datetime.timedelta()
         for _ in range(outages):
             await fleet.clock.sleep(5 * _SECOND)
-            worst = max(worst, await self.outage(fleet))
+            worst_delay = max(worst_delay, await self.delay_in_outage(fleet))
         await gossip_fleet.stop(tasks)
-        return worst
+        return worst_delay
 
-    async def outage(self, fleet) -> datetime.timedelta:
+    async def delay_in_outage(self, fleet) -> datetime.timedelta:
         readers = [
             g._instance_id
             for g in fleet.gossips
-            if g.reads(fleet.tables[g._instance_id])
+            if g.should_read(fleet.tables[g._instance_id])
         ]
         others = [name for name in fleet.names if name not in readers]
-        more = max(0, round(_TURNED_AWAY_SHARE * len(fleet.names)))
-        fleet.store.turned_away = {
+        more = max(0, round(_REFUSED_SHARE * len(fleet.names)))
+        fleet.store.refused_instances = {
             *readers,
             *fleet.random.sample(others, min(len(others) - 1, more)),
         }
@@ -59,7 +63,7 @@
             await fleet.clock.sleep(_SECOND / 50)
             if fleet.clock.monotonic() - began_at > 10 * _SECOND:
                 break
-        fleet.store.turned_away = set()
+        fleet.store.refused_instances = set()
         return fleet.clock.monotonic() - began_at
 
     def test_a_change_is_in_force_in_time_on_73_instances(self):
@@ -67,21 +71,21 @@
         They live and hold their feeds open, so nobody replaces them; until
         the others' proofs were 4.5 s old the key was let in everywhere.
         """
-        self.check(size=73, bound=3 * _SECOND, outages=6)
+        self.check_worst_delay(size=73, bound=3 * _SECOND, outages=6)
 
     def test_a_change_is_in_force_in_time_on_200_instances(self):
-        self.check(size=200, bound=4 * _SECOND, outages=2)
+        self.check_worst_delay(size=200, bound=4 * _SECOND, outages=2)
 
     def test_a_store_that_is_out_is_not_asked_by_everybody_all_the_time(self):
         """The store answers nobody for eight seconds. No instance has a young
         proof any more, and 73 asked again and again, each some ten times. On
         its return all hear of a change in time nevertheless.
         """
-        asked, took = _virtual_time.run(self.out_for_all())
-        self.assertLess(asked / 73, 3.5)
+        call_count, took = _virtual_time.run(self.full_outage())
+        self.assertLess(call_count / 73, 3.5)
         self.assertLess(took, 3 * _SECOND)
 
-    async def out_for_all(self) -> tuple[int, datetime.timedelta]:
+    async def full_outage(self) -> tuple[int, datetime.timedelta]:
         fleet = gossip_fleet.Fleet(size=73, seed=3, change_time=3 * _SECOND)
         fleet.store.put(b"first")
         tasks = [asyncio.ensure_future(g.run()) for g in fleet.gossips]
@@ -90,24 +94,24 @@
             for gossip in fleet.gossips
         ]
         await fleet.clock.sleep(5 * _SECOND)
-        fleet.store.turned_away = set(fleet.names)
-        fleet.store.asked = 0
+        fleet.store.refused_instances = set(fleet.names)
+        fleet.store.call_count = 0
         await fleet.clock.sleep(8 * _SECOND)
-        asked = fleet.store.asked
-        fleet.store.turned_away = set()
+        call_count = fleet.store.call_count
+        fleet.store.refused_instances = set()
         version = fleet.store.put(b"changed")
         began_at = fleet.clock.monotonic()
         while fleet.behind(version):
             await fleet.clock.sleep(_SECOND / 50)
         took = fleet.clock.monotonic() - began_at
         await gossip_fleet.stop(tasks)
-        return asked, took
+        return call_count, took
 
 
 async def _follow_forever(fleet, gossip) -> None:
     table = fleet.tables[gossip._instance_id]
     while True:
-        await gossip_module.follow(table, gossip, fleet.clock)
+        await gossip_module.follow_once(table, gossip, fleet.clock)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_registration.py
+++ b/tests/cover/test_registration.py
@@ -10,7 +10,7 @@
 from nutmeghook.standins import users_store
 
 
-class IntroductionsTest(unittest.IsolatedAsyncioTestCase):
+class RegistrationTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.store = users_store.StandInStore()
         await self.store.start()
--- a/tests/cover/test_replica_directory.py
+++ b/tests/cover/test_replica_directory.py
@@ -113,7 +113,7 @@
         is not.
         """
         self.put()
-        self.directory.distrust_deletions(datetime.timedelta(seconds=2))
+        self.directory.hold_deletions(datetime.timedelta(seconds=2))
         self.rows.replace((_row("r1", b"{}"),), 2)
         self.assertEqual(self.known(), {})
 
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -10,7 +10,7 @@
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as gossip_module
-from tests import lossy_post
+from tests import lossy_datagrams
 
 SEAL = datagrams.Seal(credential="shared")
 REQUEST = b"r" * 16
@@ -28,7 +28,7 @@
         self._draw = random.Random(number)
         self.address = f"10.0.{number // 250}.{number % 250}:7340"
         self.book = book_module.SuspectBook(clock=fleet.clock)
-        self.post = lossy_post.LossyPost(
+        self.post = lossy_datagrams.LossyDatagrams(
             receivers=fleet.receivers, own=self.address
         )
         self.gossip = gossip_module.SuspectGossip(
@@ -171,7 +171,7 @@
         teller.gossip.remind()
         (data,) = sent
         self.assertLessEqual(len(data), datagrams.MAX_DATAGRAM_BYTES)
-        message = codec.decode(SEAL.open(data)).message
+        message = codec.decode(SEAL.unwrap(data)).message
         self.assertEqual(len(message.suspects), gossip_module.MOST_TOLD)
 
 
--- a/tests/cover/test_table_gossip.py
+++ b/tests/cover/test_table_gossip.py
@@ -29,7 +29,7 @@
 _SECOND = datetime.timedelta(seconds=1)
 
 
-class Post(datagrams.Datagrams):
+class FakeDatagrams(datagrams.Datagrams):
     """Datagrams between the instances of a test; some are dropped."""
 
     def __init__(self, *, receivers, dropped):
@@ -37,7 +37,7 @@
         self._dropped = dropped
         self._own = None
 
-    def bind(self, address: str) -> "Post":
+    def bind(self, address: str) -> "FakeDatagrams":
         """Returns the socket of an instance."""
         self._own = address
         return self
@@ -50,7 +50,7 @@
             self._receivers[inner_address](data)
 
 
-class Calls(peers.PeerCaller):
+class FakePeerCaller(peers.PeerCaller):
     """Calls between the instances of a test."""
 
     def __init__(self, *, handlers):
@@ -65,7 +65,7 @@
         return await handler(request)
 
 
-class NewsTest(unittest.IsolatedAsyncioTestCase):
+class TableGossipTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.store = users_store.StandInStore()
         await self.store.start()
@@ -74,7 +74,7 @@
         self.receivers = {}
         self.dropped = set()
         self.handlers = {}
-        self.calls = Calls(handlers=self.handlers)
+        self.calls = FakePeerCaller(handlers=self.handlers)
         self.put("1")
 
     async def asyncTearDown(self):
@@ -95,7 +95,7 @@
         """Returns an instance's gossip and what it knows of replicas."""
         directory = directory_module.ReplicaDirectory(clock=self.clock)
         copy = table_copy.TableCopy(
-            reader=tables.ReplicaRows(directory=directory)
+            listener=tables.ReplicaRows(directory=directory)
         )
         table = shared_table.SharedTable(
             copy=copy,
@@ -106,8 +106,8 @@
                     ),
                     name=TABLE,
                 ),
-                reader=copy,
-                watch=follower.StoreMonitor(clock=self.clock),
+                listener=copy,
+                store_monitor=follower.StoreMonitor(clock=self.clock),
                 clock=self.clock,
                 random_source=random.Random(1),
                 wait=datetime.timedelta(),
@@ -115,19 +115,19 @@
             clock=self.clock,
         )
         self.handlers[name] = peers.PeerHandlers()
-        post = Post(receivers=self.receivers, dropped=self.dropped)
+        socket = FakeDatagrams(receivers=self.receivers, dropped=self.dropped)
         gossip = gossip_module.TableGossip(
             instance_id=name,
             inner_address=name,
             data_centre="here",
             tables={TABLE: table},
             messages=sealed_messages.SealedMessages(
-                datagrams=post.bind(name), seal=SEAL
+                datagrams=socket.bind(name), seal=SEAL
             ),
             caller=self.calls,
             handlers=self.handlers[name],
             deletion_grace=directory,
-            allowance=bandwidth_limiter.BandwidthLimiter(
+            limiter=bandwidth_limiter.BandwidthLimiter(
                 link_mbit_per_s=100.0, clock=self.clock
             ),
             change_time=3 * _SECOND,
@@ -147,8 +147,8 @@
     async def catch_up(self, instance) -> None:
         """Fetches what a peer was heard to know more."""
         gossip = instance[0]
-        self.assertTrue(gossip._ahead[TABLE])
-        catching_up = asyncio.ensure_future(gossip._catch_up_forever(TABLE))
+        self.assertTrue(gossip._peers_ahead[TABLE])
+        catching_up = asyncio.ensure_future(gossip._keep_caught_up(TABLE))
         await self.clock.advance(_SECOND / 2)
         catching_up.cancel()
 
@@ -168,7 +168,7 @@
         self.put("2")
         self.store.delete("servers", "1")
         await served[1].follower.step()
-        served[0]._tell(local=5, remote=0)
+        served[0]._send_digest(local=5, remote=0)
         await self.catch_up(refused)
         self.assertEqual(self.listed(refused), ["2"])
 
@@ -176,14 +176,14 @@
         """Two peers tell of a key that was taken away. The last one's replies
         are lost; the other one's news must not wait for its next digest.
         """
-        silent, sound, late = (self.instance(name) for name in "abc")
-        self.connect(silent, sound, late)
-        for instance in (silent, sound, late):
+        silent, responsive, late = (self.instance(name) for name in "abc")
+        self.connect(silent, responsive, late)
+        for instance in (silent, responsive, late):
             await instance[1].follower.step()
         self.put("2")
-        for instance in (sound, silent):
+        for instance in (responsive, silent):
             await instance[1].follower.step()
-            instance[0]._tell(local=5, remote=0)
+            instance[0]._send_digest(local=5, remote=0)
         del self.handlers["a"]
         await self.catch_up(late)
         self.assertEqual(self.listed(late), ["1", "2"])
@@ -196,7 +196,7 @@
         self.put("2")
         await ahead[1].follower.step()
         self.assertFalse(behind[0].is_behind(TABLE))
-        ahead[0]._tell(local=5, remote=0)
+        ahead[0]._send_digest(local=5, remote=0)
         self.assertTrue(behind[0].is_behind(TABLE))
         await self.catch_up(behind)
         self.assertFalse(behind[0].is_behind(TABLE))
@@ -209,7 +209,7 @@
         self.connect(dead, instance)
         await instance[1].follower.step()
         dead[1].follower.revision = 99
-        dead[0]._tell(local=5, remote=0)
+        dead[0]._send_digest(local=5, remote=0)
         self.assertTrue(instance[0].is_behind(TABLE))
         await self.clock.advance(4 * _SECOND)
         self.assertFalse(instance[0].is_behind(TABLE))
@@ -218,7 +218,7 @@
         old, new = self.instance("a"), self.instance("b")
         self.connect(old, new)
         await old[1].follower.step()
-        old[0]._tell(local=5, remote=0)
+        old[0]._send_digest(local=5, remote=0)
         await self.catch_up(new)
         self.assertEqual(self.listed(new), ["1"])
 
@@ -249,7 +249,7 @@
                 raise NotImplementedError
 
             async def changes(self, since, wait):
-                instance[1].take((), 9, whole=False)
+                instance[1].apply_update((), 9, whole=False)
                 return late
 
         instance[1].follower._table = LateTable()
@@ -266,17 +266,17 @@
         self.connect(*everyone)
         for instance in everyone:
             await instance[1].follower.step()
-            instance[0]._tell(local=10, remote=0)
+            instance[0]._send_digest(local=10, remote=0)
         for instance in everyone:
-            instance[0]._tell(local=10, remote=0)
-        ranked = sorted("abcdefg", key=reader_election.priority_of)
-        self.assertEqual(self.reading(everyone), sorted(ranked[:3]))
-        living = [i for i in everyone if i[0]._instance_id != ranked[0]]
+            instance[0]._send_digest(local=10, remote=0)
+        by_priority = sorted("abcdefg", key=reader_election.priority_of)
+        self.assertEqual(self.reading(everyone), sorted(by_priority[:3]))
+        living = [i for i in everyone if i[0]._instance_id != by_priority[0]]
         await self.clock.advance(1.4 * _SECOND)
         for instance in living:
             await instance[1].follower.step()
-            instance[0]._tell(local=10, remote=0)
-        self.assertEqual(self.reading(living), sorted(ranked[1:4]))
+            instance[0]._send_digest(local=10, remote=0)
+        self.assertEqual(self.reading(living), sorted(by_priority[1:4]))
 
     async def test_as_few_read_in_a_fleet_in_which_each_hears_a_part(self):
         """Seventy instances tell six others each time, as a large fleet does.
@@ -285,21 +285,23 @@
         over in time.
         """
         everyone = [self.instance(f"i{number}") for number in range(70)]
-        enough = reader_election.ENOUGH_READERS
+        reader_count = reader_election.READER_COUNT
         self.connect(*everyone)
-        await self.tell_for(everyone, rounds=12)
-        self.assertGreaterEqual(len(self.reading(everyone)), enough)
-        self.assertLessEqual(len(self.reading(everyone)), enough + 1)
-        ranked = sorted(
+        await self.gossip_for(everyone, rounds=12)
+        self.assertGreaterEqual(len(self.reading(everyone)), reader_count)
+        self.assertLessEqual(len(self.reading(everyone)), reader_count + 1)
+        by_priority = sorted(
             (i[0]._instance_id for i in everyone),
             key=reader_election.priority_of,
         )
-        dead = ranked[:enough]
+        dead = by_priority[:reader_count]
         living = [i for i in everyone if i[0]._instance_id not in dead]
-        await self.tell_for(living, rounds=7)
+        await self.gossip_for(living, rounds=7)
         reading = self.reading(living)
-        self.assertTrue(set(ranked[enough : enough + 3]) <= set(reading))
-        self.assertLessEqual(len(reading), enough + 3)
+        self.assertTrue(
+            set(by_priority[reader_count : reader_count + 3]) <= set(reading)
+        )
+        self.assertLessEqual(len(reading), reader_count + 3)
 
     async def test_readers_that_the_store_turns_away_are_replaced(self):
         """The store refuses all readers of a fleet and serves the others. An
@@ -308,33 +310,40 @@
         """
         everyone = [self.instance(f"i{number}") for number in range(40)]
         self.connect(*everyone)
-        enough = reader_election.ENOUGH_READERS
-        await self.tell_for(everyone, rounds=12)
-        ranked = sorted(
+        reader_count = reader_election.READER_COUNT
+        await self.gossip_for(everyone, rounds=12)
+        by_priority = sorted(
             (i[0]._instance_id for i in everyone),
             key=reader_election.priority_of,
         )
         for gossip, table, _ in everyone:
-            if gossip._instance_id in ranked[:enough]:
-                table.follower._watch.away = True
-        await self.tell_for(everyone, rounds=7)
+            if gossip._instance_id in by_priority[:reader_count]:
+                table.follower._store_monitor.is_unreachable = True
+        await self.gossip_for(everyone, rounds=7)
         reading = set(self.reading(everyone))
-        self.assertTrue(set(ranked[enough : enough + 3]) <= reading, reading)
+        self.assertTrue(
+            set(by_priority[reader_count : reader_count + 3]) <= reading,
+            reading,
+        )
 
-    async def tell_for(self, instances, *, rounds: int) -> None:
+    async def gossip_for(self, instances, *, rounds: int) -> None:
         """Lets instances read at need and tell six peers, round by round."""
         for _ in range(rounds):
-            await self.clock.advance(gossip_module.TELL_EVERY)
+            await self.clock.advance(gossip_module.GOSSIP_PERIOD)
             for gossip, table, _ in instances:
-                if gossip.reads(table) and table.follower.is_in_touch:
+                if (
+                    gossip.should_read(table)
+                    and table.follower.is_store_reachable
+                ):
                     await table.follower.step()
-                gossip._tell(
-                    local=gossip_module.NEAR_TOLD, remote=gossip_module.FAR_TOLD
+                gossip._send_digest(
+                    local=gossip_module.LOCAL_FANOUT,
+                    remote=gossip_module.REMOTE_FANOUT,
                 )
 
     def reading(self, everyone) -> list[str]:
         """Returns the instances that read the store."""
-        return [n._instance_id for n, t, _ in everyone if n.reads(t)]
+        return [n._instance_id for n, t, _ in everyone if n.should_read(t)]
 
     async def test_without_proof_an_instance_reads_whatever_it_hears(self):
         """All readers are cut off from the store and say so by silence of
@@ -347,7 +356,7 @@
         for _ in range(12):
             await self.clock.advance(_SECOND / 2)
             for instance in everyone:
-                instance[0]._tell(local=10, remote=0)
+                instance[0]._send_digest(local=10, remote=0)
         self.assertEqual(self.reading(everyone), ["a", "b", "c", "d"])
 
     async def test_a_peer_s_wait_for_lapsed_entries_is_taken_over(self):
@@ -359,12 +368,12 @@
         self.connect(reader, other)
         for instance in (reader, other):
             await instance[1].follower.step()
-        reader[2].distrust_deletions(
+        reader[2].hold_deletions(
             self.clock.monotonic() + directory_module.LAPSE_GRACE
         )
         self.store.delete("servers", "1")
         await reader[1].follower.step()
-        reader[0]._tell(local=5, remote=0)
+        reader[0]._send_digest(local=5, remote=0)
         await self.catch_up(other)
         self.assertEqual(self.listed(other), ["1"])
         await self.clock.advance(3 * _SECOND)
@@ -373,7 +382,7 @@
     async def test_a_datagram_without_the_credential_is_dropped(self):
         instance = self.instance("a")
         foreign = datagrams.Seal(credential="another")
-        self.receivers["a"](foreign.close(b"anything"))
+        self.receivers["a"](foreign.wrap(b"anything"))
         self.receivers["a"](b"")
         self.assertEqual(instance[0].peers, {})
 
--- a/tests/cover/test_table_pages.py
+++ b/tests/cover/test_table_pages.py
@@ -33,7 +33,7 @@
 _BIG_VALUES = _VALUES.map(lambda value: value * 400)
 
 
-class Nobody(follower.TableListener):
+class NullListener(follower.TableListener):
     """Takes rows in and forgets them."""
 
     def replace(self, rows, revision) -> None:
@@ -43,25 +43,25 @@
         pass
 
 
-class NoGrace(shared_table.DeletionGrace):
+class NoDeletionGrace(shared_table.DeletionGrace):
     """The store was never away."""
 
-    def left(self) -> datetime.timedelta:
+    def remaining(self) -> datetime.timedelta:
         return datetime.timedelta()
 
-    def distrust_deletions(self, until: datetime.timedelta) -> None:
+    def hold_deletions(self, until: datetime.timedelta) -> None:
         pass
 
 
-def shared(clock) -> shared_table.SharedTable:
+def empty_table(clock) -> shared_table.SharedTable:
     """Returns an empty table that peers fill."""
-    copy = table_copy.TableCopy(reader=Nobody())
+    copy = table_copy.TableCopy(listener=NullListener())
     return shared_table.SharedTable(
         copy=copy,
         table_follower=follower.TableFollower(
             table=None,
-            reader=copy,
-            watch=follower.StoreMonitor(clock=clock),
+            listener=copy,
+            store_monitor=follower.StoreMonitor(clock=clock),
             clock=clock,
             random_source=random.Random(1),
         ),
@@ -74,21 +74,21 @@
     return source.FollowedRow(key=key, value=value, version=version)
 
 
-class DifferencesTest(unittest.TestCase):
+class DeltasTest(unittest.TestCase):
     @hypothesis.given(former=_VALUES, value=_VALUES)
     def test_applied_to_the_former_value_give_the_new_one(self, former, value):
-        step = deltas.between(former, value)
-        self.assertEqual(deltas.apply(former, step), value)
+        delta = deltas.compute(former, value)
+        self.assertEqual(deltas.apply(former, delta), value)
 
-    @hypothesis.given(former=_VALUES, step=strategies.binary(max_size=40))
-    def test_any_bytes_give_a_value_or_are_refused(self, former, step):
-        with contextlib.suppress(deltas.UnusableDifferenceError):
-            deltas.apply(former, step)
+    @hypothesis.given(former=_VALUES, delta=strategies.binary(max_size=40))
+    def test_any_bytes_give_a_value_or_are_refused(self, former, delta):
+        with contextlib.suppress(deltas.InvalidDeltaError):
+            deltas.apply(former, delta)
 
     def test_one_more_route_costs_its_own_size(self):
         former = configuration_rows.configuration(routes=1400)
         value = configuration_rows.configuration(routes=1401)
-        self.assertLess(len(deltas.between(former, value)), 600)
+        self.assertLess(len(deltas.compute(former, value)), 600)
 
 
 class PagesTest(unittest.TestCase):
@@ -103,11 +103,11 @@
         )
     )
     def test_a_peer_that_asks_now_and_then_has_the_same_rows(self, changes):
-        giver = table_copy.TableCopy(reader=Nobody())
-        taker = table_copy.TableCopy(reader=Nobody())
+        server = table_copy.TableCopy(listener=NullListener())
+        fetcher = table_copy.TableCopy(listener=NullListener())
         asked_at = 0
         for version, (key, value, asks) in enumerate(changes, start=1):
-            giver.change(
+            server.change(
                 (
                     source.FollowedRow(
                         key=key,
@@ -118,27 +118,27 @@
                 )
             )
             if asks:
-                self.pull(giver, taker, asked_at)
+                self.pull(server, fetcher, asked_at)
                 asked_at = version
-        self.pull(giver, taker, asked_at)
-        self.assertEqual(giver.rows(), taker.rows())
+        self.pull(server, fetcher, asked_at)
+        self.assertEqual(server.rows(), fetcher.rows())
 
-    def pull(self, giver, taker, after: int) -> None:
+    def pull(self, server, fetcher, after: int) -> None:
         """Brings the taker up to date."""
         content = pages.encode(
-            giver.changes_after(after), table=giver, known_revision=after
+            server.changes_after(after), table=server, known_revision=after
         )
-        taker.change(pages.decode(content, table=taker))
+        fetcher.change(pages.decode(content, table=fetcher))
 
     def test_of_a_series_only_the_newest_state_is_sent(self):
-        table = table_copy.TableCopy(reader=Nobody())
+        table = table_copy.TableCopy(listener=NullListener())
         for version in range(1, 20):
             table.change((row(version, b"small"),))
         self.assertEqual(table.changes_after(0), (row(19, b"small"),))
 
     def test_more_deletions_than_are_kept_need_the_whole_table(self):
-        table = table_copy.TableCopy(reader=Nobody())
-        for version in range(1, table_copy.MOST_DELETIONS + 2):
+        table = table_copy.TableCopy(listener=NullListener())
+        for version in range(1, table_copy.MAX_DELETIONS + 2):
             table.change(
                 (
                     source.FollowedRow(
@@ -154,12 +154,12 @@
 
     @hypothesis.given(content=strategies.binary(max_size=60))
     def test_any_bytes_are_rows_or_are_refused(self, content):
-        table = table_copy.TableCopy(reader=Nobody())
-        with contextlib.suppress(pages.UnusablePageError):
+        table = table_copy.TableCopy(listener=NullListener())
+        with contextlib.suppress(pages.InvalidPageError):
             pages.decode(content, table=table)
 
 
-class Wire(peers.PeerCaller):
+class FakePeerCaller(peers.PeerCaller):
     """Calls to givers by their address.
 
     Attributes:
@@ -167,17 +167,17 @@
     """
 
     def __init__(self):
-        self.givers: dict[str, page_server.PageServer] = {}
-        self.breaks_after: dict[str, int] = {}
+        self.servers: dict[str, page_server.PageServer] = {}
+        self.calls_before_failure: dict[str, int] = {}
         self.received_bytes = 0
 
     async def call(self, inner_address, request, *, timeout):
-        left = self.breaks_after.get(inner_address, 1000)
+        left = self.calls_before_failure.get(inner_address, 1000)
         if left <= 0:
             raise peers.PeerUnreachableError("no reply")
-        self.breaks_after[inner_address] = left - 1
+        self.calls_before_failure[inner_address] = left - 1
         try:
-            piece = await self.givers[inner_address].serve(request)
+            piece = await self.servers[inner_address].serve(request)
         except errors.CodedError as error:
             raise peers.PeerRefusedError(
                 code_number=error.code.number, detail=error.detail
@@ -189,23 +189,23 @@
 class TransfersTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.clock = clock_module.FakeClock()
-        self.wire = Wire()
-        self.table = shared(self.clock)
-        self.taker = page_fetcher.PageFetcher(
+        self.peer_caller = FakePeerCaller()
+        self.table = empty_table(self.clock)
+        self.fetcher = page_fetcher.PageFetcher(
             name="op",
             table=self.table,
-            caller=self.wire,
-            deletion_grace=NoGrace(),
+            caller=self.peer_caller,
+            deletion_grace=NoDeletionGrace(),
             clock=self.clock,
         )
 
-    def giver(self, address: str, *, link_mbit_per_s: float = 1000.0):
+    def server(self, address: str, *, link_mbit_per_s: float = 1000.0):
         """Adds a peer and returns its table."""
-        table = shared(self.clock)
-        self.wire.givers[address] = page_server.PageServer(
+        table = empty_table(self.clock)
+        self.peer_caller.servers[address] = page_server.PageServer(
             tables={"op": table},
-            deletion_grace=NoGrace(),
-            allowance=bandwidth_limiter.BandwidthLimiter(
+            deletion_grace=NoDeletionGrace(),
+            limiter=bandwidth_limiter.BandwidthLimiter(
                 link_mbit_per_s=link_mbit_per_s, clock=self.clock
             ),
         )
@@ -218,31 +218,31 @@
         # Random bytes can't be compressed, so that there are four pieces.
         value = random.Random(1).randbytes(3 * page_server.PIECE_BYTES + 100)
         for address in "ab":
-            self.giver(address).take((row(5, value),), 5, whole=True)
-        self.wire.breaks_after["a"] = 1
+            self.server(address).apply_update((row(5, value),), 5, whole=True)
+        self.peer_caller.calls_before_failure["a"] = 1
         self.assertIs(
-            await self.taker.catch_up("a"), page_fetcher.Outcome.FAILED
+            await self.fetcher.catch_up("a"), page_fetcher.Outcome.FAILED
         )
         self.assertIs(
-            await self.taker.catch_up("b"), page_fetcher.Outcome.CAUGHT_UP
+            await self.fetcher.catch_up("b"), page_fetcher.Outcome.CAUGHT_UP
         )
         self.assertEqual(self.table.copy.rows(), (row(5, value),))
-        self.assertLess(self.wire.received_bytes, len(value) + 300)
+        self.assertLess(self.peer_caller.received_bytes, len(value) + 300)
 
     async def test_a_peer_with_other_bytes_begins_anew(self):
         """The second peer knows a later configuration than the one that broke
         off. Joined, the two would be nobody's configuration.
         """
-        draw = random.Random(2)
+        random_source = random.Random(2)
         first, second = (
-            draw.randbytes(2 * page_server.PIECE_BYTES) for _ in "ab"
+            random_source.randbytes(2 * page_server.PIECE_BYTES) for _ in "ab"
         )
-        self.giver("a").take((row(5, first),), 5, whole=True)
-        self.giver("b").take((row(6, second),), 6, whole=True)
-        self.wire.breaks_after["a"] = 1
-        await self.taker.catch_up("a")
+        self.server("a").apply_update((row(5, first),), 5, whole=True)
+        self.server("b").apply_update((row(6, second),), 6, whole=True)
+        self.peer_caller.calls_before_failure["a"] = 1
+        await self.fetcher.catch_up("a")
         self.assertIs(
-            await self.taker.catch_up("b"), page_fetcher.Outcome.CAUGHT_UP
+            await self.fetcher.catch_up("b"), page_fetcher.Outcome.CAUGHT_UP
         )
         self.assertEqual(self.table.copy.rows(), (row(6, second),))
 
@@ -253,15 +253,15 @@
         values = {
             v: configuration_rows.configuration(routes=20 + v) for v in range(4)
         }
-        peer = self.giver("a")
-        peer.take((row(1, values[1]),), 1, whole=True)
-        peer.take((row(3, values[3]),), 3, whole=False)
-        self.table.take((row(2, values[2]),), 2, whole=True)
+        peer = self.server("a")
+        peer.apply_update((row(1, values[1]),), 1, whole=True)
+        peer.apply_update((row(3, values[3]),), 3, whole=False)
+        self.table.apply_update((row(2, values[2]),), 2, whole=True)
         self.assertIs(
-            await self.taker.catch_up("a"), page_fetcher.Outcome.TRY_AGAIN
+            await self.fetcher.catch_up("a"), page_fetcher.Outcome.TRY_AGAIN
         )
         self.assertIs(
-            await self.taker.catch_up("a"), page_fetcher.Outcome.CAUGHT_UP
+            await self.fetcher.catch_up("a"), page_fetcher.Outcome.CAUGHT_UP
         )
         self.assertEqual(self.table.copy.rows(), (row(3, values[3]),))
 
@@ -271,18 +271,18 @@
         others that it is busy, so that they ask elsewhere.
         """
         value = random.Random(3).randbytes(page_server.PIECE_BYTES)
-        self.giver("a", link_mbit_per_s=5.0).take(
+        self.server("a", link_mbit_per_s=5.0).apply_update(
             (row(5, value),), 5, whole=True
         )
         pull = ttypes.TablePull(table_name="op", after_revision=-1)
         outcomes = await asyncio.gather(
-            *(self.wire.givers["a"].serve(pull) for _ in range(50)),
+            *(self.peer_caller.servers["a"].serve(pull) for _ in range(50)),
             return_exceptions=True,
         )
-        given = [o for o in outcomes if isinstance(o, ttypes.TablePiece)]
-        self.assertLessEqual(len(given) * page_server.PIECE_BYTES, 62_500)
+        pieces = [o for o in outcomes if isinstance(o, ttypes.TablePiece)]
+        self.assertLessEqual(len(pieces) * page_server.PIECE_BYTES, 62_500)
         await self.clock.advance(_SECOND / 10)
-        await self.wire.givers["a"].serve(pull)
+        await self.peer_caller.servers["a"].serve(pull)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_version_driver.py
+++ b/tests/cover/test_version_driver.py
@@ -42,12 +42,12 @@
         )
         plans = follower.TableFollower(
             table=store.PlatformTable(client=client, name=driver_module.TABLE),
-            reader=driver_module.PlanRows(
+            listener=driver_module.PlanRows(
                 rollouts=instance.rollouts,
                 orders=instance.orders,
                 instance_id=name,
             ),
-            watch=instance.watch,
+            store_monitor=instance.store_monitor,
             clock=self.clock,
             random_source=random.Random(1),
             wait=datetime.timedelta(),
@@ -60,7 +60,7 @@
             orders=instance.orders,
             status=rollout_rows.PlatformStatusRows(),
             fleet_rate_per_s=lambda service: 0.0,
-            watch=instance.watch,
+            store_monitor=instance.store_monitor,
             clock=self.clock,
             random_source=random.Random(1),
             instance_id=name,
--- a/tests/gossip_fleet.py
+++ b/tests/gossip_fleet.py
@@ -39,9 +39,9 @@
 
     def __init__(self):
         self._rows: list[source.FollowedRow] = []
-        self._news = asyncio.Event()
-        self.turned_away: set[str] = set()
-        self.asked = 0
+        self._written = asyncio.Event()
+        self.refused_instances: set[str] = set()
+        self.call_count = 0
 
     @property
     def revision(self) -> int:
@@ -55,8 +55,8 @@
                 key="config", value=value, version=self.revision + 1
             )
         )
-        self._news.set()
-        self._news = asyncio.Event()
+        self._written.set()
+        self._written = asyncio.Event()
         return self.revision
 
     def page(self, since: int) -> source.Page:
@@ -69,11 +69,11 @@
             ),
         )
 
-    async def until_news(self, wait: datetime.timedelta) -> None:
+    async def wait_for_write(self, wait: datetime.timedelta) -> None:
         """Waits for a write, `wait` at most."""
-        news = self._news.wait()
+        written = self._written.wait()
         try:
-            await asyncio.wait_for(news, wait.total_seconds())
+            await asyncio.wait_for(written, wait.total_seconds())
         except TimeoutError:
             return
 
@@ -98,14 +98,14 @@
 
     async def changes(self, since, wait) -> source.Page:
         if self._store.revision <= since:
-            await self._store.until_news(wait)
+            await self._store.wait_for_write(wait)
         await self._answer(wait)
         return self._store.page(since)
 
     async def _answer(self, wait: datetime.timedelta) -> None:
-        self._store.asked += 1
+        self._store.call_count += 1
         await asyncio.sleep(self._ANSWER_S)
-        if self._instance in self._store.turned_away:
+        if self._instance in self._store.refused_instances:
             await asyncio.sleep(wait.total_seconds() + self._TIMEOUT_SLACK_S)
             raise failures.OutcomeUnknownError("no answer")
 
@@ -121,9 +121,9 @@
         self.dead: set[str] = set()
         self.sent_bytes = 0
         # Bytes of datagrams, by sender and receiver.
-        self.digests = collections.Counter()
+        self.datagram_bytes = collections.Counter()
 
-    async def carry(self, sender: str, receiver: str, size: int) -> None:
+    async def transmit(self, sender: str, receiver: str, size: int) -> None:
         """Returns once so many bytes have arrived; never at a dead one."""
         self.sent_bytes += size
         for queue in ((sender, "out"), (receiver, "in")):
@@ -136,7 +136,7 @@
             await asyncio.sleep(FOREVER_S)
 
 
-class Post(datagrams.Datagrams):
+class FleetDatagrams(datagrams.Datagrams):
     """One instance's datagrams; small, so they pass the queues by."""
 
     def __init__(self, *, links: Links, own: str):
@@ -147,14 +147,14 @@
         self._links.receivers[self._own] = receiver
 
     def send(self, inner_address: str, data: bytes) -> None:
-        self._links.digests[self._own, inner_address] += len(data)
+        self._links.datagram_bytes[self._own, inner_address] += len(data)
         if not self._links.dead & {self._own, inner_address}:
             asyncio.get_running_loop().call_later(
                 _DELAY_S, self._links.receivers[inner_address], data
             )
 
 
-class Calls(peers.PeerCaller):
+class FleetPeerCaller(peers.PeerCaller):
     """One instance's calls, along the links."""
 
     def __init__(self, *, links: Links, own: str, clock):
@@ -165,24 +165,24 @@
     async def call(self, inner_address, request, *, timeout):
         # What was sent arrives, and takes its place on the links, also when
         # the caller has given up; so it does on a real connection.
-        work = asyncio.ensure_future(self._exchange(inner_address, request))
+        task = asyncio.ensure_future(self._exchange(inner_address, request))
         try:
-            reply = await self._clock.wait_for(asyncio.shield(work), timeout)
+            reply = await self._clock.wait_for(asyncio.shield(task), timeout)
         except TimeoutError as error:
             raise peers.PeerUnreachableError("no reply") from error
         return serving.result_of(reply)
 
     async def _exchange(self, inner_address, request):
         data = codec.encode(request, sequence=1, wants_reply=True).data
-        await self._links.carry(self._own, inner_address, len(data))
+        await self._links.transmit(self._own, inner_address, len(data))
         reply = await serving.reply_to(
             codec.decode(data), handlers=self._links.handlers[inner_address]
         )
-        await self._links.carry(inner_address, self._own, len(reply.data))
+        await self._links.transmit(inner_address, self._own, len(reply.data))
         return codec.decode(reply.data).message
 
 
-class Kept(follower.TableListener):
+class LastValueListener(follower.TableListener):
     """Keeps the newest value."""
 
     value = b""
@@ -215,7 +215,7 @@
         self.links = Links()
         self.names = [f"i{number}" for number in range(size)]
         self.tables = {}
-        self.kept = {}
+        self.listeners = {}
         self.gossips = []
         for name in self.names:
             self.links.mbit_per_s[name] = self.random.choice(links_mbit_per_s)
@@ -225,15 +225,15 @@
             gossip.peers.update(others)
 
     def _add(self, name: str) -> None:
-        self.kept[name] = Kept()
-        copy = table_copy.TableCopy(reader=self.kept[name])
-        watch = follower.StoreMonitor(clock=self.clock)
+        self.listeners[name] = LastValueListener()
+        copy = table_copy.TableCopy(listener=self.listeners[name])
+        store_monitor = follower.StoreMonitor(clock=self.clock)
         table = shared_table.SharedTable(
             copy=copy,
             table_follower=follower.TableFollower(
                 table=StoreView(store=self.store, instance=name),
-                reader=copy,
-                watch=watch,
+                listener=copy,
+                store_monitor=store_monitor,
                 clock=self.clock,
                 random_source=self.random,
             ),
@@ -248,12 +248,15 @@
                 data_centre=self.data_centre(name),
                 tables={TABLE: table},
                 messages=sealed_messages.SealedMessages(
-                    datagrams=Post(links=self.links, own=name), seal=SEAL
+                    datagrams=FleetDatagrams(links=self.links, own=name),
+                    seal=SEAL,
+                ),
+                caller=FleetPeerCaller(
+                    links=self.links, own=name, clock=self.clock
                 ),
-                caller=Calls(links=self.links, own=name, clock=self.clock),
                 handlers=self.links.handlers[name],
-                deletion_grace=NoGrace(),
-                allowance=bandwidth_limiter.BandwidthLimiter(
+                deletion_grace=NoDeletionGrace(),
+                limiter=bandwidth_limiter.BandwidthLimiter(
                     link_mbit_per_s=self.links.mbit_per_s[name],
                     clock=self.clock,
                 ),
@@ -272,8 +275,8 @@
         row = source.FollowedRow(key="config", value=value, version=version)
         for name in names:
             table = self.tables[name]
-            table.take((row,), version, whole=table.revision < 0)
-            table.note_peer(version, 0)
+            table.apply_update((row,), version, whole=table.revision < 0)
+            table.record_peer(version, 0)
 
     def behind(self, version: int) -> list[str]:
         """Returns the living instances that have not got a version."""
@@ -285,13 +288,13 @@
         ]
 
 
-class NoGrace(shared_table.DeletionGrace):
+class NoDeletionGrace(shared_table.DeletionGrace):
     """The store was never away."""
 
-    def left(self) -> datetime.timedelta:
+    def remaining(self) -> datetime.timedelta:
         return datetime.timedelta()
 
-    def distrust_deletions(self, until: datetime.timedelta) -> None:
+    def hold_deletions(self, until: datetime.timedelta) -> None:
         pass
 
 
--- a/tests/lossy_post.py
+++ b/tests/lossy_datagrams.py
@@ -3,7 +3,7 @@
 from nutmeghook.internal.inner import datagrams
 
 
-class LossyPost(datagrams.Datagrams):
+class LossyDatagrams(datagrams.Datagrams):
     """One instance's socket.
 
     Attributes:
--- a/tests/version_absences.py
+++ b/tests/version_absences.py
@@ -109,7 +109,7 @@
             orders=instance.orders,
             status=rollout_rows.PlatformStatusRows(),
             fleet_rate_per_s=lambda service: self._scene.per_s,
-            watch=instance.watch,
+            store_monitor=instance.store_monitor,
             clock=self.clock,
             random_source=self._draw,
             instance_id=name,
@@ -170,9 +170,9 @@
     ) -> None:
         instance = self._instances[number]
         if self._is_away(number):
-            instance.watch.note_failure(ValueError("no answer"))
+            instance.store_monitor.record_failure(ValueError("no answer"))
             return
-        instance.watch.note_answer(self.clock.monotonic())
+        instance.store_monitor.record_response(self.clock.monotonic())
         heard = self._heard[number]
         self._readers[number].change(
             tuple(row for row in rows if row.version > heard)
--- a/tests/version_fixture.py
+++ b/tests/version_fixture.py
@@ -17,7 +17,7 @@
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
 from nutmeghook.internal.version_plans import usual as usual_module
-from tests import lossy_post
+from tests import lossy_datagrams
 
 SERVICE = "service"
 WITHIN_S = 20.0
@@ -59,7 +59,7 @@
     def __init__(self, *, clock, orders=None):
         self.clock = clock
         self.orders = orders or orders_module.OrderBook()
-        self.watch = follower.StoreMonitor(clock=clock)
+        self.store_monitor = follower.StoreMonitor(clock=clock)
         self.directory = directory_module.ReplicaDirectory(clock=clock)
         for number in (1, 2, 3):
             self.directory.put(entry(number, "v1"))
@@ -68,7 +68,7 @@
             gate=send_gate.OpenGate(),
             orders=self.orders,
             directory=self.directory,
-            watch=self.watch,
+            store_monitor=self.store_monitor,
             schedule=schedule_module.Schedule(largest_bad_share=0.15),
             session_time=SESSION_TIME,
             clock=clock,
@@ -79,7 +79,7 @@
         if started is None:
             started = self.clock.monotonic()
         self.orders.place(ORDER)
-        self.watch.note_answer(self.clock.monotonic())
+        self.store_monitor.record_response(self.clock.monotonic())
         self.rollouts.take_plan(
             plan_module.PlanRow(
                 order_id=ORDER.order_id,
@@ -123,7 +123,9 @@
     for number in range(count):
         instance = Instance(clock=clock)
         name = f"instance-{number}"
-        instance.post = lossy_post.LossyPost(receivers=receivers, own=name)
+        instance.post = lossy_datagrams.LossyDatagrams(
+            receivers=receivers, own=name
+        )
         instance.news = news.RollOutNews(
             instance_id=name,
             rollouts=instance.rollouts,
@@ -150,7 +152,7 @@
     async def advance(self, part: float) -> None:
         """Moves to a part of the order's time; the store answers readers."""
         await self.advance_in_silence(part)
-        self.instance.watch.note_answered(self.clock.monotonic())
+        self.instance.store_monitor.record_contact(self.clock.monotonic())
 
     async def advance_in_silence(self, part: float) -> None:
         """Moves to a part of the order's time, with no word of the store."""
