--- a/bench/_relay_parts.py
+++ b/bench/_relay_parts.py
@@ -34,7 +34,7 @@
             address=address, region="r", data_centre="r-1", service="engines"
         )
 
-    def choose(self, need):
+    def choose(self, criteria):
         """Returns it."""
         return self._backend
 
--- a/bench/affinity.py
+++ b/bench/affinity.py
@@ -156,7 +156,7 @@
         else:
             key = prefix if policy == "product" else ""
             backend = router.chooser.choose(
-                backends.BackendNeed(
+                backends.BackendCriteria(
                     model_version=fleet_parts.VERSION, affinity_key=key
                 )
             )
--- a/bench/capacity/fleet_work.py
+++ b/bench/capacity/fleet_work.py
@@ -17,7 +17,7 @@
 from nutmeghook.internal.orders import planning
 from nutmeghook.internal.routing import cells
 from nutmeghook.internal.routing import directory as directory_module
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_tracker
 
 MEMBERS = 420
 # Engines of one model: 4,400 of five models at the planned size.
@@ -51,7 +51,7 @@
     directory = directory_module.BackendDirectory(
         clock=clock,
         events=events_module.EventRing(clock=clock),
-        book=load_book.LoadBook(clock=clock),
+        tracker=load_tracker.LoadTracker(clock=clock),
     )
     directory.apply_list([samples.listed_engine(n) for n in range(count)])
     report_of_all = engine.LoadReport(
@@ -85,7 +85,7 @@
 
     def act() -> int:
         for backend in directory.known():
-            view.reads(backend)
+            view.polls(backend)
         return 1
 
     return act
--- a/bench/capacity/node.py
+++ b/bench/capacity/node.py
@@ -92,7 +92,7 @@
 
     report_bytes = facts.value("footprint.load_report_bytes")
     period_s = poller.report_period(round(_REPLICAS_A_NODE)).total_seconds()
-    stranger_s = poller.STRANGER_PERIOD.total_seconds()
+    stranger_s = poller.REMOTE_REPORT_PERIOD.total_seconds()
     lease_bytes = facts.value("footprint.lease_renewal_bytes")
     return [
         row(
@@ -113,7 +113,7 @@
             "in-flight digests to and from the cell's five peers",
             2 * load_digests.BUDGET_BYTES_PER_S,
             "the mechanism's own limit, both ways; replies not counted",
-            "routing/sharing, routing/load_digests",
+            "routing/load_gossip, routing/load_digests",
             (),
         ),
         row(
@@ -233,7 +233,7 @@
             "in-flight digests to and from five peers",
             _CELL_PEERS * inner_us * _US_PERCENT,
             "a call a second and peer, both sides",
-            "routing/sharing",
+            "routing/load_gossip",
         ),
         row(
             "load reports and list over HTTP",
--- a/bench/capacity/plans.py
+++ b/bench/capacity/plans.py
@@ -25,7 +25,7 @@
     return (
         messages.HTTP_BYTES
         + head_bytes
-        + cascade_reader.READING_BYTES
+        + cascade_reader.MAX_READ_BYTES
         + bucket_bytes(facts)
     )
 
--- a/bench/capacity/platform_load.py
+++ b/bench/capacity/platform_load.py
@@ -25,7 +25,7 @@
 _LOOKS_A_LEASE = 2
 _RATED_SHARE = 0.05
 # Of plans in one reading, were they empty.
-_MOST_BUCKETS = cascade_reader.READING_BYTES / messages.HTTP_BYTES
+_MOST_BUCKETS = cascade_reader.MAX_READ_BYTES / messages.HTTP_BYTES
 
 
 def table_writes_per_s(facts: figures.Facts) -> float:
--- a/bench/capacity/processor.py
+++ b/bench/capacity/processor.py
@@ -29,7 +29,7 @@
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.routing import cells
 from nutmeghook.internal.routing import directory as directory_module
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.standins import memory_table
 
 ROUNDS = 9
@@ -110,7 +110,7 @@
     directory = directory_module.BackendDirectory(
         clock=clock,
         events=events_module.EventRing(clock=clock),
-        book=load_book.LoadBook(clock=clock),
+        tracker=load_tracker.LoadTracker(clock=clock),
     )
     body = msgspec.json.encode(
         [samples.listed_engine(number) for number in range(count)]
--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -109,7 +109,7 @@
     stand_s = facts.value("footprint.cascades_step_stand_ms") / 1000
     busy_percent = facts.value("footprint.cascades_step_ms") / 10 / step_s
     all_plans_bytes = cascade_rows.BUCKETS * plans.bucket_bytes(facts)
-    readings = all_plans_bytes / cascade_reader.READING_BYTES
+    readings = all_plans_bytes / cascade_reader.MAX_READ_BYTES
     return [
         row(
             "cascades: rows of what was learned",
--- a/bench/decision.py
+++ b/bench/decision.py
@@ -40,24 +40,24 @@
         idle = replicas.Replica(simulation=self._clock, capacity=16)
         for number in range(size):
             self._router.take_report(number, fleet_parts.report_of(idle), 0.0)
-        self._needs = [
-            backends.BackendNeed(
+        self._criteria = [
+            backends.BackendCriteria(
                 model_version=fleet_parts.VERSION,
                 affinity_key=f"session-{number}" if number % 2 else "",
             )
             for number in range(DECISIONS)
         ]
-        for need in self._needs[: int(IN_FLIGHT_PER_REPLICA * size)]:
+        for criteria in self._criteria[: int(IN_FLIGHT_PER_REPLICA * size)]:
             chooser = self._router.chooser
-            chooser.started(chooser.choose(need))
+            chooser.started(chooser.choose(criteria))
 
     def decide_all(self) -> float:
         """Makes the decisions; returns microseconds of processor each."""
         chooser = self._router.chooser
         duration = datetime.timedelta(seconds=1)
         started_ns = time.process_time_ns()
-        for need in self._needs:
-            backend = chooser.choose(need)
+        for criteria in self._criteria:
+            backend = chooser.choose(criteria)
             chooser.started(backend)
             chooser.finished(
                 backend,
--- a/bench/instance_list.py
+++ b/bench/instance_list.py
@@ -18,7 +18,7 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.routing import directory as directory_module
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.standin_http import http_exchange
 from nutmeghook.internal.standin_http import http_instances
 from nutmeghook.standins import memory_instances
@@ -219,7 +219,7 @@
     directory = directory_module.BackendDirectory(
         clock=clock,
         events=events_module.EventRing(clock=clock),
-        book=load_book.LoadBook(clock=clock),
+        tracker=load_tracker.LoadTracker(clock=clock),
     )
     directory.apply_list(rows)
     rounds_ms = []
--- a/bench/models/baselines.py
+++ b/bench/models/baselines.py
@@ -28,7 +28,9 @@
         self._rule = rule
         self._rng = rng
 
-    def choose(self, need: backends.BackendNeed) -> backends.Backend | None:
+    def choose(
+        self, criteria: backends.BackendCriteria
+    ) -> backends.Backend | None:
         """Returns what the rule says."""
         return self._rule(self._candidates, self._rng)
 
--- a/bench/models/fleet.py
+++ b/bench/models/fleet.py
@@ -123,7 +123,7 @@
         kind_tokens = rng.choices(TOKENS_OF_KIND, SHARE_OF_KIND)[0]
         work_s = TOKEN_S * kind_tokens * rng.uniform(0.5, 1.5)
         backend = chooser.choose(
-            backends.BackendNeed(model_version=fleet_parts.VERSION)
+            backends.BackendCriteria(model_version=fleet_parts.VERSION)
         )
         chooser.started(backend)
         job = replicas.Job(arrived_s=now_s, work_s=work_s)
--- a/bench/models/leaving.py
+++ b/bench/models/leaving.py
@@ -148,10 +148,10 @@
 
 def _send(router: service.BackendRouting, place: Place, sent: Sent) -> None:
     if place.scenario.plain:
-        need = backends.BackendNeed(service="registry")
+        criteria = backends.BackendCriteria(service="registry")
     else:
-        need = backends.BackendNeed(model_version=VERSION)
-    backend = router.chooser.choose(need)
+        criteria = backends.BackendCriteria(model_version=VERSION)
+    backend = router.chooser.choose(criteria)
     if backend is None:
         return
     left_for_s = place.left_for_s()
--- a/bench/models/quality.py
+++ b/bench/models/quality.py
@@ -194,14 +194,14 @@
             )
             self._hand_in(question, request, stage, answer)
             if (
-                not plan.may_go_on
+                not plan.may_escalate
                 or stage == last
                 or self._policy.accepts(
                     question, stage_index=stage, answer=answer
                 )
             ):
                 break
-        return cost, request.qualities[stage], plan.may_go_on
+        return cost, request.qualities[stage], plan.may_escalate
 
     def _hand_in(
         self,
--- a/bench/models/routers.py
+++ b/bench/models/routers.py
@@ -16,8 +16,8 @@
 from nutmeghook.internal.routing import chooser as chooser_module
 from nutmeghook.internal.routing import directory as directory_module
 from nutmeghook.internal.routing import ejection
-from nutmeghook.internal.routing import load_book
 from nutmeghook.internal.routing import load_digests
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.routing import poller
 
 
@@ -108,10 +108,10 @@
         self.address = fleet_parts.inner_address_of(number)
         self._clock = clock
         self._shares = shares
-        self._book = load_book.LoadBook(clock=clock)
+        self._tracker = load_tracker.LoadTracker(clock=clock)
         events = events_module.EventRing(clock=clock, capacity_events=16)
         self.directory = directory_module.BackendDirectory(
-            clock=clock, events=events, book=self._book
+            clock=clock, events=events, tracker=self._tracker
         )
         self.directory.apply_list(
             [fleet_parts.listed(number) for number in range(shape.replicas)]
@@ -131,11 +131,11 @@
         self.digests = 0
         self.chooser = chooser_module.LeastLoadedChooser(
             directory=self.directory,
-            book=self._book,
+            tracker=self._tracker,
             ejector=ejection.OutlierEjector(
                 directory=self.directory, clock=clock, events=events
             ),
-            sharer=None,
+            gossiper=None,
             clock=clock,
             rng=rng,
         )
@@ -152,7 +152,7 @@
             self._tell(peers)
         self._clock.call_every(1.0, self._cells.refresh, first_s=1.0)
         self._clock.call_every(
-            poller.STRANGER_PERIOD.total_seconds(),
+            poller.REMOTE_REPORT_PERIOD.total_seconds(),
             lambda: self._poll_stranger(fleet),
             first_s=fleet.rng.random(),
         )
@@ -162,7 +162,7 @@
     ) -> None:
         """Gives the directory what the cell's pollers would have brought."""
         backend = self.directory.find(fleet_parts.address_of(number))
-        if backend.nearness is backends.Nearness.OWN_CELL:
+        if backend.locality is backends.Locality.OWN_CELL:
             self._note_report(backend, report, measured_s)
 
     def _note_report(
@@ -182,7 +182,7 @@
         strangers = [
             b
             for b in self.directory.known()
-            if b.nearness is not backends.Nearness.OWN_CELL
+            if b.locality is not backends.Locality.OWN_CELL
         ]
         if not strangers:
             return
@@ -197,7 +197,7 @@
     def hear(self, changes: dict[str, int]) -> None:
         """Takes in a peer's digest."""
         for address, change in changes.items():
-            self._book.note_peers(self.directory.find(address), change)
+            self._tracker.note_peers(self.directory.find(address), change)
 
     def _tell(self, peers: list["ProductRouter"]) -> None:
         changes = {}
--- a/src/nutmeghook/internal/dispatch/generations.py
+++ b/src/nutmeghook/internal/dispatch/generations.py
@@ -144,7 +144,7 @@
         plan = self._cascade.plan(question)
         final_stage = len(request.template.stages) - 1
         stage_index = min(plan.first_stage, final_stage)
-        if plan.may_go_on:
+        if plan.may_escalate:
             while stage_index < final_stage:
                 answer = await self._judged(
                     request, progress, question, stage_index
--- a/src/nutmeghook/internal/dispatch/leave.py
+++ b/src/nutmeghook/internal/dispatch/leave.py
@@ -108,7 +108,9 @@
             self.check_version(call)
         except errors.CodedError:
             return None
-        other = self._backends.choose(stage_calls.need(call, at_work.address))
+        other = self._backends.choose(
+            stage_calls.backend_criteria(call, at_work.address)
+        )
         if other is None or not self.budget(call).try_spend():
             return None
         return other
--- a/src/nutmeghook/internal/dispatch/plain_calls.py
+++ b/src/nutmeghook/internal/dispatch/plain_calls.py
@@ -251,8 +251,8 @@
 
 def _need(
     request: requests.PlainRequest, tried: set[str]
-) -> backends_module.BackendNeed:
-    return backends_module.BackendNeed(
+) -> backends_module.BackendCriteria:
+    return backends_module.BackendCriteria(
         service=request.route.service,
         priority=request.priority,
         exclude=frozenset(tried),
--- a/src/nutmeghook/internal/dispatch/stage_calls.py
+++ b/src/nutmeghook/internal/dispatch/stage_calls.py
@@ -53,11 +53,13 @@
     way_back: WayBack | None = None
 
 
-def need(call: StageCall, exclude: str = "") -> backends_module.BackendNeed:
+def backend_criteria(
+    call: StageCall, exclude: str = ""
+) -> backends_module.BackendCriteria:
     """Returns what the next attempt needs of its backend server."""
     request = call.request
     excluded = call.tried | {exclude} if exclude else call.tried
-    return backends_module.BackendNeed(
+    return backends_module.BackendCriteria(
         model_version=call.choice.model_version,
         affinity_key=_affinity_key(request),
         priority=request.priority,
--- a/src/nutmeghook/internal/dispatch/stages.py
+++ b/src/nutmeghook/internal/dispatch/stages.py
@@ -211,7 +211,7 @@
         takes; so it goes back once, when none of them gave the answer.
         """
         if call.choice is not None:
-            self._versions.give_back(
+            self._versions.release(
                 template=call.request.template, choice=call.choice
             )
             call.choice = None
@@ -219,11 +219,11 @@
     def _choose_backend(
         self, call: stage_calls.StageCall
     ) -> backends_module.Backend:
-        backend = self._backends.choose(stage_calls.need(call))
+        backend = self._backends.choose(stage_calls.backend_criteria(call))
         if backend is None and call.tried:
             # In a small pool all may have refused once; a refusal passes.
             call.tried.clear()
-            backend = self._backends.choose(stage_calls.need(call))
+            backend = self._backends.choose(stage_calls.backend_criteria(call))
         if backend is None:
             raise errors.CodedError(
                 code=codes.Code.NO_CANDIDATE,
--- a/src/nutmeghook/internal/orders/report_pages.py
+++ b/src/nutmeghook/internal/orders/report_pages.py
@@ -51,7 +51,7 @@
     reported = [
         backend
         for backend in known
-        if backend.nearness is backends.Nearness.OWN_CELL
+        if backend.locality is backends.Locality.OWN_CELL
         and not backend.plain
         and backend.report is not None
         and now - backend.reported_at <= OLDEST_REPORT
--- a/src/nutmeghook/internal/routing/backends.py
+++ b/src/nutmeghook/internal/routing/backends.py
@@ -8,7 +8,7 @@
 from nutmeghook.internal.dependencies import engine
 
 
-class Nearness(enum.IntEnum):
+class Locality(enum.IntEnum):
     """Where a backend server stands, seen from this instance.
 
     `OWN_CELL` is the part of the fleet that `cells` gives to this instance
@@ -18,7 +18,7 @@
     OWN_CELL = 0
     OWN_DATA_CENTRE = 1
     OWN_REGION = 2
-    ELSEWHERE = 3
+    OTHER_REGION = 3
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
@@ -54,13 +54,13 @@
     leaving_since: datetime.timedelta = datetime.timedelta()
     listed_leaving: bool = False
     ejected: bool = False
-    on_trial: bool = False
-    nearness: Nearness = Nearness.OWN_CELL
+    on_probation: bool = False
+    locality: Locality = Locality.OWN_CELL
     plain: bool = False
     in_flight: int = 0
     peers_in_flight: int = 0
-    outside: float = 0.0
-    outside_at: datetime.timedelta = datetime.timedelta()
+    external_in_flight: float = 0.0
+    external_at: datetime.timedelta = datetime.timedelta()
 
     @property
     def capacity(self) -> int:
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class BackendNeed:
+class BackendCriteria:
     """What a request needs of a backend server.
 
     Attributes:
@@ -103,7 +103,7 @@
     """Chooses the backend server for an attempt and learns from it."""
 
     @abc.abstractmethod
-    def choose(self, need: BackendNeed) -> Backend | None:
+    def choose(self, criteria: BackendCriteria) -> Backend | None:
         """Returns a backend server that may take new work now, or None."""
 
     def may_send(self, backend: Backend) -> bool:
--- a/src/nutmeghook/internal/routing/cascade.py
+++ b/src/nutmeghook/internal/routing/cascade.py
@@ -39,7 +39,7 @@
     """
 
     first_stage: int
-    may_go_on: bool
+    may_escalate: bool
 
 
 class CascadePolicy(abc.ABC):
--- a/src/nutmeghook/internal/routing/cascade_fixed.py
+++ b/src/nutmeghook/internal/routing/cascade_fixed.py
@@ -2,9 +2,9 @@
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.routing import cascade
-from nutmeghook.internal.routing import cascade_places
+from nutmeghook.internal.routing import cascade_sampling
 
-_LEAST_ANSWER_CHARS = 2
+_MIN_ANSWER_CHARS = 2
 
 
 class FixedCascade(cascade.CascadePolicy):
@@ -24,8 +24,8 @@
             first_stage = last_stage
         return cascade.CascadePlan(
             first_stage=first_stage,
-            may_go_on=first_stage < last_stage
-            and cascade_places.may_hold(question),
+            may_escalate=first_stage < last_stage
+            and cascade_sampling.may_hold(question),
         )
 
     def accepts(
@@ -38,7 +38,7 @@
         """Accepts whatever is whole and not empty."""
         if stage_index >= len(question.template.stages) - 1:
             return True
-        long_enough = len(answer.text.strip()) >= _LEAST_ANSWER_CHARS
+        long_enough = len(answer.text.strip()) >= _MIN_ANSWER_CHARS
         return long_enough and not answer.hit_length_limit
 
     def wants_rating(
--- a/src/nutmeghook/internal/routing/cascade_intake.py
+++ b/src/nutmeghook/internal/routing/cascade_ingestion.py
@@ -7,7 +7,7 @@
 from nutmeghook.internal.routing import cascade_tables
 
 
-def by_bucket(
+def group_by_bucket(
     ratings: list[ratings_module.Rating],
 ) -> dict[int, list[ratings_module.Rating]]:
     """Returns the ratings by the bucket of their template."""
@@ -18,7 +18,7 @@
     return found
 
 
-def learning(
+def learning_templates(
     snapshot: documents.Snapshot,
 ) -> dict[int, dict[str, documents.Template]]:
     """Returns the templates that learn, by bucket and key."""
@@ -30,7 +30,7 @@
     return found
 
 
-def learned(
+def apply_ratings(
     templates: dict[str, documents.Template],
     known: dict[str, cascade_tables.TemplateTable],
     ratings: list[ratings_module.Rating],
--- a/src/nutmeghook/internal/routing/cascade_learned.py
+++ b/src/nutmeghook/internal/routing/cascade_learned.py
@@ -11,8 +11,8 @@
 from nutmeghook.internal.routing import cascade_fixed
 from nutmeghook.internal.routing import cascade_labels
 from nutmeghook.internal.routing import cascade_learner
-from nutmeghook.internal.routing import cascade_places
 from nutmeghook.internal.routing import cascade_plans
+from nutmeghook.internal.routing import cascade_sampling
 from nutmeghook.internal.routing import cascade_scorer
 
 # More requests than one instance has under way; the oldest are forgotten,
@@ -21,11 +21,11 @@
 _CHEAPEST = cascade_plans.PlannedOption(first_stage=0, go_on_below_bin=0)
 # Plans older than this are of no use: their writer, the store, or this
 # instance's link to it has been gone for hours.
-_PLANS_LAST = datetime.timedelta(hours=6)
+_PLANS_TTL = datetime.timedelta(hours=6)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Course:
+class RequestDecision:
     """What was decided for one request; it keeps it while plans change.
 
     Attributes:
@@ -48,7 +48,7 @@
 
     __slots__ = (
         "_clock",
-        "_courses",
+        "_decisions",
         "_fixed",
         "_plans",
         "_read_at",
@@ -66,7 +66,7 @@
         self._fixed = cascade_fixed.FixedCascade()
         self._plans: dict[str, cascade_plans.TemplatePlan] = {}
         self._read_at = clock.monotonic()
-        self._courses: collections.OrderedDict[str, Course] = (
+        self._decisions: collections.OrderedDict[str, RequestDecision] = (
             collections.OrderedDict()
         )
 
@@ -79,12 +79,12 @@
         """Returns where to start and whether the answer will be judged."""
         if not _learns(question.template):
             return self._fixed.plan(question)
-        course = self._course(question)
-        if course.explored:
-            return cascade.CascadePlan(first_stage=0, may_go_on=True)
+        decision = self._decision(question)
+        if decision.explored:
+            return cascade.CascadePlan(first_stage=0, may_escalate=True)
         return cascade.CascadePlan(
-            first_stage=course.option.first_stage,
-            may_go_on=course.option.go_on_below_bin > 0,
+            first_stage=decision.option.first_stage,
+            may_escalate=decision.option.go_on_below_bin > 0,
         )
 
     def accepts(
@@ -101,14 +101,14 @@
             )
         if stage_index >= len(question.template.stages) - 1:
             return True
-        course = self._course(question)
-        if course.explored:
+        decision = self._decision(question)
+        if decision.explored:
             return False
-        if stage_index > course.option.first_stage:
+        if stage_index > decision.option.first_stage:
             return True
         score_bin = cascade_scorer.bin_of(self._scorer.score(answer))
-        course.score_bin = score_bin
-        return score_bin >= course.option.go_on_below_bin
+        decision.score_bin = score_bin
+        return score_bin >= decision.option.go_on_below_bin
 
     def wants_rating(
         self, question: cascade.CascadeQuestion, *, stage_index: int
@@ -116,7 +116,7 @@
         """Tells whether this answer is to be handed in for rating."""
         if not _learns(question.template):
             return self._fixed.wants_rating(question, stage_index=stage_index)
-        return self._course(question).rated
+        return self._decision(question).rated
 
     def rating_id(
         self,
@@ -128,17 +128,17 @@
         """Returns an id that carries the request's kind and score."""
         if not _learns(question.template):
             return question.request_id
-        course = self._course(question)
-        first = 0 if course.explored else course.option.first_stage
-        held = course.explored or course.option.go_on_below_bin > 0
+        decision = self._decision(question)
+        first = 0 if decision.explored else decision.option.first_stage
+        held = decision.explored or decision.option.go_on_below_bin > 0
         if held and stage_index == first:
             score = self._scorer.score(answer)
-            course.score_bin = cascade_scorer.bin_of(score)
+            decision.score_bin = cascade_scorer.bin_of(score)
         label = cascade_labels.RatingLabel(
-            kind=course.kind,
+            kind=decision.kind,
             first_stage=first,
-            score_bin=course.score_bin,
-            sampled=course.sampled,
+            score_bin=decision.score_bin,
+            sampled=decision.sampled,
         )
         return cascade_labels.attach(question.request_id, label)
 
@@ -147,34 +147,36 @@
     ) -> None:
         """Ignores it: one instance learns for all and publishes plans."""
 
-    def _course(self, question: cascade.CascadeQuestion) -> Course:
-        course = self._courses.get(question.request_id)
-        if course is None:
-            course = self._decide(question)
-            self._courses[question.request_id] = course
-            if len(self._courses) > _REMEMBERED_REQUESTS:
-                self._courses.popitem(last=False)
-        return course
+    def _decision(self, question: cascade.CascadeQuestion) -> RequestDecision:
+        decision = self._decisions.get(question.request_id)
+        if decision is None:
+            decision = self._decide(question)
+            self._decisions[question.request_id] = decision
+            if len(self._decisions) > _REMEMBERED_REQUESTS:
+                self._decisions.popitem(last=False)
+        return decision
 
-    def _decide(self, question: cascade.CascadeQuestion) -> Course:
+    def _decide(self, question: cascade.CascadeQuestion) -> RequestDecision:
         template = question.template
         plan = self._plan_of(template)
         kind = cascade_labels.kind_of(question.prompt_chars)
-        place = functools.partial(cascade_places.place, question.request_id)
-        may_hold = cascade_places.may_hold(question)
+        position = functools.partial(
+            cascade_sampling.position, question.request_id
+        )
+        may_hold = cascade_sampling.may_hold(question)
         group = (plan.holding if may_hold else plan.relaying)[kind]
-        upgraded = place("upgrade") < group.upgraded_share
+        upgraded = position("upgrade") < group.upgraded_share
         option = group.upgraded if upgraded else group.usual
         explored_share = (
             plan.explored_shares[kind] if may_hold else plan.tried_shares[kind]
         )
-        explored = place("explore") < explored_share
-        sampled = place("rate") < plan.rated_share
+        explored = position("explore") < explored_share
+        sampled = position("rate") < plan.rated_share
         if explored and not may_hold:
             # Running all stages would hold the answer back; so the cheap
             # answer is given, which is the only way to hear how good it is.
             option = _CHEAPEST
-        return Course(
+        return RequestDecision(
             option=option,
             kind=kind,
             explored=explored and may_hold and len(template.stages) > 1,
@@ -189,7 +191,7 @@
         plan = self._plans.get(key)
         age = self._clock.monotonic() - self._read_at
         stages = len(template.stages)
-        if plan is None or age > _PLANS_LAST or not _fits(plan, stages):
+        if plan is None or age > _PLANS_TTL or not _fits(plan, stages):
             return cascade_learner.cautious_plan(stages)
         return plan
 
--- a/src/nutmeghook/internal/routing/cascade_learner.py
+++ b/src/nutmeghook/internal/routing/cascade_learner.py
@@ -11,13 +11,13 @@
 _TYPICAL_OUTPUT_TOKENS = 200
 _WHOLE_PERCENT = 100.0
 
-_LEAST_RATED_SHARE = 0.05
-_MOST_EXPLORED_SHARE = 0.2
-_MOST_TRIED_SHARE = 0.1
-_LEAST_TRIED_SHARE = 0.002
+_MIN_RATED_SHARE = 0.05
+_MAX_EXPLORED_SHARE = 0.2
+_MAX_TRIED_SHARE = 0.1
+_MIN_TRIED_SHARE = 0.002
 # Once a template is no longer new, running all stages only to compare them
 # may add this part to its cost.
-_EXPLORING_PART_OF_COST = 0.02
+_EXPLORATION_COST_SHARE = 0.02
 # Ratings of a template, and comparisons of a kind of request, after which it
 # is no longer new.
 _RATINGS_WHILE_NEW = 1_000.0
@@ -26,8 +26,8 @@
 # Without ratings the last plan stays for this long; then the target rises
 # until all is done by the strongest stage: requests may have changed, and
 # too good an answer costs money while too bad a one costs trust.
-_RATINGS_MAY_REST_S = 3_600.0
-_TARGET_RISES_PER_S = 0.02 / 3_600.0
+_MAX_RATING_GAP_S = 3_600.0
+_TARGET_RISE_PER_S = 0.02 / 3_600.0
 
 
 def plan_for(
@@ -41,8 +41,11 @@
     held_share = template.held_share_percent / _WHOLE_PERCENT
     groups = [
         group
-        for may_hold, part in ((True, held_share), (False, 1.0 - held_share))
-        for group in _groups(template, table, fleet, may_hold, part)
+        for may_hold, group_share in (
+            (True, held_share),
+            (False, 1.0 - held_share),
+        )
+        for group in _groups(template, table, fleet, may_hold, group_share)
     ]
     target = template.quality_target + _extra_target(table, now_s)
     mix = cascade_plans.cheapest_mix(groups, target=target)
@@ -54,19 +57,19 @@
     )
     # Explored requests get the last stage's answer: what they add to the
     # mean rating need not be bought a second time.
-    gain = _gain_of_exploring(groups, mix, explored_shares)
+    gain = _exploration_gain(groups, mix, explored_shares)
     mix = cascade_plans.cheapest_mix(groups, target=target - gain)
     newness = _newness(table.ratings, _RATINGS_WHILE_NEW)
     return cascade_plans.TemplatePlan(
         holding=tuple(mix.plans[: cascade_labels.KINDS]),
         relaying=tuple(mix.plans[cascade_labels.KINDS :]),
-        rated_share=max(_LEAST_RATED_SHARE, newness),
+        rated_share=max(_MIN_RATED_SHARE, newness),
         explored_shares=explored_shares,
         tried_shares=tuple(_tried_share(stages) for stages in table.kinds),
     )
 
 
-def _gain_of_exploring(
+def _exploration_gain(
     groups: list[cascade_plans.Group],
     mix: cascade_plans.Mix,
     explored_shares: tuple[float, ...],
@@ -90,8 +93,8 @@
         holding=groups,
         relaying=groups,
         rated_share=1.0,
-        explored_shares=(_MOST_EXPLORED_SHARE,) * cascade_labels.KINDS,
-        tried_shares=(_MOST_TRIED_SHARE,) * cascade_labels.KINDS,
+        explored_shares=(_MAX_EXPLORED_SHARE,) * cascade_labels.KINDS,
+        tried_shares=(_MAX_TRIED_SHARE,) * cascade_labels.KINDS,
     )
 
 
@@ -104,12 +107,12 @@
 
     A kind that is rare needs as many comparisons as a common one.
     """
-    compared = sum(cell.count for cell in stages[0].after)
+    compared = sum(stats.count for stats in stages[0].after)
     newness = _newness(compared, _COMPARISONS_WHILE_NEW)
-    affordable = _EXPLORING_PART_OF_COST * mean_cost / max(sum(costs), 1.0)
+    affordable = _EXPLORATION_COST_SHARE * mean_cost / max(sum(costs), 1.0)
     return min(
-        _MOST_EXPLORED_SHARE,
-        max(affordable, _MOST_EXPLORED_SHARE * newness**2),
+        _MAX_EXPLORED_SHARE,
+        max(affordable, _MAX_EXPLORED_SHARE * newness**2),
     )
 
 
@@ -118,9 +121,9 @@
 
     A caller may get a worse answer for it, so it ends sooner than exploring.
     """
-    heard = stages[0].direct.count + sum(c.count for c in stages[0].held)
-    newness = _newness(heard, _COMPARISONS_WHILE_NEW)
-    return max(_LEAST_TRIED_SHARE, _MOST_TRIED_SHARE * newness**2)
+    rated = stages[0].direct.count + sum(c.count for c in stages[0].held)
+    newness = _newness(rated, _COMPARISONS_WHILE_NEW)
+    return max(_MIN_TRIED_SHARE, _MAX_TRIED_SHARE * newness**2)
 
 
 def _newness(count: float, while_new: float) -> float:
@@ -133,12 +136,12 @@
     table: cascade_tables.TemplateTable,
     fleet: documents.Fleet,
     may_hold: bool,
-    part: float,
+    group_share: float,
 ) -> list[cascade_plans.Group]:
     total = sum(table.requests) or 1.0
     return [
         cascade_plans.Group(
-            weight=part * table.requests[kind] / total,
+            weight=group_share * table.requests[kind] / total,
             options=cascade_options.options_of(
                 table.kinds[kind],
                 costs=_costs(template, fleet, kind),
@@ -170,5 +173,5 @@
 
 
 def _extra_target(table: cascade_tables.TemplateTable, now_s: float) -> float:
-    resting_s = now_s - table.last_rating_at_s - _RATINGS_MAY_REST_S
-    return max(0.0, resting_s) * _TARGET_RISES_PER_S
+    gap_s = now_s - table.last_rating_at_s - _MAX_RATING_GAP_S
+    return max(0.0, gap_s) * _TARGET_RISE_PER_S
--- a/src/nutmeghook/internal/routing/cascade_options.py
+++ b/src/nutmeghook/internal/routing/cascade_options.py
@@ -8,9 +8,9 @@
 
 # Qualities are taken this many standard errors lower than measured: a policy
 # that looks cheap by luck would be chosen over those that are.
-_CAUTION = 0.3
+_CAUTION_STANDARD_ERRORS = 0.3
 _PRIOR_RATINGS = 2.0
-_LEAST_RATINGS = 20.0
+_MIN_RATINGS = 20.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -39,7 +39,7 @@
     variance: float
 
     def cautious(self) -> float:
-        return self.mean - _CAUTION * math.sqrt(self.variance)
+        return self.mean - _CAUTION_STANDARD_ERRORS * math.sqrt(self.variance)
 
 
 def options_of(
@@ -69,7 +69,7 @@
                 quality=estimate.cautious(),
             )
         )
-        if may_hold and _count(stages[first].after) >= _LEAST_RATINGS:
+        if may_hold and _count(stages[first].after) >= _MIN_RATINGS:
             found += _cascades(stages, first, costs)
     return found
 
@@ -91,17 +91,17 @@
 ) -> list[Option]:
     table = stages[first]
     shares = _bin_shares(table)
-    given = [_cell_estimate(cell, table.held) for cell in table.held]
-    gone_on = [_cell_estimate(cell, table.after) for cell in table.after]
+    accepted = [_bin_estimate(stats, table.held) for stats in table.held]
+    escalated = [_bin_estimate(stats, table.after) for stats in table.after]
     found = []
     for threshold in range(1, cascade_scorer.SCORE_BINS):
-        parts = [*gone_on[:threshold], *given[threshold:]]
-        share_gone_on = sum(shares[:threshold])
+        parts = [*escalated[:threshold], *accepted[threshold:]]
+        escalated_share = sum(shares[:threshold])
         found.append(
             Option(
                 first_stage=first,
                 go_on_below_bin=threshold,
-                cost=costs[first] + share_gone_on * costs[first + 1],
+                cost=costs[first] + escalated_share * costs[first + 1],
                 quality=_stratified(parts, shares).cautious(),
             )
         )
@@ -110,9 +110,9 @@
 
 def _unheld_answers(table: cascade_tables.StageTable) -> _Estimate | None:
     """Estimates a stage's answers, from those held and those not."""
-    if _count(table.held) < _LEAST_RATINGS:
-        return _plain(table.direct)
-    parts = [_cell_estimate(cell, table.held) for cell in table.held]
+    if _count(table.held) < _MIN_RATINGS:
+        return _direct_estimate(table.direct)
+    parts = [_bin_estimate(stats, table.held) for stats in table.held]
     return _combined(_stratified(parts, _bin_shares(table)), table.direct)
 
 
@@ -126,38 +126,38 @@
     """
     direct = stages[-1].direct
     if len(stages) == 1:
-        return _plain(direct)
+        return _direct_estimate(direct)
     before = stages[-2]
-    if min(_count(before.held), _count(before.after)) < _LEAST_RATINGS:
-        return _plain(direct)
-    parts = [_cell_estimate(cell, before.after) for cell in before.after]
+    if min(_count(before.held), _count(before.after)) < _MIN_RATINGS:
+        return _direct_estimate(direct)
+    parts = [_bin_estimate(stats, before.after) for stats in before.after]
     return _combined(_stratified(parts, _bin_shares(before)), direct)
 
 
-def _plain(cell: cascade_tables.Cell) -> _Estimate | None:
-    if cell.count < _LEAST_RATINGS:
+def _direct_estimate(stats: cascade_tables.RatingStats) -> _Estimate | None:
+    if stats.count < _MIN_RATINGS:
         return None
-    return _Estimate(mean=cell.mean, variance=cell.variance() / cell.count)
+    return _Estimate(mean=stats.mean, variance=stats.variance() / stats.count)
 
 
-def _count(cells: list[cascade_tables.Cell]) -> float:
-    return sum(cell.count for cell in cells)
+def _count(bins: list[cascade_tables.RatingStats]) -> float:
+    return sum(stats.count for stats in bins)
 
 
 def _bin_shares(table: cascade_tables.StageTable) -> list[float]:
     total = max(1.0, _count(table.held))
-    return [cell.count / total for cell in table.held]
+    return [stats.count / total for stats in table.held]
 
 
-def _cell_estimate(
-    cell: cascade_tables.Cell, cells: list[cascade_tables.Cell]
+def _bin_estimate(
+    stats: cascade_tables.RatingStats, bins: list[cascade_tables.RatingStats]
 ) -> _Estimate:
     """Estimates one bin, leaning on all bins where it has few ratings."""
-    total = max(1.0, _count(cells))
-    prior = sum(c.count * c.mean for c in cells) / total
-    weight = cell.count + _PRIOR_RATINGS
-    mean = (cell.count * cell.mean + _PRIOR_RATINGS * prior) / weight
-    return _Estimate(mean=mean, variance=cell.variance() / weight)
+    total = max(1.0, _count(bins))
+    prior = sum(c.count * c.mean for c in bins) / total
+    weight = stats.count + _PRIOR_RATINGS
+    mean = (stats.count * stats.mean + _PRIOR_RATINGS * prior) / weight
+    return _Estimate(mean=mean, variance=stats.variance() / weight)
 
 
 def _stratified(parts: list[_Estimate], shares: list[float]) -> _Estimate:
@@ -169,9 +169,11 @@
     )
 
 
-def _combined(estimate: _Estimate, cell: cascade_tables.Cell) -> _Estimate:
+def _combined(
+    estimate: _Estimate, stats: cascade_tables.RatingStats
+) -> _Estimate:
     """Weighs an estimate with a cell's by how sure each is."""
-    other = _plain(cell)
+    other = _direct_estimate(stats)
     if other is None:
         return estimate
     one = 1.0 / max(estimate.variance, 1e-9)
--- a/src/nutmeghook/internal/routing/cascade_plans.py
+++ b/src/nutmeghook/internal/routing/cascade_plans.py
@@ -18,8 +18,8 @@
 # Shares that differ by less mean the same: a hundredth of the requests moves
 # the mean rating by less than the error that plans allow for, and a tenth more
 # or less exploring only changes how soon something is learned.
-_SAME_SHARE = 0.01
-_SAME_PART = 0.1
+_MIN_SHARE_CHANGE = 0.01
+_MIN_RELATIVE_CHANGE = 0.1
 
 
 class PlannedOption(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
@@ -65,10 +65,10 @@
     """Tells whether requests would be treated noticeably differently."""
     return any(
         (a.usual, a.upgraded) != (b.usual, b.upgraded)
-        or abs(a.upgraded_share - b.upgraded_share) >= _SAME_SHARE
+        or abs(a.upgraded_share - b.upgraded_share) >= _MIN_SHARE_CHANGE
         for a, b in zip(_groups(one), _groups(other), strict=True)
     ) or not all(
-        math.isclose(a, b, rel_tol=_SAME_PART)
+        math.isclose(a, b, rel_tol=_MIN_RELATIVE_CHANGE)
         for a, b in zip(_shares(one), _shares(other), strict=True)
     )
 
@@ -130,7 +130,7 @@
     """
     hulls = [_hull(group.options) for group in groups]
     current = [hull[0] for hull in hulls]
-    plans = [_only(option) for option in current]
+    plans = [_single_option_plan(option) for option in current]
     qualities = [option.quality for option in current]
     weights = [group.weight for group in groups]
     cost = sum(w * o.cost for w, o in zip(weights, current, strict=True))
@@ -144,13 +144,13 @@
             share = missing / upgrade.gain
             cost += share * upgrade.gain * upgrade.price
             qualities[index] += missing / weights[index]
-            plans[index] = _between(current[index], upgrade.option, share)
+            plans[index] = _mixed_plan(current[index], upgrade.option, share)
             break
         quality += upgrade.gain
         cost += upgrade.gain * upgrade.price
         current[index] = upgrade.option
         qualities[index] = upgrade.option.quality
-        plans[index] = _only(upgrade.option)
+        plans[index] = _single_option_plan(upgrade.option)
     return Mix(plans=plans, qualities=qualities, cost=cost)
 
 
@@ -194,12 +194,12 @@
     return (better.cost - worse.cost) / (better.quality - worse.quality)
 
 
-def _only(option: cascade_options.Option) -> GroupPlan:
+def _single_option_plan(option: cascade_options.Option) -> GroupPlan:
     planned = _planned(option)
     return GroupPlan(usual=planned, upgraded=planned)
 
 
-def _between(
+def _mixed_plan(
     usual: cascade_options.Option,
     upgraded: cascade_options.Option,
     share: float,
--- a/src/nutmeghook/internal/routing/cascade_publisher.py
+++ b/src/nutmeghook/internal/routing/cascade_publisher.py
@@ -18,21 +18,21 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.leases import lease as lease_module
-from nutmeghook.internal.routing import cascade_intake
+from nutmeghook.internal.routing import cascade_ingestion
 from nutmeghook.internal.routing import cascade_learner
 from nutmeghook.internal.routing import cascade_plans
 from nutmeghook.internal.routing import cascade_rows
 from nutmeghook.internal.routing import cascade_tables
 
 PUBLISH_EVERY = datetime.timedelta(seconds=15)
-_SHORTEST_REST = datetime.timedelta(seconds=1)
+_MIN_SLEEP = datetime.timedelta(seconds=1)
 # Buckets that are planned anew in each step though no rating came: templates
 # come and go, and plans without ratings grow cautious. All are in four minutes.
 _BUCKETS_IN_TURN = 16
 # A template with fewer ratings is planned anew whenever some came; the others
 # in turn only, since a few more hardly change their plans. A plan takes about
 # 2 ms: 3,000 of them in each step would be a third of a core.
-_RATINGS_WHILE_YOUNG = 1_000
+_RATINGS_WHILE_NEW = 1_000
 # A step that touches all buckets would else use up in a moment what the table
 # service allows for a second, and the ledger's commits would be refused.
 COMMITS_PER_S = 25
@@ -45,7 +45,7 @@
 _RowT = TypeVar("_RowT", bound=msgspec.Struct)
 
 
-class _LostError(Exception):
+class _ConflictError(Exception):
     """Another instance wrote meanwhile: the step ends."""
 
 
@@ -87,7 +87,7 @@
             # A step that writes all buckets takes most of the interval. With
             # a whole one after it, fewer ratings would be read than come.
             spent = self._clock.monotonic() - begun
-            await self._clock.sleep(max(_SHORTEST_REST, PUBLISH_EVERY - spent))
+            await self._clock.sleep(max(_MIN_SLEEP, PUBLISH_EVERY - spent))
 
     async def step(self) -> None:
         """Learns from new ratings and publishes, if the lease is held."""
@@ -95,7 +95,7 @@
             return
         try:
             await self._step()
-        except (failures.PlatformError, _LostError):
+        except (failures.PlatformError, _ConflictError):
             # Nothing is kept in memory: the next step starts from the rows,
             # whether this one's write took effect or not.
             return
@@ -106,24 +106,24 @@
         head = _decoded(row, cascade_rows.HeadRow)
         ratings = await self._new_ratings(head.cursor)
         cursor = ratings[-1].cursor if ratings else head.cursor
-        by_bucket = cascade_intake.by_bucket(ratings)
-        learning = cascade_intake.learning(self._view.snapshot)
+        ratings_by_bucket = cascade_ingestion.group_by_bucket(ratings)
+        learning = cascade_ingestion.learning_templates(self._view.snapshot)
         in_turn = self._buckets_in_turn()
         revisions = list(head.revisions)
-        for bucket in sorted(in_turn.union(by_bucket)):
-            revisions[bucket] = await self._renew(
+        for bucket in sorted(in_turn.union(ratings_by_bucket)):
+            revisions[bucket] = await self._update_bucket(
                 bucket,
                 templates=learning.get(bucket, {}),
-                ratings=by_bucket.get(bucket, []),
+                ratings=ratings_by_bucket.get(bucket, []),
                 cursor=cursor,
                 in_turn=bucket in in_turn,
             )
-        renewed = cascade_rows.HeadRow(
+        new_head = cascade_rows.HeadRow(
             cursor=cursor, revisions=tuple(revisions)
         )
-        if renewed != head:
+        if new_head != head:
             await self._write(
-                {cascade_rows.HEAD_KEY: renewed},
+                {cascade_rows.HEAD_KEY: new_head},
                 read={cascade_rows.HEAD_KEY: row},
             )
 
@@ -132,7 +132,7 @@
         self._next_bucket = (first + _BUCKETS_IN_TURN) % cascade_rows.BUCKETS
         return set(range(first, first + _BUCKETS_IN_TURN))
 
-    async def _renew(
+    async def _update_bucket(
         self,
         bucket: int,
         *,
@@ -158,7 +158,9 @@
         known = _decoded(tables_row, cascade_rows.TablesRow)
         new = [rating for rating in ratings if rating.cursor > known.cursor]
         now_s = self._clock.now().timestamp()
-        tables = cascade_intake.learned(templates, known.tables, new, now_s)
+        tables = cascade_ingestion.apply_ratings(
+            templates, known.tables, new, now_s
+        )
         plans_row = await self._table.read(plans_key)
         published = _decoded(plans_row, cascade_rows.PlansRow)
         plans = await self._plan(
@@ -193,8 +195,8 @@
         fleet = self._view.snapshot.fleet
         for key, table in tables.items():
             before = published.plans.get(key)
-            young = table.ratings < _RATINGS_WHILE_YOUNG
-            if before is not None and not (in_turn or young):
+            is_new = table.ratings < _RATINGS_WHILE_NEW
+            if before is not None and not (in_turn or is_new):
                 plans[key] = before
                 continue
             plan = cascade_learner.plan_for(
@@ -244,7 +246,7 @@
                 await self._note_commit()
                 return
             await self._clock.sleep(_COMMIT_PAUSE)
-        raise _LostError
+        raise _ConflictError
 
     async def _commit(
         self,
@@ -257,7 +259,7 @@
             _LostError: Another of the rows did, or the lease is lost.
         """
         if self._lease.fencing_token() is None:
-            raise _LostError
+            raise _ConflictError
         of_lease = table_module.Condition(
             key=self._lease.row_key, version=self._lease.row_version()
         )
@@ -266,9 +268,9 @@
                 conditions=(of_lease, *unchanged), puts=puts
             )
         )
-        moved = [row.key for row in result.current]
-        if not result.committed and moved != [self._lease.row_key]:
-            raise _LostError
+        changed = [row.key for row in result.current]
+        if not result.committed and changed != [self._lease.row_key]:
+            raise _ConflictError
         return result.committed
 
     async def _note_commit(self) -> None:
--- a/src/nutmeghook/internal/routing/cascade_reader.py
+++ b/src/nutmeghook/internal/routing/cascade_reader.py
@@ -15,7 +15,7 @@
 READ_EVERY = datetime.timedelta(seconds=60)
 # Bytes on the wire after which the rest waits for the next reading: about
 # 200 B/s, however many plans change.
-READING_BYTES = 12_000
+MAX_READ_BYTES = 12_000
 # A request and an answer with their headers; values are sent in base64.
 _CALL_BYTES = 400
 _WIRE_BYTES_PER_BYTE = 4 / 3
@@ -78,8 +78,8 @@
             return
         for row in rows:
             bucket = int(row.key.removeprefix(cascade_rows.PLANS_PREFIX))
-            self._take_in(bucket, row)
-        self._use()
+            self._store_bucket(bucket, row)
+        self._apply_plans()
 
     async def _read_changed(self) -> None:
         row = await self._table.read(cascade_rows.HEAD_KEY)
@@ -95,20 +95,20 @@
         self._random.shuffle(changed)
         read_bytes = 0.0
         for bucket in changed:
-            if read_bytes >= READING_BYTES:
+            if read_bytes >= MAX_READ_BYTES:
                 break
             plans_row = await self._table.read(cascade_rows.plans_key(bucket))
             if plans_row is not None:
                 read_bytes += _wire_bytes(plans_row)
-                self._take_in(bucket, plans_row)
-        self._use()
+                self._store_bucket(bucket, plans_row)
+        self._apply_plans()
 
-    def _take_in(self, bucket: int, row: table_module.Row) -> None:
+    def _store_bucket(self, bucket: int, row: table_module.Row) -> None:
         read = msgspec.msgpack.decode(row.value, type=cascade_rows.PlansRow)
         self._revisions[bucket] = read.revision
         self._plans[bucket] = read.plans
 
-    def _use(self) -> None:
+    def _apply_plans(self) -> None:
         self._policy.use_plans(
             {
                 key: plan
--- a/src/nutmeghook/internal/routing/cascade_places.py
+++ b/src/nutmeghook/internal/routing/cascade_sampling.py
@@ -8,7 +8,7 @@
 _WHOLE_PERCENT = 100.0
 
 
-def place(request_id: str, purpose: str) -> float:
+def position(request_id: str, purpose: str) -> float:
     """Returns where a request lies between 0 and 1 for one purpose.
 
     Places for different purposes are independent of each other.
@@ -19,5 +19,5 @@
 
 def may_hold(question: cascade.CascadeQuestion) -> bool:
     """Tells whether the request is in the share that may wait for a judge."""
-    position_percent = place(question.request_id, "hold") * _WHOLE_PERCENT
+    position_percent = position(question.request_id, "hold") * _WHOLE_PERCENT
     return position_percent < question.template.held_share_percent
--- a/src/nutmeghook/internal/routing/cascade_scorer.py
+++ b/src/nutmeghook/internal/routing/cascade_scorer.py
@@ -23,7 +23,7 @@
     "ไม่ทราบ",
 )
 _DOUBT_WEIGHT = 0.35
-_USUAL_CHARS = 80
+_TYPICAL_CHARS = 80
 
 
 class AnswerScorer(abc.ABC):
@@ -49,7 +49,7 @@
             return 0.0
         doubts = sum(text.count(doubt) for doubt in _DOUBTS)
         confidence = 1.0 / (1.0 + _DOUBT_WEIGHT * doubts)
-        length = min(1.0, len(text) / _USUAL_CHARS)
+        length = min(1.0, len(text) / _TYPICAL_CHARS)
         return confidence * (0.5 + 0.5 * length)
 
 
--- a/src/nutmeghook/internal/routing/cascade_tables.py
+++ b/src/nutmeghook/internal/routing/cascade_tables.py
@@ -9,10 +9,10 @@
 
 # Older ratings fade, so that the tables follow models and requests that
 # change: a cell never weighs more than this many ratings.
-_MOST_RATINGS_PER_CELL = 2_000.0
+_MAX_RATINGS_PER_BIN = 2_000.0
 
 
-class Cell(msgspec.Struct, kw_only=True, array_like=True):
+class RatingStats(msgspec.Struct, kw_only=True, array_like=True):
     """Count, mean and spread of some ratings; the spread is a sum of squares.
 
     It is changed in place: a table takes in hundreds of ratings a second.
@@ -24,8 +24,8 @@
 
     def add(self, quality: float) -> None:
         """Takes in a rating."""
-        if self.count >= _MOST_RATINGS_PER_CELL:
-            fading = 1.0 - 1.0 / _MOST_RATINGS_PER_CELL
+        if self.count >= _MAX_RATINGS_PER_BIN:
+            fading = 1.0 - 1.0 / _MAX_RATINGS_PER_BIN
             self.count *= fading
             self.squares *= fading
         self.count += 1.0
@@ -36,7 +36,7 @@
     def variance(self) -> float:
         """Returns the spread of single ratings."""
         if self.count < 2.0:
-            return _SPREAD_OF_UNKNOWN
+            return _UNKNOWN_VARIANCE
         return self.squares / (self.count - 1.0)
 
 
@@ -49,9 +49,13 @@
         after: The next stage's answers, by the score of this one's.
     """
 
-    direct: Cell = msgspec.field(default_factory=Cell)
-    held: list[Cell] = msgspec.field(default_factory=lambda: _cells())
-    after: list[Cell] = msgspec.field(default_factory=lambda: _cells())
+    direct: RatingStats = msgspec.field(default_factory=RatingStats)
+    held: list[RatingStats] = msgspec.field(
+        default_factory=lambda: _empty_bins()
+    )
+    after: list[RatingStats] = msgspec.field(
+        default_factory=lambda: _empty_bins()
+    )
 
 
 class TemplateTable(msgspec.Struct, kw_only=True, array_like=True):
@@ -97,7 +101,7 @@
 
     def _count_request(self, kind: int) -> None:
         self.requests[kind] += 1.0
-        if sum(self.requests) > _MOST_RATINGS_PER_CELL:
+        if sum(self.requests) > _MAX_RATINGS_PER_BIN:
             self.requests = [count / 2.0 for count in self.requests]
 
 
@@ -111,14 +115,14 @@
     )
 
 
-def standard_error(cell: Cell) -> float:
+def standard_error(stats: RatingStats) -> float:
     """Returns how far a cell's mean may be off."""
-    return math.sqrt(cell.variance() / max(1.0, cell.count))
+    return math.sqrt(stats.variance() / max(1.0, stats.count))
 
 
-def _cells() -> list[Cell]:
-    return [Cell() for _ in range(cascade_scorer.SCORE_BINS)]
+def _empty_bins() -> list[RatingStats]:
+    return [RatingStats() for _ in range(cascade_scorer.SCORE_BINS)]
 
 
 # Qualities lie between 0 and 1; nothing spreads more than this.
-_SPREAD_OF_UNKNOWN = 0.25
+_UNKNOWN_VARIANCE = 0.25
--- a/src/nutmeghook/internal/routing/cells.py
+++ b/src/nutmeghook/internal/routing/cells.py
@@ -76,50 +76,53 @@
             return
         self._cell = cell
         self._generation = generation
-        place = self._members.myself
+        myself = self._members.myself
         # By service only, which the list tells to all. The versions would
         # part more evenly, but are known of the own cell's replicas alone:
         # parts would shrink with what each instance knows.
         services = collections.defaultdict(list)
         for backend in self._directory.known():
-            if _in_scope(backend, cell, place):
+            if _in_scope(backend, cell, myself):
                 services[backend.service].append(backend)
             else:
-                self._directory.set_nearness(
-                    backend, _outer_nearness(backend, place)
+                self._directory.set_locality(
+                    backend, _locality_outside_cell(backend, myself)
                 )
-        for of_one_service in services.values():
-            self._part(of_one_service, place)
+        for service_backends in services.values():
+            self._assign_localities(service_backends, myself)
 
-    def reads(self, backend: backends.Backend) -> bool:
+    def polls(self, backend: backends.Backend) -> bool:
         """Tells whether this instance polls the backend server's reports.
 
         Of the cell's instances, the one with the highest hash does.
         """
-        if backend.nearness is not backends.Nearness.OWN_CELL:
+        if backend.locality is not backends.Locality.OWN_CELL:
             return False
-        me = _rank(self._members.myself.inner_address, backend.address)
+        me = _rendezvous_hash(
+            self._members.myself.inner_address, backend.address
+        )
         return all(
-            me >= _rank(peer, backend.address) for peer in self._cell.peers
+            me >= _rendezvous_hash(peer, backend.address)
+            for peer in self._cell.peers
         )
 
-    def _part(
+    def _assign_localities(
         self,
-        of_one_service: list[backends.Backend],
-        place: members_module.Member,
+        service_backends: list[backends.Backend],
+        myself: members_module.Member,
     ) -> None:
         """Gives each cell its part of the backend servers of one service."""
         cell = self._cell
-        size = len(of_one_service)
+        size = len(service_backends)
         parts = min(cell.count, max(1, size // SMALLEST_CELL_BACKENDS))
         mine = cell.index * parts // cell.count
-        of_one_service.sort(key=lambda b: _rank("", b.address))
-        for number, backend in enumerate(of_one_service):
+        service_backends.sort(key=lambda b: _rendezvous_hash("", b.address))
+        for number, backend in enumerate(service_backends):
             if number * parts // size == mine:
-                nearness = backends.Nearness.OWN_CELL
+                locality = backends.Locality.OWN_CELL
             else:
-                nearness = _outer_nearness(backend, place)
-            self._directory.set_nearness(backend, nearness)
+                locality = _locality_outside_cell(backend, myself)
+            self._directory.set_locality(backend, locality)
 
 
 def cell_of(members: members_module.MemberView) -> Cell:
@@ -132,7 +135,7 @@
         for m in in_region
         if spans_region or m.data_centre == myself.data_centre
     ]
-    scope.sort(key=lambda address: _rank("", address))
+    scope.sort(key=lambda address: _rendezvous_hash("", address))
     count = 1
     if len(scope) > WHOLE_CELL_MEMBERS:
         count = round(len(scope) / CELL_MEMBERS)
@@ -149,22 +152,22 @@
 
 
 def _in_scope(
-    backend: backends.Backend, cell: Cell, place: members_module.Member
+    backend: backends.Backend, cell: Cell, myself: members_module.Member
 ) -> bool:
     if cell.spans_region:
-        return backend.region == place.region
-    return backend.data_centre == place.data_centre
+        return backend.region == myself.region
+    return backend.data_centre == myself.data_centre
 
 
-def _outer_nearness(
-    backend: backends.Backend, place: members_module.Member
-) -> backends.Nearness:
-    if backend.data_centre == place.data_centre:
-        return backends.Nearness.OWN_DATA_CENTRE
-    if backend.region == place.region:
-        return backends.Nearness.OWN_REGION
-    return backends.Nearness.ELSEWHERE
+def _locality_outside_cell(
+    backend: backends.Backend, myself: members_module.Member
+) -> backends.Locality:
+    if backend.data_centre == myself.data_centre:
+        return backends.Locality.OWN_DATA_CENTRE
+    if backend.region == myself.region:
+        return backends.Locality.OWN_REGION
+    return backends.Locality.OTHER_REGION
 
 
-def _rank(salt: str, address: str) -> int:
+def _rendezvous_hash(salt: str, address: str) -> int:
     return xxhash.xxh64_intdigest(f"{salt}|{address}".encode())
--- a/src/nutmeghook/internal/routing/chooser.py
+++ b/src/nutmeghook/internal/routing/chooser.py
@@ -12,10 +12,10 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import directory as directory_module
 from nutmeghook.internal.routing import ejection
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_gossip
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.routing import pools
-from nutmeghook.internal.routing import sharing
-from nutmeghook.internal.routing import standstill as standstill_module
+from nutmeghook.internal.routing import stall_detector as stall_detector_module
 
 # Drawn from the own cell, whose load is known well, and from farther away,
 # where a choice among many would lead all instances to the same one.
@@ -34,47 +34,52 @@
     """Keeps sessions where they were, and else takes the least loaded."""
 
     __slots__ = (
-        "_book",
         "_clock",
         "_directory",
         "_ejector",
+        "_gossiper",
         "_rng",
-        "_sharer",
-        "_standstill",
+        "_stall_detector",
+        "_tracker",
     )
 
     def __init__(
         self,
         *,
         directory: directory_module.BackendDirectory,
-        book: load_book.LoadBook,
+        tracker: load_tracker.LoadTracker,
         ejector: ejection.OutlierEjector,
-        sharer: sharing.LoadSharer | None,
+        gossiper: load_gossip.LoadGossiper | None,
         clock: clock_module.Clock,
         rng: random.Random,
-        standstill: standstill_module.StandstillWatch | None = None,
+        stall_detector: stall_detector_module.StallDetector | None = None,
     ):
         self._directory = directory
-        self._book = book
+        self._tracker = tracker
         self._ejector = ejector
-        self._sharer = sharer
+        self._gossiper = gossiper
         self._clock = clock
         self._rng = rng
-        self._standstill = standstill
+        self._stall_detector = stall_detector
 
-    def choose(self, need: backends.BackendNeed) -> backends.Backend | None:
+    def choose(
+        self, criteria: backends.BackendCriteria
+    ) -> backends.Backend | None:
         """Returns a backend server that may take new work now, or None."""
-        if self._standstill is not None and not self._standstill.may_send():
+        if (
+            self._stall_detector is not None
+            and not self._stall_detector.may_send()
+        ):
             return None
         self._ejector.restore_due()
-        pool = self._directory.pool(need)
+        pool = self._directory.pool(criteria)
         if pool is None:
             return None
-        if need.affinity_key:
-            owner = self._owner_with_room(pool, need)
+        if criteria.affinity_key:
+            owner = self._owner_with_room(pool, criteria)
             if owner is not None:
                 return owner
-        return self._least_loaded(pool, need)
+        return self._least_loaded(pool, criteria)
 
     def may_send(self, backend: backends.Backend) -> bool:
         """Tells whether work may still go to a backend server chosen before.
@@ -82,7 +87,10 @@
         It may have left since, or this process may have stood still and not
         know yet that it did.
         """
-        if self._standstill is not None and not self._standstill.may_send():
+        if (
+            self._stall_detector is not None
+            and not self._stall_detector.may_send()
+        ):
             return False
         known = self._directory.find(backend.address)
         return known is backend and not backend.leaving
@@ -107,48 +115,48 @@
         if outcome is backends.AttemptOutcome.REFUSED_LEAVING:
             self._directory.note_leaving(backend)
         elif outcome is backends.AttemptOutcome.REFUSED_OVERLOAD:
-            self._book.note_full(backend)
+            self._tracker.note_full(backend)
         if report is not None:
             age = datetime.timedelta(milliseconds=report.age_ms)
             self._directory.note_report(
                 backend, report, measured_at=self._clock.monotonic() - age
             )
-            if self._sharer is not None:
-                self._sharer.note_report(backend)
+            if self._gossiper is not None:
+                self._gossiper.note_report(backend)
 
     def _note_own(self, backend: backends.Backend, attempts: int) -> None:
         if self._directory.find(backend.address) is not backend:
             return
-        self._book.note_own(backend, attempts)
-        if self._sharer is not None:
-            self._sharer.note_own_change(backend)
+        self._tracker.note_own(backend, attempts)
+        if self._gossiper is not None:
+            self._gossiper.note_own_change(backend)
 
     def _owner_with_room(
-        self, pool: pools.BackendPool, need: backends.BackendNeed
+        self, pool: pools.BackendPool, criteria: backends.BackendCriteria
     ) -> backends.Backend | None:
         """Returns the first owner of the key that is not full.
 
         Every instance goes through the same owners in the same order, so a
         busy prompt prefix spreads over as many as it needs and no more.
         """
-        for owner in pool.owners(need.affinity_key, limit=AFFINITY_TRIES):
-            if owner.address in need.exclude or _awaits_trial(owner):
+        for owner in pool.owners(criteria.affinity_key, limit=AFFINITY_TRIES):
+            if owner.address in criteria.exclude or _is_probation_busy(owner):
                 continue
-            if self._book.fullness(owner) <= FULL_SHARE:
+            if self._tracker.utilisation(owner) <= FULL_SHARE:
                 return owner
         return None
 
     def _least_loaded(
-        self, pool: pools.BackendPool, need: backends.BackendNeed
+        self, pool: pools.BackendPool, criteria: backends.BackendCriteria
     ) -> backends.Backend | None:
         best = None
         best_cost = 0.0
-        for nearness in backends.Nearness:
-            own_cell = nearness is backends.Nearness.OWN_CELL
+        for locality in backends.Locality:
+            own_cell = locality is backends.Locality.OWN_CELL
             for backend in pool.draw(
-                nearness=nearness,
+                locality=locality,
                 count=CELL_CANDIDATES if own_cell else OUTER_CANDIDATES,
-                exclude=need.exclude,
+                exclude=criteria.exclude,
                 rng=self._rng,
             ):
                 cost = self._cost(backend)
@@ -159,12 +167,12 @@
         return best
 
     def _cost(self, backend: backends.Backend) -> float:
-        cost = self._book.fullness(backend)
-        if _awaits_trial(backend):
+        cost = self._tracker.utilisation(backend)
+        if _is_probation_busy(backend):
             cost += 10.0
-        return cost + DISTANCE_COST_SHARE * backend.nearness
+        return cost + DISTANCE_COST_SHARE * backend.locality
 
 
-def _awaits_trial(backend: backends.Backend) -> bool:
+def _is_probation_busy(backend: backends.Backend) -> bool:
     """Tells whether it is on trial and has its one attempt already."""
-    return backend.on_trial and backend.in_flight > 0
+    return backend.on_probation and backend.in_flight > 0
--- a/src/nutmeghook/internal/routing/directory.py
+++ b/src/nutmeghook/internal/routing/directory.py
@@ -14,20 +14,20 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.routing import backends
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.routing import pools
 
 # More live rows than this share gone from one list to the next is taken for
 # a fault of the list. A rack or one data centre of three is less.
-SUDDEN_LOSS_SHARE = 0.4
+LIST_FAULT_SHARE = 0.4
 
 
 # A plain service sends no reports. When the list still calls an instance
 # live this long after it refused as leaving, it must have changed its mind.
-LEAVING_BELIEVED = datetime.timedelta(seconds=30)
+LEAVING_TTL = datetime.timedelta(seconds=30)
 # The same for an engine, whose reports show it sooner. Reports measured
 # before it began to leave arrive for a few seconds more.
-LATE_REPORTS = datetime.timedelta(seconds=10)
+MAX_REPORT_DELAY = datetime.timedelta(seconds=10)
 
 PoolKey = engine.ModelVersion | str
 
@@ -42,13 +42,13 @@
 
     __slots__ = (
         "_backends",
-        "_book",
         "_clock",
         "_events",
         "_fault",
         "_forget_callbacks",
         "_pools",
         "_service_sizes",
+        "_tracker",
         "generation",
     )
 
@@ -57,11 +57,11 @@
         *,
         clock: clock_module.Clock,
         events: events_module.EventRing,
-        book: load_book.LoadBook,
+        tracker: load_tracker.LoadTracker,
     ):
         self._clock = clock
         self._events = events
-        self._book = book
+        self._tracker = tracker
         self._backends: dict[str, backends.Backend] = {}
         self._pools: dict[PoolKey, pools.BackendPool] = {}
         self._service_sizes: collections.Counter[str] = collections.Counter()
@@ -85,11 +85,13 @@
         """Returns how many backend servers of a service are known."""
         return self._service_sizes[service]
 
-    def pool(self, need: backends.BackendNeed) -> pools.BackendPool | None:
+    def pool(
+        self, criteria: backends.BackendCriteria
+    ) -> pools.BackendPool | None:
         """Returns those that may take this kind of work now."""
-        if need.model_version is not None:
-            return self._pools.get(need.model_version)
-        return self._pools.get(need.service)
+        if criteria.model_version is not None:
+            return self._pools.get(criteria.model_version)
+        return self._pools.get(criteria.service)
 
     def apply_list(self, rows: list[instances.ListedInstance]) -> None:
         """Takes in a new instance list."""
@@ -103,7 +105,7 @@
         missing = [
             b for b in self._backends.values() if b.address not in listed
         ]
-        for backend in self._surely_gone(missing):
+        for backend in self._removable(missing):
             self._forget(backend)
 
     def note_report(
@@ -116,21 +118,21 @@
         """Takes in a load report, unless a newer one is known."""
         if backend.report is not None and measured_at <= backend.reported_at:
             return
-        before = _served(backend)
+        before = _pool_keys(backend)
         backend.report = report
         backend.reported_at = measured_at
-        self._book.note_total(
+        self._tracker.note_total(
             backend,
             total=report.running + report.waiting,
             measured_at=measured_at,
         )
-        if _served(backend) != before:
+        if _pool_keys(backend) != before:
             self.generation += 1
             self._unindex(backend, before)
         if report.leaving:
             self.note_leaving(backend)
-        elif measured_at > backend.leaving_since + LATE_REPORTS:
-            self._note_staying(backend)
+        elif measured_at > backend.leaving_since + MAX_REPORT_DELAY:
+            self._note_not_leaving(backend)
         self._index(backend)
 
     def note_leaving(self, backend: backends.Backend) -> None:
@@ -139,7 +141,7 @@
             return
         backend.leaving = True
         backend.leaving_since = self._clock.monotonic()
-        self._unindex(backend, _served(backend))
+        self._unindex(backend, _pool_keys(backend))
         self._events.record(
             events_module.EventKind.BACKEND_LEAVING, backend.address
         )
@@ -147,26 +149,26 @@
     def eject(self, backend: backends.Backend) -> None:
         """Takes a backend server out until `restore`."""
         backend.ejected = True
-        self._unindex(backend, _served(backend))
+        self._unindex(backend, _pool_keys(backend))
 
     def restore(self, backend: backends.Backend) -> None:
         """Lets an ejected backend server take work again."""
         backend.ejected = False
         self._index(backend)
 
-    def set_nearness(
-        self, backend: backends.Backend, nearness: backends.Nearness
+    def set_locality(
+        self, backend: backends.Backend, locality: backends.Locality
     ) -> None:
         """Moves a backend server to another tier of its pools."""
-        if backend.nearness is nearness:
+        if backend.locality is locality:
             return
-        self._unindex(backend, _served(backend))
-        backend.nearness = nearness
+        self._unindex(backend, _pool_keys(backend))
+        backend.locality = locality
         self._index(backend)
 
     def _apply_row(self, row: instances.ListedInstance) -> None:
         backend = self._backends.get(row.address)
-        if backend is not None and _is_another(backend, row):
+        if backend is not None and _is_replacement(backend, row):
             self._forget(backend)
             backend = None
         if backend is None:
@@ -176,8 +178,8 @@
             self.note_leaving(backend)
         elif backend.plain:
             since = self._clock.monotonic() - backend.leaving_since
-            if since > LEAVING_BELIEVED:
-                self._note_staying(backend)
+            if since > LEAVING_TTL:
+                self._note_not_leaving(backend)
 
     def _add(self, row: instances.ListedInstance) -> backends.Backend:
         backend = backends.Backend(
@@ -193,12 +195,12 @@
         self._index(backend)
         return backend
 
-    def _note_staying(self, backend: backends.Backend) -> None:
+    def _note_not_leaving(self, backend: backends.Backend) -> None:
         if backend.leaving and not backend.listed_leaving:
             backend.leaving = False
             self._index(backend)
 
-    def _surely_gone(
+    def _removable(
         self, missing: list[backends.Backend]
     ) -> list[backends.Backend]:
         """Returns those of the missing that the list may be believed on.
@@ -226,18 +228,18 @@
         return missing
 
     def _forget(self, backend: backends.Backend) -> None:
-        self._unindex(backend, _served(backend))
+        self._unindex(backend, _pool_keys(backend))
         del self._backends[backend.address]
         self._service_sizes[backend.service] -= 1
         self.generation += 1
-        self._book.forget(backend)
+        self._tracker.forget(backend)
         for callback in self._forget_callbacks:
             callback(backend)
 
     def _index(self, backend: backends.Backend) -> None:
         if backend.leaving or backend.ejected:
             return
-        for key in _served(backend):
+        for key in _pool_keys(backend):
             pool = self._pools.get(key)
             if pool is None:
                 pool = self._pools[key] = pools.BackendPool()
@@ -254,7 +256,7 @@
                     del self._pools[key]
 
 
-def _served(backend: backends.Backend) -> tuple[PoolKey, ...]:
+def _pool_keys(backend: backends.Backend) -> tuple[PoolKey, ...]:
     if backend.plain:
         return (backend.service,)
     if backend.report is None:
@@ -262,7 +264,7 @@
     return backend.report.loaded
 
 
-def _is_another(
+def _is_replacement(
     backend: backends.Backend, row: instances.ListedInstance
 ) -> bool:
     """Tells whether the row is of a successor at the same address."""
@@ -280,7 +282,7 @@
     unexplained: list[backends.Backend], live: list[backends.Backend]
 ) -> bool:
     """Tells whether too many went at once, in all or of one service."""
-    if len(unexplained) > max(1, SUDDEN_LOSS_SHARE * len(live)):
+    if len(unexplained) > max(1, LIST_FAULT_SHARE * len(live)):
         return True
     lost = collections.Counter(b.service for b in unexplained)
     known = collections.Counter(b.service for b in live)
--- a/src/nutmeghook/internal/routing/ejection.py
+++ b/src/nutmeghook/internal/routing/ejection.py
@@ -20,7 +20,7 @@
 FIRST_EJECTION = datetime.timedelta(seconds=1)
 LONGEST_EJECTION = datetime.timedelta(seconds=60)
 # Good behaviour for this long wipes out the record of earlier ejections.
-FORGIVEN_AFTER = datetime.timedelta(minutes=3)
+EJECTIONS_RESET_AFTER = datetime.timedelta(minutes=3)
 # A pool that fails as a whole (a bad network, a bad version, all slow) is
 # better used than given up: at most this share of a service is ejected.
 LARGEST_EJECTED_SHARE = 0.5
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
-class _Return:
+class _Restoration:
     """The end of an ejection."""
 
     at: datetime.timedelta
@@ -74,7 +74,7 @@
         "_events",
         "_order",
         "_records",
-        "_returns",
+        "_restorations",
         "_service_log_duration",
     )
 
@@ -89,7 +89,7 @@
         self._clock = clock
         self._events = events
         self._records: dict[str, _Record] = {}
-        self._returns: list[_Return] = []
+        self._restorations: list[_Restoration] = []
         self._order = itertools.count()
         self._ejected: collections.Counter[str] = collections.Counter()
         self._service_log_duration: dict[str, float] = {}
@@ -110,17 +110,17 @@
             record.failures += 1
         elif outcome is backends.AttemptOutcome.UNREACHABLE:
             record.unreachable += 1
-        reason = self._fault_of(backend, record)
+        reason = self._ejection_reason(backend, record)
         if reason and not backend.ejected:
             self._eject(backend, record, reason)
 
     def restore_due(self) -> None:
         """Lets those back whose time is over; cheap while there are none."""
-        if not self._returns:
+        if not self._restorations:
             return
         now = self._clock.monotonic()
-        while self._returns and self._returns[0].at <= now:
-            due = heapq.heappop(self._returns)
+        while self._restorations and self._restorations[0].at <= now:
+            due = heapq.heappop(self._restorations)
             self._restore(due.address, now)
 
     def _forget(self, backend: backends.Backend) -> None:
@@ -150,11 +150,11 @@
         record: _Record,
         duration: datetime.timedelta,
     ) -> None:
-        backend.on_trial = False
+        backend.on_probation = False
         record.failures = 0
         record.unreachable = 0
-        good_for = self._clock.monotonic() - record.restored_at
-        if record.ejections and good_for > FORGIVEN_AFTER:
+        healthy_for = self._clock.monotonic() - record.restored_at
+        if record.ejections and healthy_for > EJECTIONS_RESET_AFTER:
             record.ejections = 0
         log_duration = math.log(max(duration.total_seconds(), 1e-3))
         service = self._service_log_duration.setdefault(
@@ -170,8 +170,10 @@
             log_duration - record.log_duration
         )
 
-    def _fault_of(self, backend: backends.Backend, record: _Record) -> str:
-        if backend.on_trial and record.failures + record.unreachable:
+    def _ejection_reason(
+        self, backend: backends.Backend, record: _Record
+    ) -> str:
+        if backend.on_probation and record.failures + record.unreachable:
             return "failed on trial"
         if record.unreachable >= UNREACHABLE_IN_A_ROW:
             return "unreachable"
@@ -193,7 +195,7 @@
         duration = min(FIRST_EJECTION * 2**record.ejections, LONGEST_EJECTION)
         self._ejected[backend.service] = ejected
         self._directory.eject(backend)
-        self._return_after(duration, backend.address)
+        self._restore_after(duration, backend.address)
         self._records[backend.address] = _Record(
             ejections=min(record.ejections + 1, 16),
             ejected_at=self._clock.monotonic(),
@@ -206,10 +208,12 @@
             seconds=str(duration.total_seconds()),
         )
 
-    def _return_after(self, duration: datetime.timedelta, address: str) -> None:
+    def _restore_after(
+        self, duration: datetime.timedelta, address: str
+    ) -> None:
         heapq.heappush(
-            self._returns,
-            _Return(
+            self._restorations,
+            _Restoration(
                 at=self._clock.monotonic() + duration,
                 order=next(self._order),
                 address=address,
@@ -221,10 +225,10 @@
         if backend is None or not backend.ejected:
             return
         if self._is_silent(backend, now):
-            self._return_after(FIRST_EJECTION, address)
+            self._restore_after(FIRST_EJECTION, address)
             return
         self._ejected[backend.service] -= 1
         self._records[address].restored_at = now
-        backend.on_trial = True
+        backend.on_probation = True
         self._directory.restore(backend)
         self._events.record(events_module.EventKind.BACKEND_RESTORED, address)
--- a/src/nutmeghook/internal/routing/load_digests.py
+++ b/src/nutmeghook/internal/routing/load_digests.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class ToldReport:
+class PeerReport:
     """A load report as a digest carries it; `running` counts the waiting."""
 
     address: str
@@ -50,24 +50,26 @@
 
 def add_reports(
     digest: ttypes.LoadDigest,
-    told: list[backends.Backend],
+    reported: list[backends.Backend],
     *,
     age: datetime.timedelta,
 ) -> None:
     """Puts the newest reports of backend servers into a digest."""
-    digest.addresses = [b.address for b in told]
-    digest.load_percent = [_load_percent(b.report) for b in told]
-    digest.capacity = [b.report.capacity for b in told]
-    digest.loaded = [",".join(str(v) for v in b.report.loaded) for b in told]
-    digest.leaving = [b.report.leaving for b in told]
+    digest.addresses = [b.address for b in reported]
+    digest.load_percent = [_load_percent(b.report) for b in reported]
+    digest.capacity = [b.report.capacity for b in reported]
+    digest.loaded = [
+        ",".join(str(v) for v in b.report.loaded) for b in reported
+    ]
+    digest.leaving = [b.report.leaving for b in reported]
     digest.age_ms = age // datetime.timedelta(milliseconds=1)
 
 
-def read_reports(digest: ttypes.LoadDigest) -> Iterator[ToldReport]:
+def read_reports(digest: ttypes.LoadDigest) -> Iterator[PeerReport]:
     """Yields the reports of a digest; their age stands in the digest."""
     for number, address in enumerate(digest.addresses or ()):
         capacity = digest.capacity[number]
-        yield ToldReport(
+        yield PeerReport(
             address=address,
             report=engine.LoadReport(
                 loaded=_versions(digest.loaded[number]),
--- a/src/nutmeghook/internal/routing/sharing.py
+++ b/src/nutmeghook/internal/routing/load_gossip.py
@@ -11,21 +11,21 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import cells as cells_module
 from nutmeghook.internal.routing import directory as directory_module
-from nutmeghook.internal.routing import load_book
 from nutmeghook.internal.routing import load_digests
+from nutmeghook.internal.routing import load_tracker
 
 # With nothing to tell, this often a digest says that the sender lives.
-SILENT_PERIOD = datetime.timedelta(seconds=1)
+KEEPALIVE_PERIOD = datetime.timedelta(seconds=1)
 # What a peer had in flight no longer counts after so much silence: it died,
 # or is cut off. From then on only reports show it.
-FORGET_PEER_AFTER = datetime.timedelta(seconds=5)
+PEER_TTL = datetime.timedelta(seconds=5)
 CALL_TIMEOUT = datetime.timedelta(seconds=1)
 # A report is told again after this long, or when it shows this much more or
 # less work from outside the cell, as a share of the batch.
 REPORT_REPEAT = datetime.timedelta(seconds=5)
-TOLD_DIFFERENCE_SHARE = 0.15
+REPORT_CHANGE_SHARE = 0.15
 # One age is sent for all reports of a digest.
-SAME_AGE = datetime.timedelta(milliseconds=200)
+MAX_AGE_SPREAD = datetime.timedelta(milliseconds=200)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -39,42 +39,42 @@
     changed: set[str] = dataclasses.field(default_factory=set)
     reports: set[str] = dataclasses.field(default_factory=set)
     complete: bool = True
-    told_at: datetime.timedelta = datetime.timedelta()
+    sent_at: datetime.timedelta = datetime.timedelta()
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class _Heard:
+class _PeerLoad:
     """What one peer said it has in flight."""
 
     in_flight: dict[str, int] = dataclasses.field(default_factory=dict)
-    heard_at: datetime.timedelta = datetime.timedelta()
+    received_at: datetime.timedelta = datetime.timedelta()
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class _Told:
+class _SentReport:
     """A report as the peers were last told of it."""
 
     at: datetime.timedelta
     report: engine.LoadReport
-    outside: float
+    external_in_flight: float
 
 
-class LoadSharer:
+class LoadGossiper:
     """One task for each peer sends digests; the handler takes theirs in."""
 
     __slots__ = (
-        "_book",
         "_by_hash",
         "_caller",
         "_cells",
         "_clock",
         "_directory",
         "_generation",
-        "_heard",
         "_my_address",
         "_outboxes",
+        "_peer_loads",
+        "_sent_reports",
         "_tasks",
-        "_told",
+        "_tracker",
     )
 
     def __init__(
@@ -85,19 +85,19 @@
         my_address: str,
         cells: cells_module.CellView,
         directory: directory_module.BackendDirectory,
-        book: load_book.LoadBook,
+        tracker: load_tracker.LoadTracker,
         clock: clock_module.Clock,
     ):
         self._caller = caller
         self._my_address = my_address
         self._cells = cells
         self._directory = directory
-        self._book = book
+        self._tracker = tracker
         self._clock = clock
         self._outboxes: dict[str, _Outbox] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._heard: dict[str, _Heard] = {}
-        self._told: dict[str, _Told] = {}
+        self._peer_loads: dict[str, _PeerLoad] = {}
+        self._sent_reports: dict[str, _SentReport] = {}
         self._by_hash: dict[int, backends.Backend | None] = {}
         self._generation = -1
         handlers.register(ttypes.LoadDigest, self.receive)
@@ -111,11 +111,13 @@
     def note_report(self, backend: backends.Backend) -> None:
         """Has the peers told of a report, if it says something new."""
         now = self._clock.monotonic()
-        told = self._told.get(backend.address)
-        if told is not None and not _is_news(backend, told, now):
+        sent = self._sent_reports.get(backend.address)
+        if sent is not None and not _is_worth_sending(backend, sent, now):
             return
-        self._told[backend.address] = _Told(
-            at=now, report=backend.report, outside=backend.outside
+        self._sent_reports[backend.address] = _SentReport(
+            at=now,
+            report=backend.report,
+            external_in_flight=backend.external_in_flight,
         )
         for outbox in self._outboxes.values():
             outbox.reports.add(backend.address)
@@ -125,7 +127,7 @@
         try:
             while True:
                 self.refresh()
-                await self._clock.sleep(SILENT_PERIOD)
+                await self._clock.sleep(KEEPALIVE_PERIOD)
         finally:
             for task in self._tasks.values():
                 task.cancel()
@@ -142,61 +144,63 @@
             task = self._tasks.get(address)
             if task is not None and not task.done():
                 continue
-            self._outboxes[address] = _Outbox(reports=set(self._told))
+            self._outboxes[address] = _Outbox(reports=set(self._sent_reports))
             self._tasks[address] = asyncio.create_task(
-                self._tell_peer(address, self._outboxes[address])
+                self._gossip_to_peer(address, self._outboxes[address])
             )
-        long_ago = self._clock.monotonic() - FORGET_PEER_AFTER
-        for address, heard in list(self._heard.items()):
-            if heard.heard_at < long_ago:
-                self._apply(heard, dict.fromkeys(heard.in_flight, 0))
-                del self._heard[address]
+        long_ago = self._clock.monotonic() - PEER_TTL
+        for address, peer_load in list(self._peer_loads.items()):
+            if peer_load.received_at < long_ago:
+                self._apply(peer_load, dict.fromkeys(peer_load.in_flight, 0))
+                del self._peer_loads[address]
 
     async def receive(self, digest: ttypes.LoadDigest) -> ttypes.Empty:
         """Takes in a peer's digest."""
         sender = digest.sender_address or ""
-        heard = self._heard.setdefault(sender, _Heard())
-        heard.heard_at = self._clock.monotonic()
-        in_flight = dict.fromkeys(heard.in_flight, 0) if digest.complete else {}
+        peer_load = self._peer_loads.setdefault(sender, _PeerLoad())
+        peer_load.received_at = self._clock.monotonic()
+        in_flight = (
+            dict.fromkeys(peer_load.in_flight, 0) if digest.complete else {}
+        )
         for number, count in zip(
             digest.address_hashes or (), digest.in_flight or (), strict=True
         ):
             backend = self._backend_by_hash(number)
             if backend is not None:
                 in_flight[backend.address] = count
-        self._apply(heard, in_flight)
+        self._apply(peer_load, in_flight)
         self._apply_reports(digest)
         return ttypes.Empty()
 
-    def _apply(self, heard: _Heard, in_flight: dict[str, int]) -> None:
+    def _apply(self, peer_load: _PeerLoad, in_flight: dict[str, int]) -> None:
         for address, count in in_flight.items():
             backend = self._directory.find(address)
-            before = heard.in_flight.pop(address, 0)
+            before = peer_load.in_flight.pop(address, 0)
             if count:
-                heard.in_flight[address] = count
+                peer_load.in_flight[address] = count
             if backend is not None and count != before:
-                self._book.note_peers(backend, count - before)
+                self._tracker.note_peers(backend, count - before)
 
     def _apply_reports(self, digest: ttypes.LoadDigest) -> None:
         age = datetime.timedelta(milliseconds=digest.age_ms or 0)
-        for told in load_digests.read_reports(digest):
-            backend = self._directory.find(told.address)
+        for received in load_digests.read_reports(digest):
+            backend = self._directory.find(received.address)
             if backend is not None:
                 self._directory.note_report(
                     backend,
-                    told.report,
+                    received.report,
                     measured_at=self._clock.monotonic() - age,
                 )
 
-    async def _tell_peer(self, address: str, outbox: _Outbox) -> None:
+    async def _gossip_to_peer(self, address: str, outbox: _Outbox) -> None:
         while True:
             now = self._clock.monotonic()
-            silent_for = now - outbox.told_at
+            idle_for = now - outbox.sent_at
             pending = outbox.changed or outbox.reports or outbox.complete
             period = load_digests.SHORTEST_PERIOD
-            if pending or silent_for >= SILENT_PERIOD:
+            if pending or idle_for >= KEEPALIVE_PERIOD:
                 digest = self._take_digest(outbox)
-                outbox.told_at = now
+                outbox.sent_at = now
                 try:
                     await self._caller.call(
                         address, digest, timeout=CALL_TIMEOUT
@@ -232,15 +236,17 @@
     def _add_reports(self, digest: ttypes.LoadDigest, outbox: _Outbox) -> None:
         """Moves the oldest reports, and those of about their age, over."""
         found = map(self._directory.find, outbox.reports)
-        told = [b for b in found if b is not None and b.report is not None]
-        if not told:
+        reported = [b for b in found if b is not None and b.report is not None]
+        if not reported:
             outbox.reports.clear()
             return
-        oldest = min(b.reported_at for b in told)
-        told = [b for b in told if b.reported_at - oldest <= SAME_AGE]
-        outbox.reports.difference_update(b.address for b in told)
+        oldest = min(b.reported_at for b in reported)
+        reported = [
+            b for b in reported if b.reported_at - oldest <= MAX_AGE_SPREAD
+        ]
+        outbox.reports.difference_update(b.address for b in reported)
         load_digests.add_reports(
-            digest, told, age=self._clock.monotonic() - oldest
+            digest, reported, age=self._clock.monotonic() - oldest
         )
 
     def _backend_by_hash(self, number: int) -> backends.Backend | None:
@@ -256,22 +262,22 @@
         return self._by_hash.get(number)
 
     def _forget_backend(self, backend: backends.Backend) -> None:
-        self._told.pop(backend.address, None)
-        for heard in self._heard.values():
-            heard.in_flight.pop(backend.address, None)
+        self._sent_reports.pop(backend.address, None)
+        for peer_load in self._peer_loads.values():
+            peer_load.in_flight.pop(backend.address, None)
 
 
-def _is_news(
-    backend: backends.Backend, told: _Told, now: datetime.timedelta
+def _is_worth_sending(
+    backend: backends.Backend, sent: _SentReport, now: datetime.timedelta
 ) -> bool:
     report = backend.report
     if (report.loaded, report.leaving, report.capacity) != (
-        told.report.loaded,
-        told.report.leaving,
-        told.report.capacity,
+        sent.report.loaded,
+        sent.report.leaving,
+        sent.report.capacity,
     ):
         return True
-    if now - told.at >= REPORT_REPEAT:
+    if now - sent.at >= REPORT_REPEAT:
         return True
-    difference = abs(backend.outside - told.outside)
-    return difference > TOLD_DIFFERENCE_SHARE * report.capacity
+    difference = abs(backend.external_in_flight - sent.external_in_flight)
+    return difference > REPORT_CHANGE_SHARE * report.capacity
--- a/src/nutmeghook/internal/routing/load_book.py
+++ b/src/nutmeghook/internal/routing/load_tracker.py
@@ -18,7 +18,7 @@
 HISTORY = datetime.timedelta(seconds=5)
 # With what speed an old report's difference from the mean stops to count.
 # Without it, frozen reports would draw all work to whoever was idle last.
-FADE_S = 2.0
+DECAY_S = 2.0
 # How far a new report moves the estimate of what runs from outside.
 REPORT_WEIGHT = 0.5
 
@@ -49,7 +49,7 @@
         return max(0.0, self.total / self.count) if self.count else 0.0
 
 
-class LoadBook:
+class LoadTracker:
     """Keeps the parts of the estimates, and what changed lately."""
 
     __slots__ = (
@@ -90,41 +90,45 @@
             if change.at <= measured_at:
                 break
             known_then -= change.attempts
-        self.note_outside(
-            backend, outside=total - known_then, measured_at=measured_at
+        self.note_external(
+            backend,
+            external_in_flight=total - known_then,
+            measured_at=measured_at,
         )
 
-    def note_outside(
+    def note_external(
         self,
         backend: backends.Backend,
         *,
-        outside: float,
+        external_in_flight: float,
         measured_at: datetime.timedelta,
     ) -> None:
         """Takes in how many attempts came from outside the cell."""
         previous = self._mean_of.get(backend.address)
         if previous is not None:
-            previous.total -= backend.outside
+            previous.total -= backend.external_in_flight
             previous.count -= 1
-            outside = backend.outside + REPORT_WEIGHT * (
-                outside - backend.outside
+            external_in_flight = backend.external_in_flight + REPORT_WEIGHT * (
+                external_in_flight - backend.external_in_flight
             )
-        own_cell = backend.nearness is backends.Nearness.OWN_CELL
+        own_cell = backend.locality is backends.Locality.OWN_CELL
         means = self._cell_means if own_cell else self._outer_means
         mean = means.setdefault(backend.service, _Mean())
-        mean.total += outside
+        mean.total += external_in_flight
         mean.count += 1
         self._mean_of[backend.address] = mean
-        backend.outside = outside
-        backend.outside_at = measured_at
+        backend.external_in_flight = external_in_flight
+        backend.external_at = measured_at
 
     def note_full(self, backend: backends.Backend) -> None:
         """Takes in that the backend server refused for its load."""
         known = backend.in_flight + backend.peers_in_flight
         missing = 1.0 + backend.capacity - known
-        self.note_outside(
+        self.note_external(
             backend,
-            outside=max(backend.outside, missing / REPORT_WEIGHT),
+            external_in_flight=max(
+                backend.external_in_flight, missing / REPORT_WEIGHT
+            ),
             measured_at=self._clock.monotonic(),
         )
 
@@ -133,25 +137,27 @@
         self._changes.pop(backend.address, None)
         mean = self._mean_of.pop(backend.address, None)
         if mean is not None:
-            mean.total -= backend.outside
+            mean.total -= backend.external_in_flight
             mean.count -= 1
 
-    def fullness(self, backend: backends.Backend) -> float:
+    def utilisation(self, backend: backends.Backend) -> float:
         """Returns the estimate with one attempt more, as a share of capacity.
 
         For a plain service, whose capacity nobody knows, it is the number.
         """
         known = backend.in_flight + backend.peers_in_flight + 1
-        return (known + self._outside_now(backend)) / backend.capacity
+        return (known + self._external_now(backend)) / backend.capacity
 
-    def _outside_now(self, backend: backends.Backend) -> float:
+    def _external_now(self, backend: backends.Backend) -> float:
         mean = self._mean_of.get(backend.address)
         if mean is None:
             return 0.0
-        age_s = (self._clock.monotonic() - backend.outside_at).total_seconds()
+        age_s = (self._clock.monotonic() - backend.external_at).total_seconds()
         common = mean.value()
-        faded = (backend.outside - common) * math.exp(-age_s / FADE_S)
-        return max(0.0, common + faded)
+        decayed = (backend.external_in_flight - common) * math.exp(
+            -age_s / DECAY_S
+        )
+        return max(0.0, common + decayed)
 
     def _note_change(self, backend: backends.Backend, attempts: int) -> None:
         now = self._clock.monotonic()
--- a/src/nutmeghook/internal/routing/poller.py
+++ b/src/nutmeghook/internal/routing/poller.py
@@ -11,7 +11,7 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import cells as cells_module
 from nutmeghook.internal.routing import directory as directory_module
-from nutmeghook.internal.routing import sharing
+from nutmeghook.internal.routing import load_gossip
 
 LIST_PERIOD = datetime.timedelta(seconds=1)
 LIST_TIMEOUT = datetime.timedelta(seconds=2)
@@ -25,7 +25,7 @@
 POLL_BYTES = 450
 # An engine of another cell, drawn at random, is polled this often: to know
 # where work can go when the own cell is full.
-STRANGER_PERIOD = datetime.timedelta(seconds=2)
+REMOTE_REPORT_PERIOD = datetime.timedelta(seconds=2)
 
 
 class ListPoller:
@@ -72,8 +72,8 @@
         "_clock",
         "_connector",
         "_directory",
+        "_gossiper",
         "_rng",
-        "_sharer",
         "_tasks",
     )
 
@@ -83,14 +83,14 @@
         connector: engine.EngineConnector,
         directory: directory_module.BackendDirectory,
         cells: cells_module.CellView,
-        sharer: sharing.LoadSharer,
+        gossiper: load_gossip.LoadGossiper,
         clock: clock_module.Clock,
         rng: random.Random,
     ):
         self._connector = connector
         self._directory = directory
         self._cells = cells
-        self._sharer = sharer
+        self._gossiper = gossiper
         self._clock = clock
         self._rng = rng
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -99,9 +99,9 @@
         """Starts and stops the engines' tasks until cancelled."""
         try:
             async with asyncio.TaskGroup() as tasks:
-                tasks.create_task(self._poll_strangers())
+                tasks.create_task(self._poll_remote())
                 while True:
-                    self._match_tasks()
+                    self._reconcile_tasks()
                     await self._clock.sleep(SHORTEST_REPORT_PERIOD)
         finally:
             for task in self._tasks.values():
@@ -120,18 +120,18 @@
             return False
         age = datetime.timedelta(milliseconds=report.age_ms)
         self._directory.note_report(backend, report, measured_at=asked_at - age)
-        self._sharer.note_report(backend)
+        self._gossiper.note_report(backend)
         return True
 
-    def _match_tasks(self) -> None:
-        mine = {
+    def _reconcile_tasks(self) -> None:
+        assigned = {
             b.address: b
             for b in self._directory.known()
-            if not b.plain and self._cells.reads(b)
+            if not b.plain and self._cells.polls(b)
         }
-        for address in self._tasks.keys() - mine.keys():
+        for address in self._tasks.keys() - assigned.keys():
             self._tasks.pop(address).cancel()
-        for address, backend in mine.items():
+        for address, backend in assigned.items():
             task = self._tasks.get(address)
             if task is None or task.done():
                 self._tasks[address] = asyncio.create_task(
@@ -147,16 +147,16 @@
                 await self.poll_report(backend)
             await self._clock.sleep(jittered(period, self._rng))
 
-    async def _poll_strangers(self) -> None:
+    async def _poll_remote(self) -> None:
         while True:
-            strangers = [
+            remote = [
                 b
                 for b in self._directory.known()
-                if not b.plain and b.nearness is not backends.Nearness.OWN_CELL
+                if not b.plain and b.locality is not backends.Locality.OWN_CELL
             ]
-            if strangers:
-                await self.poll_report(self._rng.choice(strangers))
-            await self._clock.sleep(jittered(STRANGER_PERIOD, self._rng))
+            if remote:
+                await self.poll_report(self._rng.choice(remote))
+            await self._clock.sleep(jittered(REMOTE_REPORT_PERIOD, self._rng))
 
 
 def report_period(polled: int) -> datetime.timedelta:
--- a/src/nutmeghook/internal/routing/pools.py
+++ b/src/nutmeghook/internal/routing/pools.py
@@ -14,13 +14,13 @@
     costs more to change, is made when the first key is looked up.
     """
 
-    __slots__ = ("_members", "_places", "_ring", "_tiers")
+    __slots__ = ("_members", "_positions", "_ring", "_tiers")
 
     def __init__(self):
         self._tiers: tuple[list[backends.Backend], ...] = tuple(
-            [] for _ in backends.Nearness
+            [] for _ in backends.Locality
         )
-        self._places: dict[str, int] = {}
+        self._positions: dict[str, int] = {}
         self._members: dict[str, backends.Backend] = {}
         self._ring: affinity.AffinityRing | None = None
 
@@ -34,9 +34,9 @@
         """Lets a backend server be drawn; it may be in already."""
         if backend in self:
             return
-        tier = self._tiers[backend.nearness]
+        tier = self._tiers[backend.locality]
         self._members[backend.address] = backend
-        self._places[backend.address] = len(tier)
+        self._positions[backend.address] = len(tier)
         tier.append(backend)
         if self._ring is not None and _belongs_on_ring(backend):
             self._ring.add(backend.address)
@@ -45,19 +45,19 @@
         """Stops a backend server from being drawn, if it is in."""
         if self._members.pop(backend.address, None) is None:
             return
-        place = self._places.pop(backend.address)
-        tier = self._tiers[backend.nearness]
+        position = self._positions.pop(backend.address)
+        tier = self._tiers[backend.locality]
         last = tier.pop()
         if last is not backend:
-            tier[place] = last
-            self._places[last.address] = place
+            tier[position] = last
+            self._positions[last.address] = position
         if self._ring is not None and _belongs_on_ring(backend):
             self._ring.remove(backend.address)
 
     def draw(
         self,
         *,
-        nearness: backends.Nearness,
+        locality: backends.Locality,
         count: int,
         exclude: frozenset[str],
         rng: random.Random,
@@ -67,7 +67,7 @@
         With none to exclude it costs `count` draws; each exclusion may cost
         one more, and there are only as many as the request had attempts.
         """
-        tier = self._tiers[nearness]
+        tier = self._tiers[locality]
         wanted = min(len(tier), count + len(exclude))
         if wanted == 0:
             return []
@@ -96,4 +96,4 @@
     The whole region shares one ring, so that a session's requests meet
     whichever of the region's instances they enter by.
     """
-    return backend.nearness is not backends.Nearness.ELSEWHERE
+    return backend.locality is not backends.Locality.OTHER_REGION
--- a/src/nutmeghook/internal/routing/service.py
+++ b/src/nutmeghook/internal/routing/service.py
@@ -15,10 +15,10 @@
 from nutmeghook.internal.routing import chooser as chooser_module
 from nutmeghook.internal.routing import directory as directory_module
 from nutmeghook.internal.routing import ejection
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_gossip
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.routing import poller
-from nutmeghook.internal.routing import sharing
-from nutmeghook.internal.routing import standstill as standstill_module
+from nutmeghook.internal.routing import stall_detector as stall_detector_module
 
 # Of the cell's backend servers, so many must have been heard of.
 READY_SHARE = 0.5
@@ -32,8 +32,8 @@
     chooser: backends.BackendChooser
     list_poller: poller.ListPoller
     report_poller: poller.ReportPoller
-    sharer: sharing.LoadSharer
-    standstill: standstill_module.StandstillWatch
+    gossiper: load_gossip.LoadGossiper
+    stall_detector: stall_detector_module.StallDetector
 
     def is_ready(self) -> bool:
         """Tells whether enough is known to share work out evenly.
@@ -42,22 +42,22 @@
         sends everything to these two; their queues then last for minutes.
         Half is enough to go on with, and must be: dead ones never report.
         """
-        if not self.standstill.may_send():
+        if not self.stall_detector.may_send():
             return False
         known = [
             b
             for b in self.directory.known()
-            if b.nearness is backends.Nearness.OWN_CELL and not b.leaving
+            if b.locality is backends.Locality.OWN_CELL and not b.leaving
         ]
-        heard_of = [b for b in known if b.plain or b.report is not None]
-        return bool(known) and len(heard_of) >= READY_SHARE * len(known)
+        reporting = [b for b in known if b.plain or b.report is not None]
+        return bool(known) and len(reporting) >= READY_SHARE * len(known)
 
     async def run(self) -> None:
         """Keeps the knowledge fresh until cancelled."""
         await self.list_poller.poll_once()
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self.standstill.run())
-            tasks.create_task(self.sharer.run())
+            tasks.create_task(self.stall_detector.run())
+            tasks.create_task(self.gossiper.run())
             tasks.create_task(self.list_poller.run())
             tasks.create_task(self.report_poller.run())
 
@@ -77,33 +77,35 @@
 
     Registers the handler for `LoadDigest` among `handlers`.
     """
-    book = load_book.LoadBook(clock=clock)
+    tracker = load_tracker.LoadTracker(clock=clock)
     directory = directory_module.BackendDirectory(
-        clock=clock, events=events, book=book
+        clock=clock, events=events, tracker=tracker
     )
     cells = cells_module.CellView(members=members, directory=directory)
-    sharer = sharing.LoadSharer(
+    gossiper = load_gossip.LoadGossiper(
         caller=caller,
         handlers=handlers,
         my_address=members.myself.inner_address,
         cells=cells,
         directory=directory,
-        book=book,
+        tracker=tracker,
         clock=clock,
     )
-    standstill = standstill_module.StandstillWatch(clock=clock, events=events)
+    stall_detector = stall_detector_module.StallDetector(
+        clock=clock, events=events
+    )
     return BackendRouting(
         directory=directory,
         chooser=chooser_module.LeastLoadedChooser(
             directory=directory,
-            book=book,
+            tracker=tracker,
             ejector=ejection.OutlierEjector(
                 directory=directory, clock=clock, events=events
             ),
-            sharer=sharer,
+            gossiper=gossiper,
             clock=clock,
             rng=rng,
-            standstill=standstill,
+            stall_detector=stall_detector,
         ),
         list_poller=poller.ListPoller(
             instance_list=instance_list,
@@ -115,10 +117,10 @@
             connector=connector,
             directory=directory,
             cells=cells,
-            sharer=sharer,
+            gossiper=gossiper,
             clock=clock,
             rng=rng,
         ),
-        sharer=sharer,
-        standstill=standstill,
+        gossiper=gossiper,
+        stall_detector=stall_detector,
     )
--- a/src/nutmeghook/internal/routing/standstill.py
+++ b/src/nutmeghook/internal/routing/stall_detector.py
@@ -7,7 +7,7 @@
 
 # A busy event loop is late by tens of milliseconds; a pause of the machine
 # that is shorter than this costs less knowledge than the list's own lag.
-SHORTEST = datetime.timedelta(seconds=2)
+MIN_PAUSE = datetime.timedelta(seconds=2)
 # The list is read and the configuration's digests are exchanged each second,
 # but reports come from peers, who took a long sleeper for dead and have to take
 # it in again first. 2 s were tried: an engine that had left got work 3.2 s
@@ -17,7 +17,7 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class StandstillWatch:
+class StallDetector:
     """Tells whether what this instance knows may date from before a pause.
 
     The failure: an instance is paused for seconds (SIGSTOP, a migrated
@@ -48,7 +48,7 @@
         """Tells whether new work may be sent; always true until it runs."""
         now = self._clock.monotonic()
         if self._last_tick is not None:
-            self._compare(self._last_tick, now)
+            self._check_pause(self._last_tick, now)
         return now >= self._may_send_at
 
     async def run(self) -> None:
@@ -56,14 +56,14 @@
         self._last_tick = self._clock.monotonic()
         while True:
             await self._clock.sleep(TICK)
-            self._compare(self._last_tick, self._clock.monotonic())
+            self._check_pause(self._last_tick, self._clock.monotonic())
 
-    def _compare(
+    def _check_pause(
         self, last_tick: datetime.timedelta, now: datetime.timedelta
     ) -> None:
         pause = now - last_tick
         self._last_tick = now
-        if pause < SHORTEST:
+        if pause < MIN_PAUSE:
             return
         self._may_send_at = now + CATCH_UP
         self._events.record(
--- a/src/nutmeghook/internal/routing/version_choice.py
+++ b/src/nutmeghook/internal/routing/version_choice.py
@@ -56,7 +56,7 @@
             raise _nothing_usable(listed, template=template, model=model)
         share_key = session or request_id
         wanted = _by_share(usable, key=share_key)
-        proposed = self._with_leave(template, usable, wanted, share_key)
+        proposed = self._with_allowance(template, usable, wanted, share_key)
         if not session:
             return _choice_of(proposed)
         key = pins_module.SessionKey(
@@ -65,7 +65,7 @@
             stage_index=stage_index,
             session=session,
         )
-        return await self._pinned(template, key, proposed, usable)
+        return await self._choose_pinned(template, key, proposed, usable)
 
     def check_dispatch(
         self,
@@ -82,7 +82,7 @@
                 standing, template=template, what=str(choice.model_version)
             )
 
-    def give_back(
+    def release(
         self,
         *,
         template: documents.Template,
@@ -94,7 +94,7 @@
                 template=template, model_version=choice.model_version
             )
 
-    def _with_leave(
+    def _with_allowance(
         self,
         template: documents.Template,
         usable: list[version_rules.ListedVersion],
@@ -115,7 +115,7 @@
         self._gate.take_regardless(template=template, model_version=version)
         return wanted
 
-    async def _pinned(
+    async def _choose_pinned(
         self,
         template: documents.Template,
         key: pins_module.SessionKey,
@@ -126,9 +126,9 @@
             choice = await self._pinned_or_only(template, key, proposed, usable)
         except BaseException:
             # Cancelled at its deadline included: nothing will be sent.
-            self._settle_leave(template, taken=proposed, used=None)
+            self._settle_allowance(template, taken=proposed, used=None)
             raise
-        self._settle_leave(template, taken=proposed, used=choice)
+        self._settle_allowance(template, taken=proposed, used=choice)
         return choice
 
     async def _pinned_or_only(
@@ -144,14 +144,14 @@
         except errors.CodedError as error:
             if error.code is not codes.Code.STORE_OUT:
                 raise
-            chosen = _without_store(usable, key, template)
+            chosen = _choose_without_store(usable, key, template)
             self._pins.pin_later(
                 key,
                 version=chosen.model_version,
                 revision=self._rules.revision,
             )
             return _choice_of(chosen)
-        return self._choice_now(template, pinned)
+        return self._check_pin(template, pinned)
 
     async def _find_pin(
         self,
@@ -166,7 +166,7 @@
             for listed in self._rules.listed(
                 template=template, model=proposed.model_version.model
             )
-            if _beats_pin(listed.standing)
+            if _overrides_pin(listed.standing)
         }
         pinned = pins_module.Pinned(
             model_version=proposed.model_version, revision=revision
@@ -182,14 +182,14 @@
             standing = self._rules.standing(
                 template=template, model_version=pinned.model_version
             )
-            if not _beats_pin(standing) or pinned.revision > revision:
+            if not _overrides_pin(standing) or pinned.revision > revision:
                 break
             if pinned.model_version == proposed.model_version:
                 break
             unusable.add(pinned.model_version)
         return pinned
 
-    def _choice_now(
+    def _check_pin(
         self, template: documents.Template, pinned: pins_module.Pinned
     ) -> versions.VersionChoice:
         """Checks a pin against the configuration; it may be a newer one.
@@ -200,7 +200,7 @@
         standing = self._rules.standing(
             template=template, model_version=pinned.model_version
         )
-        if _beats_pin(standing) and pinned.revision > self._rules.revision:
+        if _overrides_pin(standing) and pinned.revision > self._rules.revision:
             standing = version_rules.Standing.STALE
         if not standing.usable:
             raise version_rules.refusal(
@@ -211,7 +211,7 @@
             rolling_out=standing is version_rules.Standing.ROLLING_OUT,
         )
 
-    def _settle_leave(
+    def _settle_allowance(
         self,
         template: documents.Template,
         *,
@@ -219,10 +219,10 @@
         used: versions.VersionChoice | None,
     ) -> None:
         """Makes the leave taken agree with the version that will be used."""
-        had_leave = taken.standing is version_rules.Standing.ROLLING_OUT
+        had_allowance = taken.standing is version_rules.Standing.ROLLING_OUT
         if used is not None and used.model_version == taken.model_version:
             return
-        if had_leave:
+        if had_allowance:
             self._gate.give_back(
                 template=template, model_version=taken.model_version
             )
@@ -232,7 +232,7 @@
             )
 
 
-def _beats_pin(standing: version_rules.Standing) -> bool:
+def _overrides_pin(standing: version_rules.Standing) -> bool:
     """Tells whether a session has to leave a version for good.
 
     A stale configuration is no reason: the version may well be fine, and the
@@ -295,7 +295,7 @@
     return candidates[0]
 
 
-def _without_store(
+def _choose_without_store(
     usable: list[version_rules.ListedVersion],
     key: pins_module.SessionKey,
     template: documents.Template,
--- a/src/nutmeghook/internal/routing/version_rules.py
+++ b/src/nutmeghook/internal/routing/version_rules.py
@@ -133,13 +133,13 @@
     ) -> Standing:
         if entry.state is documents.VersionState.WITHDRAWN:
             return Standing.WITHDRAWN
-        if self._too_old_for(current, entry):
+        if self._is_too_stale_for(current, entry):
             return Standing.STALE
         if entry.state is documents.VersionState.ROLLING_OUT:
             return Standing.ROLLING_OUT
         return Standing.SERVING
 
-    def _too_old_for(
+    def _is_too_stale_for(
         self, current: documents.Template, entry: documents.VersionEntry
     ) -> bool:
         """Tells whether the template's freshness policy forbids the entry.
--- a/src/nutmeghook/internal/routing/versions.py
+++ b/src/nutmeghook/internal/routing/versions.py
@@ -54,7 +54,7 @@
             errors.CodedError: The version may not get new work any more.
         """
 
-    def give_back(
+    def release(
         self,
         *,
         template: documents.Template,
--- a/tests/cover/test_cascade_learned.py
+++ b/tests/cover/test_cascade_learned.py
@@ -97,7 +97,7 @@
     )
 
 
-class CourseTest(unittest.TestCase):
+class DecisionTest(unittest.TestCase):
     """What one request goes through."""
 
     def setUp(self):
@@ -112,7 +112,7 @@
         strategies.integers(0, 10_000),
         strategies.floats(0, 1),
     )
-    def test_a_request_keeps_its_course_while_plans_change(
+    def test_request_keeps_its_decision_while_plans_change(
         self, threshold, score, number, explored
     ):
         """New plans are published while a caller's answer is being held.
@@ -132,14 +132,14 @@
             question, stage_index=0, answer=held(score)
         )
         label = cascade_labels.read(rating_id)
-        self.assertEqual(label.score_bin is not None, plan.may_go_on)
-        if plan.may_go_on:
+        self.assertEqual(label.score_bin is not None, plan.may_escalate)
+        if plan.may_escalate:
             score_bin = cascade_scorer.bin_of(score)
             self.assertEqual(label.score_bin, score_bin)
             accepted = self.policy.accepts(
                 question, stage_index=0, answer=held(score)
             )
-            compared = self.policy._courses[question.request_id].explored
+            compared = self.policy._decisions[question.request_id].explored
             self.assertEqual(accepted, not compared and score_bin >= threshold)
 
     def test_a_template_that_may_not_hold_answers_never_does(self):
@@ -149,7 +149,9 @@
         option = cascade_plans.PlannedOption(first_stage=0, go_on_below_bin=0)
         self.policy.use_plans({KEY: plan_of(option, explored=0.5)})
         for number in range(300):
-            self.assertFalse(self.policy.plan(ask(number, template)).may_go_on)
+            self.assertFalse(
+                self.policy.plan(ask(number, template)).may_escalate
+            )
 
     def test_without_plans_or_with_old_ones_the_strongest_answers(self):
         """Nothing is published yet, or nothing for hours.
@@ -163,7 +165,7 @@
             plans = [
                 self.policy.plan(ask(first_number + n)) for n in range(200)
             ]
-            return [p.first_stage for p in plans if not p.may_go_on]
+            return [p.first_stage for p in plans if not p.may_escalate]
 
         self.assertEqual(set(starts(0)), {1})
         self.policy.use_plans({KEY: plan_of(cheap)})
--- a/tests/cover/test_cascade_publishing.py
+++ b/tests/cover/test_cascade_publishing.py
@@ -182,7 +182,7 @@
         readings = 0
         while self.policy._plans != newest._plans:
             spent = await self.counted(self.reader.step())
-            self.assertLess(spent, cascade_reader.READING_BYTES)
+            self.assertLess(spent, cascade_reader.MAX_READ_BYTES)
             readings += 1
         self.assertGreater(readings, 1)
         self.assertLess(readings, 10)
--- a/tests/cover/test_dispatch_generation.py
+++ b/tests/cover/test_dispatch_generation.py
@@ -308,7 +308,9 @@
         The cheap stage's whole answer is held, judged too weak, and dropped;
         its cost is counted as spent.
         """
-        self.fixture.cascade = fakes.FakeCascade(first_stage=0, may_go_on=True)
+        self.fixture.cascade = fakes.FakeCascade(
+            first_stage=0, may_escalate=True
+        )
         self.fixture.cascade.accepted = False
         self.first.scripts.append(fakes.Script(words=("No ", "idea.")))
         answer = await self.ended()
--- a/tests/cover/test_dispatch_held_answers.py
+++ b/tests/cover/test_dispatch_held_answers.py
@@ -19,7 +19,9 @@
 
     def setUp(self):
         super().setUp()
-        self.fixture.cascade = fakes.FakeCascade(first_stage=0, may_go_on=True)
+        self.fixture.cascade = fakes.FakeCascade(
+            first_stage=0, may_escalate=True
+        )
         self.fixture.cascade.accepted = False
         self.first.scripts.append(fakes.Script(words=("Perhaps ", "it does.")))
         self.strong = fakes.Script(gate=self.gate)
--- a/tests/cover/test_dispatch_outcomes.py
+++ b/tests/cover/test_dispatch_outcomes.py
@@ -54,11 +54,11 @@
         ),
         key=strategies.sampled_from(["", "finding-7"]),
         hedge_after_ms=strategies.sampled_from([0, 20]),
-        may_go_on=strategies.booleans(),
+        may_escalate=strategies.booleans(),
         leave=strategies.integers(0, 6),
     )
     def test_one_version_s_whole_text_or_a_true_error(
-        self, scripts, key, hedge_after_ms, may_go_on, leave
+        self, scripts, key, hedge_after_ms, may_escalate, leave
     ):
         """The caller reads a whole answer of one attempt, or an error.
 
@@ -73,7 +73,7 @@
             fixture = fakes.Fixture(hedge_after_ms=hedge_after_ms)
             fixture.budget.leave = leave
             fixture.cascade = fakes.FakeCascade(
-                first_stage=0, may_go_on=may_go_on
+                first_stage=0, may_escalate=may_escalate
             )
             for second, script in scripts:
                 address = "e2:1" if second else "e1:1"
--- a/tests/cover/test_dispatch_way_back.py
+++ b/tests/cover/test_dispatch_way_back.py
@@ -164,7 +164,9 @@
 
     async def test_a_held_answer_goes_on_too(self):
         """The caller gets the whole cheap answer; it was half done."""
-        self.fixture.cascade = fakes.FakeCascade(first_stage=0, may_go_on=True)
+        self.fixture.cascade = fakes.FakeCascade(
+            first_stage=0, may_escalate=True
+        )
         self.lose_first(_UNTIL_LEFT)
         self.second.scripts.extend(refusals(1))
         await self.assert_first_goes_on()
--- a/tests/cover/test_guarantees_send.py
+++ b/tests/cover/test_guarantees_send.py
@@ -25,8 +25,8 @@
 from nutmeghook.internal.routing import chooser as chooser_module
 from nutmeghook.internal.routing import directory as directory_module
 from nutmeghook.internal.routing import ejection
-from nutmeghook.internal.routing import load_book
-from nutmeghook.internal.routing import standstill
+from nutmeghook.internal.routing import load_tracker
+from nutmeghook.internal.routing import stall_detector
 from nutmeghook.internal.standin_http import checked_body
 from nutmeghook.internal.standin_http import http_engine
 from tests import fakes
@@ -79,7 +79,7 @@
         self.sink = fakes.RecordingSink()
         self.network = local.LocalNetwork(clock=self.fixture.clock)
         own = self.network.clock_of(MYSELF)
-        self.watch = standstill.StandstillWatch(
+        self.detector = stall_detector.StallDetector(
             clock=own, events=self.fixture.events
         )
         self.fixture.backends = self.chooser(own)
@@ -88,9 +88,9 @@
 
     def chooser(self, own) -> chooser_module.LeastLoadedChooser:
         events = self.fixture.events
-        book = load_book.LoadBook(clock=own)
+        tracker = load_tracker.LoadTracker(clock=own)
         self.directory = directory_module.BackendDirectory(
-            clock=own, events=events, book=book
+            clock=own, events=events, tracker=tracker
         )
         self.list_engine(instances.InstanceState.LIVE)
         self.directory.note_report(
@@ -105,14 +105,14 @@
         )
         return chooser_module.LeastLoadedChooser(
             directory=self.directory,
-            book=book,
+            tracker=tracker,
             ejector=ejection.OutlierEjector(
                 directory=self.directory, clock=own, events=events
             ),
-            sharer=None,
+            gossiper=None,
             clock=own,
             rng=random.Random(7),
-            standstill=self.watch,
+            stall_detector=self.detector,
         )
 
     def list_engine(self, state: instances.InstanceState) -> None:
@@ -173,7 +173,7 @@
         this instance can't know yet. Sending by the choice would run work on
         a withdrawn version after the bound.
         """
-        ticking = asyncio.create_task(self.watch.run())
+        ticking = asyncio.create_task(self.detector.run())
         work = await self.asked()
         self.network.freeze(MYSELF)
         await self.fixture.clock.advance(PAUSE)
--- a/tests/cover/test_guarantees_standstill.py
+++ b/tests/cover/test_guarantees_stall.py
@@ -11,13 +11,13 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import local
 from nutmeghook.internal.observe import events as events_module
-from nutmeghook.internal.routing import standstill
+from nutmeghook.internal.routing import stall_detector
 
 MS = datetime.timedelta(milliseconds=1)
 ADDRESS = "10.0.0.1:7000"
 
 
-class StandstillTest(unittest.TestCase):
+class StallTest(unittest.TestCase):
     """The watch of one instance that is frozen and thawed."""
 
     @hypothesis.given(
@@ -43,26 +43,26 @@
         network = local.LocalNetwork(clock=clock)
         own = network.clock_of(ADDRESS)
         events = events_module.EventRing(clock=own)
-        watch = standstill.StandstillWatch(clock=own, events=events)
-        self.assertTrue(watch.may_send())
-        ticking = asyncio.create_task(watch.run())
+        detector = stall_detector.StallDetector(clock=own, events=events)
+        self.assertTrue(detector.may_send())
+        ticking = asyncio.create_task(detector.run())
         await clock.advance(ran)
-        self.assertTrue(watch.may_send())
+        self.assertTrue(detector.may_send())
         network.freeze(ADDRESS)
         await clock.advance(pause)
         if not asked_first:
             network.thaw(ADDRESS)
             await clock.advance(0 * MS)
-        long = pause >= standstill.SHORTEST
-        self.assertEqual(watch.may_send(), not long)
+        is_stall = pause >= stall_detector.MIN_PAUSE
+        self.assertEqual(detector.may_send(), not is_stall)
         network.thaw(ADDRESS)
-        await clock.advance(standstill.CATCH_UP - MS)
-        self.assertEqual(watch.may_send(), not long)
+        await clock.advance(stall_detector.CATCH_UP - MS)
+        self.assertEqual(detector.may_send(), not is_stall)
         await clock.advance(MS)
-        self.assertTrue(watch.may_send())
+        self.assertTrue(detector.may_send())
         kinds = [event.kind for event in events.since(0)]
-        stood_still = [events_module.EventKind.PROCESS_STOOD_STILL]
-        self.assertEqual(kinds, stood_still if long else [])
+        stalled = [events_module.EventKind.PROCESS_STOOD_STILL]
+        self.assertEqual(kinds, stalled if is_stall else [])
         ticking.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await ticking
--- a/tests/cover/test_orders_cells.py
+++ b/tests/cover/test_orders_cells.py
@@ -19,7 +19,7 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import cells as cells_module
 from nutmeghook.internal.routing import directory as directory_module
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_tracker
 from tests.cover import test_orders_planning as planning_case
 
 SECOND = datetime.timedelta(seconds=1)
@@ -65,7 +65,7 @@
         self.directory = directory_module.BackendDirectory(
             clock=fleet.clock,
             events=events_module.EventRing(clock=fleet.clock),
-            book=load_book.LoadBook(clock=fleet.clock),
+            tracker=load_tracker.LoadTracker(clock=fleet.clock),
         )
         self.cells = cells_module.CellView(
             members=self.members, directory=self.directory
@@ -128,7 +128,7 @@
             router.cells.refresh()
             for backend in router.directory.known():
                 one = self.engines[backend.address]
-                near = backend.nearness is backends.Nearness.OWN_CELL
+                near = backend.locality is backends.Locality.OWN_CELL
                 if near and not one.dead:
                     router.directory.note_report(
                         backend,
--- a/tests/cover/test_orders_pages.py
+++ b/tests/cover/test_orders_pages.py
@@ -182,7 +182,7 @@
             region="r",
             data_centre="c0",
             service="pool",
-            nearness=backends.Nearness.OWN_DATA_CENTRE,
+            locality=backends.Locality.OWN_DATA_CENTRE,
             report=engine.LoadReport(
                 loaded=(V1,), running=0, waiting=0, capacity=8
             ),
--- a/tests/cover/test_routing_backends.py
+++ b/tests/cover/test_routing_backends.py
@@ -16,7 +16,7 @@
 from nutmeghook.internal.routing import chooser as chooser_module
 from nutmeghook.internal.routing import directory as directory_module
 from nutmeghook.internal.routing import ejection
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_tracker
 
 CHEAP = engine.ModelVersion(model="cheap", version="1")
 STRONG = engine.ModelVersion(model="strong", version="2")
@@ -53,18 +53,18 @@
     def __init__(self):
         self.clock = clock_module.FakeClock()
         self.events = events_module.EventRing(clock=self.clock)
-        self.book = load_book.LoadBook(clock=self.clock)
+        self.tracker = load_tracker.LoadTracker(clock=self.clock)
         self.directory = directory_module.BackendDirectory(
-            clock=self.clock, events=self.events, book=self.book
+            clock=self.clock, events=self.events, tracker=self.tracker
         )
         self.ejector = ejection.OutlierEjector(
             directory=self.directory, clock=self.clock, events=self.events
         )
         self.chooser = chooser_module.LeastLoadedChooser(
             directory=self.directory,
-            book=self.book,
+            tracker=self.tracker,
             ejector=self.ejector,
-            sharer=None,
+            gossiper=None,
             clock=self.clock,
             rng=random.Random(7),
         )
@@ -116,12 +116,12 @@
             )
             if STRONG in loaded and not leaving and number not in excluded:
                 fit.add(row(number).address)
-        need = backends.BackendNeed(
+        criteria = backends.BackendCriteria(
             model_version=STRONG,
             exclude=frozenset(row(n).address for n in excluded),
         )
         for _ in range(10):
-            chosen = scene.chooser.choose(need)
+            chosen = scene.chooser.choose(criteria)
             self.assertEqual(chosen is not None, bool(fit))
             if chosen is not None:
                 self.assertIn(chosen.address, fit)
@@ -131,11 +131,11 @@
         scene = Scene()
         scene.directory.apply_list([row(0)])
         scene.report(0, report(STRONG))
-        need = backends.BackendNeed(model_version=STRONG)
-        self.assertIsNotNone(scene.chooser.choose(need))
+        criteria = backends.BackendCriteria(model_version=STRONG)
+        self.assertIsNotNone(scene.chooser.choose(criteria))
         scene.advance(seconds=1)
         scene.report(0, report(CHEAP))
-        self.assertIsNone(scene.chooser.choose(need))
+        self.assertIsNone(scene.chooser.choose(criteria))
 
 
 class EjectionTest(unittest.TestCase):
@@ -146,7 +146,7 @@
         self.scene.directory.apply_list([row(n) for n in range(12)])
         for number in range(12):
             self.scene.report(number, report(CHEAP))
-        self.need = backends.BackendNeed(model_version=CHEAP)
+        self.criteria = backends.BackendCriteria(model_version=CHEAP)
 
     def ejections(self):
         return [
@@ -169,17 +169,21 @@
         for expected_s in (1, 2, 4, 8, 16, 32, 60, 60):
             self.assertTrue(flapping.ejected)
             self.scene.advance(seconds=expected_s - 0.1)
-            self.scene.chooser.choose(self.need)
+            self.scene.chooser.choose(self.criteria)
             self.assertTrue(flapping.ejected)
             self.scene.advance(seconds=0.2)
             for number in range(12):
                 running = 0 if number == 3 else 12
                 self.scene.report(number, report(CHEAP, running=running))
-            chosen = [self.scene.chooser.choose(self.need) for _ in range(99)]
+            chosen = [
+                self.scene.chooser.choose(self.criteria) for _ in range(99)
+            ]
             self.assertIn(flapping, chosen)
             self.scene.chooser.started(flapping)
             for _ in range(99):
-                self.assertIsNot(self.scene.chooser.choose(self.need), flapping)
+                self.assertIsNot(
+                    self.scene.chooser.choose(self.criteria), flapping
+                )
             self.scene.chooser.finished(
                 flapping, outcome=failed, duration=datetime.timedelta()
             )
@@ -196,16 +200,16 @@
         for _ in range(2):
             self.scene.end(dead, backends.AttemptOutcome.UNREACHABLE)
         self.scene.advance(seconds=59)
-        self.scene.chooser.choose(self.need)
+        self.scene.chooser.choose(self.criteria)
         self.assertTrue(dead.ejected)
         self.scene.report(3, report(CHEAP))
         self.scene.advance(seconds=1)
-        self.scene.chooser.choose(self.need)
+        self.scene.chooser.choose(self.criteria)
         self.assertFalse(dead.ejected)
         self.scene.end(dead, backends.AttemptOutcome.UNREACHABLE)
         self.assertTrue(dead.ejected)
         self.scene.advance(seconds=61)
-        self.scene.chooser.choose(self.need)
+        self.scene.chooser.choose(self.criteria)
         self.assertFalse(dead.ejected)
 
     @hypothesis.given(
@@ -260,9 +264,9 @@
         for number in range(12):
             scene.report(number, report(CHEAP, running=16 if number else 0))
         scene.advance(seconds=30)
-        need = backends.BackendNeed(model_version=CHEAP)
+        criteria = backends.BackendCriteria(model_version=CHEAP)
         for _ in range(120):
-            scene.chooser.started(scene.chooser.choose(need))
+            scene.chooser.started(scene.chooser.choose(criteria))
         counts = [b.in_flight for b in scene.directory.known()]
         self.assertLess(max(counts), 14)
 
@@ -272,9 +276,11 @@
         scene.directory.apply_list([row(n) for n in range(12)])
         for number in range(12):
             scene.report(number, report(CHEAP))
-        need = backends.BackendNeed(model_version=CHEAP, affinity_key="hot")
+        criteria = backends.BackendCriteria(
+            model_version=CHEAP, affinity_key="hot"
+        )
         for _ in range(requests):
-            scene.chooser.started(scene.chooser.choose(need))
+            scene.chooser.started(scene.chooser.choose(criteria))
         counts = sorted(b.in_flight for b in scene.directory.known())
         self.assertLessEqual(counts[-1], 16)
         if requests <= 16:
@@ -286,8 +292,8 @@
         for number in range(4):
             scene.report(number, report(CHEAP, running=8))
         scene.end(scene.find(2), backends.AttemptOutcome.REFUSED_OVERLOAD)
-        need = backends.BackendNeed(model_version=CHEAP)
-        chosen = {scene.chooser.choose(need).address for _ in range(60)}
+        criteria = backends.BackendCriteria(model_version=CHEAP)
+        chosen = {scene.chooser.choose(criteria).address for _ in range(60)}
         self.assertNotIn(scene.find(2).address, chosen)
 
 
@@ -325,10 +331,10 @@
         scene = Scene()
         leaving = instances.InstanceState.LEAVING
         scene.directory.apply_list([row(0, state=leaving, plain=True)])
-        need = backends.BackendNeed(service="registry")
-        self.assertIsNone(scene.chooser.choose(need))
+        criteria = backends.BackendCriteria(service="registry")
+        self.assertIsNone(scene.chooser.choose(criteria))
         scene.directory.apply_list([row(0, plain=True)])
-        self.assertIsNotNone(scene.chooser.choose(need))
+        self.assertIsNotNone(scene.chooser.choose(criteria))
 
     def test_rows_that_left_in_order_are_dropped(self):
         scene = Scene()
--- a/tests/cover/test_routing_sharing.py
+++ b/tests/cover/test_routing_load_gossip.py
@@ -20,8 +20,8 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import cells
 from nutmeghook.internal.routing import directory as directory_module
-from nutmeghook.internal.routing import load_book
 from nutmeghook.internal.routing import load_digests
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.routing import service
 
 VERSION = engine.ModelVersion(model="m", version="1")
@@ -80,9 +80,9 @@
                 self.assertIn(address, by_address[peer].cells.cell.peers)
         for number in range(engines):
             holders = [v.index for v in views if v.holds(number)]
-            readers = [v.index for v in views if v.reads(number)]
+            pollers = [v.index for v in views if v.polls(number)]
             self.assertTrue(holders)
-            self.assertEqual(sorted(readers), sorted(set(holders)))
+            self.assertEqual(sorted(pollers), sorted(set(holders)))
 
 
 class _CellView:
@@ -93,7 +93,7 @@
         self.directory = directory_module.BackendDirectory(
             clock=clock,
             events=events_module.EventRing(clock=clock),
-            book=load_book.LoadBook(clock=clock),
+            tracker=load_tracker.LoadTracker(clock=clock),
         )
         self.directory.apply_list([row(n) for n in range(engines)])
         self.cells = cells.CellView(
@@ -114,12 +114,12 @@
     def holds(self, number):
         return _in_own_cell(self.directory.find(row(number).address))
 
-    def reads(self, number):
-        return self.cells.reads(self.directory.find(row(number).address))
+    def polls(self, number):
+        return self.cells.polls(self.directory.find(row(number).address))
 
 
 def _in_own_cell(backend):
-    return backend.nearness is backends.Nearness.OWN_CELL
+    return backend.locality is backends.Locality.OWN_CELL
 
 
 class _Engine:
@@ -161,7 +161,7 @@
         return await self.caller.call(inner_address, request, timeout=timeout)
 
 
-class SharingTest(unittest.IsolatedAsyncioTestCase):
+class LoadGossipTest(unittest.IsolatedAsyncioTestCase):
     """Instances of one cell over a network that can be cut."""
 
     async def asyncSetUp(self):
@@ -219,10 +219,10 @@
         self.assertFalse(late.is_ready())
 
     async def test_reports_polled_by_one_reach_all(self):
-        need = backends.BackendNeed(model_version=VERSION)
+        criteria = backends.BackendCriteria(model_version=VERSION)
         for routing in self.routings:
             self.assertTrue(routing.is_ready())
-            self.assertEqual(len(routing.directory.pool(need)), 6)
+            self.assertEqual(len(routing.directory.pool(criteria)), 6)
 
     async def test_peers_agree_after_a_cut_is_over(self):
         """Callers would wait behind work that an instance can't see.
--- a/tests/cover/test_versions_shares.py
+++ b/tests/cover/test_versions_shares.py
@@ -73,7 +73,7 @@
         self.assertEqual(fleet.gate.used, 3 * leave)
         template = fleet.view.current.templates["agency/lookup"]
         for choice in elsewhere:
-            fleet.chooser().give_back(template=template, choice=choice)
+            fleet.chooser().release(template=template, choice=choice)
         self.assertEqual(fleet.gate.used, 2 * leave)
 
     def test_an_only_roll_out_s_answers_count_without_the_store_too(self):
@@ -91,7 +91,7 @@
         self.assertTrue(choice.rolling_out)
         self.assertEqual(fleet.gate.used, 1)
         template = config.templates["agency/lookup"]
-        fleet.chooser().give_back(template=template, choice=choice)
+        fleet.chooser().release(template=template, choice=choice)
         self.assertEqual(fleet.gate.used, 0)
 
     def test_a_choice_that_fails_keeps_no_leave(self):
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -144,10 +144,10 @@
         self.model_addresses: dict[str, tuple[str, ...]] = {}
         self.outcomes: list[tuple[str, backends.AttemptOutcome]] = []
 
-    def choose(self, need):
-        model = need.model_version.model if need.model_version else ""
+    def choose(self, criteria):
+        model = criteria.model_version.model if criteria.model_version else ""
         for address in self.model_addresses.get(model, self.addresses):
-            if address not in need.exclude:
+            if address not in criteria.exclude:
                 return backends.Backend(
                     address=address, region="r", data_centre="r-1", service="s"
                 )
@@ -192,7 +192,7 @@
         if choice.model_version in self.withdrawn:
             raise errors.CodedError(code=codes.Code.NOT_ALLOWED)
 
-    def give_back(self, *, template, choice):
+    def release(self, *, template, choice):
         self.given_back.append(choice.model_version)
 
     def _refuse(self):
@@ -203,9 +203,9 @@
 class FakeCascade(cascade.CascadePolicy):
     """Starts where told and accepts what it is told to."""
 
-    def __init__(self, *, first_stage=1, may_go_on=False):
+    def __init__(self, *, first_stage=1, may_escalate=False):
         self.cascade_plan = cascade.CascadePlan(
-            first_stage=first_stage, may_go_on=may_go_on
+            first_stage=first_stage, may_escalate=may_escalate
         )
         self.accepted = True
         self.rated = False
--- a/tests/permission_scene.py
+++ b/tests/permission_scene.py
@@ -33,7 +33,7 @@
 from nutmeghook.standins import engine_settings
 from tests import config_fleet
 from tests import fakes
-from tests import seeing_servers
+from tests import recording_servers
 from tests.cover import versions_fleet
 
 SECOND = config_fleet.SECOND
@@ -96,7 +96,7 @@
             pins=versions_fleet.MemoryPins(),
             gate=versions_fleet.CountingGate(),
         )
-        fixture.backends = seeing_servers.AnyBackend(
+        fixture.backends = recording_servers.AnyBackend(
             addresses=list(scene.engines), draw=scene.draw
         )
         fixture.engines = scene.engines
@@ -129,15 +129,15 @@
     def __init__(self, *, seed: int):
         self.draw = random.Random(seed)
         self.fleet = config_fleet.ConfigFleet(per_data_centre=3)
-        self.seen: list[seeing_servers.Seen] = []
+        self.received: list[recording_servers.ReceivedRequest] = []
         self.calls: list[Call] = []
         self.taken_away: datetime.timedelta | None = None
         self.revision = 0
         clock = self.fleet.clock
         self.engines = {
-            f"10.0.9.{number}:80": seeing_servers.SeeingEngine(
-                seen=self.seen,
-                right=_TAKEN,
+            f"10.0.9.{number}:80": recording_servers.RecordingEngine(
+                received=self.received,
+                restricted=_TAKEN,
                 clock=clock,
                 loaded=(_TAKEN, _LEFT),
             )
@@ -148,8 +148,8 @@
             refuses_work=True
         )
         out_of_order.faults.delay = REFUSAL_TIME
-        self.service = seeing_servers.SeeingService(
-            seen=self.seen, takes=CALL_TIME, clock=clock
+        self.service = recording_servers.RecordingService(
+            received=self.received, takes=CALL_TIME, clock=clock
         )
         self.instances: dict[str, Instance] = {}
 
@@ -325,8 +325,8 @@
     def sent(self) -> dict[str, list[datetime.timedelta]]:
         """Returns when requests that need the right reached servers."""
         sent = collections.defaultdict(list)
-        for seen in self.seen:
-            if seen.needs_right:
+        for seen in self.received:
+            if seen.needs_permission:
                 sent[seen.request_id].append(seen.at)
         return sent
 
--- a/tests/seeing_servers.py
+++ b/tests/recording_servers.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Seen:
+class ReceivedRequest:
     """Something that reached a backend server.
 
     Attributes:
@@ -20,10 +20,10 @@
 
     request_id: str
     at: datetime.timedelta
-    needs_right: bool = True
+    needs_permission: bool = True
 
 
-class SeeingEngine(memory_engine.MemoryEngine):
+class RecordingEngine(memory_engine.MemoryEngine):
     """An engine that notes each generation as it is sent there.
 
     Args:
@@ -31,37 +31,49 @@
     """
 
     def __init__(
-        self, *, seen: list[Seen], right: engine.ModelVersion, **parts
+        self,
+        *,
+        received: list[ReceivedRequest],
+        restricted: engine.ModelVersion,
+        **parts,
     ):
         super().__init__(**parts)
-        self._seen = seen
-        self._right = right
+        self._received = received
+        self._restricted = restricted
 
     async def generate(self, generation):
         request_id = generation.attempt_id.partition("/")[0]
-        self._seen.append(
-            Seen(
+        self._received.append(
+            ReceivedRequest(
                 request_id=request_id,
                 at=self._clock.monotonic(),
-                needs_right=generation.model_version == self._right,
+                needs_permission=generation.model_version == self._restricted,
             )
         )
         async for chunk in super().generate(generation):
             yield chunk
 
 
-class SeeingService(plain.PlainServiceConnector):
+class RecordingService(plain.PlainServiceConnector):
     """A plain service that notes each call, and takes its time for it."""
 
-    def __init__(self, *, seen: list[Seen], takes: datetime.timedelta, clock):
-        self._seen = seen
+    def __init__(
+        self,
+        *,
+        received: list[ReceivedRequest],
+        takes: datetime.timedelta,
+        clock,
+    ):
+        self._received = received
         self._takes = takes
         self._clock = clock
         self.called: set[str] = set()
 
     async def call(self, address, call):
-        self._seen.append(
-            Seen(request_id=call.request_id, at=self._clock.monotonic())
+        self._received.append(
+            ReceivedRequest(
+                request_id=call.request_id, at=self._clock.monotonic()
+            )
         )
         self.called.add(call.request_id)
         await self._clock.sleep(self._takes)
@@ -77,8 +89,8 @@
         self._addresses = addresses
         self._draw = draw
 
-    def choose(self, need):
-        left = [a for a in self._addresses if a not in need.exclude]
+    def choose(self, criteria):
+        left = [a for a in self._addresses if a not in criteria.exclude]
         if not left:
             return None
         return backends.Backend(
