--- a/src/nutmeghook/internal/routing/cascade.py
+++ b/src/nutmeghook/internal/routing/cascade.py
@@ -1,4 +1,4 @@
-"""Where a cascade starts and when it goes on, as an interface."""
+"""Interface that decides where a cascade starts and when it escalates."""
 
 import abc
 import dataclasses
@@ -34,8 +34,8 @@
 
     Attributes:
         first_stage: Index into the template's stages.
-        may_go_on: False if the first stage's answer is final: then it is
-            relayed as it comes; otherwise it is held until judged.
+        may_escalate: False if the first stage's answer is final: then it is
+            streamed as it arrives; otherwise it is held until judged.
     """
 
     first_stage: int
@@ -43,7 +43,7 @@
 
 
 class CascadePolicy(abc.ABC):
-    """Decides per template, from sampled late ratings."""
+    """Decides per template, from late ratings of sampled answers."""
 
     @abc.abstractmethod
     def plan(self, question: CascadeQuestion) -> CascadePlan:
@@ -57,13 +57,13 @@
         stage_index: int,
         answer: CascadeAnswer,
     ) -> bool:
-        """Tells whether a held answer is good enough to be given."""
+        """Tells whether a held answer is good enough for the caller."""
 
     @abc.abstractmethod
     def wants_rating(
         self, question: CascadeQuestion, *, stage_index: int
     ) -> bool:
-        """Tells whether this answer is to be handed in for rating."""
+        """Tells whether this answer is to be submitted for rating."""
 
     def rating_id(
         self,
@@ -72,10 +72,10 @@
         stage_index: int,
         answer: CascadeAnswer,
     ) -> str:
-        """Returns the id under which to hand an answer in for rating.
+        """Returns the id under which to submit an answer for rating.
 
-        The rating service gives back nothing but this id, so what the policy
-        must know of the answer besides its quality has to be in it.
+        The rating service returns nothing else of the answer, so the id must
+        carry whatever the policy needs to know besides the quality.
         """
         return question.request_id
 
@@ -83,4 +83,4 @@
     def learn(
         self, *, team: str, template: str, stage_index: int, quality: float
     ) -> None:
-        """Takes in a rating."""
+        """Records a rating."""
--- a/src/nutmeghook/internal/routing/cascade_fixed.py
+++ b/src/nutmeghook/internal/routing/cascade_fixed.py
@@ -1,4 +1,4 @@
-"""A cascade that does not learn: start by template, go on by a simple rule."""
+"""A cascade policy that does not learn but follows a fixed rule."""
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.routing import cascade
@@ -8,16 +8,16 @@
 
 
 class FixedCascade(cascade.CascadePolicy):
-    """Starts cheap unless told otherwise; goes on after a broken answer.
+    """Starts at the first stage unless the template says otherwise.
 
-    It is what runs before any rating has come in, and the baseline that the
-    learned policy is measured against.
+    It escalates after an answer that is cut off or empty. The learned policy
+    uses it for templates whose start is not `LEARNED`.
     """
 
     __slots__ = ()
 
     def plan(self, question: cascade.CascadeQuestion) -> cascade.CascadePlan:
-        """Returns the template's own start."""
+        """Returns the start that the template configures."""
         last_stage = len(question.template.stages) - 1
         first_stage = 0
         if question.template.start is documents.StartPolicy.STRONGEST:
@@ -35,7 +35,7 @@
         stage_index: int,
         answer: cascade.CascadeAnswer,
     ) -> bool:
-        """Accepts whatever is whole and not empty."""
+        """Accepts any answer that is complete and not empty."""
         if stage_index >= len(question.template.stages) - 1:
             return True
         long_enough = len(answer.text.strip()) >= _MIN_ANSWER_CHARS
@@ -44,10 +44,10 @@
     def wants_rating(
         self, question: cascade.CascadeQuestion, *, stage_index: int
     ) -> bool:
-        """Hands nothing in: it would not use the ratings."""
+        """Returns False: this policy does not use ratings."""
         return False
 
     def learn(
         self, *, team: str, template: str, stage_index: int, quality: float
     ) -> None:
-        """Ignores it."""
+        """Ignores the rating."""
--- a/src/nutmeghook/internal/routing/cascade_ingestion.py
+++ b/src/nutmeghook/internal/routing/cascade_ingestion.py
@@ -1,4 +1,4 @@
-"""Takes ratings into the tables of their templates, bucket by bucket."""
+"""Adds ratings to the tables of their templates, by bucket."""
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.dependencies import ratings as ratings_module
@@ -36,9 +36,9 @@
     ratings: list[ratings_module.Rating],
     now_s: float,
 ) -> dict[str, cascade_tables.TemplateTable]:
-    """Returns the tables, with the ratings, of templates that have some.
+    """Returns the tables with `ratings` added, of templates with any ratings.
 
-    A template whose number of stages changed starts anew.
+    A template whose number of stages changed starts with an empty table.
     """
     tables: dict[str, cascade_tables.TemplateTable] = {}
     for key, template in templates.items():
--- a/src/nutmeghook/internal/routing/cascade_labels.py
+++ b/src/nutmeghook/internal/routing/cascade_labels.py
@@ -1,8 +1,8 @@
-"""What a rating has to tell of its request, carried in the rating's id.
+"""Facts about a rated request, encoded in the rating's id.
 
-The rating service gives back the id, the stage and the quality. Learning also
+The rating service returns the id, the stage and the quality. Learning also
 needs the kind of request and the score of the cheap answer, which only the
-instance that handed the answer in knew.
+instance that submitted the answer knew.
 """
 
 import re
@@ -14,8 +14,8 @@
 _SEPARATOR = "~"
 _LABEL = re.compile(r"~(\d)\.(\d)\.(-1|\d+)\.([01])$", re.ASCII)
 _NO_BIN = -1
-# Prompt sizes that part a template's requests into kinds: cheap models fail
-# sooner on long prompts, and a kind of its own can go straight to the strong.
+# Prompt sizes that divide a template's requests into kinds: cheap models fail
+# more often on long prompts, and a separate kind can start at a strong model.
 _KIND_LIMITS_CHARS = (1_000, 6_000)
 KINDS = len(_KIND_LIMITS_CHARS) + 1
 
@@ -27,8 +27,8 @@
         kind: Size class of the prompt, from 0.
         first_stage: Where the request started.
         score_bin: Of the first stage's answer; None if that was not held.
-        sampled: It was drawn from all requests alike, so it may count for how
-            frequent a kind is. Explored ones are drawn more from rare kinds.
+        sampled: Drawn uniformly from all requests, so it counts towards the
+            frequency of its kind. Exploration favours rare kinds.
     """
 
     kind: int
@@ -43,7 +43,7 @@
 
 
 def typical_chars(kind: int) -> int:
-    """Returns a prompt size that stands for a kind, for its cost."""
+    """Returns a representative prompt size, to estimate a kind's cost."""
     limits = (*_KIND_LIMITS_CHARS, 2 * _KIND_LIMITS_CHARS[-1])
     return limits[kind] // 2 if kind == 0 else limits[kind]
 
--- a/src/nutmeghook/internal/routing/cascade_learned.py
+++ b/src/nutmeghook/internal/routing/cascade_learned.py
@@ -1,4 +1,4 @@
-"""Follows the plans that were learned from ratings of the whole fleet."""
+"""Applies the plans that were learned from ratings of the whole fleet."""
 
 import collections
 import dataclasses
@@ -15,22 +15,22 @@
 from nutmeghook.internal.routing import cascade_sampling
 from nutmeghook.internal.routing import cascade_scorer
 
-# More requests than one instance has under way; the oldest are forgotten,
-# and their answers judged by the plan of that moment.
+# More requests than one instance has in flight. Beyond it the oldest decisions
+# are dropped, and those requests are decided anew by the current plan.
 _REMEMBERED_REQUESTS = 4096
 _CHEAPEST = cascade_plans.PlannedOption(first_stage=0, go_on_below_bin=0)
-# Plans older than this are of no use: their writer, the store, or this
-# instance's link to it has been gone for hours.
+# Older plans are ignored: the publisher, the store, or this instance's link
+# to it has been down for hours.
 _PLANS_TTL = datetime.timedelta(hours=6)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RequestDecision:
-    """What was decided for one request; it keeps it while plans change.
+    """The decision for one request, kept while plans change.
 
     Attributes:
-        explored: All stages run, to learn how the stronger would have done.
-        rated: Its answers are handed in.
+        explored: All stages run, to compare the quality of their answers.
+        rated: Its answers are submitted for rating.
         sampled: They would be even if it were not explored.
         score_bin: Of the first stage's held answer, once there is one.
     """
@@ -44,7 +44,7 @@
 
 
 class LearnedCascade(cascade.CascadePolicy):
-    """Decides by published plans; does nothing that waits."""
+    """Decides by published plans, without any waiting."""
 
     __slots__ = (
         "_clock",
@@ -71,7 +71,7 @@
         )
 
     def use_plans(self, plans: dict[str, cascade_plans.TemplatePlan]) -> None:
-        """Takes over plans, by template key, that are the newest now."""
+        """Replaces the plans, by template key, with the newest ones."""
         self._plans = plans
         self._read_at = self._clock.monotonic()
 
@@ -94,7 +94,7 @@
         stage_index: int,
         answer: cascade.CascadeAnswer,
     ) -> bool:
-        """Tells whether a held answer is good enough to be given."""
+        """Tells whether a held answer is good enough for the caller."""
         if not _learns(question.template):
             return self._fixed.accepts(
                 question, stage_index=stage_index, answer=answer
@@ -113,7 +113,7 @@
     def wants_rating(
         self, question: cascade.CascadeQuestion, *, stage_index: int
     ) -> bool:
-        """Tells whether this answer is to be handed in for rating."""
+        """Tells whether this answer is to be submitted for rating."""
         if not _learns(question.template):
             return self._fixed.wants_rating(question, stage_index=stage_index)
         return self._decision(question).rated
@@ -145,7 +145,7 @@
     def learn(
         self, *, team: str, template: str, stage_index: int, quality: float
     ) -> None:
-        """Ignores it: one instance learns for all and publishes plans."""
+        """Ignores the rating: one instance learns for all."""
 
     def _decision(self, question: cascade.CascadeQuestion) -> RequestDecision:
         decision = self._decisions.get(question.request_id)
@@ -173,8 +173,8 @@
         explored = position("explore") < explored_share
         sampled = position("rate") < plan.rated_share
         if explored and not may_hold:
-            # Running all stages would hold the answer back; so the cheap
-            # answer is given, which is the only way to hear how good it is.
+            # Running all stages would hold the answer back. So the cheap
+            # answer goes to the caller, the only way to have it rated.
             option = _CHEAPEST
         return RequestDecision(
             option=option,
--- a/src/nutmeghook/internal/routing/cascade_learner.py
+++ b/src/nutmeghook/internal/routing/cascade_learner.py
@@ -1,4 +1,4 @@
-"""Turns a template's tables into its plan."""
+"""Computes a template's plan from its tables."""
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.routing import cascade_labels
@@ -15,17 +15,17 @@
 _MAX_EXPLORED_SHARE = 0.2
 _MAX_TRIED_SHARE = 0.1
 _MIN_TRIED_SHARE = 0.002
-# Once a template is no longer new, running all stages only to compare them
-# may add this part to its cost.
+# Share of its cost that exploration may add to a template that is no longer
+# new.
 _EXPLORATION_COST_SHARE = 0.02
-# Ratings of a template, and comparisons of a kind of request, after which it
-# is no longer new.
+# Ratings of a template, and comparisons of a kind of request, at which
+# `_newness` has fallen to a half.
 _RATINGS_WHILE_NEW = 1_000.0
 _COMPARISONS_WHILE_NEW = 40.0
 
-# Without ratings the last plan stays for this long; then the target rises
-# until all is done by the strongest stage: requests may have changed, and
-# too good an answer costs money while too bad a one costs trust.
+# After this long without ratings the quality target rises until the strongest
+# stage serves everything: requests may have changed, and an answer that is
+# better than needed only costs money, while a bad one costs trust.
 _MAX_RATING_GAP_S = 3_600.0
 _TARGET_RISE_PER_S = 0.02 / 3_600.0
 
@@ -37,7 +37,7 @@
     fleet: documents.Fleet,
     now_s: float,
 ) -> cascade_plans.TemplatePlan:
-    """Returns what to do with a template's requests from now on."""
+    """Returns the plan for a template's requests."""
     held_share = template.held_share_percent / _WHOLE_PERCENT
     groups = [
         group
@@ -55,8 +55,8 @@
         )
         for kind in range(cascade_labels.KINDS)
     )
-    # Explored requests get the last stage's answer: what they add to the
-    # mean rating need not be bought a second time.
+    # Explored requests get the last stage's answer. They raise the mean
+    # quality, so the target for the plans is lower by as much.
     gain = _exploration_gain(groups, mix, explored_shares)
     mix = cascade_plans.cheapest_mix(groups, target=target - gain)
     newness = _newness(table.ratings, _RATINGS_WHILE_NEW)
@@ -74,7 +74,8 @@
     mix: cascade_plans.Mix,
     explored_shares: tuple[float, ...],
 ) -> float:
-    # The groups that may hold come first, and of their options the strongest.
+    # The groups that may hold answers come first; the first option of a group
+    # is the strongest stage.
     holding = zip(groups, mix.qualities, explored_shares, strict=False)
     return sum(
         group.weight * share * max(0.0, group.options[0].quality - quality)
@@ -83,7 +84,7 @@
 
 
 def cautious_plan(stages: int) -> cascade_plans.TemplatePlan:
-    """Returns the plan while nothing is known: the strongest stage."""
+    """Returns the plan without ratings: always the strongest stage."""
     strongest = cascade_plans.PlannedOption(
         first_stage=stages - 1, go_on_below_bin=0
     )
@@ -103,9 +104,9 @@
     costs: list[float],
     mean_cost: float,
 ) -> float:
-    """Returns how much of a kind to explore: a lot at first, then a little.
+    """Returns the share of a kind to explore; it falls with comparisons made.
 
-    A kind that is rare needs as many comparisons as a common one.
+    A rare kind needs as many comparisons as a common one.
     """
     compared = sum(stats.count for stats in stages[0].after)
     newness = _newness(compared, _COMPARISONS_WHILE_NEW)
@@ -117,9 +118,9 @@
 
 
 def _tried_share(stages: list[cascade_tables.StageTable]) -> float:
-    """Returns how much of a kind to try the cheap answer on, unheld.
+    """Returns the share of a kind that gets the cheap answer to have it rated.
 
-    A caller may get a worse answer for it, so it ends sooner than exploring.
+    A caller may get a worse answer by it, so it ends sooner than exploration.
     """
     rated = stages[0].direct.count + sum(c.count for c in stages[0].held)
     newness = _newness(rated, _COMPARISONS_WHILE_NEW)
@@ -127,7 +128,7 @@
 
 
 def _newness(count: float, while_new: float) -> float:
-    """Returns 1 for nothing known, falling to 0."""
+    """Returns 1 without data, falling towards 0 as `count` grows."""
     return while_new / (while_new + count)
 
 
--- a/src/nutmeghook/internal/routing/cascade_options.py
+++ b/src/nutmeghook/internal/routing/cascade_options.py
@@ -1,4 +1,4 @@
-"""What a kind of request can be done with, at which cost and quality."""
+"""The ways to serve a kind of request, with their cost and quality."""
 
 import dataclasses
 import math
@@ -6,8 +6,8 @@
 from nutmeghook.internal.routing import cascade_scorer
 from nutmeghook.internal.routing import cascade_tables
 
-# Qualities are taken this many standard errors lower than measured: a policy
-# that looks cheap by luck would be chosen over those that are.
+# Qualities are estimated this many standard errors below the mean. Otherwise
+# an option that looks good by chance would be preferred to those that are.
 _CAUTION_STANDARD_ERRORS = 0.3
 _PRIOR_RATINGS = 2.0
 _MIN_RATINGS = 20.0
@@ -19,10 +19,10 @@
 
     Attributes:
         first_stage: Where to start.
-        go_on_below_bin: Held answers that score under it are not given, and
-            the next stage runs; 0 if no answer is held.
+        go_on_below_bin: Held answers that score lower are discarded and the
+            next stage runs; 0 if no answer is held.
         cost: Mean cost of a request.
-        quality: Mean quality, on the cautious side.
+        quality: Conservative estimate of the mean quality.
     """
 
     first_stage: int
@@ -48,10 +48,10 @@
     costs: list[float],
     may_hold: bool,
 ) -> list[Option]:
-    """Returns the ways that enough is known of, and always the strongest.
+    """Returns the options with enough ratings, and always the strongest.
 
     Args:
-        stages: What is known of one kind of request.
+        stages: Tables of one kind of request.
         costs: Of one answer of each stage.
         may_hold: Whether answers may be held back to be judged.
     """
@@ -109,7 +109,7 @@
 
 
 def _unheld_answers(table: cascade_tables.StageTable) -> _Estimate | None:
-    """Estimates a stage's answers, from those held and those not."""
+    """Estimates the quality of a stage's answers, held or not."""
     if _count(table.held) < _MIN_RATINGS:
         return _direct_estimate(table.direct)
     parts = [_bin_estimate(stats, table.held) for stats in table.held]
@@ -119,10 +119,10 @@
 def _last_stage(
     stages: list[cascade_tables.StageTable],
 ) -> _Estimate | None:
-    """Estimates the last stage's answers over all requests of the kind.
+    """Estimates the last stage's quality over all requests of the kind.
 
-    Those given after a cheap answer are of the harder requests; weighing
-    them by the cheap scores' own shares takes that out.
+    Its answers after an escalation are to harder requests. Weighting them by
+    the frequency of the previous stage's scores removes that bias.
     """
     direct = stages[-1].direct
     if len(stages) == 1:
@@ -152,7 +152,7 @@
 def _bin_estimate(
     stats: cascade_tables.RatingStats, bins: list[cascade_tables.RatingStats]
 ) -> _Estimate:
-    """Estimates one bin, leaning on all bins where it has few ratings."""
+    """Estimates one bin, shrunk towards all bins where it has few ratings."""
     total = max(1.0, _count(bins))
     prior = sum(c.count * c.mean for c in bins) / total
     weight = stats.count + _PRIOR_RATINGS
@@ -172,7 +172,7 @@
 def _combined(
     estimate: _Estimate, stats: cascade_tables.RatingStats
 ) -> _Estimate:
-    """Weighs an estimate with a cell's by how sure each is."""
+    """Combines two estimates, weighted by their inverse variances."""
     other = _direct_estimate(stats)
     if other is None:
         return estimate
--- a/src/nutmeghook/internal/routing/cascade_plans.py
+++ b/src/nutmeghook/internal/routing/cascade_plans.py
@@ -1,9 +1,9 @@
 """The cheapest mix of options whose mean quality meets the target.
 
-The target holds for the mean over a template's requests, so kinds of request
-trade with each other: quality is bought first where it costs least. The best
-mix lies on the convex hull of each kind's options, and all kinds but one use
-a single option; that one uses two, in a proportion that meets the target.
+The target is for the mean over a template's requests, so quality is raised
+first for the kinds of request where it costs least. The best mix lies on the
+convex hull of each kind's options, and all kinds but one use a single option;
+that one uses two, in a proportion that meets the target.
 """
 
 from collections.abc import Iterator
@@ -15,22 +15,22 @@
 
 from nutmeghook.internal.routing import cascade_options
 
-# Shares that differ by less mean the same: a hundredth of the requests moves
-# the mean rating by less than the error that plans allow for, and a tenth more
-# or less exploring only changes how soon something is learned.
+# Smaller changes are not published: a hundredth of the requests moves the mean
+# rating by less than the error that plans allow for, and a tenth more or less
+# exploration only changes how soon something is learned.
 _MIN_SHARE_CHANGE = 0.01
 _MIN_RELATIVE_CHANGE = 0.1
 
 
 class PlannedOption(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """An option as instances need it."""
+    """The part of an option that instances need."""
 
     first_stage: int
     go_on_below_bin: int
 
 
 class GroupPlan(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What to do with one group of requests.
+    """The options for one group of requests.
 
     Attributes:
         upgraded: For `upgraded_share` of the requests; `usual` for the rest.
@@ -42,16 +42,16 @@
 
 
 class TemplatePlan(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What to do with a template's requests.
+    """The options and sampling shares for a template's requests.
 
     Attributes:
-        holding: For each kind, where answers may be held.
-        relaying: For each kind, where they may not.
-        rated_share: Share of requests whose answers are handed in.
-        explored_shares: For each kind, the share whose answers of all stages
-            are wanted, where answers may be held.
+        holding: For each kind, the options if answers may be held.
+        relaying: For each kind, the options if they may not.
+        rated_share: Share of requests whose answers are submitted for rating.
+        explored_shares: For each kind, the share for which all stages run, if
+            answers may be held.
         tried_shares: For each kind, the share that gets the first stage's
-            answer to hear how good it is, where answers may not be held.
+            answer to have it rated, if answers may not be held.
     """
 
     holding: tuple[GroupPlan, ...]
@@ -114,7 +114,7 @@
     """A plan for each group, in their order.
 
     Attributes:
-        qualities: Of each group under its plan, on the cautious side.
+        qualities: Conservative estimate of each group's quality.
         cost: Mean over all groups.
     """
 
--- a/src/nutmeghook/internal/routing/cascade_publisher.py
+++ b/src/nutmeghook/internal/routing/cascade_publisher.py
@@ -1,8 +1,8 @@
-"""One instance learns from the ratings; all others read what it concludes.
+"""Learns from ratings on one instance and publishes plans for all.
 
-The holder of a lease folds new ratings into the tables of the buckets that they
-belong to. A bucket's tables and plans are written in one transaction, plans
-only if they changed by more than a little; the head follows when all are done.
+The lease holder adds new ratings to the tables of the buckets that they belong
+to. A bucket's tables and plans are written in one transaction, plans only if
+they changed noticeably; the head is written after all buckets.
 """
 
 import asyncio
@@ -26,18 +26,19 @@
 
 PUBLISH_EVERY = datetime.timedelta(seconds=15)
 _MIN_SLEEP = datetime.timedelta(seconds=1)
-# Buckets that are planned anew in each step though no rating came: templates
-# come and go, and plans without ratings grow cautious. All are in four minutes.
+# Buckets that are replanned in each step even without new ratings: templates
+# come and go, and plans without ratings grow cautious. All are within four
+# minutes.
 _BUCKETS_IN_TURN = 16
-# A template with fewer ratings is planned anew whenever some came; the others
-# in turn only, since a few more hardly change their plans. A plan takes about
-# 2 ms: 3,000 of them in each step would be a third of a core.
+# A template with fewer ratings is replanned whenever some arrive, the others
+# only in turn, since a few more hardly change their plans. A plan takes about
+# 2 ms: 3,000 of them in each step would take a third of a core.
 _RATINGS_WHILE_NEW = 1_000
-# A step that touches all buckets would else use up in a moment what the table
-# service allows for a second, and the ledger's commits would be refused.
+# Without this limit, a step that writes all buckets would use up at once what
+# the table service allows a second, and the ledger's commits would be refused.
 COMMITS_PER_S = 25
-# A renewal changes the lease's row now and then under a commit's feet. Of
-# hundreds of commits one would fail so in most steps, and end them.
+# A concurrent renewal of the lease makes a commit fail. Without retries that
+# would end most steps, since a step makes hundreds of commits.
 _COMMIT_ATTEMPTS = 3
 _COMMIT_PAUSE = datetime.timedelta(milliseconds=100)
 _PAGES_PER_STEP = 10
@@ -46,7 +47,7 @@
 
 
 class _ConflictError(Exception):
-    """Another instance wrote meanwhile: the step ends."""
+    """Another instance wrote meanwhile, or the lease is lost: the step ends."""
 
 
 class CascadePublisher:
@@ -80,12 +81,12 @@
         self._commits = 0
 
     async def run(self) -> None:
-        """Takes a step at each interval until cancelled."""
+        """Runs a step at each interval until cancelled."""
         while True:
             begun = self._clock.monotonic()
             await self.step()
             # A step that writes all buckets takes most of the interval. With
-            # a whole one after it, fewer ratings would be read than come.
+            # a whole one after it, fewer ratings would be read than arrive.
             spent = self._clock.monotonic() - begun
             await self._clock.sleep(max(_MIN_SLEEP, PUBLISH_EVERY - spent))
 
@@ -96,7 +97,7 @@
         try:
             await self._step()
         except (failures.PlatformError, _ConflictError):
-            # Nothing is kept in memory: the next step starts from the rows,
+            # No state is kept in memory: the next step starts from the rows,
             # whether this one's write took effect or not.
             return
 
@@ -141,11 +142,11 @@
         cursor: int,
         in_turn: bool,
     ) -> int:
-        """Learns a bucket's ratings, plans, and writes what changed.
+        """Adds a bucket's ratings, replans, and writes what changed.
 
-        A step that ended halfway left some buckets ahead of the head. They
-        get the same ratings again, and know by their own cursor that they
-        have them: no rating counts twice.
+        A step that failed halfway leaves some buckets ahead of the head. They
+        get the same ratings again and skip them by their own cursor, so that
+        no rating counts twice.
 
         Returns:
             The revision of the bucket's plans.
@@ -205,15 +206,15 @@
             if before is not None and not cascade_plans.differ(before, plan):
                 plan = before
             plans[key] = plan
-            # Thousands of plans take seconds, and callers' tokens would wait
-            # as long: the event loop gets its turn after each, about 2 ms.
+            # Thousands of plans take seconds, which would delay callers'
+            # tokens: the event loop runs after each plan, about 2 ms.
             await asyncio.sleep(0)
         return plans
 
     async def _new_ratings(self, cursor: int) -> list[ratings_module.Rating]:
-        """Reads new ratings; none if the service is out.
+        """Reads new ratings; none if the service is unavailable.
 
-        Plans are written all the same: without ratings they grow cautious.
+        Plans are still written: without ratings they grow cautious.
         """
         return await ratings_module.read_new(
             self._ratings, cursor, most_pages=_PAGES_PER_STEP
@@ -228,7 +229,7 @@
         """Writes rows if the lease is held and all rows are as they were read.
 
         Raises:
-            _LostError: It isn't so; nothing was written.
+            _ConflictError: They are not; nothing was written.
         """
         unchanged = tuple(
             table_module.Condition(
@@ -253,10 +254,10 @@
         unchanged: tuple[table_module.Condition, ...],
         puts: tuple[table_module.Put, ...],
     ) -> bool:
-        """Returns whether it took effect; False if only the lease's row moved.
+        """Returns whether it took effect; False if only the lease was renewed.
 
         Raises:
-            _LostError: Another of the rows did, or the lease is lost.
+            _ConflictError: Another row changed, or the lease is lost.
         """
         if self._lease.fencing_token() is None:
             raise _ConflictError
@@ -280,7 +281,7 @@
 
 
 def _decoded(row: table_module.Row | None, row_type: type[_RowT]) -> _RowT:
-    """Returns a row's contents; those of a new row where there is none."""
+    """Returns a row's contents, or an empty row if there is none."""
     if row is None:
         return row_type()
     return msgspec.msgpack.decode(row.value, type=row_type)
--- a/src/nutmeghook/internal/routing/cascade_reader.py
+++ b/src/nutmeghook/internal/routing/cascade_reader.py
@@ -1,4 +1,4 @@
-"""Brings published plans to an instance's policy."""
+"""Reads published plans into an instance's policy."""
 
 import datetime
 import random
@@ -13,8 +13,8 @@
 from nutmeghook.internal.routing import cascade_rows
 
 READ_EVERY = datetime.timedelta(seconds=60)
-# Bytes on the wire after which the rest waits for the next reading: about
-# 200 B/s, however many plans change.
+# Bytes on the wire after which the rest waits for the next reading. It bounds
+# the traffic to about 200 B/s, however many plans change.
 MAX_READ_BYTES = 12_000
 # A request and an answer with their headers; values are sent in base64.
 _CALL_BYTES = 400
@@ -69,8 +69,8 @@
             return
 
     async def _read_all(self) -> None:
-        # One scan at the start: hundreds of instances that start together
-        # would else read a row for each bucket, all at once.
+        # One scan at the start: otherwise hundreds of instances that start
+        # together would each read a row per bucket at once.
         rows = await self._table.scan(
             prefix=cascade_rows.PLANS_PREFIX, limit=cascade_rows.BUCKETS
         )
@@ -91,7 +91,7 @@
             for bucket, revision in enumerate(head.revisions)
             if revision > self._revisions.get(bucket, 0)
         ]
-        # Any order, so that none is left behind for ever by the limit.
+        # Random order, so that the byte limit starves no bucket.
         self._random.shuffle(changed)
         read_bytes = 0.0
         for bucket in changed:
--- a/src/nutmeghook/internal/routing/cascade_rows.py
+++ b/src/nutmeghook/internal/routing/cascade_rows.py
@@ -1,9 +1,9 @@
-"""The rows of what was learned: buckets of templates, and a head.
+"""The stored rows of tables and plans: buckets of templates, and a head.
 
 Templates are spread over buckets by a hash of their key, so that a change of
-one writes and moves a bucket and not all. Plans stand in rows of their own,
-because instances read only these. The head names each bucket's revision of
-plans: an instance that has read it knows which rows it lacks.
+one writes and transfers one bucket and not all. Plans have rows of their own,
+because instances read only these. The head has the revision of each bucket's
+plans, by which an instance finds the rows that it lacks.
 """
 
 import msgspec
@@ -12,7 +12,7 @@
 from nutmeghook.internal.routing import cascade_plans
 from nutmeghook.internal.routing import cascade_tables
 
-# With 3,000 templates a bucket has a dozen, and the head still is below 1 KB.
+# With 3,000 templates a bucket has a dozen, and the head is below 1 KB.
 BUCKETS = 256
 HEAD_KEY = "cascades/head"
 PLANS_PREFIX = "cascades/plans/"
@@ -20,10 +20,10 @@
 
 
 class HeadRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What all buckets have in common.
+    """The progress of all buckets.
 
     Attributes:
-        cursor: Every bucket has taken in its ratings up to this one.
+        cursor: Every bucket's tables include its ratings up to this one.
         revisions: Of each bucket's plans, by number; 0 where there are none.
     """
 
@@ -35,8 +35,8 @@
     """A bucket's tables, by template key.
 
     Attributes:
-        cursor: Ratings up to this one are in them. It may be ahead of the
-            head's, after a step that ended halfway.
+        cursor: They include ratings up to this one. It may be ahead of the
+            head's, after a step that failed halfway.
     """
 
     cursor: int = 0
--- a/src/nutmeghook/internal/routing/cascade_sampling.py
+++ b/src/nutmeghook/internal/routing/cascade_sampling.py
@@ -1,4 +1,4 @@
-"""Places requests at random, but alike on each instance and for retries."""
+"""Pseudo-random sampling of requests, equal on all instances and retries."""
 
 import xxhash
 
@@ -9,15 +9,15 @@
 
 
 def position(request_id: str, purpose: str) -> float:
-    """Returns where a request lies between 0 and 1 for one purpose.
+    """Returns a request's hash for one purpose, between 0 and 1.
 
-    Places for different purposes are independent of each other.
+    Hashes for different purposes are independent of each other.
     """
     digest = xxhash.xxh3_64_intdigest(f"{purpose}\x00{request_id}".encode())
     return digest / _HASH_RANGE
 
 
 def may_hold(question: cascade.CascadeQuestion) -> bool:
-    """Tells whether the request is in the share that may wait for a judge."""
+    """Tells whether the request is in the share whose answers may be held."""
     position_percent = position(question.request_id, "hold") * _WHOLE_PERCENT
     return position_percent < question.template.held_share_percent
--- a/src/nutmeghook/internal/routing/cascade_scorer.py
+++ b/src/nutmeghook/internal/routing/cascade_scorer.py
@@ -1,4 +1,4 @@
-"""How good a held answer looks, without asking another model."""
+"""Scores held answers without calling another model."""
 
 import abc
 
@@ -6,7 +6,7 @@
 
 SCORE_BINS = 8
 
-# Signs that a model doubts its own answer, in the languages of the users.
+# Phrases by which a model doubts its own answer, in the users' languages.
 _DOUBTS = (
     "i'm not sure",
     "i am not sure",
@@ -29,7 +29,7 @@
 class AnswerScorer(abc.ABC):
     """Scores an answer; only the order of scores matters.
 
-    What a score is worth is learned from ratings, for each template.
+    The quality that a score stands for is learned from ratings, per template.
     """
 
     @abc.abstractmethod
@@ -38,7 +38,7 @@
 
 
 class TextAnswerScorer(AnswerScorer):
-    """Looks at cut and empty answers, words of doubt, and shortness."""
+    """Scores by truncation, emptiness, phrases of doubt, and length."""
 
     __slots__ = ()
 
--- a/src/nutmeghook/internal/routing/cascade_tables.py
+++ b/src/nutmeghook/internal/routing/cascade_tables.py
@@ -1,4 +1,4 @@
-"""How good each stage's answers were, by kind of request and score."""
+"""Rating statistics of each stage, by kind of request and score."""
 
 import math
 
@@ -7,15 +7,15 @@
 from nutmeghook.internal.routing import cascade_labels
 from nutmeghook.internal.routing import cascade_scorer
 
-# Older ratings fade, so that the tables follow models and requests that
-# change: a cell never weighs more than this many ratings.
+# Older ratings decay, so that the tables follow models and requests that
+# change: a bin never weighs more than this many ratings.
 _MAX_RATINGS_PER_BIN = 2_000.0
 
 
 class RatingStats(msgspec.Struct, kw_only=True, array_like=True):
-    """Count, mean and spread of some ratings; the spread is a sum of squares.
+    """Count, mean and sum of squared deviations of some ratings.
 
-    It is changed in place: a table takes in hundreds of ratings a second.
+    It is changed in place: a table receives hundreds of ratings a second.
     """
 
     count: float = 0.0
@@ -23,7 +23,7 @@
     squares: float = 0.0
 
     def add(self, quality: float) -> None:
-        """Takes in a rating."""
+        """Adds a rating."""
         if self.count >= _MAX_RATINGS_PER_BIN:
             fading = 1.0 - 1.0 / _MAX_RATINGS_PER_BIN
             self.count *= fading
@@ -34,7 +34,7 @@
         self.squares += difference * (quality - self.mean)
 
     def variance(self) -> float:
-        """Returns the spread of single ratings."""
+        """Returns the variance of single ratings."""
         if self.count < 2.0:
             return _UNKNOWN_VARIANCE
         return self.squares / (self.count - 1.0)
@@ -59,12 +59,12 @@
 
 
 class TemplateTable(msgspec.Struct, kw_only=True, array_like=True):
-    """All that is known for one template.
+    """All rating statistics of one template.
 
     Attributes:
         kinds: For each kind of request, a table for each stage.
-        ratings: Taken in so far.
-        requests: Rated requests of each kind, faded.
+        ratings: Number added so far.
+        requests: Rated requests of each kind, decayed.
         last_rating_at_s: Wall time of the newest rating's arrival.
     """
 
@@ -83,7 +83,7 @@
         quality: float,
         now_s: float,
     ) -> None:
-        """Takes in a rating; one of a stage that is no more is left out."""
+        """Adds a rating; ignores one of a stage that no longer exists."""
         tables = self.kinds[label.kind]
         if stage_index >= len(tables):
             return
@@ -106,7 +106,7 @@
 
 
 def empty_table(stages: int) -> TemplateTable:
-    """Returns the table of a template that nothing is known of."""
+    """Returns the table of a template without ratings."""
     return TemplateTable(
         kinds=[
             [StageTable() for _ in range(stages)]
@@ -116,7 +116,7 @@
 
 
 def standard_error(stats: RatingStats) -> float:
-    """Returns how far a cell's mean may be off."""
+    """Returns the standard error of a bin's mean."""
     return math.sqrt(stats.variance() / max(1.0, stats.count))
 
 
@@ -124,5 +124,5 @@
     return [RatingStats() for _ in range(cascade_scorer.SCORE_BINS)]
 
 
-# Qualities lie between 0 and 1; nothing spreads more than this.
+# The largest possible variance of qualities, which lie between 0 and 1.
 _UNKNOWN_VARIANCE = 0.25
