--- a/src/nutmeghook/internal/routing/version_choice.py
+++ b/src/nutmeghook/internal/routing/version_choice.py
@@ -16,14 +16,14 @@
 DEFAULT_PIN_TIMEOUT = datetime.timedelta(milliseconds=150)
 _WHOLE_PERCENT = 100.0
 _HASH_RANGE = 2.0**64
-# A pin may name a version that the template no longer lists; the second try
-# names it as unusable, and a third finds another instance doing the same.
+# A pin may name a version that the template no longer lists. The second try
+# names it as unusable; the third is for another instance doing the same.
 _PIN_TRIES = 3
 _RETRY_UNKNOWN_PIN = datetime.timedelta(seconds=2)
 
 
 class ConfiguredVersionChooser(versions.VersionChooser):
-    """Chooses by the configuration in force, pins, leave and shares."""
+    """Chooses by the configuration in force, pins, exposure and shares."""
 
     __slots__ = ("_gate", "_pin_timeout", "_pins", "_rules")
 
@@ -88,7 +88,7 @@
         template: documents.Template,
         choice: versions.VersionChoice,
     ) -> None:
-        """Returns the leave of a choice of which no caller got any text."""
+        """Returns the exposure of a choice of which no caller got any text."""
         if choice.rolling_out:
             self._gate.give_back(
                 template=template, model_version=choice.model_version
@@ -101,7 +101,7 @@
         wanted: version_rules.ListedVersion,
         share_key: str,
     ) -> version_rules.ListedVersion:
-        """Returns `wanted` if it needs no leave or gets it."""
+        """Returns `wanted` if it needs no exposure allowance or gets it."""
         if wanted.standing is not version_rules.Standing.ROLLING_OUT:
             return wanted
         version = wanted.model_version
@@ -110,8 +110,8 @@
         serving = _serving(usable)
         if serving:
             return _among_serving(serving, share_key)
-        # A template with nothing but roll-outs has nobody to fall back on;
-        # its operator chose that, and the answer still counts.
+        # A template with nothing but roll-outs has no version to fall back
+        # on; its operator chose that, and the answer still counts.
         self._gate.take_regardless(template=template, model_version=version)
         return wanted
 
@@ -125,7 +125,7 @@
         try:
             choice = await self._pinned_or_only(template, key, proposed, usable)
         except BaseException:
-            # Cancelled at its deadline included: nothing will be sent.
+            # Also if cancelled at its deadline: nothing will be sent.
             self._settle_allowance(template, taken=proposed, used=None)
             raise
         self._settle_allowance(template, taken=proposed, used=choice)
@@ -192,10 +192,10 @@
     def _check_pin(
         self, template: documents.Template, pinned: pins_module.Pinned
     ) -> versions.VersionChoice:
-        """Checks a pin against the configuration; it may be a newer one.
+        """Checks a pin against this instance's configuration.
 
-        A pin that was chosen under a configuration which is yet to come here
-        is kept: the caller hears "not run, come back" until it has come.
+        A pin that was chosen under a newer configuration is kept: the caller
+        gets a retryable "not run" until this instance has that configuration.
         """
         standing = self._rules.standing(
             template=template, model_version=pinned.model_version
@@ -218,7 +218,7 @@
         taken: version_rules.ListedVersion,
         used: versions.VersionChoice | None,
     ) -> None:
-        """Makes the leave taken agree with the version that will be used."""
+        """Makes the allowance taken match the version that will be used."""
         had_allowance = taken.standing is version_rules.Standing.ROLLING_OUT
         if used is not None and used.model_version == taken.model_version:
             return
@@ -235,8 +235,8 @@
 def _overrides_pin(standing: version_rules.Standing) -> bool:
     """Tells whether a session has to leave a version for good.
 
-    A stale configuration is no reason: the version may well be fine, and the
-    session would have changed its version because of this instance's fault.
+    A stale configuration is no reason: the version may well be usable, and
+    the session would change its version because of this instance's outage.
     """
     return not standing.usable and standing is not version_rules.Standing.STALE
 
@@ -257,7 +257,7 @@
 
 
 def _position_percent(key: str, salt: str) -> float:
-    """Places a key between 0 and 100, the same on every instance."""
+    """Hashes a key to 0 to 100, the same on every instance."""
     digest = xxhash.xxh3_64_intdigest(f"{salt}\x00{key}".encode())
     return digest / _HASH_RANGE * _WHOLE_PERCENT
 
@@ -267,8 +267,8 @@
 ) -> version_rules.ListedVersion:
     """Returns the version whose share the key falls into.
 
-    Each version has its own hash and the share that earlier ones left over.
-    So a growing share only gains keys, and loses none of those it had.
+    Each version hashes the key by itself and takes its share of what earlier
+    ones left over. So a growing share gains keys and loses none.
     """
     rolling = [
         v for v in usable if v.standing is version_rules.Standing.ROLLING_OUT
@@ -300,13 +300,12 @@
     key: pins_module.SessionKey,
     template: documents.Template,
 ) -> version_rules.ListedVersion:
-    """Chooses for a session whose pin can't be found out.
+    """Chooses for a session whose pin can't be read.
 
-    Only where there is nothing to choose: with two usable versions the
-    session may be pinned to either, and the wrong guess would change its
-    version. Choosing the serving one by a hash, equal on all instances, was
-    tried: sessions that began during an outage were pinned to the version in
-    roll-out right after it, and their versions changed.
+    Only if a single version is usable: with two the session may be pinned to
+    either, and a wrong guess would change its version. Choosing the serving
+    one by a hash, equal on all instances, fails too: sessions that begin
+    during an outage are pinned to the version in roll-out right after it.
     """
     if len(usable) == 1:
         return usable[0]
@@ -314,7 +313,7 @@
         code=codes.Code.STORE_OUT,
         detail=(
             f"session {key.session!r} of template {template.name!r} may be on"
-            f" any of {len(usable)} versions; come back later"
+            f" any of {len(usable)} versions; retry later"
         ),
         retry_after=_RETRY_UNKNOWN_PIN,
     )
--- a/src/nutmeghook/internal/routing/version_rules.py
+++ b/src/nutmeghook/internal/routing/version_rules.py
@@ -1,7 +1,7 @@
-"""Which versions may run now: the one place that enforces precedence.
+"""Rules for which versions may run now; precedence is enforced only here.
 
-docs/design/precedence.md gives the order and its reasons. The rules that
-forbid stand here; `version_choice` picks among what they leave.
+docs/design/precedence.md gives the order and its reasons. `version_choice`
+chooses among the versions that these rules permit.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 class Standing(enum.Enum):
-    """What the configuration lets happen with a version; first that holds."""
+    """Whether the configuration permits a version; the first that applies."""
 
     NOT_ALLOWED = "not_allowed"
     WITHDRAWN = "withdrawn"
@@ -54,11 +54,11 @@
 
 
 class VersionRules:
-    """Answers from the newest configuration, not from a request's copy.
+    """Applies the newest configuration, not a request's copy.
 
-    A request may have waited in a queue while a version was withdrawn. The
-    template it was admitted under would still name that version, and the
-    caller would get an answer that the operator believes impossible.
+    A version may be withdrawn while a request waits in a queue. The template
+    it was admitted under still names that version, and the caller would get
+    its answer although the operator has withdrawn it.
     """
 
     __slots__ = ("_view",)
@@ -68,7 +68,7 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the configuration that the rules go by."""
+        """The revision of the configuration that the rules apply."""
         return self._view.snapshot.revision
 
     def standing(
@@ -77,7 +77,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> Standing:
-        """Tells what may happen with one version of a template now."""
+        """Returns the standing of one version of a template now."""
         for listed in self.listed(template=template, model=model_version.model):
             if listed.model_version == model_version:
                 return listed.standing
@@ -144,9 +144,9 @@
     ) -> bool:
         """Tells whether the template's freshness policy forbids the entry.
 
-        An instance that is cut off can't know that the others withdrew a
-        version; without this it would go on giving that version's answers.
-        The policy bounds for how long, by the template's own limit.
+        A partitioned instance can't know that a version was withdrawn and
+        would go on serving it. The policy bounds for how long, by the
+        template's staleness limit.
         """
         if current.freshness is documents.FreshnessPolicy.KEEP_SERVING:
             return False
--- a/src/nutmeghook/internal/routing/versions.py
+++ b/src/nutmeghook/internal/routing/versions.py
@@ -1,4 +1,4 @@
-"""The choice of version for each stage of a template, as an interface."""
+"""Interface that chooses the version for each stage of a template."""
 
 import abc
 import dataclasses
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class VersionChoice:
-    """The version chosen for a stage, and why.
+    """The version chosen for a stage.
 
     Attributes:
         rolling_out: The version is in roll-out: sending to it uses up
-            exposure.
+            exposure allowance.
     """
 
     model_version: engine.ModelVersion
@@ -60,9 +60,9 @@
         template: documents.Template,
         choice: VersionChoice,
     ) -> None:
-        """Takes back a choice that came to nothing.
+        """Returns the exposure allowance of a choice that was not used.
 
-        Only for a choice of which provably no text reached a caller, and
-        once. A chooser that counts no exposure has nothing to do.
+        Called once at most, and only if provably no text reached a caller.
+        The default is for choosers that count no exposure.
         """
         del template, choice
