--- a/src/nutmeghook/internal/routing/affinity.py
+++ b/src/nutmeghook/internal/routing/affinity.py
@@ -1,8 +1,8 @@
-"""Where sessions and prompt prefixes belong: a ring of hashed points.
+"""Consistent hashing of sessions and prompt prefixes onto backend servers.
 
 Each backend server has many points on the ring; a key belongs to the next
-point after its own hash. All instances that know the same backend servers
-agree without talking, and one that goes gives only its own keys away.
+point after its own hash. Instances that know the same backend servers agree
+without communicating, and removing one moves only its own keys.
 """
 
 import bisect
@@ -12,24 +12,24 @@
 import xxhash
 
 # More points spread the keys more evenly: with 64, the fullest of 12 backend
-# servers has about a quarter more keys than the mean, which the bound on load
-# takes off again.
+# servers has about a quarter more keys than the mean, which the chooser's
+# bound on load evens out.
 POINTS = 64
 
 
 class AffinityRing:
-    """The addresses of backend servers, in an order that a key decides.
+    """A consistent-hash ring of the addresses of backend servers.
 
-    A look-up costs the logarithm of the number of points; the first one after
-    a change, and a removal, cost time in proportion to it.
+    A look-up takes time logarithmic in the number of points; a removal, and
+    the first look-up after an addition, take time proportional to it.
     """
 
     __slots__ = ("_hashes", "_is_sorted", "_owners")
 
     def __init__(self):
         self._hashes: list[int] = []
-        # Sorted at the next look-up: a list of replicas that is read whole
-        # adds hundreds one after the other.
+        # Sorting is deferred to the next look-up, because reading a whole
+        # list adds hundreds of replicas one after the other.
         self._is_sorted = True
         self._owners: dict[int, str] = {}
 
@@ -47,14 +47,14 @@
         self._is_sorted = False
 
     def remove(self, address: str) -> None:
-        """Takes a backend server's points away."""
+        """Removes a backend server's points from the ring."""
         for point in _points_of(address):
             if self._owners.get(point) == address:
                 del self._owners[point]
         self._hashes = [h for h in self._hashes if h in self._owners]
 
     def owners(self, key: str, *, limit: int) -> Iterator[str]:
-        """Yields up to `limit` different addresses, the key's own first."""
+        """Yields up to `limit` distinct addresses, the key's owner first."""
         if not self._is_sorted:
             self._hashes.sort()
             self._is_sorted = True
--- a/src/nutmeghook/internal/routing/backends.py
+++ b/src/nutmeghook/internal/routing/backends.py
@@ -1,4 +1,4 @@
-"""Backend servers as the router sees them, and the choice among them."""
+"""What is known of backend servers, and the interface for choosing one."""
 
 import abc
 import dataclasses
@@ -9,10 +9,10 @@
 
 
 class Locality(enum.IntEnum):
-    """Where a backend server stands, seen from this instance.
+    """Distance of a backend server from this instance.
 
-    `OWN_CELL` is the part of the fleet that `cells` gives to this instance
-    and the few peers with which it shares its knowledge of load.
+    `OWN_CELL` is the part of the fleet that `cells` assigns to this instance
+    and the few peers with which it gossips load.
     """
 
     OWN_CELL = 0
@@ -23,25 +23,27 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Backend:
-    """One backend server and what is believed of it.
+    """One backend server and its state as known to this instance.
 
     Attributes:
         address: `ip:port`.
         service: Pool or plain service it belongs to.
         report: Its newest load report; None before the first.
-        reported_at: Monotonic time at which the report's figures were true.
-        leaving: Listed as leaving, or said so itself; takes no new work.
+        reported_at: Monotonic time at which the report was measured.
+        leaving: Listed as leaving, or reported so itself; gets no new work.
         leaving_since: Monotonic time at which that became known.
         listed_leaving: It was listed as leaving.
-        ejected: Takes no new work for a while: its attempts failed.
-        on_trial: Was ejected, and is given one attempt at a time until one
-            succeeds.
-        nearness: Its place seen from this instance.
+        ejected: Gets no new work for a while: its attempts failed or were
+            slow.
+        on_probation: Was ejected, and is given one attempt at a time until
+            one succeeds.
+        locality: Its distance from this instance.
         plain: It is a plain service's instance, not a model engine.
         in_flight: Attempts of this instance that run on it now.
-        peers_in_flight: Attempts that the peers of the cell say they have.
-        outside: Attempts that its reports show beyond those two.
-        outside_at: Monotonic time for which `outside` was worked out.
+        peers_in_flight: Attempts in flight that the cell's peers reported.
+        external_in_flight: Estimate of the attempts from outside the cell:
+            those that its load reports show beyond the other two.
+        external_at: Monotonic time to which `external_in_flight` refers.
     """
 
     address: str
@@ -70,7 +72,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class BackendCriteria:
-    """What a request needs of a backend server.
+    """What a request requires of a backend server.
 
     Attributes:
         model_version: None for a plain service.
@@ -88,7 +90,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt on a backend server ended, as evidence about it."""
+    """How an attempt on a backend server ended."""
 
     ANSWERED = "answered"
     REFUSED_OVERLOAD = "refused_overload"
@@ -109,8 +111,8 @@
     def may_send(self, backend: Backend) -> bool:
         """Tells whether work may still go to a backend server chosen before.
 
-        Asked as the work leaves. A chooser that learns of nothing in between
-        has nothing to say.
+        Called just before the work is sent. The default is for choosers that
+        learn nothing between the choice and the sending.
         """
         del backend
         return True
@@ -128,4 +130,4 @@
         duration: datetime.timedelta,
         report: engine.LoadReport | None = None,
     ) -> None:
-        """Notes how it ended, with the load report that came along."""
+        """Notes how it ended, with the load report that the answer carried."""
--- a/src/nutmeghook/internal/routing/cells.py
+++ b/src/nutmeghook/internal/routing/cells.py
@@ -1,15 +1,15 @@
-"""The small part of the fleet whose load this instance knows well.
-
-Instances tell each other what they have in flight a few times a second. That
-is what keeps the choice of backend server good while reports are a second
-late, but its bytes grow with the square of the number of instances. So a
-large data centre is cut into cells of about six instances and an equal part
-of its backend servers; each cell is as well informed as today's seven
-instances are. Work leaves the cell only where the cell is full.
-
-Each instance works its cell out by itself from the members and backend
-servers that it knows. Where views differ for a moment, two instances share a
-little less than they could; nothing depends on their agreeing.
+"""Assignment of instances and backend servers to cells.
+
+The instances of a cell gossip what they have in flight a few times a second.
+That keeps the choice of backend server good while reports are a second late,
+but its traffic grows with the square of the number of instances. So a large
+data centre is divided into cells of about six instances and an equal part of
+its backend servers; each is as well informed as a fleet of seven instances.
+Work leaves the cell only when the cell is full.
+
+Each instance computes its cell from the members and backend servers that it
+knows. While views differ, two instances gossip a little less than they could;
+nothing depends on their agreement.
 """
 
 import collections
@@ -22,11 +22,11 @@
 from nutmeghook.internal.routing import directory as directory_module
 
 # Up to this many instances of a region, or else of a data centre, form one
-# cell; above it they are cut into cells of about the second number.
+# cell; more are divided into cells of about `CELL_MEMBERS`.
 WHOLE_CELL_MEMBERS = 8
 CELL_MEMBERS = 6
 # A service with fewer backend servers than this for each cell is shared by
-# several cells: balance among one or two would be no balance.
+# several cells, since one or two leave no choice for balancing.
 SMALLEST_CELL_BACKENDS = 3
 
 
@@ -36,7 +36,7 @@
 
     Attributes:
         peers: Inner addresses of the other instances in it.
-        spans_region: It takes in the whole region's backend servers.
+        spans_region: It includes the whole region's backend servers.
         index: Its number among the cells of the data centre.
         count: How many cells there are.
     """
@@ -48,7 +48,7 @@
 
 
 class CellView:
-    """Keeps this instance's cell and the backend servers' nearness."""
+    """Keeps this instance's cell and the locality of backend servers."""
 
     __slots__ = ("_cell", "_directory", "_generation", "_members")
 
@@ -69,7 +69,7 @@
         return self._cell
 
     def refresh(self) -> None:
-        """Works everything out again if members or backend servers changed."""
+        """Recomputes everything if members or backend servers changed."""
         cell = cell_of(self._members)
         generation = self._directory.generation
         if cell == self._cell and generation == self._generation:
@@ -77,9 +77,9 @@
         self._cell = cell
         self._generation = generation
         myself = self._members.myself
-        # By service only, which the list tells to all. The versions would
-        # part more evenly, but are known of the own cell's replicas alone:
-        # parts would shrink with what each instance knows.
+        # Grouped by service, which the instance list gives to all. Versions
+        # would divide more evenly, but are known of the own cell's replicas
+        # only: each part would shrink to what the instance knows.
         services = collections.defaultdict(list)
         for backend in self._directory.known():
             if _in_scope(backend, cell, myself):
@@ -94,7 +94,7 @@
     def polls(self, backend: backends.Backend) -> bool:
         """Tells whether this instance polls the backend server's reports.
 
-        Of the cell's instances, the one with the highest hash does.
+        The instance of the cell with the highest rendezvous hash does.
         """
         if backend.locality is not backends.Locality.OWN_CELL:
             return False
@@ -111,7 +111,7 @@
         service_backends: list[backends.Backend],
         myself: members_module.Member,
     ) -> None:
-        """Gives each cell its part of the backend servers of one service."""
+        """Assigns each cell its part of the backend servers of a service."""
         cell = self._cell
         size = len(service_backends)
         parts = min(cell.count, max(1, size // SMALLEST_CELL_BACKENDS))
--- a/src/nutmeghook/internal/routing/chooser.py
+++ b/src/nutmeghook/internal/routing/chooser.py
@@ -1,7 +1,6 @@
-"""The choice of backend server for each attempt.
+"""Chooses the backend server for each attempt.
 
-docs/design/backend-choice.md tells what was weighed, and bench/balance.py
-measures it against the usual policies.
+docs/design/backend-choice.md compares this policy with others.
 """
 
 import datetime
@@ -17,21 +16,22 @@
 from nutmeghook.internal.routing import pools
 from nutmeghook.internal.routing import stall_detector as stall_detector_module
 
-# Drawn from the own cell, whose load is known well, and from farther away,
-# where a choice among many would lead all instances to the same one.
+# Candidates drawn from the own cell, whose load is known well, and from each
+# remoter locality, where a choice among many would lead all instances to the
+# same backend server.
 CELL_CANDIDATES = 4
 OUTER_CANDIDATES = 2
-# From this share of its batch on, a backend server counts as full: others
-# farther away are looked at, and affinity goes on to the next on the ring.
+# Above this utilisation a backend server counts as full: remoter ones are
+# considered, and affinity tries the next owner on the ring.
 FULL_SHARE = 1.0
-# What one step farther away must be emptier by, as a share of the batch.
+# Difference in utilisation that justifies one step of locality.
 DISTANCE_COST_SHARE = 0.1
-# Backend servers that are looked at for a session before the least loaded.
+# Owners of a session that are tried before the least loaded backend server.
 AFFINITY_TRIES = 3
 
 
 class LeastLoadedChooser(backends.BackendChooser):
-    """Keeps sessions where they were, and else takes the least loaded."""
+    """Chooses by session affinity, otherwise the least loaded."""
 
     __slots__ = (
         "_clock",
@@ -84,8 +84,8 @@
     def may_send(self, backend: backends.Backend) -> bool:
         """Tells whether work may still go to a backend server chosen before.
 
-        It may have left since, or this process may have stood still and not
-        know yet that it did.
+        It may have left since, or this process may have been paused and not
+        know of that yet.
         """
         if (
             self._stall_detector is not None
@@ -107,7 +107,7 @@
         duration: datetime.timedelta,
         report: engine.LoadReport | None = None,
     ) -> None:
-        """Notes how it ended, with the load report that came along."""
+        """Notes how it ended, with the load report that the answer carried."""
         self._note_own(backend, -1)
         if self._directory.find(backend.address) is not backend:
             return  # It was dropped or replaced while the attempt ran.
@@ -136,8 +136,8 @@
     ) -> backends.Backend | None:
         """Returns the first owner of the key that is not full.
 
-        Every instance goes through the same owners in the same order, so a
-        busy prompt prefix spreads over as many as it needs and no more.
+        All instances try the same owners in the same order, so a busy prompt
+        prefix spreads over no more backend servers than it needs.
         """
         for owner in pool.owners(criteria.affinity_key, limit=AFFINITY_TRIES):
             if owner.address in criteria.exclude or _is_probation_busy(owner):
@@ -174,5 +174,5 @@
 
 
 def _is_probation_busy(backend: backends.Backend) -> bool:
-    """Tells whether it is on trial and has its one attempt already."""
+    """Tells whether it is on probation with its one attempt in flight."""
     return backend.on_probation and backend.in_flight > 0
--- a/src/nutmeghook/internal/routing/directory.py
+++ b/src/nutmeghook/internal/routing/directory.py
@@ -1,8 +1,8 @@
 """Which backend servers exist, and which of them may take which work.
 
-Fed by the platform's instance list and by load reports; read on every
-request. All work that grows with the number of backend servers is done when
-they change, none of it when a request is routed.
+Updated from the platform's instance list and load reports; read on every
+request. Work that grows with the number of backend servers is done when they
+change, not when a request is routed.
 """
 
 import collections
@@ -17,16 +17,16 @@
 from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.routing import pools
 
-# More live rows than this share gone from one list to the next is taken for
-# a fault of the list. A rack or one data centre of three is less.
+# If more than this share of the live rows is gone from one list to the next,
+# the list is taken to be faulty. A rack or one data centre of three is less.
 LIST_FAULT_SHARE = 0.4
 
 
-# A plain service sends no reports. When the list still calls an instance
-# live this long after it refused as leaving, it must have changed its mind.
+# A plain service sends no reports. If the list still shows an instance as live
+# this long after it refused work as leaving, it is used again.
 LEAVING_TTL = datetime.timedelta(seconds=30)
-# The same for an engine, whose reports show it sooner. Reports measured
-# before it began to leave arrive for a few seconds more.
+# The same for an engine whose reports no longer show it as leaving. Those
+# measured before it began to leave arrive for a few seconds more.
 MAX_REPORT_DELAY = datetime.timedelta(seconds=10)
 
 PoolKey = engine.ModelVersion | str
@@ -70,7 +70,7 @@
         self.generation = 0
 
     def on_forget(self, callback: Callable[[backends.Backend], None]) -> None:
-        """Has a callback run for each backend server that is dropped."""
+        """Registers a callback to run for each dropped backend server."""
         self._forget_callbacks.append(callback)
 
     def known(self) -> list[backends.Backend]:
@@ -88,13 +88,13 @@
     def pool(
         self, criteria: backends.BackendCriteria
     ) -> pools.BackendPool | None:
-        """Returns those that may take this kind of work now."""
+        """Returns the backend servers that may take this work now."""
         if criteria.model_version is not None:
             return self._pools.get(criteria.model_version)
         return self._pools.get(criteria.service)
 
     def apply_list(self, rows: list[instances.ListedInstance]) -> None:
-        """Takes in a new instance list."""
+        """Applies a new instance list."""
         listed = {
             row.address: row
             for row in rows
@@ -115,7 +115,7 @@
         *,
         measured_at: datetime.timedelta,
     ) -> None:
-        """Takes in a load report, unless a newer one is known."""
+        """Applies a load report, unless a newer one is known."""
         if backend.report is not None and measured_at <= backend.reported_at:
             return
         before = _pool_keys(backend)
@@ -136,7 +136,7 @@
         self._index(backend)
 
     def note_leaving(self, backend: backends.Backend) -> None:
-        """Gives a backend server no new work from now on."""
+        """Stops new work to a backend server that is leaving."""
         if backend.leaving:
             return
         backend.leaving = True
@@ -147,7 +147,7 @@
         )
 
     def eject(self, backend: backends.Backend) -> None:
-        """Takes a backend server out until `restore`."""
+        """Stops new work to a backend server until `restore`."""
         backend.ejected = True
         self._unindex(backend, _pool_keys(backend))
 
@@ -203,14 +203,13 @@
     def _removable(
         self, missing: list[backends.Backend]
     ) -> list[backends.Backend]:
-        """Returns those of the missing that the list may be believed on.
-
-        A list that empties, or loses a large part at once, tells of a fault
-        of the list: believing it would stop all work although every backend
-        server is well. So the missing are kept, and only those are dropped
-        of which this instance knows better: they said that they leave, or
-        attempts on them failed. A dead one that is kept is soon ejected by
-        the attempts that it fails, so that keeping it costs little.
+        """Returns those of the missing that are to be dropped.
+
+        A list that is emptied, or loses a large part at once, is faulty:
+        applying it would stop all work although every backend server is
+        healthy. So the missing are kept, except for those that this instance
+        knows to be leaving or has ejected. Keeping a dead one costs little,
+        since its failed attempts soon eject it.
         """
         unexplained = [b for b in missing if not (b.leaving or b.ejected)]
         live = [b for b in self._backends.values() if not b.leaving]
@@ -267,7 +266,7 @@
 def _is_replacement(
     backend: backends.Backend, row: instances.ListedInstance
 ) -> bool:
-    """Tells whether the row is of a successor at the same address."""
+    """Tells whether the row is of another server at the same address."""
     returned = (
         backend.listed_leaving and row.state is instances.InstanceState.LIVE
     )
@@ -281,7 +280,7 @@
 def _is_sudden_loss(
     unexplained: list[backends.Backend], live: list[backends.Backend]
 ) -> bool:
-    """Tells whether too many went at once, in all or of one service."""
+    """Tells whether too many are gone at once, in total or of one service."""
     if len(unexplained) > max(1, LIST_FAULT_SHARE * len(live)):
         return True
     lost = collections.Counter(b.service for b in unexplained)
--- a/src/nutmeghook/internal/routing/ejection.py
+++ b/src/nutmeghook/internal/routing/ejection.py
@@ -1,7 +1,6 @@
-"""Ejection of backend servers whose attempts fail, for a while.
+"""Outlier detection: temporary ejection of failing or slow backend servers.
 
-What one instance sees of a backend server stays with that instance. To
-share it was weighed and left out: an instance with a broken network would
+Outcomes are not shared between instances: one with a broken network would
 eject healthy backend servers for all the others.
 """
 
@@ -19,17 +18,17 @@
 
 FIRST_EJECTION = datetime.timedelta(seconds=1)
 LONGEST_EJECTION = datetime.timedelta(seconds=60)
-# Good behaviour for this long wipes out the record of earlier ejections.
+# An answer this long after the end of the last ejection resets the back-off.
 EJECTIONS_RESET_AFTER = datetime.timedelta(minutes=3)
-# A pool that fails as a whole (a bad network, a bad version, all slow) is
-# better used than given up: at most this share of a service is ejected.
+# At most this share of a service is ejected: if all of it fails (a bad
+# network, a bad version, all slow), it is better used than given up.
 LARGEST_EJECTED_SHARE = 0.5
 
 FAILURES_IN_A_ROW = 3
-# A refused connection says more than a failed attempt.
+# A refused connection is stronger evidence than a failed attempt.
 UNREACHABLE_IN_A_ROW = 2
-# Ejected as slow: this many times the service's typical duration, over this
-# many attempts. Answers differ in length, hence the width.
+# Ejected as slow: above this multiple of the service's typical duration, after
+# at least this many attempts. Answers differ in length, hence the large factor.
 SLOW_FACTOR = 4.0
 SLOW_ATTEMPTS = 20
 _DURATION_WEIGHT = 0.1
@@ -40,9 +39,10 @@
     """What this instance remembers of a backend server.
 
     Attributes:
-        log_duration: Moving mean of the logarithm of the durations.
-        ejections: How many there were, one after the other.
-        awaits_report: It was unreachable: a report comes before a trial.
+        log_duration: Moving average of the logarithm of durations in seconds.
+        ejections: Number of consecutive ejections.
+        awaits_report: It was unreachable, so its restoration waits for a load
+            report.
     """
 
     failures: int = 0
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
 class _Restoration:
-    """The end of an ejection."""
+    """The scheduled end of an ejection."""
 
     at: datetime.timedelta
     order: int
@@ -65,7 +65,7 @@
 
 
 class OutlierEjector:
-    """Counts outcomes, ejects, and lets the ejected back on trial."""
+    """Counts outcomes, ejects, and restores the ejected on probation."""
 
     __slots__ = (
         "_clock",
@@ -102,7 +102,7 @@
         outcome: backends.AttemptOutcome,
         duration: datetime.timedelta,
     ) -> None:
-        """Takes in how an attempt ended."""
+        """Records how an attempt ended."""
         record = self._records.setdefault(backend.address, _Record())
         if outcome is backends.AttemptOutcome.ANSWERED:
             self._note_answer(backend, record, duration)
@@ -115,7 +115,7 @@
             self._eject(backend, record, reason)
 
     def restore_due(self) -> None:
-        """Lets those back whose time is over; cheap while there are none."""
+        """Restores those whose ejection is over; cheap if there are none."""
         if not self._restorations:
             return
         now = self._clock.monotonic()
@@ -131,11 +131,11 @@
     def _is_silent(
         self, backend: backends.Backend, now: datetime.timedelta
     ) -> bool:
-        """Tells whether an engine gave no sign of life since its ejection.
+        """Tells whether an engine sent no load report since its ejection.
 
-        Trials of a dead engine would each cost a caller a retry, for as long
-        as the list shows it. Its reports are polled anyway. Should the fault
-        be with the reports, it gets its trial after the longest ejection.
+        Each attempt on a dead engine would cost a caller a retry, for as long
+        as the list shows it. Its reports are polled anyway. In case that only
+        the reports fail, it is restored after the longest ejection.
         """
         record = self._records[backend.address]
         return (
--- a/src/nutmeghook/internal/routing/load_digests.py
+++ b/src/nutmeghook/internal/routing/load_digests.py
@@ -1,4 +1,4 @@
-"""The contents of `LoadDigest` messages: written, read, and their size."""
+"""Writing, reading and sizing of `LoadDigest` messages."""
 
 from collections.abc import Iterator
 import dataclasses
@@ -10,8 +10,8 @@
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.routing import backends
 
-# Bytes a second that an instance may send for digests in all; the period
-# grows until they suffice.
+# Bytes a second that an instance may send as digests to all its peers; the
+# period grows to stay within them.
 BUDGET_BYTES_PER_S = 1200
 SHORTEST_PERIOD = datetime.timedelta(milliseconds=200)
 LONGEST_PERIOD = datetime.timedelta(seconds=2)
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class PeerReport:
-    """A load report as a digest carries it; `running` counts the waiting."""
+    """A load report from a digest; `running` includes those waiting."""
 
     address: str
     report: engine.LoadReport
@@ -66,7 +66,7 @@
 
 
 def read_reports(digest: ttypes.LoadDigest) -> Iterator[PeerReport]:
-    """Yields the reports of a digest; their age stands in the digest."""
+    """Yields the reports of a digest; its `age_ms` is the age of all."""
     for number, address in enumerate(digest.addresses or ()):
         capacity = digest.capacity[number]
         yield PeerReport(
@@ -82,7 +82,7 @@
 
 
 def period_for(*, peers: int, entries: int, reports: int) -> datetime.timedelta:
-    """Returns how long to wait after digests of a size to keep the budget."""
+    """Returns the delay after digests of this size that keeps the budget."""
     size_bytes = _FRAME_BYTES + _ENTRY_BYTES * entries + _REPORT_BYTES * reports
     period = datetime.timedelta(seconds=size_bytes * peers / BUDGET_BYTES_PER_S)
     return min(max(period, SHORTEST_PERIOD), LONGEST_PERIOD)
--- a/src/nutmeghook/internal/routing/load_gossip.py
+++ b/src/nutmeghook/internal/routing/load_gossip.py
@@ -1,4 +1,4 @@
-"""Tells the cell's peers what this instance has in flight and has polled."""
+"""Gossips attempts in flight and polled load reports to the cell's peers."""
 
 import asyncio
 import dataclasses
@@ -14,26 +14,26 @@
 from nutmeghook.internal.routing import load_digests
 from nutmeghook.internal.routing import load_tracker
 
-# With nothing to tell, this often a digest says that the sender lives.
+# Period of empty digests, which show that the sender is alive.
 KEEPALIVE_PERIOD = datetime.timedelta(seconds=1)
-# What a peer had in flight no longer counts after so much silence: it died,
-# or is cut off. From then on only reports show it.
+# A peer's attempts in flight no longer count this long after its last digest:
+# it is dead or partitioned. From then on only load reports show them.
 PEER_TTL = datetime.timedelta(seconds=5)
 CALL_TIMEOUT = datetime.timedelta(seconds=1)
-# A report is told again after this long, or when it shows this much more or
-# less work from outside the cell, as a share of the batch.
+# A report is sent again after this long, or when the attempts from outside the
+# cell that it shows changed by this share of the capacity.
 REPORT_REPEAT = datetime.timedelta(seconds=5)
 REPORT_CHANGE_SHARE = 0.15
-# One age is sent for all reports of a digest.
+# A digest has one age for all its reports, which may differ by this much.
 MAX_AGE_SPREAD = datetime.timedelta(milliseconds=200)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Outbox:
-    """What one peer was not told yet.
+    """Updates that were not sent to one peer yet.
 
     Attributes:
-        complete: Tell everything: the peer may have missed something.
+        complete: Send all attempts in flight: the peer may have missed some.
     """
 
     changed: set[str] = dataclasses.field(default_factory=set)
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _PeerLoad:
-    """What one peer said it has in flight."""
+    """Attempts in flight that one peer reported, by backend server."""
 
     in_flight: dict[str, int] = dataclasses.field(default_factory=dict)
     received_at: datetime.timedelta = datetime.timedelta()
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _SentReport:
-    """A report as the peers were last told of it."""
+    """A load report as last sent to the peers."""
 
     at: datetime.timedelta
     report: engine.LoadReport
@@ -60,7 +60,7 @@
 
 
 class LoadGossiper:
-    """One task for each peer sends digests; the handler takes theirs in."""
+    """Sends digests with one task for each peer, and receives theirs."""
 
     __slots__ = (
         "_by_hash",
@@ -104,12 +104,12 @@
         directory.on_forget(self._forget_backend)
 
     def note_own_change(self, backend: backends.Backend) -> None:
-        """Has the peers told that the own attempts in flight changed."""
+        """Queues a change of the own attempts in flight for all peers."""
         for outbox in self._outboxes.values():
             outbox.changed.add(backend.address)
 
     def note_report(self, backend: backends.Backend) -> None:
-        """Has the peers told of a report, if it says something new."""
+        """Queues a load report for all peers, if it changed enough."""
         now = self._clock.monotonic()
         sent = self._sent_reports.get(backend.address)
         if sent is not None and not _is_worth_sending(backend, sent, now):
@@ -123,7 +123,7 @@
             outbox.reports.add(backend.address)
 
     async def run(self) -> None:
-        """Keeps the cell and a task for each of its peers until cancelled."""
+        """Maintains the cell and a task for each peer until cancelled."""
         try:
             while True:
                 self.refresh()
@@ -134,7 +134,7 @@
             self._tasks.clear()
 
     def refresh(self) -> None:
-        """Follows changes of the cell; forgets peers that fell silent."""
+        """Applies changes of the cell; drops the load of silent peers."""
         self._cells.refresh()
         peers = set(self._cells.cell.peers)
         for address in self._tasks.keys() - peers:
@@ -155,7 +155,7 @@
                 del self._peer_loads[address]
 
     async def receive(self, digest: ttypes.LoadDigest) -> ttypes.Empty:
-        """Takes in a peer's digest."""
+        """Applies a peer's digest."""
         sender = digest.sender_address or ""
         peer_load = self._peer_loads.setdefault(sender, _PeerLoad())
         peer_load.received_at = self._clock.monotonic()
@@ -234,7 +234,7 @@
         return digest
 
     def _add_reports(self, digest: ttypes.LoadDigest, outbox: _Outbox) -> None:
-        """Moves the oldest reports, and those of about their age, over."""
+        """Moves the oldest reports, and those of similar age, to `digest`."""
         found = map(self._directory.find, outbox.reports)
         reported = [b for b in found if b is not None and b.report is not None]
         if not reported:
@@ -255,8 +255,8 @@
             self._by_hash = {}
             for backend in self._directory.known():
                 key = load_digests.address_hash(backend.address)
-                # Two with one hash: neither can be told of, and reports show
-                # what the peers run there.
+                # If two have the same hash, entries for neither are applied;
+                # load reports show what the peers run there.
                 taken = key in self._by_hash
                 self._by_hash[key] = None if taken else backend
         return self._by_hash.get(number)
--- a/src/nutmeghook/internal/routing/load_tracker.py
+++ b/src/nutmeghook/internal/routing/load_tracker.py
@@ -1,9 +1,9 @@
-"""What runs on each backend server now, as far as this instance can tell.
+"""Estimates the number of attempts in flight on each backend server.
 
 An estimate is the sum of three parts: this instance's own attempts, known
 exactly; those of the peers in its cell, known a fraction of a second late;
-and those of everybody else, which only the backend server's own reports
-show, seconds late. See docs/design/backend-choice.md.
+and all others, which only the backend server's own reports show, seconds
+late. See docs/design/backend-choice.md.
 """
 
 import collections
@@ -16,16 +16,17 @@
 
 # Reports are at most this late; changes older than that are forgotten.
 HISTORY = datetime.timedelta(seconds=5)
-# With what speed an old report's difference from the mean stops to count.
-# Without it, frozen reports would draw all work to whoever was idle last.
+# Time constant with which an old report's difference from the mean decays.
+# Without it, all work would go to the backend server that was last idle if
+# reports stopped.
 DECAY_S = 2.0
-# How far a new report moves the estimate of what runs from outside.
+# Weight of a new report in the moving average of external attempts.
 REPORT_WEIGHT = 0.5
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _Change:
-    """A change of what is known to run."""
+    """A change in the known number of attempts in flight."""
 
     at: datetime.timedelta
     attempts: int
@@ -33,12 +34,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Mean:
-    """The mean of `outside` over reported backend servers of one service.
+    """Mean of `external_in_flight` over a service's reported backend servers.
 
-    Those of the own cell and those outside it have means of their own: what
-    runs on the latter comes all from outside, and next to nothing does on the
-    former. With one mean for both, a stranger whose report is old would look
-    nearly empty, and the work of all full cells would go there.
+    Those of the own cell and those outside it have separate means: all that
+    runs on the latter is external, and next to nothing on the former. With
+    one mean for both, a backend server outside the cell whose report is old
+    would look nearly idle, and the work of all full cells would go there.
     """
 
     total: float = 0.0
@@ -50,7 +51,7 @@
 
 
 class LoadTracker:
-    """Keeps the parts of the estimates, and what changed lately."""
+    """Keeps the parts of the estimates, and their recent changes."""
 
     __slots__ = (
         "_cell_means",
@@ -68,7 +69,7 @@
         self._mean_of: dict[str, _Mean] = {}
 
     def note_own(self, backend: backends.Backend, attempts: int) -> None:
-        """Adds to (or with a negative number takes from) the own attempts."""
+        """Adds `attempts`, which may be negative, to the own attempts."""
         backend.in_flight = max(0, backend.in_flight + attempts)
         self._note_change(backend, attempts)
 
@@ -84,7 +85,7 @@
         total: int,
         measured_at: datetime.timedelta,
     ) -> None:
-        """Takes in how many attempts a report showed, at its own moment."""
+        """Records the attempts that a report showed when it was measured."""
         known_then = backend.in_flight + backend.peers_in_flight
         for change in reversed(self._changes.get(backend.address, ())):
             if change.at <= measured_at:
@@ -103,7 +104,7 @@
         external_in_flight: float,
         measured_at: datetime.timedelta,
     ) -> None:
-        """Takes in how many attempts came from outside the cell."""
+        """Records the number of attempts from outside the cell."""
         previous = self._mean_of.get(backend.address)
         if previous is not None:
             previous.total -= backend.external_in_flight
@@ -121,7 +122,7 @@
         backend.external_at = measured_at
 
     def note_full(self, backend: backends.Backend) -> None:
-        """Takes in that the backend server refused for its load."""
+        """Records that the backend server refused work because of its load."""
         known = backend.in_flight + backend.peers_in_flight
         missing = 1.0 + backend.capacity - known
         self.note_external(
@@ -143,7 +144,7 @@
     def utilisation(self, backend: backends.Backend) -> float:
         """Returns the estimate with one attempt more, as a share of capacity.
 
-        For a plain service, whose capacity nobody knows, it is the number.
+        For a plain service, whose capacity is unknown, it is the number.
         """
         known = backend.in_flight + backend.peers_in_flight + 1
         return (known + self._external_now(backend)) / backend.capacity
--- a/src/nutmeghook/internal/routing/poller.py
+++ b/src/nutmeghook/internal/routing/poller.py
@@ -16,15 +16,15 @@
 LIST_PERIOD = datetime.timedelta(seconds=1)
 LIST_TIMEOUT = datetime.timedelta(seconds=2)
 REPORT_TIMEOUT = datetime.timedelta(seconds=1)
-# Each report is polled this often, or as often as the budget lets all of
-# them be. At 10 reports an instance that is every 5 seconds.
+# Bounds of the polling period of a report, which grows with the number polled
+# to keep the byte budget. With 10 reports an instance it is 5 seconds.
 SHORTEST_REPORT_PERIOD = datetime.timedelta(seconds=1)
 LONGEST_REPORT_PERIOD = datetime.timedelta(seconds=6)
 BUDGET_BYTES_PER_S = 900
 # A request and its answer with their headers, as aiohttp sends them.
 POLL_BYTES = 450
-# An engine of another cell, drawn at random, is polled this often: to know
-# where work can go when the own cell is full.
+# Polling period of one random engine outside the cell at a time, to know where
+# work can go when the cell is full.
 REMOTE_REPORT_PERIOD = datetime.timedelta(seconds=2)
 
 
@@ -65,7 +65,7 @@
 
 
 class ReportPoller:
-    """Polls load reports, one task for each engine that it has to poll."""
+    """Polls load reports, with one task for each assigned engine."""
 
     __slots__ = (
         "_cells",
@@ -141,7 +141,7 @@
     async def _poll_engine(self, backend: backends.Backend) -> None:
         while self._directory.find(backend.address) is backend:
             period = report_period(len(self._tasks))
-            # Answers bring reports along; a busy engine need not be polled.
+            # Answers carry reports, so a busy engine need not be polled.
             age = self._clock.monotonic() - backend.reported_at
             if backend.report is None or age >= period:
                 await self.poll_report(backend)
@@ -160,7 +160,7 @@
 
 
 def report_period(polled: int) -> datetime.timedelta:
-    """Returns how often each report is polled where one polls so many."""
+    """Returns the period of each report if so many are polled."""
     period = datetime.timedelta(
         seconds=polled * POLL_BYTES / BUDGET_BYTES_PER_S
     )
@@ -170,5 +170,5 @@
 def jittered(
     period: datetime.timedelta, rng: random.Random
 ) -> datetime.timedelta:
-    """Returns 0.9 to 1.1 periods, so that instances don't act in step."""
+    """Returns 0.9 to 1.1 periods, so that instances don't synchronise."""
     return period * rng.uniform(0.9, 1.1)
--- a/src/nutmeghook/internal/routing/pools.py
+++ b/src/nutmeghook/internal/routing/pools.py
@@ -1,4 +1,4 @@
-"""The backend servers that may take one kind of work, by nearness."""
+"""The backend servers that may take one kind of work, by locality."""
 
 import random
 
@@ -9,9 +9,9 @@
 class BackendPool:
     """Backend servers with one model version, or of one plain service.
 
-    Adding, removing and drawing cost the same whatever the pool's size: a
-    removed backend server's place is taken by the last one. The ring, which
-    costs more to change, is made when the first key is looked up.
+    Adding, removing and drawing take constant time: the last backend server
+    moves to a removed one's position. The hash ring, which is slower to
+    change, is built when the first key is looked up.
     """
 
     __slots__ = ("_members", "_positions", "_ring", "_tiers")
@@ -31,7 +31,7 @@
         return backend.address in self._members
 
     def add(self, backend: backends.Backend) -> None:
-        """Lets a backend server be drawn; it may be in already."""
+        """Adds a backend server, if it is not in already."""
         if backend in self:
             return
         tier = self._tiers[backend.locality]
@@ -42,7 +42,7 @@
             self._ring.add(backend.address)
 
     def remove(self, backend: backends.Backend) -> None:
-        """Stops a backend server from being drawn, if it is in."""
+        """Removes a backend server, if it is in."""
         if self._members.pop(backend.address, None) is None:
             return
         position = self._positions.pop(backend.address)
@@ -62,10 +62,10 @@
         exclude: frozenset[str],
         rng: random.Random,
     ) -> list[backends.Backend]:
-        """Draws up to `count` different ones that are not excluded.
+        """Draws up to `count` distinct ones that are not excluded.
 
-        With none to exclude it costs `count` draws; each exclusion may cost
-        one more, and there are only as many as the request had attempts.
+        It takes `count` draws and one more for each exclusion, of which there
+        are only as many as the request had attempts.
         """
         tier = self._tiers[locality]
         wanted = min(len(tier), count + len(exclude))
@@ -77,7 +77,7 @@
         return drawn[:count]
 
     def owners(self, key: str, *, limit: int) -> list[backends.Backend]:
-        """Returns those that an affinity key belongs to, the first first."""
+        """Returns the owners of an affinity key, in ring order."""
         if self._ring is None:
             self._ring = affinity.AffinityRing()
             self._ring.add_all(
@@ -91,9 +91,9 @@
 
 
 def _belongs_on_ring(backend: backends.Backend) -> bool:
-    """Tells whether affinity may lead to it.
+    """Tells whether affinity may choose it.
 
-    The whole region shares one ring, so that a session's requests meet
-    whichever of the region's instances they enter by.
+    The whole region shares one ring, so that a session's requests reach the
+    same backend server through any of the region's instances.
     """
     return backend.locality is not backends.Locality.OTHER_REGION
--- a/src/nutmeghook/internal/routing/service.py
+++ b/src/nutmeghook/internal/routing/service.py
@@ -1,4 +1,4 @@
-"""Puts the parts together that know and choose backend servers."""
+"""Assembles the parts that track and choose backend servers."""
 
 import asyncio
 import dataclasses
@@ -20,13 +20,13 @@
 from nutmeghook.internal.routing import poller
 from nutmeghook.internal.routing import stall_detector as stall_detector_module
 
-# Of the cell's backend servers, so many must have been heard of.
+# Share of the cell's backend servers that must have reported.
 READY_SHARE = 0.5
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class BackendRouting:
-    """What the assembly needs of this package's part on backend servers."""
+    """The parts of backend routing that the assembly uses."""
 
     directory: directory_module.BackendDirectory
     chooser: backends.BackendChooser
@@ -36,11 +36,11 @@
     stall_detector: stall_detector_module.StallDetector
 
     def is_ready(self) -> bool:
-        """Tells whether enough is known to share work out evenly.
+        """Tells whether enough is known to balance work.
 
         An instance that takes requests when it knows two of twelve engines
         sends everything to these two; their queues then last for minutes.
-        Half is enough to go on with, and must be: dead ones never report.
+        Half must be enough, because dead ones never report.
         """
         if not self.stall_detector.may_send():
             return False
@@ -53,7 +53,7 @@
         return bool(known) and len(reporting) >= READY_SHARE * len(known)
 
     async def run(self) -> None:
-        """Keeps the knowledge fresh until cancelled."""
+        """Polls and gossips until cancelled."""
         await self.list_poller.poll_once()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.stall_detector.run())
@@ -73,7 +73,7 @@
     connector: engine.EngineConnector,
     rng: random.Random,
 ) -> BackendRouting:
-    """Builds the directory, the chooser and all that feeds them.
+    """Builds the directory, the chooser and all that updates them.
 
     Registers the handler for `LoadDigest` among `handlers`.
     """
--- a/src/nutmeghook/internal/routing/stall_detector.py
+++ b/src/nutmeghook/internal/routing/stall_detector.py
@@ -1,17 +1,17 @@
-"""Notices that this process stood still, and holds back new work then."""
+"""Detects pauses of this process and holds back new work after them."""
 
 import datetime
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import events as events_module
 
-# A busy event loop is late by tens of milliseconds; a pause of the machine
-# that is shorter than this costs less knowledge than the list's own lag.
+# A busy event loop is late by tens of milliseconds. A pause shorter than this
+# makes knowledge less stale than the instance list's own lag does.
 MIN_PAUSE = datetime.timedelta(seconds=2)
 # The list is read and the configuration's digests are exchanged each second,
-# but reports come from peers, who took a long sleeper for dead and have to take
-# it in again first. 2 s were tried: an engine that had left got work 3.2 s
-# after the wake-up. Peers repeat all reports within 5 s.
+# but load reports come from peers, which took a long-paused instance for dead
+# and must first accept it again. They repeat all reports within 5 s; with 2 s,
+# an engine that had left got work 3.2 s after the pause.
 CATCH_UP = datetime.timedelta(seconds=5)
 TICK = datetime.timedelta(milliseconds=250)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -20,18 +20,17 @@
 class StallDetector:
     """Tells whether what this instance knows may date from before a pause.
 
-    The failure: an instance is paused for seconds (SIGSTOP, a migrated
-    virtual machine) with requests waiting in its sockets. It wakes, and sends
-    them by what it knew: to backend servers that left meanwhile, on versions
-    that were withdrawn meanwhile. Their age alone can't be the judge, since
-    during an outage of the list or the store everybody's knowledge is old
-    and must be used. The gap between two of its own ticks shows the pause at
-    the first question after it, before any timer or socket was served; the
-    callers are refused as not run for the little time that catching up takes.
+    After a pause of seconds (SIGSTOP, a migrated virtual machine) an instance
+    would send the requests waiting in its sockets to backend servers that
+    left meanwhile, on versions that were withdrawn meanwhile. The age of its
+    knowledge can't show that, since during an outage of the list or the store
+    all knowledge is old and must be used. The gap between two of its own
+    ticks shows the pause at the first call after it, before any timer or
+    socket is served; until knowledge is fresh, callers are refused as not run.
 
-    It is asked at the choice and once more as a generation is handed to the
-    connection. What is left is a process that is stopped between that and the
-    system call. Calls to plain services are asked for at the choice only.
+    It is asked at the choice and again as a generation is handed to the
+    connection, for calls to plain services at the choice only. A pause
+    between that and the system call is not detected.
     """
 
     __slots__ = ("_clock", "_events", "_last_tick", "_may_send_at")
@@ -45,7 +44,7 @@
         self._may_send_at = clock.monotonic()
 
     def may_send(self) -> bool:
-        """Tells whether new work may be sent; always true until it runs."""
+        """Tells whether new work may be sent; always true before `run`."""
         now = self._clock.monotonic()
         if self._last_tick is not None:
             self._check_pause(self._last_tick, now)
