--- a/src/nutmeghook/internal/routing/backends.py
+++ b/src/nutmeghook/internal/routing/backends.py
@@ -1,4 +1,4 @@
-"""Backend servers as the router sees them, and the choice among them."""
+"""What is known of backend servers, and the interface for choosing one."""
 
 import abc
 import dataclasses
@@ -8,40 +8,42 @@
 from nutmeghook.internal.dependencies import engine
 
 
-class Nearness(enum.IntEnum):
-    """Where a backend server stands, seen from this instance.
+class Locality(enum.IntEnum):
+    """Distance of a backend server from this instance.
 
-    `OWN_CELL` is the part of the fleet that `cells` gives to this instance
-    and the few peers with which it shares its knowledge of load.
+    `OWN_CELL` is the part of the fleet that `cells` assigns to this instance
+    and the few peers with which it gossips load.
     """
 
     OWN_CELL = 0
     OWN_DATA_CENTRE = 1
     OWN_REGION = 2
-    ELSEWHERE = 3
+    OTHER_REGION = 3
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Backend:
-    """One backend server and what is believed of it.
+    """One backend server and its state as known to this instance.
 
     Attributes:
         address: `ip:port`.
         service: Pool or plain service it belongs to.
         report: Its newest load report; None before the first.
-        reported_at: Monotonic time at which the report's figures were true.
-        leaving: Listed as leaving, or said so itself; takes no new work.
+        reported_at: Monotonic time at which the report was measured.
+        leaving: Listed as leaving, or reported so itself; gets no new work.
         leaving_since: Monotonic time at which that became known.
         listed_leaving: It was listed as leaving.
-        ejected: Takes no new work for a while: its attempts failed.
-        on_trial: Was ejected, and is given one attempt at a time until one
-            succeeds.
-        nearness: Its place seen from this instance.
+        ejected: Gets no new work for a while: its attempts failed or were
+            slow.
+        on_probation: Was ejected, and is given one attempt at a time until
+            one succeeds.
+        locality: Its distance from this instance.
         plain: It is a plain service's instance, not a model engine.
         in_flight: Attempts of this instance that run on it now.
-        peers_in_flight: Attempts that the peers of the cell say they have.
-        outside: Attempts that its reports show beyond those two.
-        outside_at: Monotonic time for which `outside` was worked out.
+        peers_in_flight: Attempts in flight that the cell's peers reported.
+        external_in_flight: Estimate of the attempts from outside the cell:
+            those that its load reports show beyond the other two.
+        external_at: Monotonic time to which `external_in_flight` refers.
     """
 
     address: str
@@ -54,13 +56,13 @@
     leaving_since: datetime.timedelta = datetime.timedelta()
     listed_leaving: bool = False
     ejected: bool = False
-    on_trial: bool = False
-    nearness: Nearness = Nearness.OWN_CELL
+    on_probation: bool = False
+    locality: Locality = Locality.OWN_CELL
     plain: bool = False
     in_flight: int = 0
     peers_in_flight: int = 0
-    outside: float = 0.0
-    outside_at: datetime.timedelta = datetime.timedelta()
+    external_in_flight: float = 0.0
+    external_at: datetime.timedelta = datetime.timedelta()
 
     @property
     def capacity(self) -> int:
@@ -69,8 +71,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class BackendNeed:
-    """What a request needs of a backend server.
+class BackendCriteria:
+    """What a request requires of a backend server.
 
     Attributes:
         model_version: None for a plain service.
@@ -88,7 +90,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt on a backend server ended, as evidence about it."""
+    """How an attempt on a backend server ended."""
 
     ANSWERED = "answered"
     REFUSED_OVERLOAD = "refused_overload"
@@ -103,14 +105,14 @@
     """Chooses the backend server for an attempt and learns from it."""
 
     @abc.abstractmethod
-    def choose(self, need: BackendNeed) -> Backend | None:
+    def choose(self, criteria: BackendCriteria) -> Backend | None:
         """Returns a backend server that may take new work now, or None."""
 
     def may_send(self, backend: Backend) -> bool:
         """Tells whether work may still go to a backend server chosen before.
 
-        Asked as the work leaves. A chooser that learns of nothing in between
-        has nothing to say.
+        Called just before the work is sent. The default is for choosers that
+        learn nothing between the choice and the sending.
         """
         del backend
         return True
@@ -128,4 +130,4 @@
         duration: datetime.timedelta,
         report: engine.LoadReport | None = None,
     ) -> None:
-        """Notes how it ended, with the load report that came along."""
+        """Notes how it ended, with the load report that the answer carried."""
--- a/src/nutmeghook/internal/routing/cascade_reader.py
+++ b/src/nutmeghook/internal/routing/cascade_reader.py
@@ -1,4 +1,4 @@
-"""Brings published plans to an instance's policy."""
+"""Reads published plans into an instance's policy."""
 
 import datetime
 import random
@@ -13,9 +13,9 @@
 from nutmeghook.internal.routing import cascade_rows
 
 READ_EVERY = datetime.timedelta(seconds=60)
-# Bytes on the wire after which the rest waits for the next reading: about
-# 200 B/s, however many plans change.
-READING_BYTES = 12_000
+# Bytes on the wire after which the rest waits for the next reading. It bounds
+# the traffic to about 200 B/s, however many plans change.
+MAX_READ_BYTES = 12_000
 # A request and an answer with their headers; values are sent in base64.
 _CALL_BYTES = 400
 _WIRE_BYTES_PER_BYTE = 4 / 3
@@ -69,8 +69,8 @@
             return
 
     async def _read_all(self) -> None:
-        # One scan at the start: hundreds of instances that start together
-        # would else read a row for each bucket, all at once.
+        # One scan at the start: otherwise hundreds of instances that start
+        # together would each read a row per bucket at once.
         rows = await self._table.scan(
             prefix=cascade_rows.PLANS_PREFIX, limit=cascade_rows.BUCKETS
         )
@@ -78,8 +78,8 @@
             return
         for row in rows:
             bucket = int(row.key.removeprefix(cascade_rows.PLANS_PREFIX))
-            self._take_in(bucket, row)
-        self._use()
+            self._store_bucket(bucket, row)
+        self._apply_plans()
 
     async def _read_changed(self) -> None:
         row = await self._table.read(cascade_rows.HEAD_KEY)
@@ -91,24 +91,24 @@
             for bucket, revision in enumerate(head.revisions)
             if revision > self._revisions.get(bucket, 0)
         ]
-        # Any order, so that none is left behind for ever by the limit.
+        # Random order, so that the byte limit starves no bucket.
         self._random.shuffle(changed)
         read_bytes = 0.0
         for bucket in changed:
-            if read_bytes >= READING_BYTES:
+            if read_bytes >= MAX_READ_BYTES:
                 break
             plans_row = await self._table.read(cascade_rows.plans_key(bucket))
             if plans_row is not None:
                 read_bytes += _wire_bytes(plans_row)
-                self._take_in(bucket, plans_row)
-        self._use()
+                self._store_bucket(bucket, plans_row)
+        self._apply_plans()
 
-    def _take_in(self, bucket: int, row: table_module.Row) -> None:
+    def _store_bucket(self, bucket: int, row: table_module.Row) -> None:
         read = msgspec.msgpack.decode(row.value, type=cascade_rows.PlansRow)
         self._revisions[bucket] = read.revision
         self._plans[bucket] = read.plans
 
-    def _use(self) -> None:
+    def _apply_plans(self) -> None:
         self._policy.use_plans(
             {
                 key: plan
--- a/src/nutmeghook/internal/routing/cascade_scorer.py
+++ b/src/nutmeghook/internal/routing/cascade_scorer.py
@@ -1,4 +1,4 @@
-"""How good a held answer looks, without asking another model."""
+"""Scores held answers without calling another model."""
 
 import abc
 
@@ -6,7 +6,7 @@
 
 SCORE_BINS = 8
 
-# Signs that a model doubts its own answer, in the languages of the users.
+# Phrases by which a model doubts its own answer, in the users' languages.
 _DOUBTS = (
     "i'm not sure",
     "i am not sure",
@@ -23,13 +23,13 @@
     "ไม่ทราบ",
 )
 _DOUBT_WEIGHT = 0.35
-_USUAL_CHARS = 80
+_TYPICAL_CHARS = 80
 
 
 class AnswerScorer(abc.ABC):
     """Scores an answer; only the order of scores matters.
 
-    What a score is worth is learned from ratings, for each template.
+    The quality that a score stands for is learned from ratings, per template.
     """
 
     @abc.abstractmethod
@@ -38,7 +38,7 @@
 
 
 class TextAnswerScorer(AnswerScorer):
-    """Looks at cut and empty answers, words of doubt, and shortness."""
+    """Scores by truncation, emptiness, phrases of doubt, and length."""
 
     __slots__ = ()
 
@@ -49,7 +49,7 @@
             return 0.0
         doubts = sum(text.count(doubt) for doubt in _DOUBTS)
         confidence = 1.0 / (1.0 + _DOUBT_WEIGHT * doubts)
-        length = min(1.0, len(text) / _USUAL_CHARS)
+        length = min(1.0, len(text) / _TYPICAL_CHARS)
         return confidence * (0.5 + 0.5 * length)
 
 
