--- a/bench/plot_heavy_days.py
+++ b/bench/plot_heavy_days.py
@@ -27,7 +27,7 @@
 SEED = 1
 DEFAULT_FILE = pathlib.Path("docs/plots/heavy_days.png")
 WAYS = {
-    "weighed": model_choice.WeighedWorth,
+    "weighed": model_choice.ExpectedUtility,
     "threshold 50": model_choice.FixedThreshold,
     "smallest only": lambda: model_choice.FixedThreshold(least_confidence=0),
     "largest only": lambda: model_choice.FixedThreshold(least_confidence=101),
--- a/src/nutmeghook/experiment/fleet_emulator.py
+++ b/src/nutmeghook/experiment/fleet_emulator.py
@@ -208,7 +208,7 @@
             exclude=frozenset(),
             prompt=choice_module.Prompt(
                 shared=datetime.timedelta(),
-                own=instance.times.reading(name, request.tokens),
+                own=instance.times.prefill_time(name, request.tokens),
                 urgent=index == 0,
                 target=self._route.target,
             ),
@@ -257,14 +257,14 @@
         forecast = instance.chooser.forecast(self._need(instance, request, 1))
         return self._models.prefers_larger(
             self._route,
-            model_choice.Situation(
+            model_choice.EscalationContext(
                 confidence=request.confidence,
                 elapsed=datetime.timedelta(
                     seconds=self._clock.at_s - request.arrived_s
                 ),
                 relative_size=request.tokens / self._load.prompt_tokens,
                 price=self._load.model_prices[1] * request.tokens / 1000 / 2,
-                first_event=instance.times.first_event(
+                first_event=instance.times.time_to_first_event(
                     larger, waiting=forecast.waiting, tokens=request.tokens
                 ),
                 generation=datetime.timedelta(seconds=_GENERATION_S),
@@ -276,7 +276,7 @@
     def _count(self, request: _Request) -> None:
         wait_s = self._clock.at_s - request.arrived_s
         size_worth = 0.3 + 0.7 * request.tokens / self._load.prompt_tokens
-        worth = model_choice.Worth()
+        worth = model_choice.Utility()
         share = worth.poor if request.poor else 1.0
         if wait_s > self._route.target.total_seconds():
             share *= worth.late
--- a/src/nutmeghook/internal/assembly/relay_path.py
+++ b/src/nutmeghook/internal/assembly/relay_path.py
@@ -8,16 +8,16 @@
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import metrics as metrics_module
 from nutmeghook.internal.relay import attempts
-from nutmeghook.internal.relay import crash_watch
-from nutmeghook.internal.relay import followed_routes
+from nutmeghook.internal.relay import crash_detector
+from nutmeghook.internal.relay import current_routes
 from nutmeghook.internal.relay import generation_times
 from nutmeghook.internal.relay import home_regions
-from nutmeghook.internal.relay import leave as leave_module
-from nutmeghook.internal.relay import model_advice
 from nutmeghook.internal.relay import model_choice
+from nutmeghook.internal.relay import model_selector
 from nutmeghook.internal.relay import observations
-from nutmeghook.internal.relay import path as path_module
 from nutmeghook.internal.relay import replica_search
+from nutmeghook.internal.relay import request_relay
+from nutmeghook.internal.relay import retry_permission
 from nutmeghook.internal.relay import streams
 from nutmeghook.internal.relay import whole_answers
 from nutmeghook.internal.relay import wire
@@ -55,7 +55,7 @@
     random_source: random.Random
 
 
-def build(around: Surroundings) -> path_module.RequestPath:
+def build(around: Surroundings) -> request_relay.RequestRelay:
     """Returns the way of requests, with all that decides on it."""
     times = generation_times.GenerationTimes()
     chooser = choice.ReplicaChooser(
@@ -70,11 +70,11 @@
         times=times,
         homes=home_regions.HomeRegions(region_of=around.region_of),
     )
-    routes = followed_routes.FollowedRoutes(configuration=around.configuration)
-    crashes = crash_watch.CrashWatch(
+    routes = current_routes.CurrentRoutes(configuration=around.configuration)
+    crashes = crash_detector.CrashDetector(
         book=around.suspects, pool=around.pool, metrics=around.metrics
     )
-    leave = leave_module.AttemptLeave(
+    permission = retry_permission.RetryPermission(
         routes=routes,
         search=search,
         budgets=around.budgets,
@@ -86,7 +86,7 @@
         "planner": attempts.AttemptPlanner(
             configuration=around.configuration,
             routes=routes,
-            leave=leave,
+            permission=permission,
             crashes=crashes,
             search=search,
             gate=around.gate,
@@ -95,7 +95,7 @@
             wire_format=around.wire_format,
             clock=around.clock,
         ),
-        "leave": leave,
+        "permission": permission,
         "crashes": crashes,
         "observer": observations.AnswerObserver(
             chooser=chooser,
@@ -114,11 +114,11 @@
         "wire_format": around.wire_format,
         "clock": around.clock,
     }
-    return path_module.RequestPath(
+    return request_relay.RequestRelay(
         configuration=around.configuration,
-        stream_path=streams.StreamPath(
-            advice=model_advice.ModelAdvice(
-                choice=model_choice.WeighedWorth(),
+        stream_relay=streams.StreamRelay(
+            selector=model_selector.ModelSelector(
+                choice=model_choice.ExpectedUtility(),
                 search=search,
                 times=times,
                 configuration=around.configuration,
@@ -127,7 +127,7 @@
             ),
             **parts,
         ),
-        whole_path=whole_answers.WholeAnswerPath(**parts),
+        whole_answer_relay=whole_answers.WholeAnswerRelay(**parts),
         wire_format=around.wire_format,
         metrics=around.metrics,
         clock=around.clock,
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -21,7 +21,7 @@
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.observe import metrics as metrics_module
 from nutmeghook.internal.relay import listener as listener_module
-from nutmeghook.internal.relay import path as path_module
+from nutmeghook.internal.relay import request_relay
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.routes import in_force as in_force_module
 from nutmeghook.internal.routes import model
@@ -141,7 +141,7 @@
         self._was_ready = False
         self._wire_format = headers.PlatformHeaders()
         self.listener = listener_module.CallerListener(
-            path=self._build_path(),
+            relay=self._build_relay(),
             wire_format=self._wire_format,
             limits=self._caller_limits,
             clock=clock,
@@ -150,7 +150,7 @@
         # Set once `run` has built what it takes to have peers.
         self._peers: router_peers.RouterPeers | None = None
 
-    def _build_path(self) -> path_module.RequestPath:
+    def _build_relay(self) -> request_relay.RequestRelay:
         return relay_path.build(
             relay_path.Surroundings(
                 configuration=self.configuration,
@@ -274,7 +274,7 @@
         self.listener.closing = True
         logs.note("process:leaving", in_flight=self.listener.in_flight)
         await self._clock.sleep(_BALANCER_LAG)
-        self.listener.close_door()
+        self.listener.stop_accepting()
         while self.listener.open_connections and self._clock.monotonic() < end:
             await self._clock.sleep(_POLL)
             self.listener.close_idle()
--- a/src/nutmeghook/internal/limits/window_budget.py
+++ b/src/nutmeghook/internal/limits/window_budget.py
@@ -26,9 +26,9 @@
     __slots__ = (
         "_burst",
         "_clock",
-        "_held",
         "_ratio",
         "_requests",
+        "_reserved",
         "_spent",
         "_window",
     )
@@ -53,7 +53,7 @@
             collections.deque()
         )
         self._spent: collections.deque[datetime.timedelta] = collections.deque()
-        self._held = 0
+        self._reserved = 0
 
     def change(self, *, ratio: float, window: datetime.timedelta) -> None:
         """Changes the bounds; what was counted stays."""
@@ -85,7 +85,7 @@
         """Returns how many further attempts may be made now."""
         self._forget_old()
         allowed = self._ratio * len(self._requests) + self._burst
-        return allowed - len(self._spent) - self._held
+        return allowed - len(self._spent) - self._reserved
 
     def try_spend(self) -> bool:
         """Takes leave for one more attempt."""
@@ -94,7 +94,7 @@
         self._spent.append(self._clock.monotonic())
         return True
 
-    def try_hold(self) -> bool:
+    def try_reserve(self) -> bool:
         """Takes leave for an attempt that may be made later, or never.
 
         The failure: leave was counted at the moment at which it was taken.
@@ -105,17 +105,17 @@
         """
         if self.left() < 1:
             return False
-        self._held += 1
+        self._reserved += 1
         return True
 
-    def spend_held(self) -> None:
+    def spend_reserved(self) -> None:
         """Uses leave that was held; it is not asked for again."""
-        self._held -= 1
+        self._reserved -= 1
         self._spent.append(self._clock.monotonic())
 
-    def give_back(self) -> None:
+    def release_reserved(self) -> None:
         """Gives back leave that was held and is not used."""
-        self._held -= 1
+        self._reserved -= 1
 
 
 class WindowRetryBudgets(admission.RetryBudgets):
--- a/src/nutmeghook/internal/relay/attempt_facts.py
+++ b/src/nutmeghook/internal/relay/attempt_facts.py
@@ -5,7 +5,7 @@
 from nutmeghook.internal.relay import job as job_module
 from nutmeghook.internal.routes import model
 
-_LEAST_URGENT = 9
+_LOWEST_URGENCY = 9
 # Added for larger models. The users' priorities are 0 to 2.
 _LARGER_MODELS_RANK = 3
 
@@ -63,9 +63,9 @@
     return min(shared, prompt.input_tokens)
 
 
-def unkept_tokens(job: job_module.Job, kept: float) -> float:
+def uncached_tokens(job: job_module.Job, cached: float) -> float:
     """Returns the tokens to read where shared parts are kept so likely."""
-    return job.input_tokens - kept * shared_tokens(job)
+    return job.input_tokens - cached * shared_tokens(job)
 
 
 def is_urgent(job: job_module.Job, model_index: int | None = None) -> bool:
@@ -91,4 +91,4 @@
         rank = job.team.priority
     if not is_urgent(job):
         rank += _LARGER_MODELS_RANK
-    return max(0, min(_LEAST_URGENT, rank))
+    return max(0, min(_LOWEST_URGENCY, rank))
--- a/src/nutmeghook/internal/relay/attempts.py
+++ b/src/nutmeghook/internal/relay/attempts.py
@@ -6,12 +6,12 @@
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.relay import attempt_facts
-from nutmeghook.internal.relay import crash_watch
-from nutmeghook.internal.relay import followed_routes
+from nutmeghook.internal.relay import crash_detector
+from nutmeghook.internal.relay import current_routes
 from nutmeghook.internal.relay import job as job_module
-from nutmeghook.internal.relay import leave as leave_module
 from nutmeghook.internal.relay import prepared as prepared_module
 from nutmeghook.internal.relay import replica_search
+from nutmeghook.internal.relay import retry_permission
 from nutmeghook.internal.relay import wire
 from nutmeghook.internal.replicas import backlog
 from nutmeghook.internal.replicas import choice as choice_module
@@ -32,7 +32,7 @@
         "_configuration",
         "_crashes",
         "_gate",
-        "_leave",
+        "_permission",
         "_routes",
         "_search",
         "_versions",
@@ -43,9 +43,9 @@
         self,
         *,
         configuration: in_force_module.ConfigurationInForce,
-        routes: followed_routes.FollowedRoutes,
-        leave: leave_module.AttemptLeave,
-        crashes: crash_watch.CrashWatch,
+        routes: current_routes.CurrentRoutes,
+        permission: retry_permission.RetryPermission,
+        crashes: crash_detector.CrashDetector,
         search: replica_search.ReplicaSearch,
         gate: send_gate.SendGate,
         versions: view_module.VersionView,
@@ -55,7 +55,7 @@
     ):
         self._configuration = configuration
         self._routes = routes
-        self._leave = leave
+        self._permission = permission
         self._crashes = crashes
         self._search = search
         self._gate = gate
@@ -64,13 +64,13 @@
         self._wire_format = wire_format
         self._clock = clock
 
-    def prepare(self, job: job_module.Job) -> prepared_module.Prepared:
+    def prepare(self, job: job_module.Job) -> prepared_module.PreparedAttempt:
         """Returns the next attempt: the one granted before, if there is one.
 
         Raises:
             rejections.RejectedError: There is to be no further attempt.
         """
-        grant, job.grant = job.grant or self._found(job), None
+        grant, job.grant = job.grant or self._choose_attempt(job), None
         job.service = grant.service
         chosen = grant.choice
         replica = chosen.replica
@@ -100,7 +100,7 @@
             attempt=job.tries,
             **_logged(chosen.forecast),
         )
-        return prepared_module.Prepared(
+        return prepared_module.PreparedAttempt(
             replica=replica,
             outgoing=self._outgoing(job, chosen),
             sent_at=self._clock.monotonic(),
@@ -110,17 +110,19 @@
             after_event=job.last_event_id,
         )
 
-    def _found(self, job: job_module.Job) -> job_module.Grant:
+    def _choose_attempt(self, job: job_module.Job) -> job_module.Grant:
         """Returns where an attempt goes when none is at work."""
-        self._leave.stop_quarantined(job)
+        self._permission.reject_quarantined(job)
         may_have_run = job.possibly_run
         service = self._routes.service_for(job, may_have_run=may_have_run)
         chosen = self._search.best(job, service, may_have_run=may_have_run)
         if chosen is not None:
             return job_module.Grant(service=service, choice=chosen)
-        if self._leave.try_go_back(job):
+        if self._permission.try_fall_back(job):
             return job.grant
-        raise self._leave.given_up(job, reason="no replica can take it")
+        raise self._permission.final_rejection(
+            job, reason="no replica can take it"
+        )
 
     def _outgoing(
         self, job: job_module.Job, chosen: choice_module.Choice
@@ -128,7 +130,7 @@
         incoming = job.incoming
         attempt = wire.AttemptFacts(
             replica_id=chosen.replica.entry.replica_id,
-            time_left=self._leave.time_left(job),
+            time_left=self._permission.time_left(job),
             team=job.team.name if job.team else None,
             urgency=attempt_facts.urgency(job),
             model=attempt_facts.model_name(job),
@@ -143,7 +145,7 @@
             body=incoming.body,
             repeatable=job.route.repeatable,
             reading=_reading(job, chosen.forecast),
-            place=self._gate.take(chosen.replica),
+            slot=self._gate.take(chosen.replica),
         )
 
 
--- a/src/nutmeghook/internal/relay/crash_watch.py
+++ b/src/nutmeghook/internal/relay/crash_detector.py
@@ -14,7 +14,7 @@
 from nutmeghook.internal.upstream import pool as pool_module
 
 
-class CrashWatch:
+class CrashDetector:
     """Holds the end of a replica against the requests that it had.
 
     A lost connection alone says little: a reset on the way, a garbled answer
@@ -23,7 +23,7 @@
     replica is asked, once for all requests that lost it.
     """
 
-    __slots__ = ("_asking", "_book", "_metrics", "_pool")
+    __slots__ = ("_book", "_metrics", "_pool", "_probes")
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._book = book
         self._pool = pool
         self._metrics = metrics
-        self._asking: dict[str, asyncio.Task[pool_module.Reachability]] = {}
+        self._probes: dict[str, asyncio.Task[pool_module.Reachability]] = {}
 
     def is_quarantined(self, job: job_module.Job) -> bool:
         """Tells whether a request is to be sent to no replica."""
@@ -72,7 +72,7 @@
     async def note_lost(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         error: outcomes.AttemptError,
     ) -> None:
         """Takes in how an attempt ended that gave no answer.
@@ -82,38 +82,40 @@
         """
         if not isinstance(error, outcomes.ConnectionLostError):
             return
-        asking = self._ask(prepared.replica)
+        probing = self._probe(prepared.replica)
         begun = _had_begun(job)
         attempt = job.tries
 
         def conclude(_: asyncio.Task[pool_module.Reachability]) -> None:
-            if not asking.cancelled():
-                met = asking.result()
-                self._conclude(job, attempt, prepared.replica, met, begun=begun)
+            if not probing.cancelled():
+                reachability = probing.result()
+                self._conclude(
+                    job, attempt, prepared.replica, reachability, begun=begun
+                )
 
-        asking.add_done_callback(conclude)
+        probing.add_done_callback(conclude)
         if self._book.is_suspect(job.identity):
-            await asyncio.wait({asking})
+            await asyncio.wait({probing})
 
-    def _ask(
+    def _probe(
         self, replica: replica_module.Replica
     ) -> asyncio.Task[pool_module.Reachability]:
         replica_id = replica.entry.replica_id
-        asking = self._asking.get(replica_id)
-        if asking is None:
-            asking = asyncio.ensure_future(
+        probing = self._probes.get(replica_id)
+        if probing is None:
+            probing = asyncio.ensure_future(
                 self._pool.probe(replica.entry.address)
             )
-            self._asking[replica_id] = asking
-            asking.add_done_callback(lambda _: self._asking.pop(replica_id))
-        return asking
+            self._probes[replica_id] = probing
+            probing.add_done_callback(lambda _: self._probes.pop(replica_id))
+        return probing
 
     def _conclude(
         self,
         job: job_module.Job,
         attempt: int,
         replica: replica_module.Replica,
-        met: pool_module.Reachability,
+        reachability: pool_module.Reachability,
         *,
         begun: bool,
     ) -> None:
@@ -121,7 +123,7 @@
 
         One that was to leave has ended as it was told to.
         """
-        self._metrics.add("connections_lost_total", replica=met.value)
+        self._metrics.add("connections_lost_total", replica=reachability.value)
         logs.note(
             "attempt:lost",
             request=job.log_id,
@@ -129,9 +131,9 @@
             attempt=attempt,
             replica=replica.entry.replica_id,
             begun=begun,
-            replica_now=met.value,
+            replica_now=reachability.value,
         )
-        has_ended = met is pool_module.Reachability.REFUSES
+        has_ended = reachability is pool_module.Reachability.REFUSES
         if has_ended and not replica.entry.leaving:
             self._book.note_end(
                 job.identity, replica_hash=replica.short_id, begun=begun
--- a/src/nutmeghook/internal/relay/followed_routes.py
+++ b/src/nutmeghook/internal/relay/current_routes.py
@@ -24,7 +24,7 @@
 _TAKEN_AWAY = "route or key was taken away meanwhile"
 
 
-class FollowedRoutes:
+class CurrentRoutes:
     """Looks requests' routes and keys up again."""
 
     __slots__ = ("_configuration",)
@@ -46,14 +46,14 @@
         if job.sink.begun:
             return job.service
         if not may_have_run:
-            return attempt_facts.service_for(self._checked(job), job)
-        route = self._found(job)
+            return attempt_facts.service_for(self._recheck(job), job)
+        route = self._find_route(job)
         if route is None or route.name != job.route.name:
             return job.service
         return attempt_facts.service_for(route, job)
 
-    def _checked(self, job: job_module.Job) -> model.Route:
-        route = self._found(job)
+    def _recheck(self, job: job_module.Job) -> model.Route:
+        route = self._find_route(job)
         if route is None:
             raise self._denial(wire.FixedResponse.NO_ROUTE)
         api_key = job.incoming.facts.api_key
@@ -64,7 +64,7 @@
     def _denial(self, response: wire.FixedResponse) -> rejections.RejectedError:
         return denials.denial(self._configuration, response, reason=_TAKEN_AWAY)
 
-    def _found(self, job: job_module.Job) -> model.Route | None:
+    def _find_route(self, job: job_module.Job) -> model.Route | None:
         incoming = job.incoming
         return self._configuration.current.find(
             incoming.host_name, incoming.path
--- a/src/nutmeghook/internal/relay/job.py
+++ b/src/nutmeghook/internal/relay/job.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class WayBack:
+class FallbackReplica:
     """Where work was given up, and leave to have it done there again."""
 
     service: str
@@ -63,7 +63,7 @@
         model_index: Index into the route's models.
         tried: Ids of the replicas that were tried.
         tries: Attempts of any outcome.
-        way_back: To the replica that was left, until another one has begun.
+        fallback: To the replica that was left, until another one has begun.
         runs: Attempts that may have run.
         last_event_id: The last event passed on; None before the first.
     """
@@ -74,6 +74,7 @@
         "answered_try",
         "deadline",
         "failure",
+        "fallback",
         "grant",
         "incoming",
         "last_event_id",
@@ -85,7 +86,6 @@
         "team",
         "tried",
         "tries",
-        "way_back",
     )
 
     def __init__(
@@ -108,7 +108,7 @@
         self.deadline = deadline
         self.failure: WholeAnswer | None = None
         self.grant: Grant | None = None
-        self.way_back: WayBack | None = None
+        self.fallback: FallbackReplica | None = None
         self.service: str | None = None
         self.model_index = 0
         self.tried: set[str] = set()
--- a/src/nutmeghook/internal/relay/listener.py
+++ b/src/nutmeghook/internal/relay/listener.py
@@ -9,7 +9,7 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.relay import incoming as incoming_module
-from nutmeghook.internal.relay import path as path_module
+from nutmeghook.internal.relay import request_relay
 from nutmeghook.internal.relay import wire
 from nutmeghook.internal.routes import model
 
@@ -18,8 +18,8 @@
 _LINGERING_S = 0.5
 # The parser is set up before the configuration is known; this is what it
 # allows at most, and the configuration's own limit is applied afterwards.
-_MOST_HEADER_BYTES = 64 * 1024
-_MOST_HEADERS = 256
+_MAX_HEADER_BYTES = 64 * 1024
+_MAX_HEADERS = 256
 # Connections stay open a little longer than callers are promised, so that a
 # request which crosses the close is still read.
 _IDLE_SLACK_S = 1.0
@@ -48,9 +48,9 @@
             access_log=None,
             lingering_time=_LINGERING_S,
             keepalive_timeout=limits.idle_time.total_seconds() + _IDLE_SLACK_S,
-            max_line_size=_MOST_HEADER_BYTES,
-            max_field_size=_MOST_HEADER_BYTES,
-            max_headers=_MOST_HEADERS,
+            max_line_size=_MAX_HEADER_BYTES,
+            max_field_size=_MAX_HEADER_BYTES,
+            max_headers=_MAX_HEADERS,
             auto_decompress=False,
         )
         self._limits = limits
@@ -202,7 +202,7 @@
     __slots__ = (
         "_clock",
         "_limits",
-        "_path",
+        "_relay",
         "_server",
         "_socket",
         "_wire_format",
@@ -214,12 +214,12 @@
     def __init__(
         self,
         *,
-        path: path_module.RequestPath,
+        relay: request_relay.RequestRelay,
         wire_format: wire.WireFormat,
         limits: Callable[[], model.CallerLimits],
         clock: clock_module.Clock,
     ):
-        self._path = path
+        self._relay = relay
         self._wire_format = wire_format
         self._limits = limits
         self._clock = clock
@@ -244,7 +244,7 @@
         own_host, own_port = self._socket.sockets[0].getsockname()[:2]
         self.address = f"{own_host}:{own_port}"
 
-    def close_door(self) -> None:
+    def stop_accepting(self) -> None:
         """Takes no new request; those under way go on.
 
         Requests that cross the close were not read, and callers may send
@@ -271,7 +271,7 @@
 
     async def stop(self) -> None:
         """Closes all connections."""
-        self.close_door()
+        self.stop_accepting()
         await self._server.shutdown(timeout=0.1)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -301,7 +301,7 @@
         body = await self._read_body(request, sink)
         if body is None:
             return
-        await self._path.serve(
+        await self._relay.serve(
             incoming_module.Incoming(
                 method=request.method,
                 target=request.raw_path,
--- a/src/nutmeghook/internal/relay/model_choice.py
+++ b/src/nutmeghook/internal/relay/model_choice.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Situation:
+class EscalationContext:
     """What is known when a smaller model's answer begins.
 
     Attributes:
@@ -47,7 +47,9 @@
         """Returns the model that may be asked after one; None for none."""
 
     @abc.abstractmethod
-    def prefers_larger(self, route: model.Route, situation: Situation) -> bool:
+    def prefers_larger(
+        self, route: model.Route, context: EscalationContext
+    ) -> bool:
         """Decides whether the larger model is asked instead."""
 
 
@@ -80,15 +82,17 @@
     def __init__(self, *, least_confidence: int = 50):
         self._least_confidence = least_confidence
 
-    def prefers_larger(self, route: model.Route, situation: Situation) -> bool:
+    def prefers_larger(
+        self, route: model.Route, context: EscalationContext
+    ) -> bool:
         """Compares the confidence with the threshold."""
-        if situation.confidence is None:
+        if context.confidence is None:
             return False
-        return situation.confidence < self._least_confidence
+        return context.confidence < self._least_confidence
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Worth:
+class Utility:
     """What answers are worth to callers, as parts of a good one in time.
 
     Attributes:
@@ -121,13 +125,13 @@
 # bursts and losses of replicas bring the same worth within 0.01 for 0.05 to
 # 0.12. By the prompt's own reading time instead, the worth is the same, but
 # the longest prompts, which the users' weights count most, get poor answers.
-_WORTH_LOST_A_WAITING = 0.06
+_UTILITY_LOST_PER_WAITING = 0.06
 # What is not weighed: the attempt that may be missed later, and the engine's
 # time for generating. Also keeps sure answers of models that have no price.
-_LEAST_GAIN = 0.04
+_MIN_GAIN = 0.04
 
 
-class WeighedWorth(SmallestThenLargest):
+class ExpectedUtility(SmallestThenLargest):
     """Asks the larger model if callers are better off for it.
 
     Weighed against each other: the worth of keeping the answer, which may be
@@ -137,24 +141,26 @@
     the fewer, the surer ones first, and callers get an answer in time at all.
     """
 
-    __slots__ = ("_worth",)
+    __slots__ = ("_utility",)
 
-    def __init__(self, *, worth: Worth | None = None):
-        self._worth = worth or Worth()
+    def __init__(self, *, utility: Utility | None = None):
+        self._utility = utility or Utility()
 
-    def prefers_larger(self, route: model.Route, situation: Situation) -> bool:
+    def prefers_larger(
+        self, route: model.Route, context: EscalationContext
+    ) -> bool:
         """Weighs both answers."""
-        if situation.confidence is None:
+        if context.confidence is None:
             return False
-        poor = poor_share(situation.confidence)
-        kept = 1.0 - poor * (1.0 - self._worth.poor)
-        in_time = _chance_in_time(route.target, situation)
-        replaced = in_time + (1.0 - in_time) * self._worth.late
-        replaced *= _chance_of_an_end(situation)
+        poor = poor_share(context.confidence)
+        kept = 1.0 - poor * (1.0 - self._utility.poor)
+        in_time = _chance_in_time(route.target, context)
+        replaced = in_time + (1.0 - in_time) * self._utility.late
+        replaced *= _chance_of_an_end(context)
         # A larger request is worth more: 0.3 and 0.7 for its size.
-        size_worth = 0.3 + 0.7 * situation.relative_size
-        gained = (replaced - kept - _lost_by_others(situation)) * size_worth
-        return gained > situation.price + _LEAST_GAIN
+        size_factor = 0.3 + 0.7 * context.relative_size
+        gained = (replaced - kept - _cost_to_waiting(context)) * size_factor
+        return gained > context.price + _MIN_GAIN
 
 
 def poor_share(confidence: int) -> float:
@@ -165,18 +171,20 @@
     return POOR_SHARES[-1][1]
 
 
-def _chance_in_time(target: datetime.timedelta, situation: Situation) -> float:
-    return _chance_within(target - situation.elapsed, situation.first_event)
+def _chance_in_time(
+    target: datetime.timedelta, context: EscalationContext
+) -> float:
+    return _chance_within(target - context.elapsed, context.first_event)
 
 
-def _chance_of_an_end(situation: Situation) -> float:
+def _chance_of_an_end(context: EscalationContext) -> float:
     """Returns how likely the larger model's answer is whole in time.
 
     A long answer that is cut by the deadline after its first events is worth
     nothing to its caller.
     """
-    whole = situation.first_event + situation.generation
-    return _chance_within(situation.time_left, whole)
+    whole = context.first_event + context.generation
+    return _chance_within(context.time_left, whole)
 
 
 def _chance_within(
@@ -190,5 +198,5 @@
     return 1.0 / (1.0 + math.exp(-steps))
 
 
-def _lost_by_others(situation: Situation) -> float:
-    return situation.waiting * _WORTH_LOST_A_WAITING
+def _cost_to_waiting(context: EscalationContext) -> float:
+    return context.waiting * _UTILITY_LOST_PER_WAITING
--- a/src/nutmeghook/internal/relay/model_advice.py
+++ b/src/nutmeghook/internal/relay/model_selector.py
@@ -17,20 +17,20 @@
 
 # A weak answer is kept if less time is left: the largest model's first event
 # takes 0.1 to 0.7 s in nine of ten requests, and without it there is no answer.
-_LEAST_TIME_FOR_LARGER = datetime.timedelta(milliseconds=700)
+_MIN_TIME_FOR_LARGER = datetime.timedelta(milliseconds=700)
 # What an answer is worth to the users, in the unit of the models' prices, by
 # its route's usual prompt: their weights of 0.95 to 3.2 for prompts of 700 to
 # 9,200 tokens follow this within 0.3.
-_WORTH_AT_1000_TOKENS = 1.38
-_WORTH_POWER = 0.38
+_UTILITY_AT_1000_TOKENS = 1.38
+_UTILITY_EXPONENT = 0.38
 # A token that is read costs this part of one that is generated.
 _READ_TOKEN_PRICE = 0.25
 # Least part of each request in its route's usual prompt length.
-_USUAL_WEIGHT = 0.05
+_BASELINE_WEIGHT = 0.05
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class _UsualPrompt:
+class _BaselinePrompt:
     """The usual length of a route's prompts: a mean that forgets."""
 
     __slots__ = ("seen", "tokens")
@@ -41,29 +41,29 @@
 
     def note(self, tokens: int) -> None:
         self.seen += 1
-        weight = max(_USUAL_WEIGHT, 1.0 / self.seen)
+        weight = max(_BASELINE_WEIGHT, 1.0 / self.seen)
         self.tokens += weight * (tokens - self.tokens)
 
     def relative_size(self, tokens: int) -> float:
         return tokens / max(self.tokens, 1.0)
 
-    def worth(self) -> float:
+    def utility(self) -> float:
         """Returns what an answer to a usual prompt is worth."""
         kilotokens = max(self.tokens, 1.0) / 1000.0
-        return _WORTH_AT_1000_TOKENS * kilotokens**_WORTH_POWER
+        return _UTILITY_AT_1000_TOKENS * kilotokens**_UTILITY_EXPONENT
 
 
-class ModelAdvice:
+class ModelSelector:
     """Says which model begins, and whether a larger one is asked after it."""
 
     __slots__ = (
+        "_baseline_prompts",
         "_choice",
         "_clock",
         "_configuration",
         "_directory",
         "_search",
         "_times",
-        "_usual_prompts",
     )
 
     def __init__(
@@ -82,21 +82,21 @@
         self._clock = clock
         self._search = search
         self._times = times
-        self._usual_prompts: dict[str, _UsualPrompt] = collections.defaultdict(
-            _UsualPrompt
+        self._baseline_prompts: dict[str, _BaselinePrompt] = (
+            collections.defaultdict(_BaselinePrompt)
         )
 
     def begin(self, job: job_module.Job) -> None:
         """Chooses a request's first model, if the choice is ours."""
-        if not _is_ours(job):
+        if not _router_chooses_model(job):
             return
         job.model_index = self._choice.first(job.route)
-        self._usual_prompts[job.route.name].note(job.input_tokens)
+        self._baseline_prompts[job.route.name].note(job.input_tokens)
 
     def note_generation(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         took: datetime.timedelta,
     ) -> None:
         """Takes in how long a whole answer went on after its first event."""
@@ -112,18 +112,18 @@
         Only before the caller has a byte: an answer that was begun is never
         replaced.
         """
-        if job.sink.begun or not _is_ours(job):
+        if job.sink.begun or not _router_chooses_model(job):
             return None
         larger = self._choice.larger(job.route, job.model_index)
         if larger is None or job.runs + 1 >= job.route.attempts:
             return None
-        if job.deadline - self._clock.monotonic() < _LEAST_TIME_FOR_LARGER:
+        if job.deadline - self._clock.monotonic() < _MIN_TIME_FOR_LARGER:
             return None
         forecast = self._search.forecast(job, larger)
         if forecast is None:
             return None
-        situation = self._situation(job, confidence, larger, forecast)
-        if not self._choice.prefers_larger(job.route, situation):
+        context = self._escalation_context(job, confidence, larger, forecast)
+        if not self._choice.prefers_larger(job.route, context):
             return None
         logs.note(
             "attempt:weak",
@@ -131,35 +131,35 @@
             confidence=confidence,
             model=job.route.models[job.model_index],
             next_model=job.route.models[larger],
-            waiting=round(situation.waiting, 1),
-            first_event_ms=round(situation.first_event / _MILLISECOND),
-            generation_ms=round(situation.generation / _MILLISECOND),
-            price=round(situation.price, 3),
+            waiting=round(context.waiting, 1),
+            first_event_ms=round(context.first_event / _MILLISECOND),
+            generation_ms=round(context.generation / _MILLISECOND),
+            price=round(context.price, 3),
         )
         return larger
 
-    def _situation(
+    def _escalation_context(
         self,
         job: job_module.Job,
         confidence: int | None,
         larger: int,
         forecast: choice_module.Forecast,
-    ) -> model_choice.Situation:
+    ) -> model_choice.EscalationContext:
         name = job.route.models[larger]
         tokens = job.input_tokens
-        usual = self._usual_prompts[job.route.name]
+        baseline = self._baseline_prompts[job.route.name]
         waiting = self._directory.usual_load(job.service).waiting
-        return model_choice.Situation(
+        return model_choice.EscalationContext(
             confidence=confidence,
             elapsed=self._clock.monotonic() - job.incoming.arrived_at,
-            relative_size=usual.relative_size(tokens),
-            price=self._price(job, name) / usual.worth(),
-            first_event=self._times.first_event(
+            relative_size=baseline.relative_size(tokens),
+            price=self._price(job, name) / baseline.utility(),
+            first_event=self._times.time_to_first_event(
                 name,
                 waiting=forecast.waiting,
-                tokens=attempt_facts.unkept_tokens(job, forecast.kept),
+                tokens=attempt_facts.uncached_tokens(job, forecast.kept),
             ),
-            generation=self._times.generation(name, job.output_tokens),
+            generation=self._times.generation_time(name, job.output_tokens),
             time_left=job.deadline - self._clock.monotonic(),
             waiting=waiting,
         )
@@ -174,5 +174,5 @@
         return service.model_costs.get(name, 0.0) * tokens / 1000.0
 
 
-def _is_ours(job: job_module.Job) -> bool:
+def _router_chooses_model(job: job_module.Job) -> bool:
     return bool(job.route.models) and job.incoming.facts.any_model
--- a/src/nutmeghook/internal/relay/observations.py
+++ b/src/nutmeghook/internal/relay/observations.py
@@ -38,15 +38,15 @@
         self._clock = clock
 
     def note_first_event(
-        self, job: job_module.Job, prepared: prepared_module.Prepared
+        self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> None:
         """Takes in that an attempt's answer begins now."""
         if prepared.forecast is None:
             return
         took = self._clock.monotonic() - prepared.sent_at
         waiting = prepared.forecast.waiting
-        tokens = attempt_facts.unkept_tokens(job, prepared.forecast.kept)
-        expected = self._times.first_event(
+        tokens = attempt_facts.uncached_tokens(job, prepared.forecast.kept)
+        expected = self._times.time_to_first_event(
             prepared.model, waiting=waiting, tokens=tokens
         )
         self._note_first_pace(prepared, took, expected)
@@ -60,7 +60,7 @@
     def note_answer(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         *,
         status: int,
         failed: bool,
@@ -92,36 +92,38 @@
             ),
         )
 
-    def note_left(
+    def note_abandoned(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         *,
-        is_dark: bool,
+        is_unreachable: bool,
     ) -> None:
         """Takes in that a silent replica is left for another one.
 
         Args:
             job: The request.
             prepared: The attempt that is given up.
-            is_dark: Attempts to connect go unanswered; else it is only silent.
+            is_unreachable: Attempts to connect go unanswered; otherwise the
+                replica is only silent.
         """
         logs.note(
             "attempt:left",
             request=job.log_id,
             attempt=job.tries,
             replica=prepared.replica.entry.replica_id,
-            dark=is_dark,
+            dark=is_unreachable,
             begun=job.sink.begun,
             after_event=job.last_event_id,
         )
         self._metrics.add(
-            "attempts_left_total", replica="dark" if is_dark else "silent"
+            "attempts_left_total",
+            replica="dark" if is_unreachable else "silent",
         )
 
     def _note_first_pace(
         self,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         took: datetime.timedelta,
         expected: datetime.timedelta,
     ) -> None:
@@ -140,7 +142,7 @@
 
     def note_pace(
         self,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         duration: datetime.timedelta,
         *,
         steps: int,
--- a/src/nutmeghook/internal/relay/prepared.py
+++ b/src/nutmeghook/internal/relay/prepared.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Prepared:
+class PreparedAttempt:
     """An attempt that is ready to be sent.
 
     Attributes:
--- a/src/nutmeghook/internal/relay/silence.py
+++ b/src/nutmeghook/internal/relay/replica_wait.py
@@ -7,43 +7,43 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.relay import job as job_module
-from nutmeghook.internal.relay import leave as leave_module
 from nutmeghook.internal.relay import observations
 from nutmeghook.internal.relay import prepared as prepared_module
 from nutmeghook.internal.relay import rejections
+from nutmeghook.internal.relay import retry_permission
 from nutmeghook.internal.relay import wire
 from nutmeghook.internal.upstream import outcomes
 from nutmeghook.internal.upstream import sender as sender_module
 
 # After this much silence it is found out whether the replica is dark. Nine in
 # ten first events come sooner, and answers of a healthy replica pause less.
-_DOUBTFUL_SILENCE = datetime.timedelta(milliseconds=600)
-_AT_ONCE = datetime.timedelta()
+_PROBE_AFTER_SILENCE = datetime.timedelta(milliseconds=600)
+_NO_WAIT = datetime.timedelta()
 _T = TypeVar("_T")
 
 
 class ReplicaWait:
     """Waits for replicas that work on streams."""
 
-    __slots__ = ("_clock", "_leave", "_observer", "_sender")
+    __slots__ = ("_clock", "_observer", "_permission", "_sender")
 
     def __init__(
         self,
         *,
-        leave: leave_module.AttemptLeave,
+        permission: retry_permission.RetryPermission,
         observer: observations.AnswerObserver,
         sender: sender_module.Sender,
         clock: clock_module.Clock,
     ):
-        self._leave = leave
+        self._permission = permission
         self._observer = observer
         self._sender = sender
         self._clock = clock
 
-    async def for_sign(
+    async def for_progress(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         wait: Callable[[], Awaitable[_T]],
         *,
         silence: datetime.timedelta,
@@ -70,26 +70,30 @@
                 and another replica takes over.
         """
         silent = datetime.timedelta()
-        step = _DOUBTFUL_SILENCE
-        while job.route.resumable and step < self._leave.time_left(job):
+        step = _PROBE_AFTER_SILENCE
+        while job.route.resumable and step < self._permission.time_left(job):
             try:
                 return await self._clock.wait_for(wait(), step)
             except TimeoutError:
                 silent += step
-            is_dark = silent < silence and await self._is_dark(job, prepared)
-            if is_dark or silent >= silence:
+            is_unreachable = silent < silence and await self._is_unreachable(
+                job, prepared
+            )
+            if is_unreachable or silent >= silence:
                 try:
-                    return await self._clock.wait_for(wait(), _AT_ONCE)
+                    return await self._clock.wait_for(wait(), _NO_WAIT)
                 except TimeoutError as error:
-                    if self._leaves(job, prepared, is_dark=is_dark):
+                    if self._try_abandon(
+                        job, prepared, is_unreachable=is_unreachable
+                    ):
                         raise outcomes.AbandonedError(
                             f"silent for {silent} and more"
                         ) from error
-            step = max(silence - silent, _DOUBTFUL_SILENCE)
+            step = max(silence - silent, _PROBE_AFTER_SILENCE)
         return await self.until_deadline(job, wait())
 
-    async def _is_dark(
-        self, job: job_module.Job, prepared: prepared_module.Prepared
+    async def _is_unreachable(
+        self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> bool:
         """Tells whether a replica's attempts to connect go unanswered.
 
@@ -97,23 +101,27 @@
         """
         try:
             return await self._clock.wait_for(
-                self._sender.is_dark(prepared.replica),
-                self._leave.time_left(job),
+                self._sender.is_unreachable(prepared.replica),
+                self._permission.time_left(job),
             )
         except TimeoutError:
             return False
 
-    def _leaves(
+    def _try_abandon(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         *,
-        is_dark: bool,
+        is_unreachable: bool,
     ) -> bool:
         """Tells whether a silent replica is left for another one."""
-        if not self._leave.try_move(job, prepared, is_dark=is_dark):
+        if not self._permission.try_move(
+            job, prepared, is_unreachable=is_unreachable
+        ):
             return False
-        self._observer.note_left(job, prepared, is_dark=is_dark)
+        self._observer.note_abandoned(
+            job, prepared, is_unreachable=is_unreachable
+        )
         return True
 
     async def until_deadline(
@@ -125,7 +133,9 @@
             rejections.RejectedError: The time limit passed.
         """
         try:
-            return await self._clock.wait_for(work, self._leave.time_left(job))
+            return await self._clock.wait_for(
+                work, self._permission.time_left(job)
+            )
         except TimeoutError as error:
             raise rejections.RejectedError(
                 wire.FixedResponse.LATE_PERHAPS_RUN,
--- a/src/nutmeghook/internal/relay/path.py
+++ b/src/nutmeghook/internal/relay/request_relay.py
@@ -23,7 +23,7 @@
 _RETRY_WITHOUT_CONFIGURATION = datetime.timedelta(milliseconds=500)
 
 
-class RequestPath:
+class RequestRelay:
     """Serves one request after the other, each in its own task."""
 
     __slots__ = (
@@ -31,7 +31,7 @@
         "_configuration",
         "_metrics",
         "_streams",
-        "_wholes",
+        "_whole_answers",
         "_wire_format",
     )
 
@@ -39,15 +39,15 @@
         self,
         *,
         configuration: in_force_module.ConfigurationInForce,
-        stream_path: streams.StreamPath,
-        whole_path: whole_answers.WholeAnswerPath,
+        stream_relay: streams.StreamRelay,
+        whole_answer_relay: whole_answers.WholeAnswerRelay,
         wire_format: wire.WireFormat,
         metrics: metrics_module.Metrics,
         clock: clock_module.Clock,
     ):
         self._configuration = configuration
-        self._streams = stream_path
-        self._wholes = whole_path
+        self._streams = stream_relay
+        self._whole_answers = whole_answer_relay
         self._wire_format = wire_format
         self._metrics = metrics
         self._clock = clock
@@ -90,7 +90,7 @@
     async def _answer(self, job: job_module.Job) -> None:
         is_stream = job.route.kind is model.RouteKind.STREAM
         try:
-            await (self._streams if is_stream else self._wholes).run(job)
+            await (self._streams if is_stream else self._whole_answers).run(job)
         except rejections.RejectedError:
             if job.failure is None or job.sink.begun:
                 raise
--- a/src/nutmeghook/internal/relay/leave.py
+++ b/src/nutmeghook/internal/relay/retry_permission.py
@@ -8,8 +8,8 @@
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import logs
-from nutmeghook.internal.relay import crash_watch
-from nutmeghook.internal.relay import followed_routes
+from nutmeghook.internal.relay import crash_detector
+from nutmeghook.internal.relay import current_routes
 from nutmeghook.internal.relay import job as job_module
 from nutmeghook.internal.relay import prepared as prepared_module
 from nutmeghook.internal.relay import rejections
@@ -23,11 +23,11 @@
 MAX_TRIES = 6
 # When a refused caller is to come back, spread so that those refused together
 # don't return together. Callers follow it up to a third of their time left.
-_EARLIEST_RETURN_S = 0.25
-_LATEST_RETURN_S = 0.75
+_MIN_RETRY_DELAY_S = 0.25
+_MAX_RETRY_DELAY_S = 0.75
 
 
-class AttemptLeave:
+class RetryPermission:
     """Grants further attempts, each with all that it needs."""
 
     __slots__ = (
@@ -42,10 +42,10 @@
     def __init__(
         self,
         *,
-        routes: followed_routes.FollowedRoutes,
+        routes: current_routes.CurrentRoutes,
         search: replica_search.ReplicaSearch,
         budgets: window_budget.WindowRetryBudgets,
-        crashes: crash_watch.CrashWatch,
+        crashes: crash_detector.CrashDetector,
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
@@ -56,7 +56,7 @@
         self._clock = clock
         self._random = random_source
 
-    def allow_repeat(
+    def require_retry(
         self, job: job_module.Job, error: outcomes.AttemptError
     ) -> None:
         """Returns if another attempt may follow a failed one.
@@ -72,19 +72,19 @@
             outcome=type(error).__name__,
             error=str(error),
         )
-        self.stop_quarantined(job)
+        self.reject_quarantined(job)
         may_have_run = isinstance(error, outcomes.UnknownOutcomeError)
         if may_have_run and not _may_run_again(job):
-            raise self.given_up(job, reason="its outcome is unknown")
+            raise self.final_rejection(job, reason="its outcome is unknown")
         if job.tries >= MAX_TRIES:
-            raise self.given_up(job, reason="too many attempts failed")
+            raise self.final_rejection(job, reason="too many attempts failed")
         if isinstance(error, outcomes.AbandonedError):
             return
         was_sent = not isinstance(error, outcomes.NotSentError)
-        if not self._try_follow(job, was_sent=was_sent):
-            raise self.given_up(job, reason="the retry budget is spent")
+        if not self._try_next_attempt(job, was_sent=was_sent):
+            raise self.final_rejection(job, reason="the retry budget is spent")
 
-    def stop_quarantined(self, job: job_module.Job) -> None:
+    def reject_quarantined(self, job: job_module.Job) -> None:
         """Ends a request under which replicas end, before its next attempt.
 
         It gets no attempt, whatever its route and the budget allow, but for the
@@ -99,7 +99,7 @@
             return
         reason = "replicas end under this request"
         if job.possibly_run:
-            raise self.given_up(job, reason=reason)
+            raise self.final_rejection(job, reason=reason)
         raise rejections.RejectedError(
             wire.FixedResponse.NOT_RUN,
             code=codes.Code.QUARANTINED,
@@ -110,9 +110,9 @@
     def try_move(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         *,
-        is_dark: bool,
+        is_unreachable: bool,
     ) -> bool:
         """Takes leave to go on at another replica than the one at work.
 
@@ -123,20 +123,20 @@
         Args:
             job: The request.
             prepared: The attempt at work.
-            is_dark: Its replica is gone, so that there is no way back to it.
+            is_unreachable: Its replica is gone, so it is no fallback.
         """
-        way_back = job.way_back
+        fallback = job.fallback
         replica_id = prepared.replica.entry.replica_id
-        if is_dark and way_back and way_back.replica_id == replica_id:
-            self.forget_way_back(job)
+        if is_unreachable and fallback and fallback.replica_id == replica_id:
+            self.release_fallback(job)
         return job.route.repeatable and self._try_grant(
             job,
             lambda service: self._search.untried(job, service),
-            left=None if is_dark else prepared,
+            abandoned=None if is_unreachable else prepared,
         )
 
-    def try_repeat(
-        self, job: job_module.Job, prepared: prepared_module.Prepared
+    def try_resend(
+        self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> bool:
         """Takes leave to send a request again, to the same replica at last.
 
@@ -145,13 +145,13 @@
         return job.route.repeatable and self._try_grant(
             job,
             lambda service: self._search.best(job, service, may_have_run=True),
-            left=prepared,
+            abandoned=prepared,
         )
 
     def try_larger(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         model_index: int,
     ) -> bool:
         """Takes leave to drop an answer for a larger model's.
@@ -162,18 +162,18 @@
         return job.route.repeatable and self._try_grant(
             job,
             lambda service: self._search.for_model(job, service, model_index),
-            left=prepared,
+            abandoned=prepared,
         )
 
-    def try_again(self, job: job_module.Job) -> bool:
+    def try_retry(self, job: job_module.Job) -> bool:
         """Takes leave for an attempt after a replica's own failure."""
         return (
             _may_run_again(job)
             and job.tries < MAX_TRIES
-            and self._try_follow(job)
+            and self._try_next_attempt(job)
         )
 
-    def _try_follow(
+    def _try_next_attempt(
         self, job: job_module.Job, *, was_sent: bool = True
     ) -> bool:
         """Takes leave for an attempt after one that failed.
@@ -182,22 +182,22 @@
         one: its work was given up for this.
         """
         is_last = job.tries + 1 >= MAX_TRIES
-        if is_last and self.try_go_back(job):
+        if is_last and self.try_fall_back(job):
             return True
         if not was_sent or self.try_spend(job):
             return True
-        return self.try_go_back(job) or self._try_spend_held(job)
+        return self.try_fall_back(job) or self._try_spend_reserved(job)
 
-    def _try_spend_held(self, job: job_module.Job) -> bool:
+    def _try_spend_reserved(self, job: job_module.Job) -> bool:
         """Uses leave for a way back that is closed for an attempt elsewhere."""
-        way_back = job.way_back
-        if way_back is None:
+        fallback = job.fallback
+        if fallback is None:
             return False
         service = self._routes.service_for(job, may_have_run=True)
-        if service != way_back.service:
+        if service != fallback.service:
             return False
-        self._budgets.budget_for(service).spend_held()
-        job.way_back = None
+        self._budgets.budget_for(service).spend_reserved()
+        job.fallback = None
         return True
 
     def _try_grant(
@@ -205,7 +205,7 @@
         job: job_module.Job,
         find: Callable[[str], choice_module.Choice | None],
         *,
-        left: prepared_module.Prepared | None,
+        abandoned: prepared_module.PreparedAttempt | None,
     ) -> bool:
         """Takes leave for a further attempt while one is at work.
 
@@ -221,29 +221,31 @@
         if self._crashes.is_quarantined(job):
             return False
         is_last = job.tries + 1 == MAX_TRIES
-        if left is None and is_last and self.try_go_back(job):
+        if abandoned is None and is_last and self.try_fall_back(job):
             return True
-        attempts = 1 if left is None else 2
+        attempts = 1 if abandoned is None else 2
         if job.tries + attempts > MAX_TRIES:
             return False
         service = self._routes.service_for(job, may_have_run=True)
         chosen = find(service)
-        if chosen is None or not self._try_spend_for(job, service, left):
+        if chosen is None or not self._try_spend_with_fallback(
+            job, service, abandoned
+        ):
             return False
         job.grant = job_module.Grant(service=service, choice=chosen)
-        if left is not None:
-            job.way_back = job_module.WayBack(
-                service=left.replica.entry.service,
-                replica_id=left.replica.entry.replica_id,
+        if abandoned is not None:
+            job.fallback = job_module.FallbackReplica(
+                service=abandoned.replica.entry.service,
+                replica_id=abandoned.replica.entry.replica_id,
                 model_index=job.model_index,
             )
         return True
 
-    def _try_spend_for(
+    def _try_spend_with_fallback(
         self,
         job: job_module.Job,
         service: str,
-        left: prepared_module.Prepared | None,
+        abandoned: prepared_module.PreparedAttempt | None,
     ) -> bool:
         """Takes leave for an attempt, and for one that comes back to it.
 
@@ -251,41 +253,43 @@
         request asks for no more than it needs.
         """
         budget = self._budgets.budget_for(service)
-        if left is None:
+        if abandoned is None:
             return budget.try_spend()
-        service_back = left.replica.entry.service
-        budget_back = self._budgets.budget_for(service_back)
-        former = job.way_back
-        is_held = former is not None and former.service == service_back
-        if not is_held and not budget_back.try_hold():
+        fallback_service = abandoned.replica.entry.service
+        fallback_budget = self._budgets.budget_for(fallback_service)
+        previous = job.fallback
+        is_reserved = (
+            previous is not None and previous.service == fallback_service
+        )
+        if not is_reserved and not fallback_budget.try_reserve():
             return False
         if not budget.try_spend():
-            if not is_held:
-                budget_back.give_back()
+            if not is_reserved:
+                fallback_budget.release_reserved()
             return False
-        if not is_held:
-            self.forget_way_back(job)
+        if not is_reserved:
+            self.release_fallback(job)
         return True
 
-    def try_go_back(self, job: job_module.Job) -> bool:
+    def try_fall_back(self, job: job_module.Job) -> bool:
         """Has a request's next attempt go to the replica that was left."""
-        way_back = job.way_back
-        if way_back is None:
+        fallback = job.fallback
+        if fallback is None:
             return False
-        chosen = self._search.way_back(job, way_back)
+        chosen = self._search.fallback(job, fallback)
         if chosen is None:
             return False
-        self._budgets.budget_for(way_back.service).spend_held()
-        job.way_back = None
-        job.model_index = way_back.model_index
-        job.grant = job_module.Grant(service=way_back.service, choice=chosen)
+        self._budgets.budget_for(fallback.service).spend_reserved()
+        job.fallback = None
+        job.model_index = fallback.model_index
+        job.grant = job_module.Grant(service=fallback.service, choice=chosen)
         return True
 
-    def forget_way_back(self, job: job_module.Job) -> None:
+    def release_fallback(self, job: job_module.Job) -> None:
         """Gives back leave that is no longer needed: another one has begun."""
-        if job.way_back is not None:
-            self._budgets.budget_for(job.way_back.service).give_back()
-            job.way_back = None
+        if job.fallback is not None:
+            self._budgets.budget_for(job.fallback.service).release_reserved()
+            job.fallback = None
 
     def try_spend(self, job: job_module.Job) -> bool:
         """Takes leave for one more attempt while none is at work.
@@ -300,7 +304,7 @@
         service = self._routes.service_for(job, may_have_run=job.possibly_run)
         return self._budgets.budget_for(service).try_spend()
 
-    def given_up(
+    def final_rejection(
         self, job: job_module.Job, *, reason: str
     ) -> rejections.RejectedError:
         """Returns the end of a request that gets no further attempt."""
@@ -311,13 +315,13 @@
         return rejections.RejectedError(
             wire.FixedResponse.NOT_RUN,
             reason=reason,
-            retry_after=self.return_after(),
+            retry_after=self.retry_delay(),
         )
 
-    def return_after(self) -> datetime.timedelta:
+    def retry_delay(self) -> datetime.timedelta:
         """Returns when a refused caller is to come back."""
         return datetime.timedelta(
-            seconds=self._random.uniform(_EARLIEST_RETURN_S, _LATEST_RETURN_S)
+            seconds=self._random.uniform(_MIN_RETRY_DELAY_S, _MAX_RETRY_DELAY_S)
         )
 
     def time_left(self, job: job_module.Job) -> datetime.timedelta:
--- a/src/nutmeghook/internal/relay/streams.py
+++ b/src/nutmeghook/internal/relay/streams.py
@@ -6,15 +6,15 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.relay import attempts as attempts_module
-from nutmeghook.internal.relay import crash_watch
+from nutmeghook.internal.relay import crash_detector
 from nutmeghook.internal.relay import events as events_module
 from nutmeghook.internal.relay import job as job_module
-from nutmeghook.internal.relay import leave as leave_module
-from nutmeghook.internal.relay import model_advice
+from nutmeghook.internal.relay import model_selector
 from nutmeghook.internal.relay import observations
 from nutmeghook.internal.relay import prepared as prepared_module
 from nutmeghook.internal.relay import rejections
-from nutmeghook.internal.relay import silence as silence_module
+from nutmeghook.internal.relay import replica_wait
+from nutmeghook.internal.relay import retry_permission
 from nutmeghook.internal.relay import wire
 from nutmeghook.internal.upstream import outcomes
 from nutmeghook.internal.upstream import sender as sender_module
@@ -27,7 +27,7 @@
 _SILENT_PAUSES = 2.5
 _OK_STATUS = 200
 # With fewer events the time between them says little of a replica's pace.
-_LEAST_PACED_EVENTS = 4
+_MIN_PACED_EVENTS = 4
 
 
 class _Step(enum.Enum):
@@ -38,16 +38,16 @@
     LARGER_MODEL = "larger model"
 
 
-class StreamPath:
+class StreamRelay:
     """Passes events on, resumes cut streams, and replaces weak answers."""
 
     __slots__ = (
-        "_advice",
         "_clock",
         "_crashes",
-        "_leave",
         "_observer",
+        "_permission",
         "_planner",
+        "_selector",
         "_sender",
         "_wait",
         "_wire_format",
@@ -57,23 +57,23 @@
         self,
         *,
         planner: attempts_module.AttemptPlanner,
-        leave: leave_module.AttemptLeave,
-        crashes: crash_watch.CrashWatch,
+        permission: retry_permission.RetryPermission,
+        crashes: crash_detector.CrashDetector,
         observer: observations.AnswerObserver,
         sender: sender_module.Sender,
-        advice: model_advice.ModelAdvice,
+        selector: model_selector.ModelSelector,
         wire_format: wire.WireFormat,
         clock: clock_module.Clock,
     ):
         self._planner = planner
-        self._leave = leave
+        self._permission = permission
         self._crashes = crashes
         self._observer = observer
         self._sender = sender
-        self._wait = silence_module.ReplicaWait(
-            leave=leave, observer=observer, sender=sender, clock=clock
+        self._wait = replica_wait.ReplicaWait(
+            permission=permission, observer=observer, sender=sender, clock=clock
         )
-        self._advice = advice
+        self._selector = selector
         self._wire_format = wire_format
         self._clock = clock
 
@@ -83,12 +83,12 @@
         Raises:
             rejections.RejectedError: It can't be begun, or can't go on.
         """
-        self._advice.begin(job)
+        self._selector.begin(job)
         try:
             while await self._try_once(job) is not _Step.DONE:
                 pass
         finally:
-            self._leave.forget_way_back(job)
+            self._permission.release_fallback(job)
 
     async def _try_once(self, job: job_module.Job) -> _Step:
         prepared = self._planner.prepare(job)
@@ -96,35 +96,35 @@
             return await self._attempt(job, prepared)
         except outcomes.AttemptError as error:
             await self._crashes.note_lost(job, prepared, error)
-            self._leave.allow_repeat(job, error)
+            self._permission.require_retry(job, error)
             return _Step.AGAIN
 
     async def _attempt(
-        self, job: job_module.Job, prepared: prepared_module.Prepared
+        self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> _Step:
         async with contextlib.AsyncExitStack() as stack:
-            answer = await self._head(job, prepared, stack)
+            answer = await self._receive_head(job, prepared, stack)
             job.answered_try = job.tries
             if answer.head.status != _OK_STATUS:
-                return await self._other_answer(job, prepared, answer)
+                return await self._handle_non_stream(job, prepared, answer)
             if not answer.facts.sealed or answer.facts.encoded:
                 raise outcomes.UnknownOutcomeError("the answer is not sealed")
             self._observer.note_answer(
                 job, prepared, status=answer.head.status, failed=False
             )
             self._observer.note_first_event(job, prepared)
-            self._leave.forget_way_back(job)
-            if self._is_replaced(job, prepared, answer):
+            self._permission.release_fallback(job)
+            if self._try_larger_model(job, prepared, answer):
                 return _Step.LARGER_MODEL
-            await self._pass_on(job, prepared, answer)
+            await self._forward(job, prepared, answer)
             self._crashes.note_stream_ended(job)
             prepared.replica.health.note_success(self._clock.monotonic())
             return _Step.DONE
 
-    async def _other_answer(
+    async def _handle_non_stream(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         answer: sender_module.Answer,
     ) -> _Step:
         """Passes on what is no stream, if nothing better can be had.
@@ -141,11 +141,13 @@
         self._observer.note_answer(
             job, prepared, status=whole.status, failed=whole.failed
         )
-        if whole.failed and self._may_repeat(job, whole):
+        if whole.failed and self._may_retry(job, whole):
             job.failure = whole
             return _Step.AGAIN
         if job.sink.begun:
-            raise self._leave.given_up(job, reason="a replica failed it")
+            raise self._permission.final_rejection(
+                job, reason="a replica failed it"
+            )
         await job.sink.send_whole(
             whole.status,
             self._wire_format.answer_headers(whole.headers),
@@ -153,32 +155,32 @@
         )
         return _Step.DONE
 
-    def _may_repeat(
+    def _may_retry(
         self, job: job_module.Job, answer: job_module.WholeAnswer
     ) -> bool:
         error = outcomes.UnknownOutcomeError(
             f"the replica answered {answer.status}"
         )
         try:
-            self._leave.allow_repeat(job, error)
+            self._permission.require_retry(job, error)
         except rejections.RejectedError:
             return False
         return True
 
-    def _is_replaced(
+    def _try_larger_model(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         answer: sender_module.Answer,
     ) -> bool:
         """Decides whether a larger model is asked instead.
 
         The dropped attempt counts as run.
         """
-        larger = self._advice.larger_for(job, answer.facts.confidence)
+        larger = self._selector.larger_for(job, answer.facts.confidence)
         if larger is None:
             return False
-        if not self._leave.try_larger(job, prepared, larger):
+        if not self._permission.try_larger(job, prepared, larger):
             return False
         answer.replica.health.note_success(self._clock.monotonic())
         job.model_index = larger
@@ -186,10 +188,10 @@
         job.tried.clear()
         return True
 
-    async def _pass_on(
+    async def _forward(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         answer: sender_module.Answer,
     ) -> None:
         """Passes whole events on until the stream is complete.
@@ -202,13 +204,13 @@
         events = 0
         silence = job.route.target * _SILENT_TARGETS
         while True:
-            data = await self._wait.for_sign(
+            data = await self._wait.for_progress(
                 job, prepared, answer.head.read, silence=silence
             )
             if not data:
                 break
             for event in splitter.feed(data):
-                await self._pass_event(job, answer, event)
+                await self._forward_event(job, answer, event)
                 events += 1
             silence = job.route.longest_pause * _SILENT_PAUSES
         if splitter.has_rest:
@@ -217,17 +219,17 @@
         await job.sink.end()
         took = self._clock.monotonic() - began_at
         if prepared.after_event is None:
-            self._advice.note_generation(job, prepared, took)
-        if events >= _LEAST_PACED_EVENTS:
+            self._selector.note_generation(job, prepared, took)
+        if events >= _MIN_PACED_EVENTS:
             self._observer.note_pace(prepared, took, steps=events - 1)
 
-    async def _pass_event(
+    async def _forward_event(
         self,
         job: job_module.Job,
         answer: sender_module.Answer,
         event: events_module.StreamEvent,
     ) -> None:
-        if _is_repeated(event.event_id, job.last_event_id):
+        if _is_duplicate(event.event_id, job.last_event_id):
             return
         await self._begin_once(job, answer)
         await job.sink.write(event.raw)
@@ -244,10 +246,10 @@
             self._wire_format.answer_headers(answer.head.headers),
         )
 
-    async def _head(
+    async def _receive_head(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         stack: contextlib.AsyncExitStack,
     ) -> sender_module.Answer:
         """Sends, and returns the answer's head once it has come."""
@@ -257,7 +259,7 @@
             )
         )
         try:
-            return await self._wait.for_sign(
+            return await self._wait.for_progress(
                 job,
                 prepared,
                 lambda: asyncio.shield(sending),
@@ -270,7 +272,7 @@
             raise
 
 
-def _is_repeated(event_id: str | None, last_passed: str | None) -> bool:
+def _is_duplicate(event_id: str | None, last_passed: str | None) -> bool:
     """Tells whether an event came already; ids are numbers that grow."""
     if event_id is None or last_passed is None:
         return False
--- a/src/nutmeghook/internal/relay/whole_answers.py
+++ b/src/nutmeghook/internal/relay/whole_answers.py
@@ -5,12 +5,12 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.relay import attempts as attempts_module
-from nutmeghook.internal.relay import crash_watch
+from nutmeghook.internal.relay import crash_detector
 from nutmeghook.internal.relay import job as job_module
-from nutmeghook.internal.relay import leave as leave_module
 from nutmeghook.internal.relay import observations
 from nutmeghook.internal.relay import prepared as prepared_module
 from nutmeghook.internal.relay import rejections
+from nutmeghook.internal.relay import retry_permission
 from nutmeghook.internal.relay import wire
 from nutmeghook.internal.upstream import outcomes
 from nutmeghook.internal.upstream import sender as sender_module
@@ -21,14 +21,14 @@
 _PATIENCE_TARGETS = 3.0
 
 
-class WholeAnswerPath:
+class WholeAnswerRelay:
     """Sends until there is an answer to pass on."""
 
     __slots__ = (
         "_clock",
         "_crashes",
-        "_leave",
         "_observer",
+        "_permission",
         "_planner",
         "_sender",
         "_wire_format",
@@ -38,15 +38,15 @@
         self,
         *,
         planner: attempts_module.AttemptPlanner,
-        leave: leave_module.AttemptLeave,
-        crashes: crash_watch.CrashWatch,
+        permission: retry_permission.RetryPermission,
+        crashes: crash_detector.CrashDetector,
         observer: observations.AnswerObserver,
         sender: sender_module.Sender,
         wire_format: wire.WireFormat,
         clock: clock_module.Clock,
     ):
         self._planner = planner
-        self._leave = leave
+        self._permission = permission
         self._crashes = crashes
         self._observer = observer
         self._sender = sender
@@ -62,7 +62,7 @@
         try:
             answer = await self._until_answered(job)
         finally:
-            self._leave.forget_way_back(job)
+            self._permission.release_fallback(job)
         await job.sink.send_whole(
             answer.status,
             self._wire_format.answer_headers(answer.headers),
@@ -76,7 +76,7 @@
             answer = await self._try_once(job)
             if answer is None:
                 continue
-            if not answer.failed or not self._may_repeat_failure(job):
+            if not answer.failed or not self._may_retry_failure(job):
                 return answer
             job.failure = answer
 
@@ -89,7 +89,7 @@
             answer = await self._send(job, prepared)
         except outcomes.AttemptError as error:
             await self._crashes.note_lost(job, prepared, error)
-            self._leave.allow_repeat(job, error)
+            self._permission.require_retry(job, error)
             return None
         job.runs += 1
         self._crashes.note_answer(job, answer)
@@ -102,27 +102,27 @@
             self._observer.note_pace(prepared, took, steps=1)
         return answer
 
-    def _may_repeat_failure(self, job: job_module.Job) -> bool:
-        if self._leave.time_left(job) <= datetime.timedelta():
+    def _may_retry_failure(self, job: job_module.Job) -> bool:
+        if self._permission.time_left(job) <= datetime.timedelta():
             return False
-        return self._leave.try_again(job)
+        return self._permission.try_retry(job)
 
     async def _send(
-        self, job: job_module.Job, prepared: prepared_module.Prepared
+        self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> job_module.WholeAnswer:
         exchange = asyncio.ensure_future(self._exchange(prepared))
         try:
-            return await self._patiently(job, prepared, exchange)
+            return await self._await_answer(job, prepared, exchange)
         finally:
             if not exchange.done():
                 # Ends the attempt at its replica before another one begins.
                 exchange.cancel()
                 await asyncio.wait({exchange})
 
-    async def _patiently(
+    async def _await_answer(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         exchange: asyncio.Future[job_module.WholeAnswer],
     ) -> job_module.WholeAnswer:
         """Awaits an answer, which is given up only for a further attempt.
@@ -137,23 +137,25 @@
                 request again was taken.
         """
         patience = job.route.target * _PATIENCE_TARGETS
-        while patience < self._leave.time_left(job):
+        while patience < self._permission.time_left(job):
             try:
                 return await self._clock.wait_for(
                     asyncio.shield(exchange), patience
                 )
             except TimeoutError as error:
-                if not exchange.done() and self._leave.try_repeat(
+                if not exchange.done() and self._permission.try_resend(
                     job, prepared
                 ):
                     self._note_slow(prepared)
-                    self._observer.note_left(job, prepared, is_dark=False)
+                    self._observer.note_abandoned(
+                        job, prepared, is_unreachable=False
+                    )
                     raise outcomes.AbandonedError(
                         f"no answer within {patience}"
                     ) from error
         try:
             return await self._clock.wait_for(
-                asyncio.shield(exchange), self._leave.time_left(job)
+                asyncio.shield(exchange), self._permission.time_left(job)
             )
         except TimeoutError as error:
             if exchange.done():
@@ -164,11 +166,11 @@
                 reason="the time limit passed during a run",
             ) from error
 
-    def _note_slow(self, prepared: prepared_module.Prepared) -> None:
+    def _note_slow(self, prepared: prepared_module.PreparedAttempt) -> None:
         prepared.replica.health.note_failure(self._clock.monotonic())
 
     async def _exchange(
-        self, prepared: prepared_module.Prepared
+        self, prepared: prepared_module.PreparedAttempt
     ) -> job_module.WholeAnswer:
         async with self._sender.attempt(
             prepared.replica, prepared.outgoing
--- a/src/nutmeghook/internal/upstream/connection.py
+++ b/src/nutmeghook/internal/upstream/connection.py
@@ -74,7 +74,7 @@
     """A connection and what is known of its exchange.
 
     Attributes:
-        sound: It may carry another exchange once this one is complete.
+        reusable: It may carry another exchange once this one is complete.
         idle_since_s: Loop time since which it has been idle.
         idle_limit_s: How long the replica keeps it open when idle.
         failure: Why the present answer's body broke off.
@@ -88,7 +88,7 @@
         "failure",
         "idle_limit_s",
         "idle_since_s",
-        "sound",
+        "reusable",
     )
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop):
@@ -98,7 +98,7 @@
         self._reset: OSError | None = None
         self._answers = 0
         self.failure: outcomes.UnknownOutcomeError | None = None
-        self.sound = True
+        self.reusable = True
         self.idle_since_s = 0.0
         self.idle_limit_s = 0.0
 
@@ -125,7 +125,7 @@
             outcomes.NotSentError: The connection was closed before.
             outcomes.UnknownOutcomeError: It broke afterwards.
         """
-        if not self.is_open or not self.sound:
+        if not self.is_open or not self.reusable:
             raise outcomes.NotSentError("the connection is closed")
         self._parser = http_parser.HttpResponseParser(
             self,
@@ -158,7 +158,7 @@
         self._head = None
         self._payload = None
         self._parser = None
-        if not complete or not self.sound or self.unsent_bytes:
+        if not complete or not self.reusable or self.unsent_bytes:
             self.abort()
             return False
         self.idle_since_s = self._loop.time()
@@ -166,7 +166,7 @@
 
     def abort(self) -> None:
         """Drops the connection at once, with whatever is under way."""
-        self.sound = False
+        self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
@@ -188,9 +188,9 @@
             self._fail(outcomes.UnknownOutcomeError(f"bad answer: {error}"))
             return
         if upgraded or tail:
-            self.sound = False
+            self.reusable = False
         for message, payload in messages:
-            self._take(message, payload)
+            self._receive_answer(message, payload)
 
     def eof_received(self) -> None:
         """Lets the transport close, and notes if it was a reset in truth.
@@ -211,7 +211,7 @@
         The library's parser would end a body without length as complete after a
         reset too.
         """
-        self.sound = False
+        self.reusable = False
         exc = exc or self._reset
         if exc is None and self._parser is not None:
             try:
@@ -223,7 +223,7 @@
         self._parser = None
         super().connection_lost(exc)
 
-    def _take(
+    def _receive_answer(
         self,
         message: http_parser.RawResponseMessage,
         payload: streams.StreamReader,
@@ -232,11 +232,11 @@
             return
         self._answers += 1
         if self._answers > 1 or self._head is None:
-            self.sound = False
+            self.reusable = False
             return
         self._payload = payload
         if message.should_close:
-            self.sound = False
+            self.reusable = False
         if not self._head.done():
             self._head.set_result(
                 AnswerHead(
@@ -251,7 +251,7 @@
             )
 
     def _fail(self, error: outcomes.UnknownOutcomeError) -> None:
-        self.sound = False
+        self.reusable = False
         if self._head is not None and not self._head.done():
             self._head.set_exception(error)
             # Nobody may be waiting any more: the caller has gone.
--- a/src/nutmeghook/internal/upstream/pool.py
+++ b/src/nutmeghook/internal/upstream/pool.py
@@ -25,7 +25,7 @@
 # Idle connections kept a replica. More than a few are left over from a burst.
 MAX_IDLE_A_REPLICA = 24
 # Shortages of this process or machine: a connection was not even tried.
-_OWN_SHORTAGES = frozenset(
+_LOCAL_SHORTAGES = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS}
 )
 
@@ -50,13 +50,13 @@
         self.opened = 0
 
     async def acquire(
-        self, address: str, *, longest_idle_s: float
+        self, address: str, *, max_idle_s: float
     ) -> connection_module.ReplicaConnection:
         """Returns a connection, the one idle for the shortest time if any.
 
         Args:
             address: The replica's `ip:port`.
-            longest_idle_s: Take none that was idle for longer. Requests that
+            max_idle_s: Take none that was idle for longer. Requests that
                 may run only once ask for a fresh one, because a kept one may
                 break as they are written.
 
@@ -68,8 +68,8 @@
         while kept:
             candidate = kept.pop()
             idle_s = now_s - candidate.idle_since_s
-            limit_s = min(candidate.idle_limit_s, longest_idle_s)
-            if candidate.is_open and candidate.sound and idle_s < limit_s:
+            limit_s = min(candidate.idle_limit_s, max_idle_s)
+            if candidate.is_open and candidate.reusable and idle_s < limit_s:
                 return candidate
             candidate.abort()
         return await self._open(address)
@@ -145,7 +145,7 @@
             raise outcomes.NotSentError(
                 f"{address} did not accept a connection: {error!r}"
             ) from error
-        _bound_silence(transport)
+        _enable_keepalive(transport)
         return protocol
 
 
@@ -153,12 +153,12 @@
     """Returns what an attempt to connect that failed tells of a replica."""
     if isinstance(error, ConnectionError):
         return Reachability.REFUSES
-    if error.errno in _OWN_SHORTAGES:
+    if error.errno in _LOCAL_SHORTAGES:
         return Reachability.NOT_ASKED
     return Reachability.DARK
 
 
-def _bound_silence(transport: asyncio.BaseTransport) -> None:
+def _enable_keepalive(transport: asyncio.BaseTransport) -> None:
     """Lets the system notice a peer that no longer acknowledges.
 
     A path that is cut without a reset would leave the connection open for many
--- a/src/nutmeghook/internal/upstream/sender.py
+++ b/src/nutmeghook/internal/upstream/sender.py
@@ -19,12 +19,12 @@
 # A request that may run only once goes on a connection that was just used or
 # on a new one: a replica may close an idle one as the request is written, and
 # then nobody knows whether it ran.
-LONGEST_IDLE_FOR_ONCE_S = 0.5
-LONGEST_IDLE_S = 60.0
+MAX_IDLE_FOR_ONCE_S = 0.5
+MAX_IDLE_S = 60.0
 # Whole answers are held in memory until they are checked. Those of plain
 # services have some kilobytes; this bounds what a faulty one can use.
 MAX_WHOLE_ANSWER_BYTES = 8 * 1024 * 1024
-_TAKES_NOTHING_NEW = frozenset(
+_NOT_ACCEPTING = frozenset(
     {pool_module.Reachability.REFUSES, pool_module.Reachability.DARK}
 )
 
@@ -37,7 +37,7 @@
         target: Path and query exactly as the caller sent them.
         repeatable: It may run more than once.
         reading: Of its prompt; None of a request without one.
-        place: At a replica whose requests are counted.
+        slot: At a replica whose requests are counted.
     """
 
     request_id: str
@@ -48,7 +48,7 @@
     body: bytes
     repeatable: bool
     reading: backlog_module.Reading | None = None
-    place: send_window.Place | None = None
+    slot: send_window.Place | None = None
 
     def encoded(self) -> bytes:
         """Returns the whole message."""
@@ -147,7 +147,7 @@
         finally:
             replica.in_flight -= 1
             if connection is not None:
-                self._give_back(address, connection, answer)
+                self._release(address, connection, answer)
 
     @contextlib.contextmanager
     def _reading(
@@ -168,27 +168,25 @@
         finally:
             self._directory.end_reading(replica, reading)
 
-    async def is_dark(self, replica: replica_module.Replica) -> bool:
+    async def is_unreachable(self, replica: replica_module.Replica) -> bool:
         """Tells whether a silent replica is gone.
 
         A dark replica answers no attempt to connect. One that refuses them is
         alive: it leaves, or has as many connections as it takes, and works on
         at what it has. New requests have no business at either.
         """
-        met = await self._pool.probe(replica.entry.address)
-        if met in _TAKES_NOTHING_NEW:
+        reachability = await self._pool.probe(replica.entry.address)
+        if reachability in _NOT_ACCEPTING:
             replica.health.note_unreachable(self._clock.monotonic())
-        return met is pool_module.Reachability.DARK
+        return reachability is pool_module.Reachability.DARK
 
     async def _connect(
         self, replica: replica_module.Replica, outgoing: Outgoing
     ) -> connection_module.ReplicaConnection:
-        longest_idle_s = (
-            LONGEST_IDLE_S if outgoing.repeatable else LONGEST_IDLE_FOR_ONCE_S
-        )
+        max_idle_s = MAX_IDLE_S if outgoing.repeatable else MAX_IDLE_FOR_ONCE_S
         try:
             return await self._pool.acquire(
-                replica.entry.address, longest_idle_s=longest_idle_s
+                replica.entry.address, max_idle_s=max_idle_s
             )
         except outcomes.NotSentError:
             replica.health.note_unreachable(self._clock.monotonic())
@@ -200,7 +198,7 @@
         replica: replica_module.Replica,
         outgoing: Outgoing,
     ) -> Answer:
-        if not self._gate.may_write(replica, outgoing.place):
+        if not self._gate.may_write(replica, outgoing.slot):
             raise outcomes.NotSentError(
                 f"{replica.entry.replica_id} may not be sent to any more"
             )
@@ -212,7 +210,7 @@
         # A late answer to an earlier request arrives where this one's is
         # due. The echoed id tells them apart; this request may have run.
         if facts.request_id not in (None, outgoing.request_id):
-            connection.sound = False
+            connection.reusable = False
             raise outcomes.UnknownOutcomeError(
                 f"the answer is to request {facts.request_id!r}"
             )
@@ -233,7 +231,7 @@
             )
         return answer
 
-    def _give_back(
+    def _release(
         self,
         address: str,
         connection: connection_module.ReplicaConnection,
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -179,8 +179,8 @@
         self.book.evacuate("far")
         acquire = self.pool.acquire
 
-        async def slow_acquire(address, *, longest_idle_s):
-            connection = await acquire(address, longest_idle_s=longest_idle_s)
+        async def slow_acquire(address, *, max_idle_s):
+            connection = await acquire(address, max_idle_s=max_idle_s)
             if address == self.here.address:
                 self.book.evacuate("here")
                 self.book.take_back("far")
--- a/tests/cover/test_model_choice.py
+++ b/tests/cover/test_model_choice.py
@@ -28,7 +28,7 @@
 WAITING = strategies.floats(min_value=0, max_value=100)
 
 
-def situation(**changes) -> model_choice.Situation:
+def context(**changes) -> model_choice.EscalationContext:
     """Returns a weak answer in a quiet moment, changed."""
     fields = {
         "confidence": 20,
@@ -40,16 +40,16 @@
         "time_left": 7880 * MS,
         "waiting": 0.5,
     }
-    return model_choice.Situation(**(fields | changes))
+    return model_choice.EscalationContext(**(fields | changes))
 
 
-class WeighedWorthTest(unittest.TestCase):
+class ExpectedUtilityTest(unittest.TestCase):
     def setUp(self):
-        self.choice = model_choice.WeighedWorth()
+        self.choice = model_choice.ExpectedUtility()
 
     def is_replaced(self, **changes) -> bool:
         """Tells whether the answer is replaced."""
-        return self.choice.prefers_larger(ROUTE, situation(**changes))
+        return self.choice.prefers_larger(ROUTE, context(**changes))
 
     def test_the_models_between_are_skipped(self):
         self.assertEqual(self.choice.first(ROUTE), 0)
@@ -147,7 +147,7 @@
                 "m", waiting=waiting_ms * MS, tokens=tokens, took=took_ms * MS
             )
         for waiting_ms, tokens in ((0, 2000), (170, 9000), (306, 15_000)):
-            expected = times.first_event(
+            expected = times.time_to_first_event(
                 "m", waiting=waiting_ms * MS, tokens=tokens
             )
             wanted = true_ms(waiting_ms, tokens)
@@ -155,10 +155,12 @@
 
     def test_it_learns_how_quickly_a_model_generates(self):
         times = generation_times.GenerationTimes()
-        self.assertEqual(times.generation("m", 100), 0 * MS)
+        self.assertEqual(times.generation_time("m", 100), 0 * MS)
         for _ in range(60):
             times.note_generation("m", tokens=50, took=1500 * MS)
-        self.assertAlmostEqual(times.generation("m", 100) / MS, 3000, delta=1)
+        self.assertAlmostEqual(
+            times.generation_time("m", 100) / MS, 3000, delta=1
+        )
 
     @given(
         strategies.lists(
@@ -178,10 +180,12 @@
             )
         for waiting_ms, tokens in ((0.0, 0), (5.0, 1000), (100.0, 10**6)):
             self.assertGreaterEqual(
-                times.first_event("m", waiting=waiting_ms * MS, tokens=tokens),
+                times.time_to_first_event(
+                    "m", waiting=waiting_ms * MS, tokens=tokens
+                ),
                 0 * MS,
             )
-            self.assertGreaterEqual(times.reading("m", tokens), 0 * MS)
+            self.assertGreaterEqual(times.prefill_time("m", tokens), 0 * MS)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_relay_callers.py
+++ b/tests/cover/test_relay_callers.py
@@ -218,7 +218,7 @@
             f"{headers.REQUEST_ID}: 1\r\n"
             f"Authorization: Token {relay_fixture.KEY}\r\n\r\n".encode()
         )
-        self.listener.close_door()
+        self.listener.stop_accepting()
         self.assertEqual(self.listener.in_flight, 0)
         self.assertEqual(self.listener.open_connections, 1)
         await self.arrival()
@@ -246,7 +246,7 @@
         left_ms = int(seen.headers[headers.TIME_LEFT.lower()])
         self.assertTrue(0 < left_ms <= 800)
 
-    async def test_after_the_door_is_closed_requests_under_way_end(self):
+    async def test_requests_under_way_end_after_the_listener_stops(self):
         """The instance stops while a stream is under way and a kept
         connection is idle. The idle one is closed, the stream comes whole,
         and its connection is closed after it.
@@ -261,7 +261,7 @@
         )
         await self.arrival()
         self.listener.closing = True
-        self.listener.close_door()
+        self.listener.stop_accepting()
         self.assertEqual(await idle.read(), b"")
         idle_writer.close()
         self.assertTrue(relay_fixture.is_complete(await stream))
--- a/tests/cover/test_relay_way_back.py
+++ b/tests/cover/test_relay_fallback.py
@@ -23,7 +23,7 @@
 REFUSAL = Reply(status=503, not_run=True)
 
 
-class WayBackCase(driven_relay.BudgetedRelayCase):
+class FallbackCase(driven_relay.BudgetedRelayCase):
     def answer_in_turn(self, *acts) -> None:
         """Lets all replicas together answer by these functions, in turn.
 
@@ -52,10 +52,10 @@
         )
 
 
-class BegunStreamsTest(driven_relay.BegunStreamCase, WayBackCase):
+class BegunStreamsTest(driven_relay.BegunStreamCase, FallbackCase):
     replica_count = 8
 
-    async def test_the_way_back_outlasts_a_dark_replica(self):
+    async def test_the_fallback_outlasts_an_unreachable_replica(self):
         """A begun stream's replica pauses, and the next one goes dark. It is
         left for a third, which refuses with the budget spent. The way back to
         the first was paid for, and forgotten as the dark one was left: the
@@ -77,7 +77,7 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertEqual(len(self.seen()), 4)
 
-    async def test_leave_in_hand_counts_for_the_next_move(self):
+    async def test_a_reserved_attempt_counts_for_the_next_move(self):
         """A begun stream is left for a replica that then says nothing. There
         is leave for one more attempt, and the leave for the way back is in
         hand. Both together are leave for two, but the stream was held at the
@@ -103,7 +103,7 @@
         silent_from, left_at = arrivals
         self.assertLess(left_at - silent_from, 5 * SECOND)
 
-    async def test_no_way_back_to_a_version_that_was_withdrawn(self):
+    async def test_no_fallback_to_a_withdrawn_version(self):
         """A begun stream is left, and its replica's version is withdrawn. The
         next replica refuses with the budget spent. The answers of the version
         are bad: nothing more is sent to it, even if the stream is cut.
@@ -131,7 +131,7 @@
         self.assertFalse(relay_fixture.is_complete(answer))
         self.assertEqual(len(first.seen), 1)
 
-    async def test_leave_for_the_way_back_serves_where_that_is_closed(self):
+    async def test_a_reservation_serves_elsewhere_if_the_fallback_leaves(self):
         """A begun stream is left, and its replica then says that it leaves,
         as all do at a roll-out's end. The next one refuses with the budget
         spent. There is no way back any more, but leave for one attempt is in
@@ -152,7 +152,7 @@
         self.assertEqual(len(self.seen()), 3)
         self.assertLess(self.budgets.budget_for("service").left(), 1)
 
-    async def test_the_way_back_is_known_though_nobody_else_is(self):
+    async def test_the_fallback_is_used_if_no_other_replica_is_listed(self):
         """A begun stream is left. The replica that is to go on refuses, and it
         and all others are then gone from the list; the first one's version is
         in use, but no new request is given to it. The way back was there, and
@@ -181,7 +181,7 @@
         self.assertEqual(len(first.seen), 2)
 
 
-class LeaveGivenBackTest(driven_relay.BegunStreamCase, WayBackCase):
+class FallbackReleaseTest(driven_relay.BegunStreamCase, FallbackCase):
     """Leave that is held counts without end, so each end gives it back."""
 
     replica_count = 8
@@ -211,14 +211,16 @@
 
     async def test_at_the_time_limit(self):
         """The second replica is silent until the time limit cuts the stream."""
-        paid_for = await self.moved()
+        after_one_attempt = await self.moved()
         answer = await self.answer_of(self.asking)
         self.assertFalse(relay_fixture.is_complete(answer))
-        self.assertEqual(self.budgets.budget_for("service").left(), paid_for)
+        self.assertEqual(
+            self.budgets.budget_for("service").left(), after_one_attempt
+        )
 
     async def test_when_the_caller_leaves(self):
         """The caller hangs up while the second replica is silent."""
-        paid_for = await self.moved()
+        after_one_attempt = await self.moved()
         (silent,) = [
             replica
             for replica in self.replicas
@@ -230,10 +232,12 @@
             await silent.noticed.wait()
         await fakes.settle()
         self.assertEqual(self.listener.in_flight, 0)
-        self.assertEqual(self.budgets.budget_for("service").left(), paid_for)
+        self.assertEqual(
+            self.budgets.budget_for("service").left(), after_one_attempt
+        )
 
 
-class WayBackTest(WayBackCase):
+class FallbackTest(FallbackCase):
     """Other work that is given up, and an attempt that is then refused."""
 
     async def test_a_slow_whole_answer_is_asked_for_again(self):
@@ -278,7 +282,7 @@
         )
 
 
-class OtherWorkTest(WayBackCase):
+class FallbackAfterFailureTest(FallbackCase):
     async def test_a_failure_does_not_replace_a_slow_answer(self):
         """A replica takes too long, and the next one fails the request with
         the budget spent. The way back was paid for, but only a refusal led
@@ -295,7 +299,7 @@
         first, _, back = self.in_order_of_arrival()
         self.assertEqual(first, back)
 
-    async def test_a_weak_answer_outlasts_a_dark_replica(self):
+    async def test_a_weak_answer_outlasts_an_unreachable_replica(self):
         """The small model's answer is dropped, and the large model's replica
         goes dark. The next one refuses with the budget spent. The small model
         is asked once more; the caller got nothing.
@@ -329,7 +333,7 @@
             [name for _, name in asked], ["small", "large", "large", "small"]
         )
 
-    async def test_the_way_back_is_reckoned_with_the_model_that_it_runs(self):
+    async def test_a_fallback_is_forecast_for_the_model_that_it_runs(self):
         """The small model is asked once more, after the large one's replica
         refused. What the attempt was expected to take was reckoned for the
         large model, and told of the replica's pace and reading by that.
--- a/tests/cover/test_relay_work_in_hand.py
+++ b/tests/cover/test_relay_further_attempts.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from nutmeghook.internal.foundation import clock as clock_module
-from nutmeghook.internal.relay import leave
+from nutmeghook.internal.relay import retry_permission
 from nutmeghook.internal.routes import model
 from nutmeghook.internal.upstream import pool as pool_module
 from nutmeghook.standins import users_replica
@@ -69,7 +69,7 @@
         self.assertEqual(relay_fixture.body_of(answer), b"at last")
         self.assertEqual(len(self.seen()), 1)
 
-    async def test_an_answer_that_comes_as_patience_ends_is_passed_on(self):
+    async def test_an_answer_that_comes_with_the_timeout_is_passed_on(self):
         """The process is busy for a while, and the answer and the end of the
         relay's patience come up in one turn of its loop. The whole answer was
         dropped, and another replica asked for it.
@@ -115,11 +115,13 @@
         self.put_in_force(
             relay_fixture.route(IDEMPOTENT, time_limit=LONG, attempts=5)
         )
-        refusals = [Reply(status=503, not_run=True)] * (leave.MAX_TRIES - 1)
+        refusals = [Reply(status=503, not_run=True)] * (
+            retry_permission.MAX_TRIES - 1
+        )
         self.reply_with(*refusals, Reply(status=500, body=b"out of order"))
         answer = await self.answer_of(asyncio.create_task(self.ask(IDEMPOTENT)))
         self.assertEqual(relay_fixture.status_of(answer), 500)
-        self.assertEqual(len(self.seen()), leave.MAX_TRIES)
+        self.assertEqual(len(self.seen()), retry_permission.MAX_TRIES)
 
 
 class SilentStreamsTest(driven_relay.BudgetedRelayCase):
@@ -202,12 +204,12 @@
         self.assertEqual(len(self.seen()), 1)
 
 
-class GrantedAttemptsTest(
+class PermittedAttemptsTest(
     driven_relay.BegunStreamCase, driven_relay.BudgetedRelayCase
 ):
-    replica_count = leave.MAX_TRIES + 2
+    replica_count = retry_permission.MAX_TRIES + 2
 
-    async def test_a_granted_attempt_that_is_refused_cuts_no_stream(self):
+    async def test_a_refused_further_attempt_cuts_no_stream(self):
         """A begun stream's replica falls silent, and another one is asked to
         go on, with the last of the retry budget. That one refuses. The first
         replica is as sound as before, and the stream goes back to it.
@@ -221,7 +223,7 @@
         self.assertNotEqual(first, refusing)
         self.assertEqual(first, back)
 
-    async def test_the_last_leave_is_not_spent_on_leaving_a_replica(self):
+    async def test_the_last_retry_is_not_spent_on_leaving_a_replica(self):
         """A begun stream's replica pauses, and there is leave for one further
         attempt only. If that one were refused there would be no way back, so
         the stream is left where it is, and comes whole.
@@ -235,7 +237,7 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertEqual(len(self.seen()), 1)
 
-    async def test_leave_to_come_back_is_given_back(self):
+    async def test_a_reservation_is_released_once_a_stream_goes_on(self):
         """A stream is left and goes on elsewhere. The leave that was taken to
         come back serves others: one attempt was made, and one is paid for.
         """
@@ -319,7 +321,7 @@
         """
 
         def act(_) -> Reply:
-            self.take_key_away()
+            self.revoke_key()
             self.configuration.newer_exists = lambda: True
             return Reply(status=503, not_run=True)
 
--- a/tests/cover/test_relay_leaving_replicas.py
+++ b/tests/cover/test_relay_leaving_replicas.py
@@ -24,7 +24,7 @@
 EVENTS = (0, 1, 2)
 WHOLE = [users_replica.event(number) for number in EVENTS]
 # Doubtful, but less than a stream of the fixture's routes may pause.
-DOUBTFUL = datetime.timedelta(milliseconds=700)
+LONGER_THAN_PROBE_DELAY = datetime.timedelta(milliseconds=700)
 PATIENT = relay_fixture.route(
     STREAM,
     time_limit=1000 * relay_fixture.SECOND,
@@ -48,14 +48,14 @@
         (replica,) = [r for r in self.replicas if r.seen]
         return asking, replica
 
-    async def test_a_stream_of_a_replica_that_leaves_is_not_given_up(self):
+    async def test_a_stream_of_a_leaving_replica_is_not_abandoned(self):
         """A replica refuses connections, since it leaves, and pauses between
         two events. It runs what it has to its end, so the caller gets the
         stream from it whole and no other replica reads the prompt again.
         """
         asking, leaving = await self.paused()
         leaving.refuse_connections()
-        await self.clock.advance(DOUBTFUL)
+        await self.clock.advance(LONGER_THAN_PROBE_DELAY)
         answer = await asking
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertEqual(len(self.seen()), 1)
@@ -68,7 +68,7 @@
         """
         asking, leaving = await self.paused()
         leaving.refuse_connections()
-        await self.clock.advance(DOUBTFUL)
+        await self.clock.advance(LONGER_THAN_PROBE_DELAY)
         await asking
         for number in range(5):
             await self.ask(STREAM, request_id=f"later-{number}")
--- a/tests/cover/test_relay_lost_replicas.py
+++ b/tests/cover/test_relay_lost_replicas.py
@@ -49,7 +49,7 @@
         lost = await self.lost_to(Reply(reset=True, **BROKEN))
         self.assertEqual(lost["replica_now"], "accepts")
 
-    async def test_a_request_is_named_alike_at_each_of_its_copies(self):
+    async def test_copies_of_a_request_have_one_identity(self):
         """A request comes again with another id of its caller's attempt, on
         another connection. Nothing in the log told that it was the same one.
         """
--- a/tests/cover/test_relay_observed.py
+++ b/tests/cover/test_relay_observed.py
@@ -75,7 +75,7 @@
 
 
 class MetricsPageTest(unittest.TestCase):
-    def test_the_beginning_of_a_page_tells_how_requests_ended(self):
+    def test_counts_of_ended_requests_come_first_on_the_page(self):
         """A collector keeps the first 4,000 bytes of a page.
         Metrics without a value and the buckets of histograms filled them; the
         counts of what became of requests came later and were lost.
--- a/tests/cover/test_relay_parts.py
+++ b/tests/cover/test_relay_parts.py
@@ -191,7 +191,7 @@
         self.replica(first).in_flight = 8
         self.assertNotEqual(self.choose(key="prompt"), first)
 
-    def test_instances_do_not_all_run_after_the_emptiest_replica(self):
+    def test_instances_do_not_all_choose_the_emptiest_replica(self):
         """Every instance knows the same counts, half a second old.
         Were all replicas compared, two hundred requests would go to the one
         that was emptiest before any of them shows in a count.
--- a/tests/cover/test_relay_taken_away.py
+++ b/tests/cover/test_relay_revoked_access.py
@@ -27,35 +27,35 @@
 
 
 class BegunStreamsTest(driven_relay.BegunStreamCase):
-    async def test_a_begun_stream_is_not_cut_when_its_key_is_taken_away(self):
+    async def test_a_begun_stream_is_not_cut_when_its_key_is_revoked(self):
         """The caller has two events when its key is taken away.
         Its replica then stays silent for longer than the relay waits, and
         another one is asked to go on. The stream was let in with a key that
         was good, so it goes on to its end.
         """
         asking = await self.begun()
-        self.take_key_away()
+        self.revoke_key()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_replica_goes_dark(self):
+    async def test_nor_when_its_replica_becomes_unreachable(self):
         """The same, but the replica answers no attempt to connect, and is left
         long before the silence itself is too much.
         """
         asking = await self.begun()
-        (dark,) = [r for r in self.replicas if r.seen]
-        dark.go_dark()
-        self.take_key_away()
+        (unreachable,) = [r for r in self.replicas if r.seen]
+        unreachable.go_dark()
+        self.revoke_key()
         await self.assert_goes_on(asking)
 
     async def test_nor_when_its_replica_breaks_off(self):
         """The same, but the replica crashes: nobody chose to leave it."""
         asking = await self.begun()
-        self.take_key_away()
+        self.revoke_key()
         (crashed,) = [r for r in self.replicas if r.seen]
         await crashed.stop()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_route_is_taken_away(self):
+    async def test_nor_when_its_route_is_removed(self):
         """The operator removes the route of a stream that has begun."""
         asking = await self.begun()
         self.put_in_force(
@@ -63,10 +63,10 @@
         )
         await self.assert_goes_on(asking)
 
-    async def test_a_new_request_with_a_key_that_was_taken_away_is_denied(self):
+    async def test_a_new_request_with_a_revoked_key_is_denied(self):
         """What was let in before goes on; what comes after is refused."""
         asking = await self.begun()
-        self.take_key_away()
+        self.revoke_key()
         denied = await self.ask(STREAM, request_id="request-2")
         self.assertEqual(relay_fixture.status_of(denied), 401)
         await self.assert_goes_on(asking)
@@ -97,7 +97,7 @@
         self.assertEqual(self.other.seen, [])
 
 
-class AnswersInHandTest(driven_relay.DrivenRelayCase):
+class PendingAnswersTest(driven_relay.DrivenRelayCase):
     def on_arrival(self, act, *replies: users_replica.Reply) -> None:
         """Replies in turn, and acts as the first request arrives."""
         left = list(replies)
@@ -124,7 +124,7 @@
             )
         )
         self.on_arrival(
-            self.take_key_away,
+            self.revoke_key,
             Reply(events=EVENTS, confidence=10),
             Reply(events=EVENTS, confidence=10),
         )
@@ -140,12 +140,14 @@
         taken away meanwhile. Another replica's answer comes, not a failure.
         """
         self.on_arrival(
-            self.take_key_away, Reply(silent=True), Reply(body=b"from another")
+            self.revoke_key, Reply(silent=True), Reply(body=b"from another")
         )
         answer = await self.answer_of(self.ask_later(IDEMPOTENT))
         self.assertEqual(relay_fixture.body_of(answer), b"from another")
 
-    async def test_patience_ends_no_answer_when_the_retry_budget_is_spent(self):
+    async def test_a_slow_answer_is_awaited_when_the_retry_budget_is_spent(
+        self,
+    ):
         """A replica takes longer than the relay's patience and works on.
         The retry budget is spent, so nobody else may be asked: the caller
         waits and gets the answer that is being made.
@@ -173,13 +175,13 @@
         self.assertEqual(relay_fixture.status_of(answer), 500)
         self.assertEqual(relay_fixture.body_of(answer), b"out of order")
 
-    async def test_what_was_not_run_yet_is_not_let_in_late(self):
+    async def test_a_request_that_has_not_run_is_authorized_again(self):
         """A replica refuses a request, which has waited in its queue, and
         the key was taken away meanwhile. Nothing has run: the caller hears
         that its key is unknown, and no other replica is asked.
         """
         self.on_arrival(
-            self.take_key_away, Reply(status=503, not_run=True), Reply()
+            self.revoke_key, Reply(status=503, not_run=True), Reply()
         )
         answer = await self.answer_of(self.ask_later(IDEMPOTENT))
         self.assertEqual(relay_fixture.status_of(answer), 401)
--- a/tests/cover/test_relay_streams.py
+++ b/tests/cover/test_relay_streams.py
@@ -97,7 +97,7 @@
         answer = await self.ask_stream()
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
 
-    async def test_a_silent_stream_is_taken_up_elsewhere(self):
+    async def test_a_silent_stream_is_resumed_elsewhere(self):
         """A replica goes dark after two events.
         Longer than any pause that counts as on time, the relay leaves it and
         resumes at another replica.
@@ -165,7 +165,7 @@
         self.assertTrue(relay_fixture.is_complete(answer))
         self.assertEqual(len(self.seen()), 3)
 
-    async def test_a_dark_replica_s_stream_is_taken_up_at_once(self):
+    async def test_an_unreachable_replica_s_stream_is_resumed_at_once(self):
         """A replica goes dark: its connections stay open and silent, and it
         answers no attempt to connect. Long before the silence itself would be
         too much, the stream goes on at another replica.
@@ -184,8 +184,8 @@
         self.reply_with(Reply(silent=True), Reply(events=EVENTS))
         asking = asyncio.create_task(self.ask_stream())
         await self.arrival()
-        (dark,) = [r for r in self.replicas if r.seen]
-        dark.go_dark()
+        (unreachable,) = [r for r in self.replicas if r.seen]
+        unreachable.go_dark()
         answer = await asking
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
 
--- a/tests/cover/test_replica_connection.py
+++ b/tests/cover/test_replica_connection.py
@@ -64,7 +64,7 @@
         self.assertTrue(self.connection.finish_exchange())
         self.connection.data_received(WHOLE)
         self.transport.abort.assert_called()
-        self.assertFalse(self.connection.sound)
+        self.assertFalse(self.connection.reusable)
 
     async def test_a_second_answer_behind_the_first_ends_the_connection(self):
         """Both arrive in one packet, before the first was read."""
--- a/tests/cover/test_replica_probing.py
+++ b/tests/cover/test_replica_probing.py
@@ -16,7 +16,7 @@
 
 
 class ConnectionsTest(relay_fixture.RelayCase):
-    async def dark_by(self, error: OSError) -> tuple[bool, bool]:
+    async def unreachable_by(self, error: OSError) -> tuple[bool, bool]:
         """Tells whether a replica is taken for dark, and whether ejected."""
         (replica, *_) = self.directory.of_service("service")
         sender = sender_module.Sender(
@@ -28,23 +28,23 @@
         )
         loop = asyncio.get_running_loop()
         with mock.patch.object(loop, "create_connection", side_effect=error):
-            is_dark = await sender.is_dark(replica)
+            is_unreachable = await sender.is_unreachable(replica)
         now = self.clock.monotonic()
-        return is_dark, replica.health.is_ejected(now)
+        return is_unreachable, replica.health.is_ejected(now)
 
-    async def test_a_shortage_of_this_side_tells_of_no_replica(self):
+    async def test_a_local_shortage_says_nothing_of_a_replica(self):
         """This process has no file or port left for a connection. All silent
         streams' replicas were taken for dark at once, and left for others,
         though none had been asked.
         """
         for number in (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL):
-            answer = await self.dark_by(OSError(number, "shortage"))
+            answer = await self.unreachable_by(OSError(number, "shortage"))
             self.assertEqual(answer, (False, False), number)
 
-    async def test_no_way_to_a_machine_is_darkness(self):
+    async def test_no_route_to_a_machine_makes_it_unreachable(self):
         """The network says that there is no way to a replica's machine."""
         for number in (errno.EHOSTUNREACH, errno.ENETUNREACH):
-            answer = await self.dark_by(OSError(number, "no way"))
+            answer = await self.unreachable_by(OSError(number, "no way"))
             self.assertEqual(answer, (True, True), number)
 
     async def test_a_connection_that_nobody_acknowledges_breaks(self):
@@ -53,7 +53,7 @@
         system's own checks end a stream that has begun: within 4 s.
         """
         connection = await self.pool.acquire(
-            self.replicas[0].address, longest_idle_s=0.0
+            self.replicas[0].address, max_idle_s=0.0
         )
         self.addCleanup(connection.abort)
         raw = connection.transport.get_extra_info("socket")
--- a/tests/cover/test_window_budget.py
+++ b/tests/cover/test_window_budget.py
@@ -22,19 +22,19 @@
             ratio=0.0, window=WINDOW, burst=BURST, clock=clock
         )
 
-    async def test_what_is_given_back_is_not_another_request_s(self):
+    async def test_a_released_reservation_frees_no_other_attempt(self):
         """A request takes leave for the way back, and gives it back when its
         window is over. An attempt made meanwhile by another request was
         forgotten for it, and one too many could be sent.
         """
         clock = clock_module.FakeClock()
         budget = self.budget(clock)
-        self.assertTrue(budget.try_hold())
+        self.assertTrue(budget.try_reserve())
         await clock.advance(WINDOW)
         sent = 0
         while budget.try_spend():
             sent += 1
-        budget.give_back()
+        budget.release_reserved()
         self.assertEqual(budget.left(), BURST - sent)
 
     async def test_nor_is_it_forgotten_sooner(self):
@@ -43,10 +43,10 @@
         """
         clock = clock_module.FakeClock()
         budget = self.budget(clock)
-        self.assertTrue(budget.try_hold())
+        self.assertTrue(budget.try_reserve())
         await clock.advance(WINDOW / 2)
         self.assertTrue(budget.try_spend())
-        budget.give_back()
+        budget.release_reserved()
         await clock.advance(WINDOW * 0.6)
         self.assertEqual(budget.left(), BURST - 1)
 
@@ -83,15 +83,15 @@
                 await clock.advance(3 * SECOND)
             elif step == "spend" and budget.try_spend():
                 sent_s.append(now_s)
-            elif step == "take" and budget.try_hold():
+            elif step == "take" and budget.try_reserve():
                 taken += 1
             elif step == "use" and taken:
                 taken -= 1
-                budget.spend_held()
+                budget.spend_reserved()
                 sent_s.append(now_s)
             elif step == "give back" and taken:
                 taken -= 1
-                budget.give_back()
+                budget.release_reserved()
         return sent_s
 
 
--- a/tests/driven_relay.py
+++ b/tests/driven_relay.py
@@ -44,7 +44,7 @@
             source="test",
         )
 
-    def take_key_away(self) -> None:
+    def revoke_key(self) -> None:
         """Takes the callers' key away; another team keeps its own."""
         others = {"another-key": model.Team(name="another-team")}
         self.put_in_force(teams_by_key=others)
--- a/tests/load_scene.py
+++ b/tests/load_scene.py
@@ -57,7 +57,7 @@
     pattern: emulated_fleet.Load, **parts
 ) -> list[emulated_outcome.Outcome]:
     """Returns what callers got, for each seed."""
-    parts = {"models": model_choice.WeighedWorth()} | parts
+    parts = {"models": model_choice.ExpectedUtility()} | parts
     return [
         fleet_emulator.FleetEmulator(load=pattern, seed=seed, **parts).run()
         for seed in SEEDS
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -123,7 +123,7 @@
             clock=self.clock,
         )
         return listener_module.CallerListener(
-            path=relay_path.build(
+            relay=relay_path.build(
                 relay_path.Surroundings(
                     gate=self.build_gate(),
                     configuration=self.configuration,
