--- a/src/nutmeghook/internal/relay/attempt_facts.py
+++ b/src/nutmeghook/internal/relay/attempt_facts.py
@@ -1,4 +1,4 @@
-"""What an attempt is derived from: its service, model, affinity, urgency."""
+"""Derives an attempt's service, model, affinity and urgency."""
 
 import xxhash
 
@@ -6,12 +6,16 @@
 from nutmeghook.internal.routes import model
 
 _LOWEST_URGENCY = 9
-# Added for larger models. The users' priorities are 0 to 2.
+# Added to the users' priorities (0 to 2) for models above the smallest.
 _LARGER_MODELS_RANK = 3
 
 
 def service_for(route: model.Route, job: job_module.Job) -> str:
-    """Returns the request's service: the same at each attempt if it may."""
+    """Returns the service that the request goes to.
+
+    The shares' weights and the request id decide. A service chosen before is
+    kept while it has a share.
+    """
     shares = [share for share in route.shares if share.weight > 0]
     if any(share.service == job.service for share in shares):
         return job.service
@@ -42,10 +46,10 @@
 
 
 def affinity(job: job_module.Job, model_index: int | None = None) -> str | None:
-    """Returns what requests with the same shared prompt have in common.
+    """Returns the affinity key of the request's prompt prefix.
 
     The last part belongs to the request or its session alone, so the one
-    before it is the deepest that others share.
+    before it ends the longest prefix that others share.
     """
     prompt = job.incoming.facts.prompt
     if prompt is None or not prompt.parts:
@@ -55,7 +59,7 @@
 
 
 def shared_tokens(job: job_module.Job) -> int:
-    """Returns the tokens of a prompt's parts that others share."""
+    """Returns the tokens of the prompt prefix that others share."""
     prompt = job.incoming.facts.prompt
     if prompt is None:
         return 0
@@ -64,12 +68,17 @@
 
 
 def uncached_tokens(job: job_module.Job, cached: float) -> float:
-    """Returns the tokens to read where shared parts are kept so likely."""
+    """Returns the expected number of prompt tokens to prefill.
+
+    Args:
+        job: The request.
+        cached: Probability that its prompt prefix is cached.
+    """
     return job.input_tokens - cached * shared_tokens(job)
 
 
 def is_urgent(job: job_module.Job, model_index: int | None = None) -> bool:
-    """Tells whether a prompt is read before those of larger models."""
+    """Tells whether a prompt is prefilled before those of larger models."""
     index = job.model_index if model_index is None else model_index
     return index == 0
 
@@ -77,11 +86,11 @@
 def urgency(job: job_module.Job) -> int | None:
     """Returns a generation's rank in a replica's queue, 0 first.
 
-    Short work goes first. A replica reads prompts one after the other, and
-    the largest model reads ten times slower than the smallest: behind a few of
-    its prompts, answers of the smallest waited for most of their target. Put
-    first, they cost the larger model's requests a tenth of its work. On a
-    quiet day of 73 instances that brought 0.91 of the worth in time, not 0.88.
+    Short work goes first. A replica prefills prompts one after the other, and
+    the largest model takes ten times as long as the smallest: behind a few of
+    its prompts, answers of the smallest wait for most of their target. Put
+    first, they cost the larger model's requests a tenth of its work. On a quiet
+    day of 73 instances, 0.91 of the utility then comes in time instead of 0.88.
     Within one size the route's priority decides, or the team's.
     """
     if job.incoming.facts.prompt is None:
--- a/src/nutmeghook/internal/relay/attempts.py
+++ b/src/nutmeghook/internal/relay/attempts.py
@@ -1,4 +1,4 @@
-"""Prepares each attempt from the newest knowledge."""
+"""Prepares each attempt from the current configuration and replicas."""
 
 import datetime
 
@@ -65,7 +65,7 @@
         self._clock = clock
 
     def prepare(self, job: job_module.Job) -> prepared_module.PreparedAttempt:
-        """Returns the next attempt: the one granted before, if there is one.
+        """Returns the next attempt: the one permitted before, if there is one.
 
         Raises:
             rejections.RejectedError: There is to be no further attempt.
@@ -111,7 +111,7 @@
         )
 
     def _choose_attempt(self, job: job_module.Job) -> job_module.Grant:
-        """Returns where an attempt goes when none is at work."""
+        """Returns where an attempt goes that was not permitted before."""
         self._permission.reject_quarantined(job)
         may_have_run = job.possibly_run
         service = self._routes.service_for(job, may_have_run=may_have_run)
@@ -160,7 +160,7 @@
 
 
 def _logged(forecast: choice_module.Forecast | None) -> dict[str, float]:
-    """Returns what a choice of replica rested on, for the log."""
+    """Returns the forecast behind a choice of replica, for the log."""
     if forecast is None:
         return {}
     return {
--- a/src/nutmeghook/internal/relay/crash_detector.py
+++ b/src/nutmeghook/internal/relay/crash_detector.py
@@ -1,4 +1,4 @@
-"""Under which requests replicas end, and which of them to stop."""
+"""Finds requests that crash replicas, and tells which to stop."""
 
 import asyncio
 import datetime
@@ -15,12 +15,12 @@
 
 
 class CrashDetector:
-    """Holds the end of a replica against the requests that it had.
+    """Counts a replica's crash against the requests that it had.
 
-    A lost connection alone says little: a reset on the way, a garbled answer
-    and a process that ended look alike. A process that ended also refuses new
-    connections, until another start of it listens there seconds later. So the
-    replica is asked, once for all requests that lost it.
+    A lost connection alone is no evidence: a reset on the way, a garbled answer
+    and a crash look alike. A crashed process also refuses new connections,
+    until it has restarted seconds later. So the replica is probed, once for all
+    requests that lost it.
     """
 
     __slots__ = ("_book", "_metrics", "_pool", "_probes")
@@ -38,15 +38,15 @@
         self._probes: dict[str, asyncio.Task[pool_module.Reachability]] = {}
 
     def is_quarantined(self, job: job_module.Job) -> bool:
-        """Tells whether a request is to be sent to no replica."""
+        """Tells whether a request is quarantined."""
         return self._book.is_quarantined(job.identity)
 
     def is_trial_due(self, job: job_module.Job) -> bool:
-        """Tells whether a quarantined request may be sent to one replica."""
+        """Tells whether a quarantined request may be sent once, as a probe."""
         return not job.tries and self._book.is_trial_due(job.identity)
 
     def note_sent(self, job: job_module.Job) -> None:
-        """Takes in that a request is sent: on trial, if it is quarantined."""
+        """Records that a request is sent: as a probe, if it is quarantined."""
         if self.is_quarantined(job):
             self._book.try_trial(job.identity)
 
@@ -55,16 +55,16 @@
         return self._book.refused_for(job.identity)
 
     def note_stream_ended(self, job: job_module.Job) -> None:
-        """Takes in that a replica has run a stream to its end."""
+        """Records that a replica has run a stream to its end."""
         self._book.note_answered(job.identity)
 
     def note_answer(
         self, job: job_module.Job, answer: job_module.WholeAnswer
     ) -> None:
-        """Takes in a replica's whole answer.
+        """Records a replica's whole answer.
 
-        Only a success shows that it survived the request: it may fail one
-        before it runs it.
+        Only a success shows that the replica survived the request: it may fail
+        a request before running it.
         """
         if answer.succeeded:
             self._book.note_answered(job.identity)
@@ -75,10 +75,10 @@
         prepared: prepared_module.PreparedAttempt,
         error: outcomes.AttemptError,
     ) -> None:
-        """Takes in how an attempt ended that gave no answer.
+        """Records an attempt that gave no answer.
 
-        A request under which no replica has ended goes on at once; for
-        another one it is found out first whether this was the next.
+        Returns at once for a request that has crashed no replica yet. For a
+        suspect one, waits until it is known whether this replica crashed too.
         """
         if not isinstance(error, outcomes.ConnectionLostError):
             return
@@ -119,9 +119,9 @@
         *,
         begun: bool,
     ) -> None:
-        """Takes in how a lost replica meets a new connection.
+        """Records how a lost replica meets a new connection.
 
-        One that was to leave has ended as it was told to.
+        The end of a replica that was leaving is no crash.
         """
         self._metrics.add("connections_lost_total", replica=reachability.value)
         logs.note(
@@ -141,10 +141,10 @@
 
 
 def _had_begun(job: job_module.Job) -> bool:
-    """Tells whether a replica was certainly at work on a request.
+    """Tells whether a replica had begun to run a request.
 
-    An engine sends an answer's head with its first event, and what waits in
-    its queue has none. A plain service sends its whole answer at its end, so
-    there the head tells nothing.
+    An engine sends an answer's head with its first event, so a request that
+    still waits in its queue has none. A plain service sends its whole answer at
+    the end, so its requests always count as begun.
     """
     return job.route.kind is not model.RouteKind.STREAM or job.is_answered
--- a/src/nutmeghook/internal/relay/current_routes.py
+++ b/src/nutmeghook/internal/relay/current_routes.py
@@ -1,16 +1,16 @@
-"""Which service a request's next attempt goes to, as the operator has it.
+"""Finds the service of a request's next attempt in the current configuration.
 
-A request is let in by the configuration of its arrival. The operator may take
-its key or its route away while it is under way, or move the route to another
-service. What then becomes of it depends on how far it has come:
+A request is admitted under the configuration of its arrival. While it is under
+way, its key may be revoked, or its route be removed or moved to another
+service. The effect depends on the progress of the request:
 
-- Nothing has run: it is looked at again, and denied if it would be denied now.
-  It may have waited, and is not let in late.
-- A replica may have begun to work on it: it stays let in to its end. A further
-  attempt is no new request, and whoever may not send new ones is still owed the
-  answer to the one that was accepted.
-- The caller has part of the answer: it goes on in the same service, since
-  texts of two services must not be joined.
+- Nothing has run: it is checked again, and denied if it would be denied now,
+  even if it was admitted before it waited.
+- A replica may have begun to run it: it stays admitted to its end. A further
+  attempt is no new request, and the caller is owed the answer to the request
+  that was accepted.
+- The caller has part of the answer: it stays with its service, since texts of
+  two services must not be joined.
 """
 
 from nutmeghook.internal.relay import attempt_facts
@@ -21,11 +21,11 @@
 from nutmeghook.internal.routes import in_force as in_force_module
 from nutmeghook.internal.routes import model
 
-_TAKEN_AWAY = "route or key was taken away meanwhile"
+_REVOKED = "route or key was taken away meanwhile"
 
 
 class CurrentRoutes:
-    """Looks requests' routes and keys up again."""
+    """Looks up routes and keys of requests under way."""
 
     __slots__ = ("_configuration",)
 
@@ -40,8 +40,8 @@
             may_have_run: A replica may have begun to work on it.
 
         Raises:
-            rejections.RejectedError: It may not, and its route or key was
-                taken away.
+            rejections.RejectedError: It has not run, and its route was removed
+                or its key revoked.
         """
         if job.sink.begun:
             return job.service
@@ -62,7 +62,7 @@
         return route
 
     def _denial(self, response: wire.FixedResponse) -> rejections.RejectedError:
-        return denials.denial(self._configuration, response, reason=_TAKEN_AWAY)
+        return denials.denial(self._configuration, response, reason=_REVOKED)
 
     def _find_route(self, job: job_module.Job) -> model.Route | None:
         incoming = job.incoming
--- a/src/nutmeghook/internal/relay/denials.py
+++ b/src/nutmeghook/internal/relay/denials.py
@@ -6,7 +6,7 @@
 from nutmeghook.internal.relay import wire
 from nutmeghook.internal.routes import in_force as in_force_module
 
-# A large change is on its way for some 0.1 s on the slowest links.
+# A large change takes some 0.1 s to arrive over the slowest links.
 _RETRY_WHILE_BEHIND = datetime.timedelta(milliseconds=200)
 
 
@@ -16,14 +16,14 @@
     *,
     reason: str,
 ) -> rejections.RejectedError:
-    """Returns the end of a request that the configuration does not allow.
+    """Returns the rejection of a request that the configuration denies.
 
-    Callers do not come back after a denial, so an instance that knows itself to
-    be behind asks them to.
+    Callers do not retry after a denial, so an instance that knows of a newer
+    configuration asks them to retry instead.
 
     Args:
-        configuration: The one that does not allow it.
-        response: What the caller is told by an instance that is not behind.
+        configuration: The configuration that denies it.
+        response: The response if no newer configuration is known.
         reason: What is not allowed.
     """
     if not configuration.newer_exists():
--- a/src/nutmeghook/internal/relay/endings.py
+++ b/src/nutmeghook/internal/relay/endings.py
@@ -21,10 +21,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Ending:
-    """The numbered result, and why in words.
+    """Numbered result and reason of a request's end.
 
-    Counters go by the code: the words may hold an error's text, and a counter
-    for each text would grow without end.
+    Metrics are labelled by the code only: the reason may hold an error's text,
+    and the number of labels would grow without bound.
     """
 
     code: codes.Code
@@ -36,7 +36,7 @@
 
 
 def of_rejection(rejection: rejections.RejectedError) -> Ending:
-    """Returns the ending of a request that got a response of our own."""
+    """Returns the ending of a request that the relay itself rejected."""
     return Ending(
         code=rejection.code or _CODES[rejection.response],
         reason=rejection.reason,
@@ -52,5 +52,5 @@
 
 
 def of_fault(error: Exception) -> Ending:
-    """Returns the ending of a request that met a fault of this program."""
+    """Returns the ending of a request that met an internal error."""
     return Ending(code=codes.Code.INTERNAL, reason=f"internal fault: {error!r}")
--- a/src/nutmeghook/internal/relay/events.py
+++ b/src/nutmeghook/internal/relay/events.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into events."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class StreamEvent:
-    """One whole event, as it came, with its final empty line.
+    """One complete event as received, with its final empty line.
 
     Attributes:
         event_id: None if the event has none.
@@ -18,7 +18,7 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives out the events that are whole."""
+    """Collects bytes and returns complete events."""
 
     __slots__ = ("_rest",)
 
@@ -31,7 +31,7 @@
         return bool(self._rest)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Takes in bytes and returns the events that they complete."""
+        """Adds bytes and returns the events that they complete."""
         self._rest += data
         events = []
         while (end := _first_end(self._rest)) is not None:
--- a/src/nutmeghook/internal/relay/generation_times.py
+++ b/src/nutmeghook/internal/relay/generation_times.py
@@ -1,43 +1,43 @@
-"""How long generations take, learnt from those that were seen."""
+"""Estimates how long generations take, from those observed."""
 
 import collections
 import datetime
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
-# Before anything was seen: an engine of medium size. It counts as much as
-# this many observations, so the first few correct most of it.
+# Prior for an engine of medium size. It weighs as much as _PRIOR_WEIGHT
+# observations, so the first few correct most of it.
 _PRIOR_FIRST_MS = 60.0
 _PRIOR_PER_WAITING = 1.0
 _PRIOR_PER_KILOTOKEN_MS = 40.0
 _PRIOR_WEIGHT = 1.0
-# No engine reads a thousand tokens faster; without a pace at all, prompts
-# would count as nothing.
+# No engine prefills 1,000 tokens faster. At 0, prompts would seem to cost
+# nothing.
 _MIN_PER_KILOTOKEN_MS = 1.0
 # Typical sizes, which bring the three inputs to the same scale.
 _TYPICAL_WAITING_MS = 500.0
 _TYPICAL_KILOTOKENS = 5.0
-# Part of its weight that an observation keeps at the next one. An instance
-# sees one or two first events a second, so half a minute counts.
+# Share of its weight that an observation keeps at the next one. At one or two
+# first events a second per instance, this averages over half a minute.
 _DECAY = 0.98
-# Of one answer in the usual time a token.
+# Weight of one answer in the mean time per token.
 _TOKEN_WEIGHT = 0.1
-# A broken replica's silence of many seconds is not the engine's speed.
+# Longer times are capped: the silence of a broken replica is not its speed.
 _MAX_MS = 5000.0
 # Longer prompts count as this long.
 _MAX_KILOTOKENS = 100.0
 
 
 class _FirstEventModel:
-    """First events of one model: a sum of three parts.
+    """Linear model of one model's time to first event.
 
-    Fitted by least squares over the last observations. Corrected by a part of
-    each error instead, the reading was still three times too long after a
-    minute: what a prompt waits for varies more than its own reading.
+    Fitted by least squares over recent observations. Corrected by a share of
+    each error instead, the prefill time is still three times too long after a
+    minute, since the waiting varies more than the prefill.
 
     Attributes:
-        first_ms: What every request takes.
-        per_waiting: For each millisecond of reading before it.
-        per_kilotoken_ms: For each 1,000 tokens of its prompt.
+        first_ms: Constant time of each request.
+        per_waiting: Time per millisecond of prefill queued before it.
+        per_kilotoken_ms: Time per 1,000 tokens of its prompt.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
     def learn(
         self, waiting_ms: float, kilotokens: float, took_ms: float
     ) -> None:
-        """Takes in one observation."""
+        """Adds one observation."""
         inputs = (
             1.0,
             min(waiting_ms, _MAX_MS) / _TYPICAL_WAITING_MS,
@@ -119,7 +119,7 @@
 
 
 class GenerationTimes:
-    """Expected times by model: until the first event, and from then on."""
+    """Expected times by model: to the first event, and from then on."""
 
     __slots__ = ("_first_event_models", "_token_ms")
 
@@ -137,12 +137,12 @@
         tokens: float,
         took: datetime.timedelta,
     ) -> None:
-        """Takes in a first event.
+        """Records a time to first event.
 
         Args:
-            model: Who made it.
-            waiting: Reading that its replica had to do before.
-            tokens: Of the prompt, without what was kept.
+            model: The model that answered.
+            waiting: Prefill time queued at its replica before it.
+            tokens: Prompt tokens that were not cached.
             took: From sending to the first event.
         """
         self._first_event_models[model].learn(
@@ -150,14 +150,14 @@
         )
 
     def prefill_time(self, model: str, tokens: float) -> datetime.timedelta:
-        """Returns how long an idle engine reads so many tokens."""
+        """Returns how long an idle engine takes to prefill some tokens."""
         pace_ms = self._first_event_models[model].per_kilotoken_ms
         return pace_ms * tokens / 1000.0 * _MILLISECOND
 
     def note_generation(
         self, model: str, *, tokens: int, took: datetime.timedelta
     ) -> None:
-        """Takes in how long an answer of some tokens went on."""
+        """Records the time from an answer's first event to its end."""
         if tokens < 1:
             return
         token_ms = took / _MILLISECOND / tokens
@@ -165,13 +165,13 @@
         self._token_ms[model] = known_ms + _TOKEN_WEIGHT * (token_ms - known_ms)
 
     def generation_time(self, model: str, tokens: int) -> datetime.timedelta:
-        """Returns how long an answer of some tokens goes on now."""
+        """Returns the expected time from the first event to the end."""
         return self._token_ms.get(model, 0.0) * tokens * _MILLISECOND
 
     def time_to_first_event(
         self, model: str, *, waiting: datetime.timedelta, tokens: float
     ) -> datetime.timedelta:
-        """Returns how long a first event takes now."""
+        """Returns the expected time to first event."""
         at_ms = self._first_event_models[model].at(
             waiting / _MILLISECOND, tokens / 1000.0
         )
--- a/src/nutmeghook/internal/relay/home_regions.py
+++ b/src/nutmeghook/internal/relay/home_regions.py
@@ -21,7 +21,7 @@
         self._region_of = region_of
 
     def restrict(self, job: job_module.Job, accepts: _Test) -> _Test:
-        """Returns a test that a replica outside the homes does not pass."""
+        """Returns the test, failed by replicas outside the home regions."""
         homes = homes_of(job)
         if homes is None:
             return accepts
@@ -33,7 +33,7 @@
 def homes_of(job: job_module.Job) -> frozenset[str] | None:
     """Returns the regions where a request may run; None for any.
 
-    The route's homes and the team's both bind.
+    Home regions of the route and of the team both apply.
     """
     found = [job.route.home_regions]
     if job.team is not None:
--- a/src/nutmeghook/internal/relay/incoming.py
+++ b/src/nutmeghook/internal/relay/incoming.py
@@ -1,4 +1,4 @@
-"""A caller's request as the relay sees it, and the way to answer it."""
+"""A caller's request, and the interface for answering it."""
 
 import abc
 import dataclasses
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Incoming:
-    """A request that was read whole.
+    """A request with its whole body.
 
     Attributes:
         target: Path and query exactly as sent.
@@ -35,7 +35,7 @@
 
 
 class AnswerSink(abc.ABC):
-    """Takes one answer; either whole, or begun, continued and ended."""
+    """Sends one answer: either whole, or by begin, write and end."""
 
     @property
     @abc.abstractmethod
@@ -72,4 +72,4 @@
         detail: str,
         retry_after: datetime.timedelta | None = None,
     ) -> None:
-        """Sends a refusal or failure of our own."""
+        """Sends a refusal or failure of the relay itself."""
--- a/src/nutmeghook/internal/relay/job.py
+++ b/src/nutmeghook/internal/relay/job.py
@@ -1,4 +1,4 @@
-"""What is known of a request while it is under way."""
+"""State of a request under way."""
 
 import dataclasses
 import datetime
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Grant:
-    """Leave for one further attempt, all that it needs included."""
+    """Permission for one further attempt, with its replica chosen."""
 
     service: str
     choice: choice_module.Choice
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class FallbackReplica:
-    """Where work was given up, and leave to have it done there again."""
+    """Replica of an abandoned attempt; a retry is reserved for it."""
 
     service: str
     replica_id: str
@@ -41,7 +41,7 @@
 
     @property
     def succeeded(self) -> bool:
-        """Tells whether the replica did what it was asked."""
+        """Tells whether the status is a success."""
         return self.status < _FIRST_OTHER_STATUS
 
     @property
@@ -51,21 +51,21 @@
 
 
 class Job:
-    """A request that was let in, and its attempts so far.
+    """An admitted request and its attempts so far.
 
     Attributes:
-        admitted_under: Version of the configuration that let it in.
-        deadline: Monotonic time at which it gets its final answer at last.
-        answered_try: The last attempt whose answer's head has come.
-        failure: A replica's own failure, the caller's if nothing better comes.
-        grant: Leave for its next attempt, if it was taken before.
+        admitted_under: Version of the configuration that admitted it.
+        deadline: Monotonic time by which it gets its final answer.
+        answered_try: The last attempt whose answer's head has arrived.
+        failure: A replica's own failure, forwarded if no attempt succeeds.
+        grant: Permission for its next attempt, if obtained before.
         service: The service chosen for it; None before its first attempt.
         model_index: Index into the route's models.
         tried: Ids of the replicas that were tried.
         tries: Attempts of any outcome.
-        fallback: To the replica that was left, until another one has begun.
+        fallback: The abandoned replica, until another one has begun.
         runs: Attempts that may have run.
-        last_event_id: The last event passed on; None before the first.
+        last_event_id: The last event forwarded; None before the first.
     """
 
     __slots__ = (
@@ -123,7 +123,7 @@
 
     @property
     def identity(self) -> bytes:
-        """What the request is, the same at each of its caller's attempts."""
+        """Digest of the request, the same for each of its caller's retries."""
         if self._identity is None:
             self._identity = identities.identity_of(
                 path=self.incoming.host_name + self.incoming.target,
@@ -134,7 +134,7 @@
 
     @property
     def is_answered(self) -> bool:
-        """Tells whether the head of its present attempt's answer has come."""
+        """Tells whether its present attempt's answer has a head."""
         return self.answered_try == self.tries
 
     @property
@@ -155,6 +155,6 @@
         return prompt.max_output_tokens if prompt else 0
 
     def note_failure(self, error: outcomes.AttemptError) -> None:
-        """Counts how an attempt without an answer ended."""
+        """Counts an attempt without an answer if it may have run."""
         if isinstance(error, outcomes.UnknownOutcomeError):
             self.runs += 1
--- a/src/nutmeghook/internal/relay/listener.py
+++ b/src/nutmeghook/internal/relay/listener.py
@@ -1,4 +1,4 @@
-"""Callers' connections: HTTP by aiohttp, bounds and framing by us."""
+"""Callers' HTTP connections: aiohttp's parser with the relay's own limits."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,16 +21,16 @@
 _MAX_HEADER_BYTES = 64 * 1024
 _MAX_HEADERS = 256
 # Connections stay open a little longer than callers are promised, so that a
-# request which crosses the close is still read.
+# request sent just before the close is still read.
 _IDLE_SLACK_S = 1.0
 _BACKLOG = 1024
 
 
 class CallerConnection(web.RequestHandler):
-    """One connection; a request's head has to arrive in time.
+    """One connection, with a time limit for each request's head.
 
-    The library waits for the rest of a head without limit, and each wait holds
-    a descriptor.
+    aiohttp waits for the rest of a head without limit, and each wait holds a
+    file descriptor.
     """
 
     __slots__ = ("_head_timer", "_limits")
@@ -59,8 +59,8 @@
     def data_received(self, data: bytes) -> None:
         """Starts the time limit with a head's first byte.
 
-        A body's bytes start none: they may come before its request's handler
-        has begun, and the limit would end that request in the middle.
+        A body's bytes start none: they may arrive before its request's handler
+        has begun, and the limit would cut that request off.
         """
         before = self._request_count
         super().data_received(data)
@@ -72,7 +72,7 @@
             )
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Ends the time limit too."""
+        """Also cancels the time limit."""
         self._stop_timer()
         super().connection_lost(exc)
 
@@ -102,7 +102,7 @@
     """An answer that keeps the replica's headers as they are."""
 
     async def _prepare_headers(self) -> None:
-        # The library adds a content type where the replica sent none.
+        # aiohttp adds a content type where the replica sent none.
         had_type = "Content-Type" in self.headers
         await super()._prepare_headers()
         if not had_type:
@@ -165,7 +165,7 @@
         detail: str,
         retry_after: datetime.timedelta | None = None,
     ) -> None:
-        """Sends a refusal or failure of our own."""
+        """Sends a refusal or failure of the relay itself."""
         headers = [("Content-Type", "text/plain; charset=utf-8")]
         if retry_after is not None:
             seconds = f"{retry_after.total_seconds():.3f}"
@@ -174,7 +174,7 @@
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """What the library is to finish; None if nothing was sent."""
+        """The response for aiohttp to finish; None if nothing was sent."""
         return self._response
 
     def _new_response(
@@ -245,10 +245,10 @@
         self.address = f"{own_host}:{own_port}"
 
     def stop_accepting(self) -> None:
-        """Takes no new request; those under way go on.
+        """Accepts no new request; those under way go on.
 
-        Requests that cross the close were not read, and callers may send
-        them again elsewhere, also those that may run only once.
+        A request that arrives after the close was not read, so its caller may
+        send it elsewhere, even if it may run only once.
         """
         if self._socket is not None:
             self._socket.close()
@@ -261,11 +261,11 @@
 
     @property
     def open_connections(self) -> int:
-        """How many callers' connections are open.
+        """Number of callers' open connections.
 
-        Right after the door was closed this says what is under way. Counting
+        After `stop_accepting` this counts the requests under way. A count of
         handlers would miss a request that was read and whose handler has not
-        begun: the stop took it for nothing, and cut it 0.2 s later.
+        begun, and the stop would cut it off 0.2 s later.
         """
         return len(self._server.connections)
 
--- a/src/nutmeghook/internal/relay/model_choice.py
+++ b/src/nutmeghook/internal/relay/model_choice.py
@@ -1,4 +1,4 @@
-"""Which model answers, and when a larger one is asked after it."""
+"""Decides which model answers, and when a larger one replaces it."""
 
 import abc
 import dataclasses
@@ -15,14 +15,15 @@
     """What is known when a smaller model's answer begins.
 
     Attributes:
-        confidence: The model's opinion of its answer, 0 to 100; None without.
+        confidence: The model's own rating of its answer, 0 to 100; None if it
+            gives none.
         elapsed: Since the request arrived.
-        relative_size: The prompt's length, 1 where it is usual for the route.
-        price: Of the larger model's answer, as a part of an answer's worth.
-        first_event: How long the larger model's first event is to take.
-        generation: How long its answer is to go on after that.
+        relative_size: The prompt's length relative to its route's mean.
+        price: Of the larger model's answer, as a share of an answer's utility.
+        first_event: Expected time to the larger model's first event.
+        generation: Expected time from that event to the end of its answer.
         time_left: Until the request's deadline.
-        waiting: Requests that wait at a replica, on average.
+        waiting: Mean number of requests waiting at a replica.
     """
 
     confidence: int | None
@@ -36,7 +37,7 @@
 
 
 class ModelChoice(abc.ABC):
-    """Walks a route's models from small to large."""
+    """Chooses among a route's models, ordered from small to large."""
 
     @abc.abstractmethod
     def first(self, route: model.Route) -> int:
@@ -44,7 +45,7 @@
 
     @abc.abstractmethod
     def larger(self, route: model.Route, index: int) -> int | None:
-        """Returns the model that may be asked after one; None for none."""
+        """Returns the model to escalate to from one; None if there is none."""
 
     @abc.abstractmethod
     def prefers_larger(
@@ -56,8 +57,8 @@
 class SmallestThenLargest(ModelChoice):
     """Begins with the smallest model and goes on to the largest.
 
-    The models between are skipped: on both users' traffic the largest after
-    the smallest was worth more than any way through the middle one.
+    The models between are skipped: on both users' traffic this has a higher
+    utility than any sequence that includes the middle one.
     """
 
     def first(self, route: model.Route) -> int:
@@ -71,10 +72,10 @@
 
 
 class FixedThreshold(SmallestThenLargest):
-    """Asks again whatever falls short of a confidence; the baseline.
+    """Replaces answers below a fixed confidence; the baseline.
 
     Args:
-        least_confidence: Answers of less confidence are asked again.
+        least_confidence: Answers of less confidence are replaced.
     """
 
     __slots__ = ("_least_confidence",)
@@ -93,7 +94,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Utility:
-    """What answers are worth to callers, as parts of a good one in time.
+    """Utility of answers to callers, relative to a good one in time.
 
     Attributes:
         late: A good answer after its target.
@@ -104,11 +105,11 @@
     poor: float = 0.05
 
 
-# How likely an answer is poor, by its model's confidence: upper ends and
-# shares. From what each fixed threshold brought on a quiet day of the users'
-# traffic (0.59 of the worth without a larger model, 0.82 with all under 30
-# asked again, 0.88 under 50, 0.88 under 60) and from how many answers fall
-# between them.
+# Probability that an answer is poor by its model's confidence, as pairs of
+# upper bound and probability. It follows from the utility of fixed thresholds
+# on a quiet day of the users' traffic (0.59 without a larger model, 0.82 with
+# answers under 30 replaced, 0.88 under 50, 0.88 under 60) and from the number
+# of answers between the thresholds.
 POOR_SHARES = (
     (10, 0.8),
     (30, 0.65),
@@ -116,29 +117,32 @@
     (60, 0.15),
     (100, 0.03),
 )
-# First events spread by this part around what is expected, and by some ms.
+# Spread of a time around its expected value: a share of it, plus a constant.
 _SPREAD_SHARE = 0.35
 _SPREAD_MS = 80.0
-# Reading a prompt holds up every request that waits behind it. This part of an
-# answer's worth is lost for each of them: some 250 ms of their target of 1,500
-# ms, of which seven tenths are lost by being late, by half of them. Emulated
-# bursts and losses of replicas bring the same worth within 0.01 for 0.05 to
-# 0.12. By the prompt's own reading time instead, the worth is the same, but
-# the longest prompts, which the users' weights count most, get poor answers.
+# Prefilling a prompt delays every request that waits behind it, and each of
+# them loses this share of an answer's utility: some 250 ms of a target of 1,500
+# ms, times the seven tenths that a late answer loses, for half of them. In
+# emulated bursts and losses of replicas, values from 0.05 to 0.12 give the same
+# utility within 0.01. A loss by the prompt's own prefill time gives the same
+# utility, but the longest prompts, which have the largest weights, get poor
+# answers.
 _UTILITY_LOST_PER_WAITING = 0.06
-# What is not weighed: the attempt that may be missed later, and the engine's
-# time for generating. Also keeps sure answers of models that have no price.
+# Covers costs that are not modelled: the attempt that may be missing later, and
+# the engine's time for generating. Also keeps high-confidence answers of models
+# that have no price.
 _MIN_GAIN = 0.04
 
 
 class ExpectedUtility(SmallestThenLargest):
-    """Asks the larger model if callers are better off for it.
-
-    Weighed against each other: the worth of keeping the answer, which may be
-    poor; that of the larger model's, which may come late; its price; and what
-    all others lose while an engine reads its prompt. So where nobody waits,
-    answers are replaced nearly as by a fixed threshold. The longer the queues,
-    the fewer, the surer ones first, and callers get an answer in time at all.
+    """Asks the larger model if that raises the expected utility.
+
+    Compares the utility of the present answer, which may be poor, with that of
+    the larger model's, which may be late, less its price and what the requests
+    behind it lose while an engine prefills its prompt. Without a queue, answers
+    are replaced nearly as by a fixed threshold. The longer the queues, the more
+    answers are kept, those of higher confidence first, so that callers still
+    get an answer in time.
     """
 
     __slots__ = ("_utility",)
@@ -149,7 +153,7 @@
     def prefers_larger(
         self, route: model.Route, context: EscalationContext
     ) -> bool:
-        """Weighs both answers."""
+        """Compares the expected utilities of both answers."""
         if context.confidence is None:
             return False
         poor = poor_share(context.confidence)
@@ -157,14 +161,14 @@
         in_time = _chance_in_time(route.target, context)
         replaced = in_time + (1.0 - in_time) * self._utility.late
         replaced *= _chance_of_an_end(context)
-        # A larger request is worth more: 0.3 and 0.7 for its size.
+        # Larger requests have a larger utility: 0.3, plus 0.7 for the size.
         size_factor = 0.3 + 0.7 * context.relative_size
         gained = (replaced - kept - _cost_to_waiting(context)) * size_factor
         return gained > context.price + _MIN_GAIN
 
 
 def poor_share(confidence: int) -> float:
-    """Returns how likely an answer of a confidence is poor."""
+    """Returns the probability that an answer of a confidence is poor."""
     for upper, share in POOR_SHARES:
         if confidence < upper:
             return share
@@ -178,10 +182,10 @@
 
 
 def _chance_of_an_end(context: EscalationContext) -> float:
-    """Returns how likely the larger model's answer is whole in time.
+    """Returns the probability that the larger model's answer ends in time.
 
-    A long answer that is cut by the deadline after its first events is worth
-    nothing to its caller.
+    A long answer that is cut by the deadline after its first events has no
+    utility to its caller.
     """
     whole = context.first_event + context.generation
     return _chance_within(context.time_left, whole)
--- a/src/nutmeghook/internal/relay/model_selector.py
+++ b/src/nutmeghook/internal/relay/model_selector.py
@@ -1,4 +1,4 @@
-"""Gathers what a choice between models rests on, and asks it."""
+"""Gathers the input of a choice between models, and applies the choice."""
 
 import collections
 import datetime
@@ -15,23 +15,24 @@
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.routes import in_force as in_force_module
 
-# A weak answer is kept if less time is left: the largest model's first event
-# takes 0.1 to 0.7 s in nine of ten requests, and without it there is no answer.
+# A low-confidence answer is kept if less time is left: the largest model's
+# first event takes 0.1 to 0.7 s in nine of ten requests, and dropping an answer
+# that is not replaced in time leaves none.
 _MIN_TIME_FOR_LARGER = datetime.timedelta(milliseconds=700)
-# What an answer is worth to the users, in the unit of the models' prices, by
-# its route's usual prompt: their weights of 0.95 to 3.2 for prompts of 700 to
-# 9,200 tokens follow this within 0.3.
+# Utility of an answer in the unit of the models' prices, as a power law of its
+# route's mean prompt length. The users' weights of 0.95 to 3.2 for prompts of
+# 700 to 9,200 tokens follow it within 0.3.
 _UTILITY_AT_1000_TOKENS = 1.38
 _UTILITY_EXPONENT = 0.38
-# A token that is read costs this part of one that is generated.
+# Price of a prompt token, as a share of a generated one.
 _READ_TOKEN_PRICE = 0.25
-# Least part of each request in its route's usual prompt length.
+# Least weight of a request in its route's mean prompt length.
 _BASELINE_WEIGHT = 0.05
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 class _BaselinePrompt:
-    """The usual length of a route's prompts: a mean that forgets."""
+    """Exponentially weighted mean length of a route's prompts."""
 
     __slots__ = ("seen", "tokens")
 
@@ -48,13 +49,13 @@
         return tokens / max(self.tokens, 1.0)
 
     def utility(self) -> float:
-        """Returns what an answer to a usual prompt is worth."""
+        """Returns the utility of an answer to a prompt of mean length."""
         kilotokens = max(self.tokens, 1.0) / 1000.0
         return _UTILITY_AT_1000_TOKENS * kilotokens**_UTILITY_EXPONENT
 
 
 class ModelSelector:
-    """Says which model begins, and whether a larger one is asked after it."""
+    """Chooses the first model, and whether a larger one replaces it."""
 
     __slots__ = (
         "_baseline_prompts",
@@ -87,7 +88,7 @@
         )
 
     def begin(self, job: job_module.Job) -> None:
-        """Chooses a request's first model, if the choice is ours."""
+        """Chooses a request's first model, unless the caller names one."""
         if not _router_chooses_model(job):
             return
         job.model_index = self._choice.first(job.route)
@@ -99,7 +100,7 @@
         prepared: prepared_module.PreparedAttempt,
         took: datetime.timedelta,
     ) -> None:
-        """Takes in how long a whole answer went on after its first event."""
+        """Records the time from a whole answer's first event to its end."""
         self._times.note_generation(
             prepared.model, tokens=job.output_tokens, took=took
         )
@@ -109,8 +110,7 @@
     ) -> int | None:
         """Returns the model to ask instead; None to keep the answer.
 
-        Only before the caller has a byte: an answer that was begun is never
-        replaced.
+        An answer is never replaced once the caller has a byte of it.
         """
         if job.sink.begun or not _router_chooses_model(job):
             return None
--- a/src/nutmeghook/internal/relay/observations.py
+++ b/src/nutmeghook/internal/relay/observations.py
@@ -1,4 +1,4 @@
-"""What attempts' answers tell: of replicas, of versions, of engines' paces."""
+"""Records what attempts' answers show of replicas, versions and speeds."""
 
 import datetime
 
@@ -18,7 +18,7 @@
 
 
 class AnswerObserver:
-    """Takes in answers of replicas as they begin and end."""
+    """Records answers of replicas as they begin and end."""
 
     __slots__ = ("_chooser", "_clock", "_metrics", "_times", "_versions")
 
@@ -40,7 +40,7 @@
     def note_first_event(
         self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> None:
-        """Takes in that an attempt's answer begins now."""
+        """Records that an attempt's answer begins now."""
         if prepared.forecast is None:
             return
         took = self._clock.monotonic() - prepared.sent_at
@@ -65,7 +65,7 @@
         status: int,
         failed: bool,
     ) -> None:
-        """Takes in that a replica began to answer, or failed."""
+        """Records that a replica began to answer, or failed."""
         now = self._clock.monotonic()
         report = prepared.replica.report
         logs.note(
@@ -99,11 +99,11 @@
         *,
         is_unreachable: bool,
     ) -> None:
-        """Takes in that a silent replica is left for another one.
+        """Records that a silent replica is abandoned for another one.
 
         Args:
             job: The request.
-            prepared: The attempt that is given up.
+            prepared: The attempt that is abandoned.
             is_unreachable: Attempts to connect go unanswered; otherwise the
                 replica is only silent.
         """
@@ -127,11 +127,11 @@
         took: datetime.timedelta,
         expected: datetime.timedelta,
     ) -> None:
-        """Takes in how much later than expected an answer began.
+        """Records the ratio of actual to expected time to first event.
 
-        Prompts and queues differ by more than a slow version's delay, so a
-        first event is measured by what was expected of it. All models count as
-        one kind, since an instance of a small fleet sees few first events.
+        Prompts and queues differ by more than a slow version's delay, so the
+        time alone says little. All models count as one kind, since an instance
+        of a small fleet sees few first events.
         """
         self._versions.note_pace(
             prepared.replica.entry,
@@ -147,10 +147,10 @@
         *,
         steps: int,
     ) -> None:
-        """Takes in how long an answer took, in so many equal steps.
+        """Records how long an answer took, as a time per step.
 
-        A replica generates for all its streams in one batch, so events come
-        equally often on every route; whole answers differ by route.
+        A replica generates for all its streams in one batch, so events have the
+        same interval on every route; whole answers differ by route.
         """
         if steps < 1:
             return
--- a/src/nutmeghook/internal/relay/prepared.py
+++ b/src/nutmeghook/internal/relay/prepared.py
@@ -14,9 +14,9 @@
     """An attempt that is ready to be sent.
 
     Attributes:
-        forecast: When its answer was expected to begin; None of a request
-            that is no generation.
-        after_event: The event after which it goes on; None from the start.
+        forecast: When its answer is expected to begin; None for a request that
+            is no generation.
+        after_event: The event after which it resumes; None from the start.
     """
 
     replica: replica_module.Replica
--- a/src/nutmeghook/internal/relay/rejections.py
+++ b/src/nutmeghook/internal/relay/rejections.py
@@ -1,4 +1,4 @@
-"""Ends of a request other than a replica's answer."""
+"""Rejections of requests by the relay itself."""
 
 import datetime
 
@@ -7,13 +7,13 @@
 
 
 class RejectedError(Exception):
-    """The request ends with a response of our own.
+    """The request ends with a response of the relay itself.
 
     Attributes:
         response: What the caller is told, and whether the work may have run.
         reason: A short name for logs and counters.
-        code: Numbered result; None for the usual one of the response.
-        retry_after: When to come back.
+        code: Numbered result; None for the response's default.
+        retry_after: When the caller is to retry.
     """
 
     def __init__(
--- a/src/nutmeghook/internal/relay/replica_search.py
+++ b/src/nutmeghook/internal/relay/replica_search.py
@@ -1,4 +1,4 @@
-"""Which replica a request's next attempt goes to."""
+"""Finds the replica for a request's next attempt."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class ReplicaSearch:
-    """Puts what a request needs to the chooser, by version and by tries."""
+    """Passes a request's criteria to the replica chooser."""
 
     __slots__ = ("_chooser", "_homes", "_times", "_versions")
 
@@ -34,8 +34,8 @@
     ) -> choice_module.Choice | None:
         """Returns the best replica of a service for the next attempt.
 
-        What has run already and may be repeated goes back to a replica that was
-        tried, if there is no other.
+        A repeatable request that may have run goes to a replica that was tried,
+        if there is no other.
         """
         chosen = self.untried(job, service)
         if chosen is None and may_have_run and job.route.repeatable:
@@ -65,7 +65,7 @@
     def fallback(
         self, job: job_module.Job, to: job_module.FallbackReplica
     ) -> choice_module.Choice | None:
-        """Returns the replica that was left if it may still be sent to.
+        """Returns the fallback replica if it may still be sent to.
 
         Its version may have been withdrawn since the request left it.
         """
@@ -91,7 +91,7 @@
     ) -> choice_module.Choice | None:
         """Returns the best replica for another model's answer.
 
-        One that gave a smaller model's answer may give a larger one's.
+        Replicas that were tried with a smaller model are not excluded.
         """
         return self._best(
             job, service, tried=frozenset(), model_index=model_index
@@ -144,7 +144,7 @@
     def _prompt(
         self, job: job_module.Job, model_index: int | None
     ) -> choice_module.Prompt | None:
-        """Returns what an engine has to read for the request."""
+        """Returns the prompt that an engine has to prefill."""
         model_name = attempt_facts.model_name(job, model_index)
         if job.incoming.facts.prompt is None and model_name is None:
             return None
@@ -161,7 +161,7 @@
     def forecast(
         self, job: job_module.Job, model_index: int
     ) -> choice_module.Forecast | None:
-        """Returns when another model's answer would begin, sent now."""
+        """Returns the forecast for another model's answer, if sent now."""
         criteria = self._criteria(
             job,
             job.service,
--- a/src/nutmeghook/internal/relay/replica_wait.py
+++ b/src/nutmeghook/internal/relay/replica_wait.py
@@ -1,4 +1,4 @@
-"""Waiting for a replica, and leaving one that stays silent."""
+"""Waits for a replica, and abandons one that stays silent."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 from nutmeghook.internal.upstream import outcomes
 from nutmeghook.internal.upstream import sender as sender_module
 
-# After this much silence it is found out whether the replica is dark. Nine in
-# ten first events come sooner, and answers of a healthy replica pause less.
+# After this much silence the replica is probed by a new connection. Nine in ten
+# first events come sooner, and answers of a healthy replica pause less.
 _PROBE_AFTER_SILENCE = datetime.timedelta(milliseconds=600)
 _NO_WAIT = datetime.timedelta()
 _T = TypeVar("_T")
@@ -48,26 +48,26 @@
         *,
         silence: datetime.timedelta,
     ) -> _T:
-        """Awaits a replica's next sign of life.
+        """Awaits a replica's next data.
 
-        Silence alone ends no answer: a replica is left only once it is sure
-        that another attempt may follow.
+        Silence alone ends no answer: a replica is abandoned only once another
+        attempt is permitted.
 
-        Where the process was busy the next event may have come by the time at
-        which the wait ends, so what has come is looked for before a replica is
-        left.
+        If this process was busy, data may have arrived by the time the wait
+        ends, so the wait is repeated without delay before a replica is
+        abandoned.
 
         Args:
             job: The request.
             prepared: Its attempt.
-            wait: Begins to wait, or goes on after a wait that was cancelled.
+            wait: Starts a wait; called again after a wait that was cancelled.
             silence: The longest that a replica may be silent if another one
                 may take over.
 
         Raises:
             rejections.RejectedError: The time limit passed.
-            outcomes.AbandonedError: It was silent for too long, or is dark,
-                and another replica takes over.
+            outcomes.AbandonedError: It was silent for too long or is
+                unreachable, and another replica takes over.
         """
         silent = datetime.timedelta()
         step = _PROBE_AFTER_SILENCE
@@ -95,9 +95,9 @@
     async def _is_unreachable(
         self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> bool:
-        """Tells whether a replica's attempts to connect go unanswered.
+        """Tells whether attempts to connect to a replica go unanswered.
 
-        The caller is not held beyond the time limit for it.
+        The probe ends at the request's deadline.
         """
         try:
             return await self._clock.wait_for(
@@ -114,7 +114,7 @@
         *,
         is_unreachable: bool,
     ) -> bool:
-        """Tells whether a silent replica is left for another one."""
+        """Abandons a silent replica if another attempt is permitted."""
         if not self._permission.try_move(
             job, prepared, is_unreachable=is_unreachable
         ):
@@ -127,7 +127,7 @@
     async def until_deadline(
         self, job: job_module.Job, work: Awaitable[_T]
     ) -> _T:
-        """Awaits a replica's work, and no longer than the request may take.
+        """Awaits a replica's work until the request's deadline.
 
         Raises:
             rejections.RejectedError: The time limit passed.
--- a/src/nutmeghook/internal/relay/request_relay.py
+++ b/src/nutmeghook/internal/relay/request_relay.py
@@ -1,4 +1,4 @@
-"""One request's way: route, key, attempts, answer."""
+"""Relays requests: checks route and key, makes attempts, answers."""
 
 import asyncio
 import datetime
@@ -24,7 +24,7 @@
 
 
 class RequestRelay:
-    """Serves one request after the other, each in its own task."""
+    """Relays requests, each in its own task."""
 
     __slots__ = (
         "_clock",
@@ -76,7 +76,7 @@
             ending = endings.of_broken_connection(error)
             raise
         except Exception as error:
-            # A fault of ours; the caller still gets an answer at once.
+            # An internal error; the caller still gets an answer at once.
             ending = endings.of_fault(error)
             logs.note(
                 "request:fault",
@@ -94,7 +94,7 @@
         except rejections.RejectedError:
             if job.failure is None or job.sink.begun:
                 raise
-            # A replica's own failure says more than ours.
+            # A replica's own failure says more than the relay's rejection.
             await job.sink.send_whole(
                 job.failure.status,
                 self._wire_format.answer_headers(job.failure.headers),
@@ -143,9 +143,10 @@
         rejection: rejections.RejectedError,
         route_name: str,
     ) -> bool:
-        """Ends a request; returns whether that cut an answer in the middle."""
+        """Rejects a request; returns whether that cut off a begun answer."""
         if sink.begun:
-            # The head promised success: only a cut tells the caller otherwise.
+            # The head reported success: only closing the connection tells the
+            # caller of the failure.
             sink.cut()
             self._metrics.add(
                 "answers_cut_total", route=route_name, reason=rejection.reason
@@ -197,7 +198,7 @@
 
 
 def _fault(job: job_module.Job | None) -> rejections.RejectedError:
-    """Returns the end of a request that met a fault of this program."""
+    """Returns the rejection of a request that met an internal error."""
     not_sent = job is None or not job.tries
     return rejections.RejectedError(
         wire.FixedResponse.NOT_RUN
--- a/src/nutmeghook/internal/relay/retry_permission.py
+++ b/src/nutmeghook/internal/relay/retry_permission.py
@@ -1,4 +1,4 @@
-"""Leave for attempts: whether, and where, another one may be made."""
+"""Permits further attempts: whether, and where, another one is made."""
 
 from collections.abc import Callable
 import datetime
@@ -19,16 +19,17 @@
 from nutmeghook.internal.upstream import outcomes
 
 # Attempts of any outcome. Refusals cost little, but a request that several
-# replicas refused is better sent back than tried on all of a large fleet.
+# replicas refused is better rejected than tried on all of a large fleet.
 MAX_TRIES = 6
-# When a refused caller is to come back, spread so that those refused together
-# don't return together. Callers follow it up to a third of their time left.
+# Retry-After of a rejected caller, with jitter so that callers rejected
+# together do not return together. Callers follow it up to a third of their time
+# left.
 _MIN_RETRY_DELAY_S = 0.25
 _MAX_RETRY_DELAY_S = 0.75
 
 
 class RetryPermission:
-    """Grants further attempts, each with all that it needs."""
+    """Permits further attempts by the retry budget, quarantine and replicas."""
 
     __slots__ = (
         "_budgets",
@@ -59,10 +60,10 @@
     def require_retry(
         self, job: job_module.Job, error: outcomes.AttemptError
     ) -> None:
-        """Returns if another attempt may follow a failed one.
+        """Checks that another attempt may follow a failed one.
 
         Raises:
-            rejections.RejectedError: None may.
+            rejections.RejectedError: No further attempt is permitted.
         """
         job.note_failure(error)
         logs.note(
@@ -85,10 +86,10 @@
             raise self.final_rejection(job, reason="the retry budget is spent")
 
     def reject_quarantined(self, job: job_module.Job) -> None:
-        """Ends a request under which replicas end, before its next attempt.
+        """Rejects a request that crashes replicas, before its next attempt.
 
-        It gets no attempt, whatever its route and the budget allow, but for the
-        one of a copy that is sent on trial.
+        It gets no attempt, whatever its route and the budget allow, except for
+        one copy that is sent as a probe.
 
         Raises:
             rejections.RejectedError: It is quarantined.
@@ -114,10 +115,10 @@
         *,
         is_unreachable: bool,
     ) -> bool:
-        """Takes leave to go on at another replica than the one at work.
+        """Permits moving to another replica than the one at work.
 
-        The attempt is granted whole, replica included, before the work under
-        way is given up, since it may go on and end well; `prepare` asks nothing
+        The next attempt is permitted, replica included, before the one under
+        way is abandoned, since that may still succeed; `prepare` checks nothing
         again.
 
         Args:
@@ -138,7 +139,7 @@
     def try_resend(
         self, job: job_module.Job, prepared: prepared_module.PreparedAttempt
     ) -> bool:
-        """Takes leave to send a request again, to the same replica at last.
+        """Permits sending a request again, to the same replica if need be.
 
         The answer may have been lost, and then its replica is as good as any.
         """
@@ -154,10 +155,10 @@
         prepared: prepared_module.PreparedAttempt,
         model_index: int,
     ) -> bool:
-        """Takes leave to drop an answer for a larger model's.
+        """Permits dropping an answer for a larger model's.
 
-        The dropped answer is a run, so a request that may run only once keeps
-        it, however weak it is.
+        The dropped answer counts as a run, so a request that may run only once
+        keeps it, however low its confidence.
         """
         return job.route.repeatable and self._try_grant(
             job,
@@ -166,7 +167,7 @@
         )
 
     def try_retry(self, job: job_module.Job) -> bool:
-        """Takes leave for an attempt after a replica's own failure."""
+        """Permits an attempt after a replica's own failure."""
         return (
             _may_run_again(job)
             and job.tries < MAX_TRIES
@@ -176,10 +177,10 @@
     def _try_next_attempt(
         self, job: job_module.Job, *, was_sent: bool = True
     ) -> bool:
-        """Takes leave for an attempt after one that failed.
+        """Permits an attempt after one that failed.
 
-        The last attempt goes back to the replica that was left, if there is
-        one: its work was given up for this.
+        The last attempt goes to the fallback replica, if there is one: its work
+        was abandoned for the attempt that failed.
         """
         is_last = job.tries + 1 >= MAX_TRIES
         if is_last and self.try_fall_back(job):
@@ -189,7 +190,7 @@
         return self.try_fall_back(job) or self._try_spend_reserved(job)
 
     def _try_spend_reserved(self, job: job_module.Job) -> bool:
-        """Uses leave for a way back that is closed for an attempt elsewhere."""
+        """Spends the reservation for an unusable fallback elsewhere."""
         fallback = job.fallback
         if fallback is None:
             return False
@@ -207,12 +208,12 @@
         *,
         abandoned: prepared_module.PreparedAttempt | None,
     ) -> bool:
-        """Takes leave for a further attempt while one is at work.
+        """Permits a further attempt while one is at work.
 
-        The replica that is to go on may refuse, with the budget or the tries
-        spent by then. So leave to come back to the one that was left is taken
-        too, and given back once another one has begun. Leave to go back to an
-        earlier one stays while a dark one is left.
+        The next replica may refuse when the budget or the attempts are used up.
+        So a retry is also reserved for falling back to the abandoned replica,
+        and released once another one has begun. If the abandoned replica is
+        unreachable, the reservation for an earlier fallback stays.
         """
         if job.runs + 1 >= job.route.attempts:
             return False
@@ -247,10 +248,10 @@
         service: str,
         abandoned: prepared_module.PreparedAttempt | None,
     ) -> bool:
-        """Takes leave for an attempt, and for one that comes back to it.
+        """Spends a retry, and reserves one for falling back.
 
-        Leave for an earlier way back is used for the new one, so that a
-        request asks for no more than it needs.
+        The reservation for an earlier fallback is reused, so that a request
+        reserves no more than it needs.
         """
         budget = self._budgets.budget_for(service)
         if abandoned is None:
@@ -272,7 +273,7 @@
         return True
 
     def try_fall_back(self, job: job_module.Job) -> bool:
-        """Has a request's next attempt go to the replica that was left."""
+        """Sends the next attempt to the fallback replica, if possible."""
         fallback = job.fallback
         if fallback is None:
             return False
@@ -286,20 +287,20 @@
         return True
 
     def release_fallback(self, job: job_module.Job) -> None:
-        """Gives back leave that is no longer needed: another one has begun."""
+        """Releases the retry reserved for a fallback no longer needed."""
         if job.fallback is not None:
             self._budgets.budget_for(job.fallback.service).release_reserved()
             job.fallback = None
 
     def try_spend(self, job: job_module.Job) -> bool:
-        """Takes leave for one more attempt while none is at work.
+        """Spends a retry while no attempt is at work.
 
-        A route may have moved meanwhile, and a repeat draws on the budget of
-        the service that it goes to.
+        The route may have moved meanwhile; the budget is that of the service
+        that the retry goes to.
 
         Raises:
             rejections.RejectedError: Nothing has run, and the request's route
-                or key was taken away.
+                was removed or its key revoked.
         """
         service = self._routes.service_for(job, may_have_run=job.possibly_run)
         return self._budgets.budget_for(service).try_spend()
@@ -307,7 +308,7 @@
     def final_rejection(
         self, job: job_module.Job, *, reason: str
     ) -> rejections.RejectedError:
-        """Returns the end of a request that gets no further attempt."""
+        """Returns the rejection of a request that gets no further attempt."""
         if job.possibly_run:
             return rejections.RejectedError(
                 wire.FixedResponse.FAILED_PERHAPS_RUN, reason=reason
@@ -319,7 +320,7 @@
         )
 
     def retry_delay(self) -> datetime.timedelta:
-        """Returns when a refused caller is to come back."""
+        """Returns the Retry-After of a rejected caller."""
         return datetime.timedelta(
             seconds=self._random.uniform(_MIN_RETRY_DELAY_S, _MAX_RETRY_DELAY_S)
         )
--- a/src/nutmeghook/internal/relay/streams.py
+++ b/src/nutmeghook/internal/relay/streams.py
@@ -1,4 +1,4 @@
-"""Requests answered by a stream of events, passed on one by one."""
+"""Relays requests answered by a stream of events, event by event."""
 
 import asyncio
 import contextlib
@@ -19,14 +19,14 @@
 from nutmeghook.internal.upstream import outcomes
 from nutmeghook.internal.upstream import sender as sender_module
 
-# A stream that may be resumed is taken up at another replica after a silence
-# of this many targets before its first event, or of this many longest pauses
-# after it. Engines fall silent under load as well, so it is well above what
-# still counts as on time.
+# A resumable stream moves to another replica after a silence of this many
+# targets before its first event, or of this many longest pauses after it.
+# Engines under load fall silent as well, so this is well above what still
+# counts as on time.
 _SILENT_TARGETS = 2.5
 _SILENT_PAUSES = 2.5
 _OK_STATUS = 200
-# With fewer events the time between them says little of a replica's pace.
+# With fewer events the time between them says little of a replica's speed.
 _MIN_PACED_EVENTS = 4
 
 
@@ -39,7 +39,7 @@
 
 
 class StreamRelay:
-    """Passes events on, resumes cut streams, and replaces weak answers."""
+    """Forwards events, resumes cut streams, replaces low-confidence answers."""
 
     __slots__ = (
         "_clock",
@@ -81,7 +81,7 @@
         """Answers the request.
 
         Raises:
-            rejections.RejectedError: It can't be begun, or can't go on.
+            rejections.RejectedError: It can't be begun or resumed.
         """
         self._selector.begin(job)
         try:
@@ -127,10 +127,10 @@
         prepared: prepared_module.PreparedAttempt,
         answer: sender_module.Answer,
     ) -> _Step:
-        """Passes on what is no stream, if nothing better can be had.
+        """Forwards an answer that is no stream, unless it is retried.
 
-        A replica's word that the request itself is wrong holds anywhere; only
-        its own failures are worth another replica.
+        A request that one replica finds invalid is invalid at all of them; only
+        a replica's own failure is retried at another one.
         """
         whole = job_module.WholeAnswer(
             status=answer.head.status,
@@ -173,7 +173,7 @@
         prepared: prepared_module.PreparedAttempt,
         answer: sender_module.Answer,
     ) -> bool:
-        """Decides whether a larger model is asked instead.
+        """Drops the answer if a larger model is to be asked instead.
 
         The dropped attempt counts as run.
         """
@@ -194,10 +194,10 @@
         prepared: prepared_module.PreparedAttempt,
         answer: sender_module.Answer,
     ) -> None:
-        """Passes whole events on until the stream is complete.
+        """Forwards complete events until the stream is complete.
 
-        A replica may break off inside an event. Only whole events are passed
-        on, so that another replica can go on after the last one.
+        A replica may break off inside an event. Only complete events are
+        forwarded, so that another replica can resume after the last one.
         """
         splitter = events_module.EventSplitter()
         began_at = self._clock.monotonic()
@@ -252,7 +252,7 @@
         prepared: prepared_module.PreparedAttempt,
         stack: contextlib.AsyncExitStack,
     ) -> sender_module.Answer:
-        """Sends, and returns the answer's head once it has come."""
+        """Sends the request and returns the head of its answer."""
         sending = asyncio.ensure_future(
             stack.enter_async_context(
                 self._sender.attempt(prepared.replica, prepared.outgoing)
@@ -273,7 +273,7 @@
 
 
 def _is_duplicate(event_id: str | None, last_passed: str | None) -> bool:
-    """Tells whether an event came already; ids are numbers that grow."""
+    """Tells whether an event was forwarded before; ids are rising numbers."""
     if event_id is None or last_passed is None:
         return False
     if not (event_id.isdigit() and last_passed.isdigit()):
--- a/src/nutmeghook/internal/relay/whole_answers.py
+++ b/src/nutmeghook/internal/relay/whole_answers.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is passed on whole, after it was checked."""
+"""Relays requests whose answer is forwarded whole, after a check."""
 
 import asyncio
 import datetime
@@ -15,14 +15,14 @@
 from nutmeghook.internal.upstream import outcomes
 from nutmeghook.internal.upstream import sender as sender_module
 
-# A repeatable request is given to another replica if this many times its
-# target passes without an answer: work that is 5 times as long as usual is
-# one in a hundred, and a replica that never answers would use up all the time.
-_PATIENCE_TARGETS = 3.0
+# A repeatable request is sent to another replica after this many targets
+# without an answer: one request in a hundred takes 5 times as long as usual,
+# and a replica that never answers would use up all the time.
+_RESEND_AFTER_TARGETS = 3.0
 
 
 class WholeAnswerRelay:
-    """Sends until there is an answer to pass on."""
+    """Makes attempts until there is an answer to forward."""
 
     __slots__ = (
         "_clock",
@@ -57,7 +57,7 @@
         """Answers the request.
 
         Raises:
-            rejections.RejectedError: There is no answer of a replica.
+            rejections.RejectedError: No replica has answered.
         """
         try:
             answer = await self._until_answered(job)
@@ -125,22 +125,21 @@
         prepared: prepared_module.PreparedAttempt,
         exchange: asyncio.Future[job_module.WholeAnswer],
     ) -> job_module.WholeAnswer:
-        """Awaits an answer, which is given up only for a further attempt.
+        """Awaits an answer, which is abandoned only for a further attempt.
 
-        Where the process was busy the answer may come up in the same turn of
-        the event loop as the end of the patience, so it is looked for before it
-        is given up.
+        If this process was busy, the answer may arrive in the same turn of the
+        event loop as the timeout, so it is checked for before it is abandoned.
 
         Raises:
             rejections.RejectedError: The time limit passed.
-            outcomes.AbandonedError: It took too long, and leave to send the
-                request again was taken.
+            outcomes.AbandonedError: It took too long, and a further attempt is
+                permitted.
         """
-        patience = job.route.target * _PATIENCE_TARGETS
-        while patience < self._permission.time_left(job):
+        timeout = job.route.target * _RESEND_AFTER_TARGETS
+        while timeout < self._permission.time_left(job):
             try:
                 return await self._clock.wait_for(
-                    asyncio.shield(exchange), patience
+                    asyncio.shield(exchange), timeout
                 )
             except TimeoutError as error:
                 if not exchange.done() and self._permission.try_resend(
@@ -151,7 +150,7 @@
                         job, prepared, is_unreachable=False
                     )
                     raise outcomes.AbandonedError(
-                        f"no answer within {patience}"
+                        f"no answer within {timeout}"
                     ) from error
         try:
             return await self._clock.wait_for(
@@ -181,8 +180,8 @@
                 headers=answer.head.headers,
                 body=body,
             )
-            # Without the seal it is not this replica's answer; encoded, it is
-            # not the body that the replica made.
+            # Without the seal it is not this replica's answer. If encoded, it
+            # is not the body that the replica made.
             if not whole.failed and (
                 not answer.facts.sealed or answer.facts.encoded
             ):
--- a/src/nutmeghook/internal/relay/wire.py
+++ b/src/nutmeghook/internal/relay/wire.py
@@ -1,7 +1,7 @@
-"""What the relay needs to know of messages, however they are spelled.
+"""Types for requests and answers, independent of header names.
 
-Callers and replicas of different deployments name the same facts by different
-headers. The relay decides on these types; an implementation of `WireFormat`
+Callers and replicas of different deployments state the same facts by different
+headers. The relay uses these types; an implementation of `WireFormat`
 translates.
 """
 
@@ -15,7 +15,7 @@
 
 
 class FixedResponse(enum.Enum):
-    """What a refusal or failure of our own tells the caller."""
+    """Status of a refusal or failure of the relay itself."""
 
     BAD_REQUEST = 400
     BAD_KEY = 401
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class PromptPart:
-    """A leading part of a prompt; equal ids are equal text."""
+    """A leading part of a prompt; equal ids mean equal text."""
 
     part_id: str
     tokens: int
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Prompt:
-    """The size of a generation and what it shares with others."""
+    """Size of a generation, and the prompt parts shared with others."""
 
     input_tokens: int
     max_output_tokens: int
@@ -54,9 +54,9 @@
         time_left: How long the caller waits; None if it does not say.
         api_key: The team's key; None if there is none.
         session: Requests of one session stay on one version.
-        any_model: The caller leaves the model to us.
-        last_event_id: The stream goes on after this event.
-        forwarded: The headers that a replica is to see as they came.
+        any_model: The caller leaves the choice of the model to the router.
+        last_event_id: The stream resumes after this event.
+        forwarded: The headers that are passed to the replica unchanged.
     """
 
     request_id: str
@@ -71,10 +71,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class AttemptFacts:
-    """What an attempt tells its replica beside the caller's own headers.
+    """What an attempt's headers say in addition to the caller's own.
 
     Attributes:
-        replica_id: Another replica at the same address refuses.
+        replica_id: The replica meant; another one at its address refuses.
         time_left: When it passes, the replica stops.
         urgency: 0 is the most urgent, 9 the least.
         last_event_id: The event after which a stream is resumed; None leaves
@@ -104,12 +104,12 @@
 
     Attributes:
         request_id: The id that the replica echoes.
-        not_run: The replica's own word that it did not run the request.
-        sealed: It bears the replica's proof of origin.
+        not_run: The replica says that it did not run the request.
+        sealed: It carries the replica's proof of origin.
         encoded: The body is not as the replica made it.
-        confidence: The model's opinion of its answer, 0 to 100.
+        confidence: The model's own rating of its answer, 0 to 100.
         idle_limit_s: How long the replica keeps the connection.
-        cold_left: How long it stays cold; None if it does not say.
+        cold_left: How long the replica stays cold; None if it does not say.
     """
 
     request_id: str | None
@@ -145,4 +145,4 @@
 
     @abc.abstractmethod
     def answer_headers(self, headers: Headers) -> Headers:
-        """Returns the headers of an answer that the caller is to see."""
+        """Returns the headers of the answer to the caller."""
