--- a/src/nutmeghook/internal/upstream/connection.py
+++ b/src/nutmeghook/internal/upstream/connection.py
@@ -1,10 +1,10 @@
 """One connection to a replica, which carries one exchange at a time.
 
-Parsing is aiohttp's; what the library's own client would decide is decided
-here. The client repeats a GET by itself after a broken connection, takes a
-reset for the end of a body without length, and hands bytes that arrive on an
-idle connection to the next request. Each of these can give a caller an answer
-that is not its own, or run a request twice.
+Only aiohttp's parser is used, not its client. The client retries a GET by
+itself after a broken connection, takes a reset for the end of a body without
+length, and hands bytes that arrive on an idle connection to the next request.
+Each of these can give a caller an answer that is not its own, or run a request
+twice.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 
 from nutmeghook.internal.upstream import outcomes
 
-# Above this many unread bytes of an answer the socket is read no further: the
-# caller is slower than the replica, and memory is bounded by this.
+# Above this many unread bytes of an answer the socket is read no further. This
+# bounds memory where the caller is slower than the replica.
 READ_BUFFER_BYTES = 64 * 1024
 # Longest header line and field of an answer. Replicas send a few hundred
-# bytes; this only bounds what a faulty one can make us keep.
+# bytes; this only bounds the memory that a faulty one can use.
 MAX_HEADER_FIELD_BYTES = 16 * 1024
 
 
@@ -48,8 +48,8 @@
     async def read(self) -> bytes:
         """Returns the next bytes of the body; none at its end.
 
-        What came before a failure is given out first: whole events of a
-        stream that breaks off still reach the caller.
+        Bytes received before a failure are returned first, so that complete
+        events of a broken stream still reach the caller.
 
         Raises:
             outcomes.UnknownOutcomeError: The body broke off here.
@@ -71,7 +71,7 @@
 
 
 class ReplicaConnection(base_protocol.BaseProtocol):
-    """A connection and what is known of its exchange.
+    """A connection and the state of its exchange.
 
     Attributes:
         reusable: It may carry another exchange once this one is complete.
@@ -104,12 +104,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Tells whether both sides hold the connection."""
+        """Tells whether both sides keep the connection open."""
         return self.transport is not None and not self.transport.is_closing()
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of the request that the system has not taken yet."""
+        """Bytes of the request that the system has not accepted yet."""
         if self.transport is None:
             return 0
         return self.transport.get_write_buffer_size()
@@ -149,7 +149,7 @@
 
         A replica may answer before it has read the whole request, and would
         take what is written next for the rest of its body. So the connection is
-        kept only if the system has taken every byte of the request.
+        kept only if the system has accepted every byte of the request.
         """
         payload = self._payload
         complete = payload is not None and payload.is_eof()
@@ -171,10 +171,10 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what belongs to the exchange; anything else ends it all.
+        """Parses the answer; bytes outside an exchange end the connection.
 
-        Bytes beyond the end of an answer belong to no request. Kept, they would
-        be read as the answer to the next one.
+        Bytes beyond the end of an answer belong to no request. If kept, they
+        would be read as the answer to the next one.
         """
         if self._parser is None:
             self.abort()
@@ -193,7 +193,7 @@
             self._receive_answer(message, payload)
 
     def eof_received(self) -> None:
-        """Lets the transport close, and notes if it was a reset in truth.
+        """Lets the transport close, and records whether it was a reset.
 
         Where data and a reset arrive together, the event loop reports an end of
         file, and an answer without length would look complete. The socket still
@@ -208,8 +208,8 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         """Ends the exchange; only a clean close can complete a body.
 
-        The library's parser would end a body without length as complete after a
-        reset too.
+        aiohttp's parser would also take a reset for the end of a body without
+        length.
         """
         self.reusable = False
         exc = exc or self._reset
@@ -254,7 +254,7 @@
         self.reusable = False
         if self._head is not None and not self._head.done():
             self._head.set_exception(error)
-            # Nobody may be waiting any more: the caller has gone.
+            # Marks it as retrieved: nobody waits if the caller has gone.
             self._head.exception()
         payload = self._payload
         if payload is not None and not payload.is_eof():
--- a/src/nutmeghook/internal/upstream/outcomes.py
+++ b/src/nutmeghook/internal/upstream/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt on a replica ended, as far as this side can know."""
+"""Outcomes of an attempt on a replica, as far as this side knows."""
 
 
 class AttemptError(Exception):
@@ -10,7 +10,7 @@
 
 
 class RefusedError(AttemptError):
-    """The replica itself said that it did not run the request.
+    """The replica reports that it did not run the request.
 
     Attributes:
         status: The status that it refused with.
@@ -30,12 +30,12 @@
 class ConnectionLostError(UnknownOutcomeError):
     """The connection ended before the answer did.
 
-    The path to the replica may have broken, or the replica itself ended.
+    The network path may have failed, or the replica itself have ended.
     """
 
 
 class AbandonedError(UnknownOutcomeError):
     """The replica was silent for too long, and another one is to take over.
 
-    Raised only once leave for the further attempt was taken.
+    Raised only once the further attempt is permitted.
     """
--- a/src/nutmeghook/internal/upstream/pool.py
+++ b/src/nutmeghook/internal/upstream/pool.py
@@ -9,29 +9,35 @@
 from nutmeghook.internal.upstream import connection as connection_module
 from nutmeghook.internal.upstream import outcomes
 
-# A replica that does not accept a connection this long is dark or swamped.
-# Data centres of a region are 1 ms apart and an accept takes 1 ms, so even a
-# lost first packet (sent again after 200 ms or more by most systems) fits;
-# beyond it another replica serves sooner.
+# A replica that does not accept a connection this long is unreachable or
+# overloaded. Data centres of a region are 1 ms apart and an accept takes 1 ms,
+# so even a lost first packet (sent again after 200 ms or more by most systems)
+# fits; beyond it another replica answers sooner.
 CONNECT_TIMEOUT = datetime.timedelta(milliseconds=600)
-# To tell a dark replica from a busy one; accepting takes 1 ms.
+# Tells an unreachable replica from a busy one; accepting takes 1 ms.
 PROBE_TIMEOUT = datetime.timedelta(milliseconds=350)
-# How long an idle connection is used again if the replica does not say how
-# long it keeps one.
+# How long an idle connection is reused if the replica states no idle time.
 DEFAULT_IDLE_LIMIT_S = 2.0
-# Part of the stated idle time that is relied on: a request that crosses the
+# Share of the stated idle time that is used: a request that crosses the
 # replica's close on the wire may have run, and can't be repeated.
 IDLE_SHARE = 0.6
-# Idle connections kept a replica. More than a few are left over from a burst.
-MAX_IDLE_A_REPLICA = 24
-# Shortages of this process or machine: a connection was not even tried.
+# Idle connections per replica. More than a few are left over from a burst.
+MAX_IDLE_PER_REPLICA = 24
+# Shortages of this process or machine: no connection was attempted.
 _LOCAL_SHORTAGES = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS}
 )
 
 
 class Reachability(enum.Enum):
-    """How a replica meets a new connection."""
+    """How a replica responds to a new connection.
+
+    Attributes:
+        ACCEPTS: It accepts the connection.
+        REFUSES: It refuses the connection.
+        DARK: It does not respond: it is unreachable.
+        NOT_ASKED: This side lacked the resources to try.
+    """
 
     ACCEPTS = "accepts"
     REFUSES = "refuses"
@@ -40,7 +46,7 @@
 
 
 class ConnectionPool:
-    """Opens connections, lends them, and keeps the sound ones."""
+    """Opens connections, lends them, and keeps the reusable ones."""
 
     __slots__ = ("_idle", "_loop", "opened")
 
@@ -56,9 +62,9 @@
 
         Args:
             address: The replica's `ip:port`.
-            max_idle_s: Take none that was idle for longer. Requests that
-                may run only once ask for a fresh one, because a kept one may
-                break as they are written.
+            max_idle_s: Use none that was idle for longer. Requests that may run
+                only once need a fresh one, because a kept one may break while
+                they are written.
 
         Raises:
             outcomes.NotSentError: The replica did not accept.
@@ -86,7 +92,7 @@
         Args:
             address: The replica's `ip:port`.
             connection: The connection.
-            idle_limit_s: How long the replica says it keeps it, if it does.
+            idle_limit_s: Idle time that the replica states, if it states one.
         """
         if not connection.finish_exchange():
             return
@@ -95,7 +101,7 @@
         self._keep(address, connection)
 
     async def probe(self, address: str) -> Reachability:
-        """Tells how a replica meets a new connection.
+        """Tells how a replica responds to a new connection.
 
         The connection made, if any, is kept for the next request.
         """
@@ -122,7 +128,7 @@
         self, address: str, connection: connection_module.ReplicaConnection
     ) -> None:
         kept = self._idle.setdefault(address, [])
-        if len(kept) >= MAX_IDLE_A_REPLICA:
+        if len(kept) >= MAX_IDLE_PER_REPLICA:
             connection.abort()
             return
         kept.append(connection)
@@ -150,7 +156,7 @@
 
 
 def _reachability(error: OSError | TimeoutError) -> Reachability:
-    """Returns what an attempt to connect that failed tells of a replica."""
+    """Returns what a failed attempt to connect shows of a replica."""
     if isinstance(error, ConnectionError):
         return Reachability.REFUSES
     if error.errno in _LOCAL_SHORTAGES:
@@ -159,11 +165,11 @@
 
 
 def _enable_keepalive(transport: asyncio.BaseTransport) -> None:
-    """Lets the system notice a peer that no longer acknowledges.
+    """Makes the system detect a peer that no longer acknowledges.
 
-    A path that is cut without a reset would leave the connection open for many
-    minutes; with these limits it breaks a few seconds after the first byte that
-    nobody acknowledges.
+    A path that fails without a reset would leave the connection open for many
+    minutes; with these limits it breaks a few seconds after the first
+    unacknowledged byte.
     """
     raw = transport.get_extra_info("socket")
     if raw is None:
--- a/src/nutmeghook/internal/upstream/sender.py
+++ b/src/nutmeghook/internal/upstream/sender.py
@@ -1,4 +1,4 @@
-"""Sends a request to one replica, once, and says what is known of it."""
+"""Makes a single attempt on one replica and reports its outcome."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Iterator
@@ -18,11 +18,11 @@
 
 # A request that may run only once goes on a connection that was just used or
 # on a new one: a replica may close an idle one as the request is written, and
-# then nobody knows whether it ran.
+# then it is unknown whether the request ran.
 MAX_IDLE_FOR_ONCE_S = 0.5
 MAX_IDLE_S = 60.0
 # Whole answers are held in memory until they are checked. Those of plain
-# services have some kilobytes; this bounds what a faulty one can use.
+# services have some kilobytes; this bounds the memory that a faulty one uses.
 MAX_WHOLE_ANSWER_BYTES = 8 * 1024 * 1024
 _NOT_ACCEPTING = frozenset(
     {pool_module.Reachability.REFUSES, pool_module.Reachability.DARK}
@@ -31,13 +31,13 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Outgoing:
-    """A request as a replica gets it.
+    """A request as it is sent to a replica.
 
     Attributes:
         target: Path and query exactly as the caller sent them.
         repeatable: It may run more than once.
-        reading: Of its prompt; None of a request without one.
-        slot: At a replica whose requests are counted.
+        reading: Prefill of its prompt; None for a request without one.
+        slot: Slot in a send window; None if the replica's slots are not counted.
     """
 
     request_id: str
@@ -66,7 +66,7 @@
     Attributes:
         head: Status and headers as the replica sent them.
         facts: What the headers say.
-        replica: Who answered.
+        replica: The replica that answered.
     """
 
     __slots__ = ("facts", "head", "replica")
@@ -86,7 +86,7 @@
         """Returns the whole body.
 
         Raises:
-            outcomes.UnknownOutcomeError: It did not come whole.
+            outcomes.UnknownOutcomeError: It is incomplete or too large.
         """
         pieces = []
         left_bytes = MAX_WHOLE_ANSWER_BYTES
@@ -125,7 +125,7 @@
         """Sends once; the answer's body is to be read inside the context.
 
         Leaving the context early drops the connection, so that the replica
-        stops working for nobody.
+        stops its work.
 
         Raises:
             outcomes.NotSentError: Nothing was written.
@@ -155,9 +155,9 @@
         replica: replica_module.Replica,
         reading: backlog_module.Reading | None,
     ) -> Iterator[None]:
-        """Counts a prompt among what a replica has still to read.
+        """Counts a prompt in the prefill backlog until its answer's head.
 
-        An answer's head comes with its first event.
+        An answer's head comes with its first event, so the prefill is done.
         """
         if reading is None:
             yield
@@ -169,11 +169,11 @@
             self._directory.end_reading(replica, reading)
 
     async def is_unreachable(self, replica: replica_module.Replica) -> bool:
-        """Tells whether a silent replica is gone.
+        """Tells whether attempts to connect to a replica go unanswered.
 
-        A dark replica answers no attempt to connect. One that refuses them is
-        alive: it leaves, or has as many connections as it takes, and works on
-        at what it has. New requests have no business at either.
+        A replica that refuses connections is alive: it is leaving, or has
+        reached its connection limit, and finishes the work that it has. In both
+        cases it is ejected, so that it gets no new requests.
         """
         reachability = await self._pool.probe(replica.entry.address)
         if reachability in _NOT_ACCEPTING:
@@ -207,8 +207,8 @@
         )
         facts = self._wire_format.read_answer(head.status, head.headers)
         answer = Answer(head=head, facts=facts, replica=replica)
-        # A late answer to an earlier request arrives where this one's is
-        # due. The echoed id tells them apart; this request may have run.
+        # A late answer to an earlier request may arrive in place of this
+        # one's. The echoed id tells them apart; this request may have run.
         if facts.request_id not in (None, outgoing.request_id):
             connection.reusable = False
             raise outcomes.UnknownOutcomeError(
