--- a/src/nutmeghook/internal/relay/crash_watch.py
+++ b/src/nutmeghook/internal/relay/crash_detector.py
@@ -1,4 +1,4 @@
-"""Under which requests replicas end, and which of them to stop."""
+"""Finds requests that crash replicas, and tells which to stop."""
 
 import asyncio
 import datetime
@@ -14,16 +14,16 @@
 from nutmeghook.internal.upstream import pool as pool_module
 
 
-class CrashWatch:
-    """Holds the end of a replica against the requests that it had.
+class CrashDetector:
+    """Counts a replica's crash against the requests that it had.
 
-    A lost connection alone says little: a reset on the way, a garbled answer
-    and a process that ended look alike. A process that ended also refuses new
-    connections, until another start of it listens there seconds later. So the
-    replica is asked, once for all requests that lost it.
+    A lost connection alone is no evidence: a reset on the way, a garbled answer
+    and a crash look alike. A crashed process also refuses new connections,
+    until it has restarted seconds later. So the replica is probed, once for all
+    requests that lost it.
     """
 
-    __slots__ = ("_asking", "_book", "_metrics", "_pool")
+    __slots__ = ("_book", "_metrics", "_pool", "_probes")
 
     def __init__(
         self,
@@ -35,18 +35,18 @@
         self._book = book
         self._pool = pool
         self._metrics = metrics
-        self._asking: dict[str, asyncio.Task[pool_module.Reachability]] = {}
+        self._probes: dict[str, asyncio.Task[pool_module.Reachability]] = {}
 
     def is_quarantined(self, job: job_module.Job) -> bool:
-        """Tells whether a request is to be sent to no replica."""
+        """Tells whether a request is quarantined."""
         return self._book.is_quarantined(job.identity)
 
     def is_trial_due(self, job: job_module.Job) -> bool:
-        """Tells whether a quarantined request may be sent to one replica."""
+        """Tells whether a quarantined request may be sent once, as a probe."""
         return not job.tries and self._book.is_trial_due(job.identity)
 
     def note_sent(self, job: job_module.Job) -> None:
-        """Takes in that a request is sent: on trial, if it is quarantined."""
+        """Records that a request is sent: as a probe, if it is quarantined."""
         if self.is_quarantined(job):
             self._book.try_trial(job.identity)
 
@@ -55,16 +55,16 @@
         return self._book.refused_for(job.identity)
 
     def note_stream_ended(self, job: job_module.Job) -> None:
-        """Takes in that a replica has run a stream to its end."""
+        """Records that a replica has run a stream to its end."""
         self._book.note_answered(job.identity)
 
     def note_answer(
         self, job: job_module.Job, answer: job_module.WholeAnswer
     ) -> None:
-        """Takes in a replica's whole answer.
+        """Records a replica's whole answer.
 
-        Only a success shows that it survived the request: it may fail one
-        before it runs it.
+        Only a success shows that the replica survived the request: it may fail
+        a request before running it.
         """
         if answer.succeeded:
             self._book.note_answered(job.identity)
@@ -72,56 +72,58 @@
     async def note_lost(
         self,
         job: job_module.Job,
-        prepared: prepared_module.Prepared,
+        prepared: prepared_module.PreparedAttempt,
         error: outcomes.AttemptError,
     ) -> None:
-        """Takes in how an attempt ended that gave no answer.
+        """Records an attempt that gave no answer.
 
-        A request under which no replica has ended goes on at once; for
-        another one it is found out first whether this was the next.
+        Returns at once for a request that has crashed no replica yet. For a
+        suspect one, waits until it is known whether this replica crashed too.
         """
         if not isinstance(error, outcomes.ConnectionLostError):
             return
-        asking = self._ask(prepared.replica)
+        probing = self._probe(prepared.replica)
         begun = _had_begun(job)
         attempt = job.tries
 
         def conclude(_: asyncio.Task[pool_module.Reachability]) -> None:
-            if not asking.cancelled():
-                met = asking.result()
-                self._conclude(job, attempt, prepared.replica, met, begun=begun)
+            if not probing.cancelled():
+                reachability = probing.result()
+                self._conclude(
+                    job, attempt, prepared.replica, reachability, begun=begun
+                )
 
-        asking.add_done_callback(conclude)
+        probing.add_done_callback(conclude)
         if self._book.is_suspect(job.identity):
-            await asyncio.wait({asking})
+            await asyncio.wait({probing})
 
-    def _ask(
+    def _probe(
         self, replica: replica_module.Replica
     ) -> asyncio.Task[pool_module.Reachability]:
         replica_id = replica.entry.replica_id
-        asking = self._asking.get(replica_id)
-        if asking is None:
-            asking = asyncio.ensure_future(
+        probing = self._probes.get(replica_id)
+        if probing is None:
+            probing = asyncio.ensure_future(
                 self._pool.probe(replica.entry.address)
             )
-            self._asking[replica_id] = asking
-            asking.add_done_callback(lambda _: self._asking.pop(replica_id))
-        return asking
+            self._probes[replica_id] = probing
+            probing.add_done_callback(lambda _: self._probes.pop(replica_id))
+        return probing
 
     def _conclude(
         self,
         job: job_module.Job,
         attempt: int,
         replica: replica_module.Replica,
-        met: pool_module.Reachability,
+        reachability: pool_module.Reachability,
         *,
         begun: bool,
     ) -> None:
-        """Takes in how a lost replica meets a new connection.
+        """Records how a lost replica meets a new connection.
 
-        One that was to leave has ended as it was told to.
+        The end of a replica that was leaving is no crash.
         """
-        self._metrics.add("connections_lost_total", replica=met.value)
+        self._metrics.add("connections_lost_total", replica=reachability.value)
         logs.note(
             "attempt:lost",
             request=job.log_id,
@@ -129,9 +131,9 @@
             attempt=attempt,
             replica=replica.entry.replica_id,
             begun=begun,
-            replica_now=met.value,
+            replica_now=reachability.value,
         )
-        has_ended = met is pool_module.Reachability.REFUSES
+        has_ended = reachability is pool_module.Reachability.REFUSES
         if has_ended and not replica.entry.leaving:
             self._book.note_end(
                 job.identity, replica_hash=replica.short_id, begun=begun
@@ -139,10 +141,10 @@
 
 
 def _had_begun(job: job_module.Job) -> bool:
-    """Tells whether a replica was certainly at work on a request.
+    """Tells whether a replica had begun to run a request.
 
-    An engine sends an answer's head with its first event, and what waits in
-    its queue has none. A plain service sends its whole answer at its end, so
-    there the head tells nothing.
+    An engine sends an answer's head with its first event, so a request that
+    still waits in its queue has none. A plain service sends its whole answer at
+    the end, so its requests always count as begun.
     """
     return job.route.kind is not model.RouteKind.STREAM or job.is_answered
--- a/src/nutmeghook/internal/relay/replica_search.py
+++ b/src/nutmeghook/internal/relay/replica_search.py
@@ -1,4 +1,4 @@
-"""Which replica a request's next attempt goes to."""
+"""Finds the replica for a request's next attempt."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class ReplicaSearch:
-    """Puts what a request needs to the chooser, by version and by tries."""
+    """Passes a request's criteria to the replica chooser."""
 
     __slots__ = ("_chooser", "_homes", "_times", "_versions")
 
@@ -34,8 +34,8 @@
     ) -> choice_module.Choice | None:
         """Returns the best replica of a service for the next attempt.
 
-        What has run already and may be repeated goes back to a replica that was
-        tried, if there is no other.
+        A repeatable request that may have run goes to a replica that was tried,
+        if there is no other.
         """
         chosen = self.untried(job, service)
         if chosen is None and may_have_run and job.route.repeatable:
@@ -53,19 +53,19 @@
         tried = frozenset(job.tried)
         chosen = self._best(job, service, tried=tried)
         if chosen is None and tried:
-            need = self._need(
+            criteria = self._criteria(
                 job,
                 service,
                 accepts=self._versions.accepts_stable(service),
                 tried=tried,
             )
-            chosen = self._chooser.choose(need)
+            chosen = self._chooser.choose(criteria)
         return chosen
 
-    def way_back(
-        self, job: job_module.Job, to: job_module.WayBack
+    def fallback(
+        self, job: job_module.Job, to: job_module.FallbackReplica
     ) -> choice_module.Choice | None:
-        """Returns the replica that was left if it may still be sent to.
+        """Returns the fallback replica if it may still be sent to.
 
         Its version may have been withdrawn since the request left it.
         """
@@ -77,21 +77,21 @@
                 accepts(entry) or accepts_stable(entry)
             )
 
-        need = self._need(
+        criteria = self._criteria(
             job,
             to.service,
             accepts=is_allowed,
             tried=frozenset(),
             model_index=to.model_index,
         )
-        return self._chooser.choose(need)
+        return self._chooser.choose(criteria)
 
     def for_model(
         self, job: job_module.Job, service: str, model_index: int
     ) -> choice_module.Choice | None:
         """Returns the best replica for another model's answer.
 
-        One that gave a smaller model's answer may give a larger one's.
+        Replicas that were tried with a smaller model are not excluded.
         """
         return self._best(
             job, service, tried=frozenset(), model_index=model_index
@@ -115,16 +115,16 @@
         tried: frozenset[str],
         model_index: int | None = None,
     ) -> choice_module.Choice | None:
-        need = self._need(
+        criteria = self._criteria(
             job,
             service,
             accepts=self._accepts(job, service),
             tried=tried,
             model_index=model_index,
         )
-        return self._chooser.choose(need)
+        return self._chooser.choose(criteria)
 
-    def _need(
+    def _criteria(
         self,
         job: job_module.Job,
         service: str,
@@ -144,7 +144,7 @@
     def _prompt(
         self, job: job_module.Job, model_index: int | None
     ) -> choice_module.Prompt | None:
-        """Returns what an engine has to read for the request."""
+        """Returns the prompt that an engine has to prefill."""
         model_name = attempt_facts.model_name(job, model_index)
         if job.incoming.facts.prompt is None and model_name is None:
             return None
@@ -152,8 +152,8 @@
         shared_tokens = attempt_facts.shared_tokens(job)
         own_tokens = job.input_tokens - shared_tokens
         return choice_module.Prompt(
-            shared=self._times.reading(model_name, shared_tokens),
-            own=self._times.reading(model_name, own_tokens),
+            shared=self._times.prefill_time(model_name, shared_tokens),
+            own=self._times.prefill_time(model_name, own_tokens),
             urgent=attempt_facts.is_urgent(job, model_index),
             target=job.route.target,
         )
@@ -161,12 +161,12 @@
     def forecast(
         self, job: job_module.Job, model_index: int
     ) -> choice_module.Forecast | None:
-        """Returns when another model's answer would begin, sent now."""
-        need = self._need(
+        """Returns the forecast for another model's answer, if sent now."""
+        criteria = self._criteria(
             job,
             job.service,
             accepts=self._accepts(job, job.service),
             tried=frozenset(),
             model_index=model_index,
         )
-        return self._chooser.forecast(need) if need.prompt else None
+        return self._chooser.forecast(criteria) if criteria.prompt else None
