--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -13,20 +13,20 @@
 from nutmeghook.internal.assembly import relay_path
 from nutmeghook.internal.assembly import router_peers
 from nutmeghook.internal.assembly import send_limits as send_limits_module
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.observe import metrics as metrics_module
 from nutmeghook.internal.relay import listener as listener_module
-from nutmeghook.internal.relay import path as path_module
+from nutmeghook.internal.relay import request_relay
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.routes import in_force as in_force_module
 from nutmeghook.internal.routes import model
 from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import rows
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import shared_table
+from nutmeghook.internal.table_replication import table_copy
 from nutmeghook.internal.upstream import pool as pool_module
 from nutmeghook.internal.version_plans import driver
 from nutmeghook.internal.version_plans import orders as orders_module
@@ -72,8 +72,8 @@
         "_session",
         "_settings",
         "_store",
+        "_store_monitor",
         "_was_ready",
-        "_watch",
         "_wire_format",
         "budgets",
         "configuration",
@@ -104,7 +104,7 @@
         self._store = store.StoreClient(
             session=self._session, address=settings.store_address
         )
-        self._watch = follower.StoreWatch(
+        self._store_monitor = follower.StoreMonitor(
             clock=clock, on_return=self._distrust_list
         )
         self.configuration = in_force_module.ConfigurationInForce()
@@ -123,7 +123,7 @@
             orders=self.orders,
             directory=self.directory,
             gate=self.send_limits.gate,
-            watch=self._watch,
+            store_monitor=self._store_monitor,
             schedule=_schedule(settings),
             session_time=settings.session_time,
             clock=clock,
@@ -141,7 +141,7 @@
         self._was_ready = False
         self._wire_format = headers.PlatformHeaders()
         self.listener = listener_module.CallerListener(
-            path=self._build_path(),
+            relay=self._build_relay(),
             wire_format=self._wire_format,
             limits=self._caller_limits,
             clock=clock,
@@ -150,7 +150,7 @@
         # Set once `run` has built what it takes to have peers.
         self._peers: router_peers.RouterPeers | None = None
 
-    def _build_path(self) -> path_module.RequestPath:
+    def _build_relay(self) -> request_relay.RequestRelay:
         return relay_path.build(
             relay_path.Surroundings(
                 configuration=self.configuration,
@@ -274,7 +274,7 @@
         self.listener.closing = True
         logs.note("process:leaving", in_flight=self.listener.in_flight)
         await self._clock.sleep(_BALANCER_LAG)
-        self.listener.close_door()
+        self.listener.stop_accepting()
         while self.listener.open_connections and self._clock.monotonic() < end:
             await self._clock.sleep(_POLL)
             self.listener.close_idle()
@@ -302,7 +302,7 @@
                 self.budgets.budget_for(service).requests_per_s()
                 * peers.fleet_size
             ),
-            watch=self._watch,
+            store_monitor=self._store_monitor,
             clock=self._clock,
             random_source=self._random,
             instance_id=self._settings.instance_id,
@@ -318,20 +318,20 @@
 
     def _distrust_list(self) -> None:
         """Holds deletions back after a store outage; entries lapse in it."""
-        self.directory.distrust_deletions(
+        self.directory.hold_deletions(
             self._clock.monotonic() + directory_module.LAPSE_GRACE
         )
 
     def _shared(
-        self, table: str, reader: follower.TableReader
+        self, table: str, listener: follower.TableListener
     ) -> shared_table.SharedTable:
-        copy = copies.TableCopy(reader=reader)
+        copy = table_copy.TableCopy(listener=listener)
         return shared_table.SharedTable(
             copy=copy,
             table_follower=follower.TableFollower(
                 table=store.PlatformTable(client=self._store, name=table),
-                reader=copy,
-                watch=self._watch,
+                listener=copy,
+                store_monitor=self._store_monitor,
                 clock=self._clock,
                 random_source=self._random,
             ),
--- a/src/nutmeghook/internal/relay/listener.py
+++ b/src/nutmeghook/internal/relay/listener.py
@@ -1,4 +1,4 @@
-"""Callers' connections: HTTP by aiohttp, bounds and framing by us."""
+"""Callers' HTTP connections: aiohttp's parser with the relay's own limits."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.relay import incoming as incoming_module
-from nutmeghook.internal.relay import path as path_module
+from nutmeghook.internal.relay import request_relay
 from nutmeghook.internal.relay import wire
 from nutmeghook.internal.routes import model
 
@@ -18,19 +18,19 @@
 _LINGERING_S = 0.5
 # The parser is set up before the configuration is known; this is what it
 # allows at most, and the configuration's own limit is applied afterwards.
-_MOST_HEADER_BYTES = 64 * 1024
-_MOST_HEADERS = 256
+_MAX_HEADER_BYTES = 64 * 1024
+_MAX_HEADERS = 256
 # Connections stay open a little longer than callers are promised, so that a
-# request which crosses the close is still read.
+# request sent just before the close is still read.
 _IDLE_SLACK_S = 1.0
 _BACKLOG = 1024
 
 
 class CallerConnection(web.RequestHandler):
-    """One connection; a request's head has to arrive in time.
+    """One connection, with a time limit for each request's head.
 
-    The library waits for the rest of a head without limit, and each wait holds
-    a descriptor.
+    aiohttp waits for the rest of a head without limit, and each wait holds a
+    file descriptor.
     """
 
     __slots__ = ("_head_timer", "_limits")
@@ -48,9 +48,9 @@
             access_log=None,
             lingering_time=_LINGERING_S,
             keepalive_timeout=limits.idle_time.total_seconds() + _IDLE_SLACK_S,
-            max_line_size=_MOST_HEADER_BYTES,
-            max_field_size=_MOST_HEADER_BYTES,
-            max_headers=_MOST_HEADERS,
+            max_line_size=_MAX_HEADER_BYTES,
+            max_field_size=_MAX_HEADER_BYTES,
+            max_headers=_MAX_HEADERS,
             auto_decompress=False,
         )
         self._limits = limits
@@ -59,8 +59,8 @@
     def data_received(self, data: bytes) -> None:
         """Starts the time limit with a head's first byte.
 
-        A body's bytes start none: they may come before its request's handler
-        has begun, and the limit would end that request in the middle.
+        A body's bytes start none: they may arrive before its request's handler
+        has begun, and the limit would cut that request off.
         """
         before = self._request_count
         super().data_received(data)
@@ -72,7 +72,7 @@
             )
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Ends the time limit too."""
+        """Also cancels the time limit."""
         self._stop_timer()
         super().connection_lost(exc)
 
@@ -102,7 +102,7 @@
     """An answer that keeps the replica's headers as they are."""
 
     async def _prepare_headers(self) -> None:
-        # The library adds a content type where the replica sent none.
+        # aiohttp adds a content type where the replica sent none.
         had_type = "Content-Type" in self.headers
         await super()._prepare_headers()
         if not had_type:
@@ -165,7 +165,7 @@
         detail: str,
         retry_after: datetime.timedelta | None = None,
     ) -> None:
-        """Sends a refusal or failure of our own."""
+        """Sends a refusal or failure of the relay itself."""
         headers = [("Content-Type", "text/plain; charset=utf-8")]
         if retry_after is not None:
             seconds = f"{retry_after.total_seconds():.3f}"
@@ -174,7 +174,7 @@
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """What the library is to finish; None if nothing was sent."""
+        """The response for aiohttp to finish; None if nothing was sent."""
         return self._response
 
     def _new_response(
@@ -202,7 +202,7 @@
     __slots__ = (
         "_clock",
         "_limits",
-        "_path",
+        "_relay",
         "_server",
         "_socket",
         "_wire_format",
@@ -214,12 +214,12 @@
     def __init__(
         self,
         *,
-        path: path_module.RequestPath,
+        relay: request_relay.RequestRelay,
         wire_format: wire.WireFormat,
         limits: Callable[[], model.CallerLimits],
         clock: clock_module.Clock,
     ):
-        self._path = path
+        self._relay = relay
         self._wire_format = wire_format
         self._limits = limits
         self._clock = clock
@@ -244,11 +244,11 @@
         own_host, own_port = self._socket.sockets[0].getsockname()[:2]
         self.address = f"{own_host}:{own_port}"
 
-    def close_door(self) -> None:
-        """Takes no new request; those under way go on.
+    def stop_accepting(self) -> None:
+        """Accepts no new request; those under way go on.
 
-        Requests that cross the close were not read, and callers may send
-        them again elsewhere, also those that may run only once.
+        A request that arrives after the close was not read, so its caller may
+        send it elsewhere, even if it may run only once.
         """
         if self._socket is not None:
             self._socket.close()
@@ -261,17 +261,17 @@
 
     @property
     def open_connections(self) -> int:
-        """How many callers' connections are open.
+        """Number of callers' open connections.
 
-        Right after the door was closed this says what is under way. Counting
+        After `stop_accepting` this counts the requests under way. A count of
         handlers would miss a request that was read and whose handler has not
-        begun: the stop took it for nothing, and cut it 0.2 s later.
+        begun, and the stop would cut it off 0.2 s later.
         """
         return len(self._server.connections)
 
     async def stop(self) -> None:
         """Closes all connections."""
-        self.close_door()
+        self.stop_accepting()
         await self._server.shutdown(timeout=0.1)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -301,7 +301,7 @@
         body = await self._read_body(request, sink)
         if body is None:
             return
-        await self._path.serve(
+        await self._relay.serve(
             incoming_module.Incoming(
                 method=request.method,
                 target=request.raw_path,
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -7,7 +7,6 @@
 import datetime
 import itertools
 
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.replicas import address_holders
@@ -17,6 +16,7 @@
 from nutmeghook.internal.replicas import peer_backlogs as peer_backlogs_module
 from nutmeghook.internal.replicas import replica as replica_module
 from nutmeghook.internal.routing import affinity
+from nutmeghook.internal.table_replication import shared_table
 
 # Entries lapse while the store is away and are back within two seconds of
 # its return. Until then, and some slack, a missing entry proves nothing.
@@ -231,12 +231,12 @@
         """Returns what replicas of a service have reported lately."""
         return self._usual_load.get(service, _NO_LOAD)
 
-    def left(self) -> datetime.timedelta:
+    def remaining(self) -> datetime.timedelta:
         """Returns for how much longer deletions are held back."""
         left = self._trusted_from - self._clock.monotonic()
         return max(left, datetime.timedelta())
 
-    def distrust_deletions(self, until: datetime.timedelta) -> None:
+    def hold_deletions(self, until: datetime.timedelta) -> None:
         """Holds deletions back until a monotonic time."""
         self._trusted_from = max(self._trusted_from, until)
 
--- a/src/nutmeghook/internal/routing/cascade_intake.py
+++ b/src/nutmeghook/internal/routing/cascade_ingestion.py
@@ -1,4 +1,4 @@
-"""Takes ratings into the tables of their templates, bucket by bucket."""
+"""Adds ratings to the tables of their templates, by bucket."""
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.dependencies import ratings as ratings_module
@@ -7,7 +7,7 @@
 from nutmeghook.internal.routing import cascade_tables
 
 
-def by_bucket(
+def group_by_bucket(
     ratings: list[ratings_module.Rating],
 ) -> dict[int, list[ratings_module.Rating]]:
     """Returns the ratings by the bucket of their template."""
@@ -18,7 +18,7 @@
     return found
 
 
-def learning(
+def learning_templates(
     snapshot: documents.Snapshot,
 ) -> dict[int, dict[str, documents.Template]]:
     """Returns the templates that learn, by bucket and key."""
@@ -30,15 +30,15 @@
     return found
 
 
-def learned(
+def apply_ratings(
     templates: dict[str, documents.Template],
     known: dict[str, cascade_tables.TemplateTable],
     ratings: list[ratings_module.Rating],
     now_s: float,
 ) -> dict[str, cascade_tables.TemplateTable]:
-    """Returns the tables, with the ratings, of templates that have some.
+    """Returns the tables with `ratings` added, of templates with any ratings.
 
-    A template whose number of stages changed starts anew.
+    A template whose number of stages changed starts with an empty table.
     """
     tables: dict[str, cascade_tables.TemplateTable] = {}
     for key, template in templates.items():
--- a/src/nutmeghook/internal/routing/cascade_plans.py
+++ b/src/nutmeghook/internal/routing/cascade_plans.py
@@ -1,9 +1,9 @@
 """The cheapest mix of options whose mean quality meets the target.
 
-The target holds for the mean over a template's requests, so kinds of request
-trade with each other: quality is bought first where it costs least. The best
-mix lies on the convex hull of each kind's options, and all kinds but one use
-a single option; that one uses two, in a proportion that meets the target.
+The target is for the mean over a template's requests, so quality is raised
+first for the kinds of request where it costs least. The best mix lies on the
+convex hull of each kind's options, and all kinds but one use a single option;
+that one uses two, in a proportion that meets the target.
 """
 
 from collections.abc import Iterator
@@ -15,22 +15,22 @@
 
 from nutmeghook.internal.routing import cascade_options
 
-# Shares that differ by less mean the same: a hundredth of the requests moves
-# the mean rating by less than the error that plans allow for, and a tenth more
-# or less exploring only changes how soon something is learned.
-_SAME_SHARE = 0.01
-_SAME_PART = 0.1
+# Smaller changes are not published: a hundredth of the requests moves the mean
+# rating by less than the error that plans allow for, and a tenth more or less
+# exploration only changes how soon something is learned.
+_MIN_SHARE_CHANGE = 0.01
+_MIN_RELATIVE_CHANGE = 0.1
 
 
 class PlannedOption(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """An option as instances need it."""
+    """The part of an option that instances need."""
 
     first_stage: int
     go_on_below_bin: int
 
 
 class GroupPlan(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What to do with one group of requests.
+    """The options for one group of requests.
 
     Attributes:
         upgraded: For `upgraded_share` of the requests; `usual` for the rest.
@@ -42,16 +42,16 @@
 
 
 class TemplatePlan(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What to do with a template's requests.
+    """The options and sampling shares for a template's requests.
 
     Attributes:
-        holding: For each kind, where answers may be held.
-        relaying: For each kind, where they may not.
-        rated_share: Share of requests whose answers are handed in.
-        explored_shares: For each kind, the share whose answers of all stages
-            are wanted, where answers may be held.
+        holding: For each kind, the options if answers may be held.
+        relaying: For each kind, the options if they may not.
+        rated_share: Share of requests whose answers are submitted for rating.
+        explored_shares: For each kind, the share for which all stages run, if
+            answers may be held.
         tried_shares: For each kind, the share that gets the first stage's
-            answer to hear how good it is, where answers may not be held.
+            answer to have it rated, if answers may not be held.
     """
 
     holding: tuple[GroupPlan, ...]
@@ -65,10 +65,10 @@
     """Tells whether requests would be treated noticeably differently."""
     return any(
         (a.usual, a.upgraded) != (b.usual, b.upgraded)
-        or abs(a.upgraded_share - b.upgraded_share) >= _SAME_SHARE
+        or abs(a.upgraded_share - b.upgraded_share) >= _MIN_SHARE_CHANGE
         for a, b in zip(_groups(one), _groups(other), strict=True)
     ) or not all(
-        math.isclose(a, b, rel_tol=_SAME_PART)
+        math.isclose(a, b, rel_tol=_MIN_RELATIVE_CHANGE)
         for a, b in zip(_shares(one), _shares(other), strict=True)
     )
 
@@ -114,7 +114,7 @@
     """A plan for each group, in their order.
 
     Attributes:
-        qualities: Of each group under its plan, on the cautious side.
+        qualities: Conservative estimate of each group's quality.
         cost: Mean over all groups.
     """
 
@@ -130,7 +130,7 @@
     """
     hulls = [_hull(group.options) for group in groups]
     current = [hull[0] for hull in hulls]
-    plans = [_only(option) for option in current]
+    plans = [_single_option_plan(option) for option in current]
     qualities = [option.quality for option in current]
     weights = [group.weight for group in groups]
     cost = sum(w * o.cost for w, o in zip(weights, current, strict=True))
@@ -144,13 +144,13 @@
             share = missing / upgrade.gain
             cost += share * upgrade.gain * upgrade.price
             qualities[index] += missing / weights[index]
-            plans[index] = _between(current[index], upgrade.option, share)
+            plans[index] = _mixed_plan(current[index], upgrade.option, share)
             break
         quality += upgrade.gain
         cost += upgrade.gain * upgrade.price
         current[index] = upgrade.option
         qualities[index] = upgrade.option.quality
-        plans[index] = _only(upgrade.option)
+        plans[index] = _single_option_plan(upgrade.option)
     return Mix(plans=plans, qualities=qualities, cost=cost)
 
 
@@ -194,12 +194,12 @@
     return (better.cost - worse.cost) / (better.quality - worse.quality)
 
 
-def _only(option: cascade_options.Option) -> GroupPlan:
+def _single_option_plan(option: cascade_options.Option) -> GroupPlan:
     planned = _planned(option)
     return GroupPlan(usual=planned, upgraded=planned)
 
 
-def _between(
+def _mixed_plan(
     usual: cascade_options.Option,
     upgraded: cascade_options.Option,
     share: float,
--- a/src/nutmeghook/internal/version_plans/gossip.py
+++ b/src/nutmeghook/internal/version_plans/gossip.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner import sealed_messages
-from nutmeghook.internal.inner import telling
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.version_plans import evidence as evidence_module
@@ -54,7 +54,7 @@
         self.size = 0
 
 
-class RollOutGossip(telling.PeriodicTeller):
+class RollOutGossip(gossip_senders.PeriodicGossipSender):
     """Sends and receives updates of open orders."""
 
     __slots__ = (
@@ -88,7 +88,7 @@
         self._sent: dict[str, _SentState] = {}
         messages.register(ttypes.RollOutNews, self._receive)
 
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Sends peers what is new about each open order."""
         for order in self._orders.all():
             plan = self._rollouts.plan_of(order)
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 import datetime
 
-from nutmeghook.internal.following import follower
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.table_replication import follower
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
 
@@ -25,7 +25,7 @@
 
     Args:
         schedule: Which share a new version gets, and when.
-        watch: The store's time and availability.
+        store_monitor: The store's time and availability.
         answers_seen: How many answers of a plan's version are known here.
         clock: Measures time.
 
@@ -38,8 +38,8 @@
         "_clock",
         "_final_phase_since",
         "_had_long_outage",
+        "_store_monitor",
         "_unreachable_since",
-        "_watch",
         "schedule",
     )
 
@@ -47,12 +47,12 @@
         self,
         *,
         schedule: schedule_module.Schedule,
-        watch: follower.StoreWatch,
+        store_monitor: follower.StoreMonitor,
         answers_seen: Callable[[plan_module.PlanRow], int],
         clock: clock_module.Clock,
     ):
         self.schedule = schedule
-        self._watch = watch
+        self._store_monitor = store_monitor
         self._answers_seen = answers_seen
         self._clock = clock
         # Since when an order's final phase has lasted here with the store
@@ -64,7 +64,7 @@
 
     def elapsed_fraction(self, plan: plan_module.PlanRow) -> float:
         """Returns the elapsed fraction of a plan's time."""
-        store_time = self._watch.store_time()
+        store_time = self._store_monitor.store_time()
         return (
             0.0 if store_time is None else plan.elapsed_fraction_at(store_time)
         )
@@ -78,8 +78,12 @@
         the store itself relies on the readers' reports of its answers.
         """
         elapsed = self.elapsed_fraction(plan)
-        silent = self._watch.silent_for() > _STORE_SILENCE
-        if self._watch.away or silent or self._has_too_few_answers(plan):
+        silent = self._store_monitor.time_since_contact() > _STORE_SILENCE
+        if (
+            self._store_monitor.is_unreachable
+            or silent
+            or self._has_too_few_answers(plan)
+        ):
             elapsed = min(elapsed, schedule_module.MAY_MOVE_SESSIONS_AT)
         return elapsed
 
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies
 import msgspec
 
-from nutmeghook.internal.following import source
 from nutmeghook.internal.replicas import cold_senders
 from nutmeghook.internal.replicas import evacuations
 from nutmeghook.internal.replicas import send_gate
 from nutmeghook.internal.routes import in_force
 from nutmeghook.internal.routes import model
+from nutmeghook.internal.table_replication import source
 from nutmeghook.internal.version_plans import orders
 from nutmeghook.platform import rollout_rows
 from nutmeghook.platform import tables
@@ -179,8 +179,8 @@
         self.book.evacuate("far")
         acquire = self.pool.acquire
 
-        async def slow_acquire(address, *, longest_idle_s):
-            connection = await acquire(address, longest_idle_s=longest_idle_s)
+        async def slow_acquire(address, *, max_idle_s):
+            connection = await acquire(address, max_idle_s=max_idle_s)
             if address == self.here.address:
                 self.book.evacuate("here")
                 self.book.take_back("far")
--- a/tests/cover/test_registration.py
+++ b/tests/cover/test_registration.py
@@ -5,12 +5,12 @@
 
 import aiohttp
 
-from nutmeghook.internal.following import registration
+from nutmeghook.internal.table_replication import registration
 from nutmeghook.platform import store
 from nutmeghook.standins import users_store
 
 
-class IntroductionsTest(unittest.IsolatedAsyncioTestCase):
+class RegistrationTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.store = users_store.StandInStore()
         await self.store.start()
--- a/tests/cover/test_replica_directory.py
+++ b/tests/cover/test_replica_directory.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies
 import msgspec
 
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import replica as replica_module
+from nutmeghook.internal.table_replication import source
 from nutmeghook.platform import tables
 from tests import platform_rows
 
@@ -113,7 +113,7 @@
         is not.
         """
         self.put()
-        self.directory.distrust_deletions(datetime.timedelta(seconds=2))
+        self.directory.hold_deletions(datetime.timedelta(seconds=2))
         self.rows.replace((_row("r1", b"{}"),), 2)
         self.assertEqual(self.known(), {})
 
--- a/tests/version_outages.py
+++ b/tests/version_outages.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from nutmeghook.internal.following import source
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.table_replication import source
 from nutmeghook.internal.version_plans import driver as driver_module
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.platform import rollout_rows
@@ -109,7 +109,7 @@
             orders=instance.orders,
             status=rollout_rows.PlatformStatusRows(),
             fleet_rate_per_s=lambda service: self._scene.per_s,
-            watch=instance.watch,
+            store_monitor=instance.store_monitor,
             clock=self.clock,
             random_source=self._draw,
             instance_id=name,
@@ -149,7 +149,7 @@
                 await self._drivers[number].step_all()
             if self._now_s() >= self._gossip_at[number]:
                 self._gossip_at[number] += self._draw.uniform(0.19, 0.31)
-                instance.gossip.tell()
+                instance.gossip.send_update()
         expected = self._scene.per_s * _TICK.total_seconds()
         while self._draw.random() < expected:
             expected -= 1.0
@@ -170,9 +170,9 @@
     ) -> None:
         instance = self._instances[number]
         if self._is_away(number):
-            instance.watch.note_failure(ValueError("no answer"))
+            instance.store_monitor.record_failure(ValueError("no answer"))
             return
-        instance.watch.note_answer(self.clock.monotonic())
+        instance.store_monitor.record_response(self.clock.monotonic())
         last_read = self._read_versions[number]
         self._readers[number].change(
             tuple(row for row in rows if row.version > last_read)
