--- a/bench/_relay_process.py
+++ b/bench/_relay_process.py
@@ -35,7 +35,7 @@
 from nutmeghook.internal.routing import cascade_fixed
 from nutmeghook.internal.standin_http import http_engine
 from nutmeghook.internal.standin_http import http_exchange
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 
 TOKEN = "benchmark"
 TEMPLATE = "review"
@@ -108,7 +108,7 @@
         admission=admission.OpenAdmission(),
         plain_admission=admission.OpenAdmission(),
         retry_budgets=_relay_parts.NoRetries(),
-        suspects=book_module.SuspectBook(clock=clock),
+        suspects=registry_module.SuspectRegistry(clock=clock),
         ledger=_relay_parts.InstantLedger(),
         ratings=ratings_module.RatingQueue(
             service=_relay_parts.NoRatings(), clock=clock, meter=meter
--- a/bench/models/cold_fleet.py
+++ b/bench/models/cold_fleet.py
@@ -66,7 +66,7 @@
         self, name: str, believed: Sequence[str], replica_id: str
     ) -> float | None:
         """Returns a sender's time between sends."""
-        first = cold_senders.first_senders(believed, replica_id, self._senders)
+        first = cold_senders.elect_senders(believed, replica_id, self._senders)
         if name not in first:
             return None
         return self._senders / min(PER_S, BOUND / 2)
@@ -82,7 +82,7 @@
         self, name: str, believed: Sequence[str], replica_id: str
     ) -> float | None:
         """Returns the holder's time between grants."""
-        first = cold_senders.first_senders(believed, replica_id, 1)
+        first = cold_senders.elect_senders(believed, replica_id, 1)
         return 1 / PER_S if name in first else None
 
 
--- a/bench/models/crashing_requests.py
+++ b/bench/models/crashing_requests.py
@@ -10,7 +10,7 @@
 import random
 
 from bench.models import simulation as simulation_module
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 
 ATTEMPTS = 3
 CALLER_TRIES = 2
@@ -117,8 +117,8 @@
         self._day = day
         self._draw = random.Random(seed)
         self._simulation = simulation_module.Simulation()
-        self._books = [
-            book_module.SuspectBook(clock=self._simulation)
+        self._registries = [
+            registry_module.SuspectRegistry(clock=self._simulation)
             for _ in range(day.instances)
         ]
         self._numbers = 0
@@ -172,8 +172,8 @@
         self._send(request)
 
     def _send(self, request: _Request) -> None:
-        book = self._books[request.instance]
-        if book.is_quarantined(request.identity):
+        registry = self._registries[request.instance]
+        if registry.is_quarantined(request.identity):
             self.outcome.condemned += not request.crashes
             self._fail(request)
             return
@@ -211,7 +211,7 @@
         if not replica.up:
             return
         request = replica.working.pop(key)
-        self._books[request.instance].note_answered(request.identity)
+        self._registries[request.instance].note_answered(request.identity)
         self._tell_from(request.instance)
 
     def _ends_under(self, replica: _Replica, key: int) -> None:
@@ -231,7 +231,7 @@
         position = self._replicas.index(replica)
         self._after(BACK_AFTER_S, lambda: self._return(position))
         for key, request in replica.working.items():
-            self._books[request.instance].note_end(
+            self._registries[request.instance].note_crash(
                 request.identity,
                 replica_hash=replica.number,
                 begun=key in replica.begun,
@@ -251,17 +251,21 @@
             self.outcome.lost += 1
 
     def _tell_from(self, instance: int) -> None:
-        news = self._books[instance].take_news(book_module.MOST_SUSPECTS)
+        news = self._registries[instance].take_updates(
+            registry_module.MAX_SUSPECTS
+        )
         if news:
             self._after(TOLD_AFTER_S, lambda: self._hear(instance, news))
 
-    def _hear(self, told_by: int, news: list[book_module.Suspicion]) -> None:
-        for instance, book in enumerate(self._books):
+    def _hear(
+        self, told_by: int, news: list[registry_module.Suspicion]
+    ) -> None:
+        for instance, registry in enumerate(self._registries):
             if instance != told_by:
                 for suspicion in news:
-                    book.merge(suspicion)
+                    registry.merge(suspicion)
                 # Everybody was told of it already.
-                book.take_news(book_module.MOST_SUSPECTS)
+                registry.take_updates(registry_module.MAX_SUSPECTS)
 
     def _after(self, delay_s: float, callback) -> None:
         self._simulation.call_at(self._simulation.now_s + delay_s, callback)
--- a/src/nutmeghook/experiment/emulated_fleet.py
+++ b/src/nutmeghook/experiment/emulated_fleet.py
@@ -123,7 +123,7 @@
             instance_id=str(number),
             directory=self.directory,
             messages=messages,
-            audience=lambda: _some_others(post, number, draw),
+            sample_peers=lambda: _some_others(post, number, draw),
             clock=clock,
             random_source=draw,
         )
@@ -132,7 +132,7 @@
 def _some_others(post: dict, number: int, draw: random.Random) -> list[str]:
     """Returns the addresses that an instance tells of its backlogs."""
     others = [address for address in post if address != str(number)]
-    most = backlog_gossip.NEAR_TOLD + round(backlog_gossip.FAR_TOLD)
+    most = backlog_gossip.LOCAL_FANOUT + round(backlog_gossip.REMOTE_FANOUT)
     return draw.sample(others, min(most, len(others)))
 
 
--- a/src/nutmeghook/experiment/fleet_emulator.py
+++ b/src/nutmeghook/experiment/fleet_emulator.py
@@ -115,7 +115,7 @@
             for instance in self._instances:
                 instance.gossip.tell()
                 instance.backlogs.tell()
-        period_s = load_gossip.TELL_EVERY.total_seconds()
+        period_s = load_gossip.GOSSIP_PERIOD.total_seconds()
         self._at(self._clock.at_s + period_s, self._gossip)
 
     def _follow_list(self) -> None:
@@ -151,19 +151,19 @@
         self, instance: emulated_fleet.Instance, request: _Request
     ) -> None:
         model_name = self._route.models[request.model_index]
-        chosen = instance.chooser.choose(self._need(instance, request))
+        chosen = instance.chooser.choose(self._criteria(instance, request))
         replica = chosen.replica
-        reading = backlog_module.Reading(
-            time=chosen.forecast.reading, urgent=request.model_index == 0
+        prefill = backlog_module.Prefill(
+            time=chosen.forecast.prefill, urgent=request.model_index == 0
         )
         replica.in_flight += 1
-        instance.directory.begin_reading(replica, reading)
+        instance.directory.begin_prefill(replica, prefill)
         sent_s = self._clock.at_s
         engine = self._engines[int(replica.entry.replica_id)]
 
         def begin() -> None:
             engine.running += 1
-            instance.directory.end_reading(replica, reading)
+            instance.directory.end_prefill(replica, prefill)
             began_s, read_s = self._clock.at_s, engine.read_s
             self._at(began_s + _GENERATION_S, lambda: end(began_s, read_s))
             instance.directory.note_load(
@@ -193,22 +193,22 @@
             lambda: self._queue(engine, urgency, request, begin),
         )
 
-    def _need(
+    def _criteria(
         self,
         instance: emulated_fleet.Instance,
         request: _Request,
         model_index: int | None = None,
-    ) -> choice_module.Need:
+    ) -> choice_module.ReplicaCriteria:
         index = request.model_index if model_index is None else model_index
         name = self._route.models[index]
-        return choice_module.Need(
+        return choice_module.ReplicaCriteria(
             service=emulated_fleet.SERVICE,
             accepts=lambda entry: True,
             key=f"{index}/{request.key}",
             exclude=frozenset(),
             prompt=choice_module.Prompt(
-                shared=datetime.timedelta(),
-                own=instance.times.reading(name, request.tokens),
+                prefix=datetime.timedelta(),
+                suffix=instance.times.reading(name, request.tokens),
                 urgent=index == 0,
                 target=self._route.target,
             ),
@@ -253,8 +253,12 @@
         self, instance: emulated_fleet.Instance, request: _Request
     ) -> bool:
         larger = self._route.models[1]
-        waiting = instance.directory.usual_load(emulated_fleet.SERVICE).waiting
-        forecast = instance.chooser.forecast(self._need(instance, request, 1))
+        waiting = instance.directory.baseline_load(
+            emulated_fleet.SERVICE
+        ).waiting
+        forecast = instance.chooser.forecast(
+            self._criteria(instance, request, 1)
+        )
         return self._models.prefers_larger(
             self._route,
             model_choice.Situation(
--- a/src/nutmeghook/internal/assembly/gauges.py
+++ b/src/nutmeghook/internal/assembly/gauges.py
@@ -6,7 +6,7 @@
 from nutmeghook.internal.ledger import factory as ledger_factory
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import metrics as metrics_module
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 
 # Shown while the revision was never known to be the newest, as after a start
 # during an outage; an alarm on age then fires as it should.
@@ -25,7 +25,7 @@
         config: view_module.ConfigView,
         members: members_module.MemberView,
         ledger: ledger_factory.InstanceLedger,
-        suspects: book_module.SuspectBook,
+        suspects: registry_module.SuspectRegistry,
     ):
         self._suspects = suspects
         self._metrics = metrics
--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -45,8 +45,8 @@
 from nutmeghook.internal.routing import service as routing_service
 from nutmeghook.internal.routing import version_choice
 from nutmeghook.internal.settings import loading
-from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.suspects import rows
 
 # One read of the platform's list serves all parts; these take one this old.
@@ -94,7 +94,7 @@
             clock=clock, capacity_events=settings.count("event_ring_events")
         )
         self.metrics = metrics_module.Metrics()
-        self.suspects = book_module.SuspectBook(clock=clock)
+        self.suspects = registry_module.SuspectRegistry(clock=clock)
         self._clients = platform_clients.open_clients(settings)
         self._instances = shared_instances.SharedInstanceList(
             instance_list=self._clients.instance_list, clock=clock
@@ -341,7 +341,7 @@
 
     def _suspect_gossip(self) -> suspect_gossip.SuspectGossip:
         return suspect_gossip.SuspectGossip(
-            book=self.suspects,
+            registry=self.suspects,
             messages=peer_messages.PeerMessages(
                 caller=self._inner.caller, handlers=self._inner.handlers
             ),
@@ -366,7 +366,7 @@
 
     def _quarantine_rows(self) -> rows.QuarantineRows:
         return rows.QuarantineRows(
-            book=self.suspects,
+            registry=self.suspects,
             table=self._ledger.table,
             clock=self._clock,
             random_source=self._random,
--- a/src/nutmeghook/internal/assembly/relay_path.py
+++ b/src/nutmeghook/internal/assembly/relay_path.py
@@ -25,7 +25,7 @@
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import send_gate
 from nutmeghook.internal.routes import in_force as in_force_module
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.upstream import pool as pool_module
 from nutmeghook.internal.upstream import sender as sender_module
 from nutmeghook.internal.version_plans import view
@@ -45,7 +45,7 @@
     gate: send_gate.SendGate
     versions: view.VersionView
     budgets: window_budget.WindowRetryBudgets
-    suspects: book_module.SuspectBook
+    suspects: registry_module.SuspectRegistry
     pool: pool_module.ConnectionPool
     data_centre: str
     region_of: Callable[[str], str | None]
@@ -72,7 +72,7 @@
     )
     routes = followed_routes.FollowedRoutes(configuration=around.configuration)
     crashes = crash_watch.CrashWatch(
-        book=around.suspects, pool=around.pool, metrics=around.metrics
+        registry=around.suspects, pool=around.pool, metrics=around.metrics
     )
     leave = leave_module.AttemptLeave(
         routes=routes,
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -25,7 +25,7 @@
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.routes import in_force as in_force_module
 from nutmeghook.internal.routes import model
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.suspects import rows
 from nutmeghook.internal.upstream import pool as pool_module
 from nutmeghook.internal.version_plans import driver
@@ -134,7 +134,7 @@
             burst=_RETRY_BURST,
             clock=clock,
         )
-        self.suspects = book_module.SuspectBook(clock=clock)
+        self.suspects = registry_module.SuspectRegistry(clock=clock)
         self.metrics = metrics_module.Metrics()
         self.metrics_address = ""
         self.leaving = False
@@ -310,7 +310,7 @@
 
     def _quarantine_rows(self) -> rows.QuarantineRows:
         return rows.QuarantineRows(
-            book=self.suspects,
+            registry=self.suspects,
             table=store.StoreRows(client=self._store),
             clock=self._clock,
             random_source=self._random,
--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -24,8 +24,8 @@
 from nutmeghook.internal.replicas import cold_senders as cold_senders_module
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import load_gossip
-from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.version_plans import news
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
@@ -79,7 +79,7 @@
         cold_senders: cold_senders_module.ColdSenders,
         rollouts: rollouts_module.RollOuts,
         orders: orders_module.OrderBook,
-        suspects: book_module.SuspectBook,
+        suspects: registry_module.SuspectRegistry,
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
@@ -204,8 +204,9 @@
             backlog_gossip.BacklogGossip(
                 instance_id=self._instance_id,
                 directory=self._directory,
-                audience=lambda: gossip.some_living(
-                    near=backlog_gossip.NEAR_TOLD, far=backlog_gossip.FAR_TOLD
+                sample_peers=lambda: gossip.some_living(
+                    near=backlog_gossip.LOCAL_FANOUT,
+                    far=backlog_gossip.REMOTE_FANOUT,
                 ),
                 **common,
             ),
@@ -217,7 +218,9 @@
                 **common,
             ),
             suspect_gossip.SuspectGossip(
-                book=self._suspects, audience=gossip.some_living, **common
+                registry=self._suspects,
+                sample_peers=gossip.some_living,
+                **common,
             ),
         )
 
--- a/src/nutmeghook/internal/assembly/send_limits.py
+++ b/src/nutmeghook/internal/assembly/send_limits.py
@@ -48,8 +48,8 @@
         self._settings = settings
         self._configuration = configuration
         self._directory = directory
-        self.evacuations = evacuations.EvacuationBook(
-            on_taken_back=self._note_taken_back
+        self.evacuations = evacuations.EvacuationRegistry(
+            on_restored=self._note_restored
         )
         self.cold_senders = cold_senders.ColdSenders(
             instance_id=settings().instance_id, clock=clock
@@ -70,14 +70,14 @@
         self, service: model.Service
     ) -> cold_limits.ColdShare | None:
         settings = self._settings()
-        return cold_limits.share_of(
+        return cold_limits.cold_share(
             per_s=service.cold_per_s,
             overrun=settings.cold_overrun,
             allowance=settings.cold_allowance,
         )
 
-    def _note_taken_back(self, data_centre: str) -> None:
-        self.gate.note_taken_back(
+    def _note_restored(self, data_centre: str) -> None:
+        self.gate.note_restored(
             replica
             for replica in self._directory.all()
             if replica.entry.data_centre == data_centre
--- a/src/nutmeghook/internal/dispatch/dispatcher.py
+++ b/src/nutmeghook/internal/dispatch/dispatcher.py
@@ -35,7 +35,7 @@
 from nutmeghook.internal.routing import backends as backends_module
 from nutmeghook.internal.routing import cascade as cascade_module
 from nutmeghook.internal.routing import versions as versions_module
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 
 _Answer = TypeVar("_Answer")
 _Request = requests.GenerationRequest | requests.PlainRequest
@@ -76,7 +76,7 @@
         plain_admission: admission_module.Admission,
         retry_budgets: admission_module.RetryBudgets,
         ledger: ledger_module.Ledger,
-        suspects: book_module.SuspectBook,
+        suspects: registry_module.SuspectRegistry,
         ratings: ratings_module.RatingQueue,
         events: events_module.EventRing,
         meter: meter_module.Meter,
@@ -109,7 +109,7 @@
             random_source=random_source,
         )
         ends = engine_ends.EngineEnds(
-            book=suspects, connector=engines, clock=clock
+            registry=suspects, connector=engines, clock=clock
         )
         stages = stages_module.StageRunner(
             clock=clock,
--- a/src/nutmeghook/internal/dispatch/engine_ends.py
+++ b/src/nutmeghook/internal/dispatch/engine_ends.py
@@ -14,7 +14,7 @@
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.foundation import identities
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 
 # An engine that lives answers this within a few milliseconds.
 _ASKING_TIMEOUT = datetime.timedelta(milliseconds=350)
@@ -26,22 +26,22 @@
 class EngineEnds:
     """Holds the end of an engine against the generations that it had."""
 
-    __slots__ = ("_book", "_clock", "_connector")
+    __slots__ = ("_clock", "_connector", "_registry")
 
     def __init__(
         self,
         *,
-        book: book_module.SuspectBook,
+        registry: registry_module.SuspectRegistry,
         connector: engine_module.EngineConnector,
         clock: clock_module.Clock,
     ):
-        self._book = book
+        self._registry = registry
         self._connector = connector
         self._clock = clock
 
     def is_suspect(self, request: requests.GenerationRequest) -> bool:
         """Tells whether an engine has ended under a request."""
-        return not self._book.is_empty and self._book.is_suspect(
+        return not self._registry.is_empty and self._registry.is_suspect(
             _identity(request)
         )
 
@@ -50,7 +50,7 @@
 
         Its identity takes its whole prompt, and there is seldom a suspect.
         """
-        return not self._book.is_empty and self._book.is_quarantined(
+        return not self._registry.is_empty and self._registry.is_quarantined(
             _identity(request)
         )
 
@@ -71,7 +71,7 @@
         if not self.is_quarantined(request):
             return
         identity = _identity(request)
-        if not progress.attempts and self._book.is_trial_due(identity):
+        if not progress.attempts and self._registry.is_probe_due(identity):
             return
         detail = "backend servers end under this request"
         if progress.possibly_run:
@@ -81,17 +81,17 @@
         raise errors.CodedError(
             code=codes.Code.QUARANTINED,
             detail=detail,
-            retry_after=self._book.refused_for(identity),
+            retry_after=self._registry.refused_for(identity),
         )
 
     def note_sent(self, request: requests.GenerationRequest) -> None:
         """Takes in that a request is sent: on trial, if it is quarantined."""
         if self.is_quarantined(request):
-            self._book.try_trial(_identity(request))
+            self._registry.try_probe(_identity(request))
 
     def note_answered(self, request: requests.GenerationRequest) -> None:
         """Takes in that an engine ran a request to its end."""
-        self._book.note_answered(_identity(request))
+        self._registry.note_answered(_identity(request))
 
     async def note_failed(
         self,
@@ -107,7 +107,7 @@
             return
         address = attempt.backend.address
         if not attempt.backend.leaving and await self._has_ended(address):
-            self._book.note_end(
+            self._registry.note_crash(
                 _identity(request),
                 replica_hash=self._end_hash(address),
                 begun=attempt.next_token > 0,
--- a/src/nutmeghook/internal/relay/attempts.py
+++ b/src/nutmeghook/internal/relay/attempts.py
@@ -142,18 +142,18 @@
             headers=self._wire_format.attempt_headers(incoming.facts, attempt),
             body=incoming.body,
             repeatable=job.route.repeatable,
-            reading=_reading(job, chosen.forecast),
-            place=self._gate.take(chosen.replica),
+            prefill=_prefill(job, chosen.forecast),
+            send_slot=self._gate.reserve(chosen.replica),
         )
 
 
-def _reading(
+def _prefill(
     job: job_module.Job, forecast: choice_module.Forecast | None
-) -> backlog.Reading | None:
+) -> backlog.Prefill | None:
     if forecast is None:
         return None
-    return backlog.Reading(
-        time=forecast.reading, urgent=attempt_facts.is_urgent(job)
+    return backlog.Prefill(
+        time=forecast.prefill, urgent=attempt_facts.is_urgent(job)
     )
 
 
@@ -163,6 +163,6 @@
         return {}
     return {
         "waiting_ms": round(forecast.waiting / _MILLISECOND),
-        "reading_ms": round(forecast.reading / _MILLISECOND),
-        "kept": forecast.kept,
+        "reading_ms": round(forecast.prefill / _MILLISECOND),
+        "kept": forecast.cached,
     }
--- a/src/nutmeghook/internal/relay/crash_watch.py
+++ b/src/nutmeghook/internal/relay/crash_watch.py
@@ -9,7 +9,7 @@
 from nutmeghook.internal.relay import prepared as prepared_module
 from nutmeghook.internal.replicas import replica as replica_module
 from nutmeghook.internal.routes import model
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.upstream import outcomes
 from nutmeghook.internal.upstream import pool as pool_module
 
@@ -23,40 +23,40 @@
     replica is asked, once for all requests that lost it.
     """
 
-    __slots__ = ("_asking", "_book", "_metrics", "_pool")
+    __slots__ = ("_asking", "_metrics", "_pool", "_registry")
 
     def __init__(
         self,
         *,
-        book: book_module.SuspectBook,
+        registry: registry_module.SuspectRegistry,
         pool: pool_module.ConnectionPool,
         metrics: metrics_module.Metrics,
     ):
-        self._book = book
+        self._registry = registry
         self._pool = pool
         self._metrics = metrics
         self._asking: dict[str, asyncio.Task[pool_module.Reachability]] = {}
 
     def is_quarantined(self, job: job_module.Job) -> bool:
         """Tells whether a request is to be sent to no replica."""
-        return self._book.is_quarantined(job.identity)
+        return self._registry.is_quarantined(job.identity)
 
-    def is_trial_due(self, job: job_module.Job) -> bool:
+    def is_probe_due(self, job: job_module.Job) -> bool:
         """Tells whether a quarantined request may be sent to one replica."""
-        return not job.tries and self._book.is_trial_due(job.identity)
+        return not job.tries and self._registry.is_probe_due(job.identity)
 
     def note_sent(self, job: job_module.Job) -> None:
         """Takes in that a request is sent: on trial, if it is quarantined."""
         if self.is_quarantined(job):
-            self._book.try_trial(job.identity)
+            self._registry.try_probe(job.identity)
 
     def refused_for(self, job: job_module.Job) -> datetime.timedelta:
         """Returns for how long a quarantined request is sent to no replica."""
-        return self._book.refused_for(job.identity)
+        return self._registry.refused_for(job.identity)
 
     def note_stream_ended(self, job: job_module.Job) -> None:
         """Takes in that a replica has run a stream to its end."""
-        self._book.note_answered(job.identity)
+        self._registry.note_answered(job.identity)
 
     def note_answer(
         self, job: job_module.Job, answer: job_module.WholeAnswer
@@ -67,7 +67,7 @@
         before it runs it.
         """
         if answer.succeeded:
-            self._book.note_answered(job.identity)
+            self._registry.note_answered(job.identity)
 
     async def note_lost(
         self,
@@ -92,7 +92,7 @@
                 self._conclude(job, attempt, prepared.replica, met, begun=begun)
 
         asking.add_done_callback(conclude)
-        if self._book.is_suspect(job.identity):
+        if self._registry.is_suspect(job.identity):
             await asyncio.wait({asking})
 
     def _ask(
@@ -133,7 +133,7 @@
         )
         has_ended = met is pool_module.Reachability.REFUSES
         if has_ended and not replica.entry.leaving:
-            self._book.note_end(
+            self._registry.note_crash(
                 job.identity, replica_hash=replica.short_id, begun=begun
             )
 
--- a/src/nutmeghook/internal/relay/followed_routes.py
+++ b/src/nutmeghook/internal/relay/followed_routes.py
@@ -57,7 +57,7 @@
         if route is None:
             raise self._denial(wire.FixedResponse.NO_ROUTE)
         api_key = job.incoming.facts.api_key
-        if not self._configuration.current.lets_in(route, api_key):
+        if not self._configuration.current.admits_key(route, api_key):
             raise self._denial(wire.FixedResponse.BAD_KEY)
         return route
 
--- a/src/nutmeghook/internal/relay/leave.py
+++ b/src/nutmeghook/internal/relay/leave.py
@@ -95,7 +95,7 @@
         """
         if not self._crashes.is_quarantined(job):
             return
-        if self._crashes.is_trial_due(job):
+        if self._crashes.is_probe_due(job):
             return
         reason = "replicas end under this request"
         if job.possibly_run:
--- a/src/nutmeghook/internal/relay/model_advice.py
+++ b/src/nutmeghook/internal/relay/model_advice.py
@@ -148,7 +148,7 @@
         name = job.route.models[larger]
         tokens = job.input_tokens
         usual = self._usual_prompts[job.route.name]
-        waiting = self._directory.usual_load(job.service).waiting
+        waiting = self._directory.baseline_load(job.service).waiting
         return model_choice.Situation(
             confidence=confidence,
             elapsed=self._clock.monotonic() - job.incoming.arrived_at,
@@ -157,7 +157,7 @@
             first_event=self._times.first_event(
                 name,
                 waiting=forecast.waiting,
-                tokens=attempt_facts.unkept_tokens(job, forecast.kept),
+                tokens=attempt_facts.unkept_tokens(job, forecast.cached),
             ),
             generation=self._times.generation(name, job.output_tokens),
             time_left=job.deadline - self._clock.monotonic(),
--- a/src/nutmeghook/internal/relay/observations.py
+++ b/src/nutmeghook/internal/relay/observations.py
@@ -45,7 +45,7 @@
             return
         took = self._clock.monotonic() - prepared.sent_at
         waiting = prepared.forecast.waiting
-        tokens = attempt_facts.unkept_tokens(job, prepared.forecast.kept)
+        tokens = attempt_facts.unkept_tokens(job, prepared.forecast.cached)
         expected = self._times.first_event(
             prepared.model, waiting=waiting, tokens=tokens
         )
@@ -55,7 +55,7 @@
         )
         key = attempt_facts.affinity(job)
         if key is not None:
-            self._chooser.note_read(prepared.forecast, key)
+            self._chooser.note_prefilled(prepared.forecast, key)
 
     def note_answer(
         self,
--- a/src/nutmeghook/internal/relay/path.py
+++ b/src/nutmeghook/internal/relay/path.py
@@ -117,7 +117,7 @@
         if route is None:
             raise self._denial(wire.FixedResponse.NO_ROUTE, "no route matches")
         api_key = incoming.facts.api_key
-        if not configuration.lets_in(route, api_key):
+        if not configuration.admits_key(route, api_key):
             raise self._denial(wire.FixedResponse.BAD_KEY, "the key is unknown")
         team = _team(configuration, route, api_key)
         limit = route.time_limit
--- a/src/nutmeghook/internal/relay/replica_search.py
+++ b/src/nutmeghook/internal/relay/replica_search.py
@@ -53,13 +53,13 @@
         tried = frozenset(job.tried)
         chosen = self._best(job, service, tried=tried)
         if chosen is None and tried:
-            need = self._need(
+            criteria = self._criteria(
                 job,
                 service,
                 accepts=self._versions.in_full_use(service),
                 tried=tried,
             )
-            chosen = self._chooser.choose(need)
+            chosen = self._chooser.choose(criteria)
         return chosen
 
     def way_back(
@@ -77,14 +77,14 @@
                 accepts(entry) or in_full_use(entry)
             )
 
-        need = self._need(
+        criteria = self._criteria(
             job,
             to.service,
             accepts=is_allowed,
             tried=frozenset(),
             model_index=to.model_index,
         )
-        return self._chooser.choose(need)
+        return self._chooser.choose(criteria)
 
     def for_model(
         self, job: job_module.Job, service: str, model_index: int
@@ -115,16 +115,16 @@
         tried: frozenset[str],
         model_index: int | None = None,
     ) -> choice_module.Choice | None:
-        need = self._need(
+        criteria = self._criteria(
             job,
             service,
             accepts=self._accepts(job, service),
             tried=tried,
             model_index=model_index,
         )
-        return self._chooser.choose(need)
+        return self._chooser.choose(criteria)
 
-    def _need(
+    def _criteria(
         self,
         job: job_module.Job,
         service: str,
@@ -132,8 +132,8 @@
         accepts: Callable[[entries.ReplicaEntry], bool],
         tried: frozenset[str],
         model_index: int | None = None,
-    ) -> choice_module.Need:
-        return choice_module.Need(
+    ) -> choice_module.ReplicaCriteria:
+        return choice_module.ReplicaCriteria(
             service=service,
             accepts=self._homes.restrict(job, accepts),
             key=attempt_facts.affinity(job, model_index) or job.log_id,
@@ -152,8 +152,8 @@
         shared_tokens = attempt_facts.shared_tokens(job)
         own_tokens = job.input_tokens - shared_tokens
         return choice_module.Prompt(
-            shared=self._times.reading(model_name, shared_tokens),
-            own=self._times.reading(model_name, own_tokens),
+            prefix=self._times.reading(model_name, shared_tokens),
+            suffix=self._times.reading(model_name, own_tokens),
             urgent=attempt_facts.is_urgent(job, model_index),
             target=job.route.target,
         )
@@ -162,11 +162,11 @@
         self, job: job_module.Job, model_index: int
     ) -> choice_module.Forecast | None:
         """Returns when another model's answer would begin, sent now."""
-        need = self._need(
+        criteria = self._criteria(
             job,
             job.service,
             accepts=self._accepts(job, job.service),
             tried=frozenset(),
             model_index=model_index,
         )
-        return self._chooser.forecast(need) if need.prompt else None
+        return self._chooser.forecast(criteria) if criteria.prompt else None
--- a/src/nutmeghook/internal/replicas/address_holders.py
+++ b/src/nutmeghook/internal/replicas/address_holders.py
@@ -24,7 +24,7 @@
             and 0 < entry.row_version < holder.row_version
         )
 
-    def take(self, entry: entries.ReplicaEntry) -> str | None:
+    def add(self, entry: entries.ReplicaEntry) -> str | None:
         """Takes in an entry that has no successor.
 
         Returns:
--- a/src/nutmeghook/internal/replicas/backlog.py
+++ b/src/nutmeghook/internal/replicas/backlog.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Reading:
+class Prefill:
     """One prompt's reading.
 
     Attributes:
@@ -36,32 +36,32 @@
     """
 
     urgent: datetime.timedelta = _ZERO
-    later: datetime.timedelta = _ZERO
+    normal: datetime.timedelta = _ZERO
 
     def __bool__(self) -> bool:
-        return self.urgent > _ZERO or self.later > _ZERO
+        return self.urgent > _ZERO or self.normal > _ZERO
 
     def __add__(self, other: "Backlog") -> "Backlog":
         return Backlog(
-            urgent=self.urgent + other.urgent, later=self.later + other.later
+            urgent=self.urgent + other.urgent, normal=self.normal + other.normal
         )
 
     def __sub__(self, other: "Backlog") -> "Backlog":
         return Backlog(
             urgent=max(_ZERO, self.urgent - other.urgent),
-            later=max(_ZERO, self.later - other.later),
+            normal=max(_ZERO, self.normal - other.normal),
         )
 
-    def with_reading(self, reading: Reading) -> "Backlog":
+    def with_prefill(self, prefill: Prefill) -> "Backlog":
         """Returns the backlog with one more prompt."""
-        return self + _of(reading)
+        return self + _of(prefill)
 
-    def without(self, reading: Reading) -> "Backlog":
+    def without_prefill(self, prefill: Prefill) -> "Backlog":
         """Returns the backlog with one prompt less."""
-        return self - _of(reading)
+        return self - _of(prefill)
 
 
-def _of(reading: Reading) -> Backlog:
-    if reading.urgent:
-        return Backlog(urgent=reading.time)
-    return Backlog(later=reading.time)
+def _of(prefill: Prefill) -> Backlog:
+    if prefill.urgent:
+        return Backlog(urgent=prefill.time)
+    return Backlog(normal=prefill.time)
--- a/src/nutmeghook/internal/replicas/backlog_gossip.py
+++ b/src/nutmeghook/internal/replicas/backlog_gossip.py
@@ -18,11 +18,11 @@
 
 # Prompts take some 0.1 to 2 s to read. Nothing is sent while there is nothing
 # to tell.
-TELL_EVERY = datetime.timedelta(milliseconds=200)
+GOSSIP_PERIOD = datetime.timedelta(milliseconds=200)
 # Near instances use the same replicas most, since distance counts as time.
-NEAR_TOLD = 7
-FAR_TOLD = 1.0
-MOST_REPLICAS = 16
+LOCAL_FANOUT = 7
+REMOTE_FANOUT = 1.0
+MAX_REPLICAS = 16
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
@@ -34,10 +34,10 @@
     """
 
     __slots__ = (
-        "_audience",
         "_directory",
+        "_had_backlog",
         "_instance_id",
-        "_told_any",
+        "_sample_peers",
     )
 
     def __init__(
@@ -45,18 +45,18 @@
         *,
         instance_id: str,
         directory: directory_module.ReplicaDirectory,
-        audience: Callable[[], list[str]],
-        **telling_parts,
+        sample_peers: Callable[[], list[str]],
+        **sender_arguments,
     ):
         super().__init__(
-            period=TELL_EVERY,
+            period=GOSSIP_PERIOD,
             message_type=ttypes.ReplicaBacklogs,
-            **telling_parts,
+            **sender_arguments,
         )
         self._instance_id = instance_id
         self._directory = directory
-        self._audience = audience
-        self._told_any = False
+        self._sample_peers = sample_peers
+        self._had_backlog = False
 
     def tell(self) -> None:
         """Tells peers what this instance has under way, if anything.
@@ -64,31 +64,31 @@
         Once nothing is, they are told once more; whoever misses that counts
         the last message until it is too old.
         """
-        loaded = self._directory.with_own_backlog(MOST_REPLICAS)
-        if not loaded and not self._told_any:
+        loaded = self._directory.with_own_backlog(MAX_REPLICAS)
+        if not loaded and not self._had_backlog:
             return
-        self._told_any = bool(loaded)
+        self._had_backlog = bool(loaded)
         message = ttypes.ReplicaBacklogs(
             sender_id=self._instance_id,
             replica_hashes=[r.short_id for r in loaded],
             urgent_ms=[_milliseconds(r.own_backlog.urgent) for r in loaded],
-            later_ms=[_milliseconds(r.own_backlog.later) for r in loaded],
+            later_ms=[_milliseconds(r.own_backlog.normal) for r in loaded],
         )
-        self._messages.send(self._audience(), message)
+        self._messages.send(self._sample_peers(), message)
 
     def _receive(self, message: ttypes.ReplicaBacklogs) -> None:
-        heard = {}
+        backlogs = {}
         for short_id, urgent_ms, later_ms in zip(
             message.replica_hashes,
             message.urgent_ms,
             message.later_ms,
             strict=False,
         ):
-            heard[short_id] = backlog_module.Backlog(
+            backlogs[short_id] = backlog_module.Backlog(
                 urgent=max(0, urgent_ms) * _MILLISECOND,
-                later=max(0, later_ms) * _MILLISECOND,
+                normal=max(0, later_ms) * _MILLISECOND,
             )
-        self._directory.peer_backlogs.note(message.sender_id, heard)
+        self._directory.peer_backlogs.update(message.sender_id, backlogs)
 
 
 def _milliseconds(duration: datetime.timedelta) -> int:
--- a/src/nutmeghook/internal/replicas/kept_parts.py
+++ b/src/nutmeghook/internal/replicas/cached_prefixes.py
@@ -4,10 +4,10 @@
 
 # Parts remembered. A replica keeps some hundred long ones; a large fleet's
 # instance sends 20 requests a second, so these are minutes.
-MOST_PARTS = 4000
+MAX_PREFIXES = 4000
 
 
-class KeptParts:
+class CachedPrefixes:
     """The last replicas that read a key's shared parts."""
 
     __slots__ = ("_known",)
@@ -21,7 +21,7 @@
         """Takes in that a replica has read a key's shared parts."""
         self._known[short_id, key] = None
         self._known.move_to_end((short_id, key))
-        if len(self._known) > MOST_PARTS:
+        if len(self._known) > MAX_PREFIXES:
             self._known.popitem(last=False)
 
     def holds(self, short_id: int, key: str) -> bool:
--- a/src/nutmeghook/internal/replicas/choice.py
+++ b/src/nutmeghook/internal/replicas/choice.py
@@ -9,23 +9,23 @@
 import xxhash
 
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.replicas import cached_prefixes
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import entries
-from nutmeghook.internal.replicas import kept_parts
 from nutmeghook.internal.replicas import replica as replica_module
 from nutmeghook.internal.replicas import send_gate
 
 # Time constant with which a replica's own report gives way to the usual load of
 # its service. Dropped at once, it would leave this instance's own attempts
 # only, a small part of what runs there.
-REPORT_LIFE = datetime.timedelta(milliseconds=500)
+REPORT_TIME_CONSTANT = datetime.timedelta(milliseconds=500)
 # Running requests that one waiting request counts as.
 WAITING_WEIGHT = 5.0
 # Replicas that are compared for a request without a prompt, in the own data
 # centre and in the others. Comparing few spreads instances that know the same
 # reports, which are half a second old.
-NEAR_COMPARED = 2
-FAR_COMPARED = 1
+LOCAL_COMPARED = 2
+REMOTE_COMPARED = 1
 # Load per slot that is added for a replica in another data centre.
 REMOTE_LOAD = 0.6
 # Load per slot that a failure rate of 1 stands for.
@@ -34,21 +34,21 @@
 # Replicas that are compared for a prompt: the first for its key of all, and of
 # the own data centre. All instances agree on the first of all, so each shared
 # part is read there once.
-HOMES_COMPARED = 3
-NEAR_HOMES_COMPARED = 1
+OWNERS_COMPARED = 3
+LOCAL_OWNERS_COMPARED = 1
 # Probability that the first replica for a key keeps its shared parts.
-HOME_KEPT = 0.5
+OWNER_CACHE_PROBABILITY = 0.5
 # Part of the reading of large models that a small one's prompt waits for,
 # although it goes first: engines read in chunks, those of all in turn.
-SHARE_OF_LATER = 0.5
+NORMAL_WAIT_SHARE = 0.5
 # Part of a prompt's reading time that counts for each request that runs at its
 # replica, which generates nothing meanwhile.
-OTHERS_SHARE = 0.3
+BLOCKING_SHARE = 0.3
 # By how much sooner a replica of another data centre has to answer: the price
 # of the bytes between data centres, which no message tells.
 REMOTE_DELAY = datetime.timedelta(milliseconds=100)
 
-_Test = Callable[[replica_module.Replica], bool]
+_Predicate = Callable[[replica_module.Replica], bool]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -62,8 +62,8 @@
         target: An answer within this time has its full worth.
     """
 
-    shared: datetime.timedelta
-    own: datetime.timedelta
+    prefix: datetime.timedelta
+    suffix: datetime.timedelta
     urgent: bool
     target: datetime.timedelta
 
@@ -80,8 +80,8 @@
 
     replica: replica_module.Replica
     waiting: datetime.timedelta
-    reading: datetime.timedelta
-    kept: float
+    prefill: datetime.timedelta
+    cached: float
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -96,7 +96,7 @@
     forecast: Forecast | None = None
 
 
-class Need:
+class ReplicaCriteria:
     """What a request asks of a replica.
 
     Attributes:
@@ -138,11 +138,11 @@
     """Chooses by load, distance, shared prompt parts and own evidence."""
 
     __slots__ = (
+        "_cached_prefixes",
         "_clock",
         "_data_centre",
         "_directory",
         "_gate",
-        "_kept_parts",
     )
 
     def __init__(
@@ -157,136 +157,151 @@
         self._gate = gate
         self._data_centre = data_centre
         self._clock = clock
-        self._kept_parts = kept_parts.KeptParts()
+        self._cached_prefixes = cached_prefixes.CachedPrefixes()
 
-    def choose(self, need: Need) -> Choice | None:
+    def choose(self, criteria: ReplicaCriteria) -> Choice | None:
         """Returns the best replica, or None if none may run the request.
 
         Replicas that are left alone for their failures are used if there is
         no other: a service that fails as a whole is better tried than given
         up.
         """
-        if need.prompt is not None:
-            forecast = self.forecast(need)
+        if criteria.prompt is not None:
+            forecast = self.forecast(criteria)
             if forecast is None:
                 return None
             return Choice(replica=forecast.replica, forecast=forecast)
         now = self._clock.monotonic()
         replica = min(
-            self._candidates(need, self._compared),
+            self._candidates(criteria, self._affinity_candidates),
             key=lambda candidate: self._score(candidate, now),
             default=None,
         )
         return Choice(replica=replica) if replica else None
 
-    def forecast(self, need: Need) -> Forecast | None:
+    def forecast(self, criteria: ReplicaCriteria) -> Forecast | None:
         """Returns where a prompt's answer begins first, and when.
 
         What is kept counts as much as what waits: a large model reads a long
         shared part for a second, which is as long as a usual queue.
         """
-        candidates = self._candidates(need, self._homes)
+        candidates = self._candidates(criteria, self._prefix_owners)
         if not candidates:
             return None
-        home = self._home(need)
+        owner = self._first_owner(criteria)
         forecasts = [
-            self._forecast_at(need, replica, is_home=replica is home)
+            self._forecast_at(criteria, replica, is_owner=replica is owner)
             for replica in candidates
         ]
-        return min(forecasts, key=lambda found: self._delay(need, found))
+        return min(forecasts, key=lambda found: self._cost(criteria, found))
 
-    def note_read(self, forecast: Forecast, key: str) -> None:
+    def note_prefilled(self, forecast: Forecast, key: str) -> None:
         """Takes in that a replica has read a key's shared parts."""
-        self._kept_parts.note(forecast.replica.short_id, key)
+        self._cached_prefixes.note(forecast.replica.short_id, key)
 
     def _candidates(
         self,
-        need: Need,
-        compared: Callable[[Need, _Test], list[replica_module.Replica]],
+        criteria: ReplicaCriteria,
+        select: Callable[
+            [ReplicaCriteria, _Predicate], list[replica_module.Replica]
+        ],
     ) -> list[replica_module.Replica]:
         """Returns the replicas to choose from, sound ones if there are any."""
         now = self._clock.monotonic()
 
         def may_take(replica: replica_module.Replica) -> bool:
-            return need.allows(replica) and self._gate.is_open(replica)
+            return criteria.allows(replica) and self._gate.is_open(replica)
 
         def is_sound(replica: replica_module.Replica) -> bool:
             return may_take(replica) and not replica.health.is_ejected(now)
 
         return (
-            compared(need, is_sound)
-            or compared(need, may_take)
-            or list(filter(may_take, self._directory.of_service(need.service)))
+            select(criteria, is_sound)
+            or select(criteria, may_take)
+            or list(
+                filter(may_take, self._directory.of_service(criteria.service))
+            )
         )
 
-    def _home(self, need: Need) -> replica_module.Replica | None:
+    def _first_owner(
+        self, criteria: ReplicaCriteria
+    ) -> replica_module.Replica | None:
         """Returns the replica that has a key's shared parts, if any has.
 
         Replicas of versions that may not run the request keep none of its
         parts, and are passed over.
         """
-        everywhere = self._directory.in_order_everywhere(need.service, need.key)
+        owners = self._directory.global_affinity_order(
+            criteria.service, criteria.key
+        )
         return next(
             (
                 replica
-                for replica in everywhere
-                if need.accepts(replica.entry) and self._gate.is_open(replica)
+                for replica in owners
+                if criteria.accepts(replica.entry)
+                and self._gate.is_open(replica)
             ),
             None,
         )
 
-    def _homes(
-        self, need: Need, accepts: _Test
+    def _prefix_owners(
+        self, criteria: ReplicaCriteria, accepts: _Predicate
     ) -> list[replica_module.Replica]:
         """Returns the few replicas where a prompt's parts may be kept."""
-        everywhere = self._directory.in_order_everywhere(need.service, need.key)
-        near = self._directory.in_order(
-            need.service, self._data_centre, need.key
+        owners = self._directory.global_affinity_order(
+            criteria.service, criteria.key
         )
-        found = list(
-            itertools.islice(filter(accepts, everywhere), HOMES_COMPARED)
+        local = self._directory.affinity_order(
+            criteria.service, self._data_centre, criteria.key
         )
+        found = list(itertools.islice(filter(accepts, owners), OWNERS_COMPARED))
         for replica in itertools.islice(
-            filter(accepts, near), NEAR_HOMES_COMPARED
+            filter(accepts, local), LOCAL_OWNERS_COMPARED
         ):
             if replica not in found:
                 found.append(replica)
         return found
 
     def _forecast_at(
-        self, need: Need, replica: replica_module.Replica, *, is_home: bool
+        self,
+        criteria: ReplicaCriteria,
+        replica: replica_module.Replica,
+        *,
+        is_owner: bool,
     ) -> Forecast:
-        prompt = need.prompt
-        kept = HOME_KEPT if is_home else 0.0
-        if self._kept_parts.holds(replica.short_id, need.key):
-            kept = 1.0
+        prompt = criteria.prompt
+        cached = OWNER_CACHE_PROBABILITY if is_owner else 0.0
+        if self._cached_prefixes.holds(replica.short_id, criteria.key):
+            cached = 1.0
         backlog = self._directory.backlog(replica)
-        share = SHARE_OF_LATER if prompt.urgent else 1.0
+        share = NORMAL_WAIT_SHARE if prompt.urgent else 1.0
         return Forecast(
             replica=replica,
-            waiting=backlog.urgent + share * backlog.later,
-            reading=prompt.own + (1.0 - kept) * prompt.shared,
-            kept=kept,
+            waiting=backlog.urgent + share * backlog.normal,
+            prefill=prompt.suffix + (1.0 - cached) * prompt.prefix,
+            cached=cached,
         )
 
-    def _delay(self, need: Need, forecast: Forecast) -> datetime.timedelta:
+    def _cost(
+        self, criteria: ReplicaCriteria, forecast: Forecast
+    ) -> datetime.timedelta:
         """Returns the time to a first event, and what speaks against it."""
         now = self._clock.monotonic()
         replica = forecast.replica
-        delay = forecast.waiting + forecast.reading
-        delay += self._held_up(forecast, now)
-        delay += need.prompt.target * replica.health.failure_rate(now)
+        delay = forecast.waiting + forecast.prefill
+        delay += self._blocking_cost(forecast, now)
+        delay += criteria.prompt.target * replica.health.failure_rate(now)
         if replica.entry.data_centre != self._data_centre:
             delay += REMOTE_DELAY
         return delay
 
-    def _held_up(
+    def _blocking_cost(
         self, forecast: Forecast, now: datetime.timedelta
     ) -> datetime.timedelta:
         """Returns what a prompt's reading costs the requests that run there."""
         replica = forecast.replica
         running = self.load_per_slot(replica, now) * replica.entry.slots
-        return OTHERS_SHARE * running * forecast.reading
+        return BLOCKING_SHARE * running * forecast.prefill
 
     def load_per_slot(
         self, replica: replica_module.Replica, now: datetime.timedelta
@@ -295,36 +310,42 @@
         estimate = float(replica.in_flight)
         report = replica.report
         if report is not None:
-            weight = math.exp((report.at - now) / REPORT_LIFE)
-            usual = self._directory.usual_load(replica.entry.service)
-            expected = weight * _work(report) + (1 - weight) * _work(usual)
+            weight = math.exp((report.at - now) / REPORT_TIME_CONSTANT)
+            baseline = self._directory.baseline_load(replica.entry.service)
+            expected = weight * _weighted_load(report) + (
+                1 - weight
+            ) * _weighted_load(baseline)
             since = replica.in_flight - replica.in_flight_at_report
             estimate = max(estimate, expected + since)
         return estimate / replica.entry.slots
 
-    def _compared(
-        self, need: Need, accepts: _Test
+    def _affinity_candidates(
+        self, criteria: ReplicaCriteria, accepts: _Predicate
     ) -> list[replica_module.Replica]:
         """Returns the few replicas that a request's key belongs to."""
-        near = self._directory.in_order(
-            need.service, self._data_centre, need.key
+        local = self._directory.affinity_order(
+            criteria.service, self._data_centre, criteria.key
         )
-        found = list(itertools.islice(filter(accepts, near), NEAR_COMPARED))
-        for data_centre in self._others(need):
-            if len(found) >= NEAR_COMPARED + FAR_COMPARED:
+        found = list(itertools.islice(filter(accepts, local), LOCAL_COMPARED))
+        for data_centre in self._remote_data_centres(criteria):
+            if len(found) >= LOCAL_COMPARED + REMOTE_COMPARED:
                 break
-            far = self._directory.in_order(need.service, data_centre, need.key)
-            found.extend(itertools.islice(filter(accepts, far), FAR_COMPARED))
+            remote = self._directory.affinity_order(
+                criteria.service, data_centre, criteria.key
+            )
+            found.extend(
+                itertools.islice(filter(accepts, remote), REMOTE_COMPARED)
+            )
         return found
 
-    def _others(self, need: Need) -> list[str]:
+    def _remote_data_centres(self, criteria: ReplicaCriteria) -> list[str]:
         """Returns the other data centres, in an order that the key decides."""
-        others = sorted(self._directory.data_centres(need.service))
+        others = sorted(self._directory.data_centres(criteria.service))
         if self._data_centre in others:
             others.remove(self._data_centre)
         if not others:
             return others
-        first = xxhash.xxh32_intdigest(need.key.encode()) % len(others)
+        first = xxhash.xxh32_intdigest(criteria.key.encode()) % len(others)
         return others[first:] + others[:first]
 
     def _score(
@@ -337,7 +358,7 @@
         return score
 
 
-def _work(
-    load: replica_module.LoadReport | replica_module.UsualLoad,
+def _weighted_load(
+    load: replica_module.LoadReport | replica_module.BaselineLoad,
 ) -> float:
     return load.running + WAITING_WEIGHT * load.waiting
--- a/src/nutmeghook/internal/replicas/cold_limits.py
+++ b/src/nutmeghook/internal/replicas/cold_limits.py
@@ -21,7 +21,7 @@
     each_per_s: int
 
 
-def share_of(
+def cold_share(
     *, per_s: float, overrun: float, allowance: float
 ) -> ColdShare | None:
     """Returns how a service's cold replicas are shared; None if unlimited.
--- a/src/nutmeghook/internal/replicas/cold_senders.py
+++ b/src/nutmeghook/internal/replicas/cold_senders.py
@@ -20,13 +20,13 @@
 from nutmeghook.internal.foundation import clock as clock_module
 
 # At 420 instances a member is heard of about every 28 s.
-MEMBER_LIFE = datetime.timedelta(seconds=60)
+MEMBER_RETENTION = datetime.timedelta(seconds=60)
 # After its registration an instance sends nothing to cold replicas for so long,
 # since others still take themselves for senders in its place. Of 77 instances
 # each hears of another one about every five seconds.
-SETTLING = datetime.timedelta(seconds=10)
+SETTLING_TIME = datetime.timedelta(seconds=10)
 # Ranks are worked out again this often at most.
-_RANKS_LIFE = datetime.timedelta(seconds=1)
+_RANKING_LIFETIME = datetime.timedelta(seconds=1)
 
 
 class ColdSenders:
@@ -34,7 +34,7 @@
 
     __slots__ = (
         "_clock",
-        "_heard_within",
+        "_contacted_within",
         "_instance_id",
         "_ranked",
         "_ranked_at",
@@ -47,9 +47,9 @@
         self._clock = clock
         self._registered: frozenset[str] = frozenset()
         self._registered_at: datetime.timedelta | None = None
-        self._heard_within: Callable[[datetime.timedelta], Iterable[str]] = (
-            lambda span: ()
-        )
+        self._contacted_within: Callable[
+            [datetime.timedelta], Iterable[str]
+        ] = lambda span: ()
         # By replica id and number of senders.
         self._ranked: dict[tuple[str, int], bool] = {}
         self._ranked_at = datetime.timedelta()
@@ -57,17 +57,17 @@
     def register(
         self,
         others: Iterable[str],
-        heard_within: Callable[[datetime.timedelta], Iterable[str]],
+        contacted_within: Callable[[datetime.timedelta], Iterable[str]],
     ) -> None:
         """Takes in that this instance is registered.
 
         Args:
             others: The instances that were registered before.
-            heard_within: Returns those that were heard of within a time.
+            contacted_within: Returns those that were heard of within a time.
         """
         self._registered = frozenset(others)
         self._registered_at = self._clock.monotonic()
-        self._heard_within = heard_within
+        self._contacted_within = contacted_within
 
     def includes_this(self, replica_id: str, senders: int) -> bool:
         """Tells whether this instance may send to a cold replica.
@@ -79,25 +79,25 @@
         if self._registered_at is None:
             return False
         now = self._clock.monotonic()
-        if now - self._registered_at < SETTLING:
+        if now - self._registered_at < SETTLING_TIME:
             return False
-        if now - self._ranked_at > _RANKS_LIFE:
+        if now - self._ranked_at > _RANKING_LIFETIME:
             self._ranked.clear()
             self._ranked_at = now
         key = (replica_id, senders)
         if key not in self._ranked:
-            first = first_senders(self._members(now), replica_id, senders)
+            first = elect_senders(self._members(now), replica_id, senders)
             self._ranked[key] = self._instance_id in first
         return self._ranked[key]
 
     def _members(self, now: datetime.timedelta) -> set[str]:
-        members = {self._instance_id, *self._heard_within(MEMBER_LIFE)}
-        if now - self._registered_at < MEMBER_LIFE:
+        members = {self._instance_id, *self._contacted_within(MEMBER_RETENTION)}
+        if now - self._registered_at < MEMBER_RETENTION:
             members |= self._registered
         return members
 
 
-def first_senders(
+def elect_senders(
     members: Iterable[str], replica_id: str, senders: int
 ) -> list[str]:
     """Returns the members that come first for a replica."""
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -24,13 +24,13 @@
 
 # Ages are told in whole milliseconds and grow on the way, so a report that
 # comes back from a peer may look this much newer than it is.
-_SAME_REPORT = datetime.timedelta(milliseconds=20)
+_AGE_ERROR = datetime.timedelta(milliseconds=20)
 # Replicas whose last start is remembered after they have gone: more than twice
 # the largest fleet. It takes 100 bytes for each.
-_STARTS_REMEMBERED = 10_000
+_MAX_STARTS = 10_000
 
 
-_NO_LOAD = replica_module.UsualLoad()
+_NO_LOAD = replica_module.BaselineLoad()
 
 
 class ReplicaDirectory(shared_table.DeletionGrace):
@@ -42,20 +42,20 @@
     """
 
     __slots__ = (
+        "_baseline_load",
         "_by_id",
         "_by_service",
         "_by_short_id",
         "_clock",
-        "_everywhere",
+        "_deletions_held_until",
+        "_global_rings",
         "_holders",
         "_last_starts_ms",
-        "_loaded",
-        "_missing_since_return",
         "_on_gone",
+        "_pending_removals",
         "_reported",
         "_rings",
-        "_trusted_from",
-        "_usual_load",
+        "_with_backlog",
         "known",
         "peer_backlogs",
     )
@@ -74,12 +74,12 @@
         # By service and data centre.
         self._rings: dict[str, dict[str, affinity.AffinityRing]] = {}
         # By service.
-        self._everywhere: dict[str, affinity.AffinityRing] = (
+        self._global_rings: dict[str, affinity.AffinityRing] = (
             collections.defaultdict(affinity.AffinityRing)
         )
         self._holders = address_holders.AddressHolders()
         # Replicas that have something to read for this instance, by id.
-        self._loaded: dict[str, replica_module.Replica] = {}
+        self._with_backlog: dict[str, replica_module.Replica] = {}
         # Replicas whose load is known, the last heard of at the end.
         self._reported: collections.OrderedDict[str, replica_module.Replica] = (
             collections.OrderedDict()
@@ -88,9 +88,9 @@
         self._last_starts_ms: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._missing_since_return: set[str] = set()
-        self._trusted_from = datetime.timedelta()
-        self._usual_load: dict[str, replica_module.UsualLoad] = {}
+        self._pending_removals: set[str] = set()
+        self._deletions_held_until = datetime.timedelta()
+        self._baseline_load: dict[str, replica_module.BaselineLoad] = {}
         self.known = False
         self.peer_backlogs = peer_backlogs_module.PeerBacklogs(clock=clock)
 
@@ -107,7 +107,7 @@
         """Returns where a service's replicas run."""
         return list(self._rings.get(service, {}))
 
-    def in_order(
+    def affinity_order(
         self, service: str, data_centre: str, key: str
     ) -> Iterator[replica_module.Replica]:
         """Yields replicas of a data centre, those that a key belongs to first.
@@ -117,15 +117,15 @@
         how many there are. The last ones in the order may be missing.
         """
         ring = self._rings.get(service, {}).get(data_centre)
-        return self._along(ring, service, key)
+        return self._walk(ring, service, key)
 
-    def in_order_everywhere(
+    def global_affinity_order(
         self, service: str, key: str
     ) -> Iterator[replica_module.Replica]:
         """Yields replicas of all data centres, in an order like `in_order`."""
-        return self._along(self._everywhere.get(service), service, key)
+        return self._walk(self._global_rings.get(service), service, key)
 
-    def _along(
+    def _walk(
         self, ring: affinity.AffinityRing | None, service: str, key: str
     ) -> Iterator[replica_module.Replica]:
         self._drop_lapsed()
@@ -148,14 +148,14 @@
         """
         if self._by_id.get(replica.entry.replica_id) is not replica:
             return
-        self._take_load(
+        self._apply_report(
             replica,
             replica_module.LoadReport(
                 running=running, waiting=waiting, at=self._clock.monotonic()
             ),
         )
 
-    def note_load_heard(
+    def note_peer_report(
         self, short_id: int, report: replica_module.LoadReport
     ) -> None:
         """Takes in what a peer heard of a replica's load, if it is news."""
@@ -163,22 +163,22 @@
         if replica is None:
             return
         known = replica.report
-        if known is None or report.at - known.at > _SAME_REPORT:
-            self._take_load(replica, report)
+        if known is None or report.at - known.at > _AGE_ERROR:
+            self._apply_report(replica, report)
 
-    def _take_load(
+    def _apply_report(
         self, replica: replica_module.Replica, report: replica_module.LoadReport
     ) -> None:
         replica.note_load(report)
         self._reported[replica.entry.replica_id] = replica
         self._reported.move_to_end(replica.entry.replica_id)
         service = replica.entry.service
-        usual = self._usual_load.get(service)
-        if usual is None:
-            usual = replica_module.UsualLoad(
+        baseline = self._baseline_load.get(service)
+        if baseline is None:
+            baseline = replica_module.BaselineLoad(
                 running=report.running, waiting=report.waiting
             )
-        self._usual_load[service] = usual.after(report)
+        self._baseline_load[service] = baseline.after(report)
 
     def note_cold(
         self, replica: replica_module.Replica, left: datetime.timedelta
@@ -193,7 +193,7 @@
             )
         replica.note_cold(now + left)
 
-    def last_reported(
+    def recently_reported(
         self, most: int, *, age: datetime.timedelta
     ) -> list[replica_module.Replica]:
         """Returns the replicas whose load was learnt last."""
@@ -201,44 +201,49 @@
         found = itertools.islice(reversed(self._reported.values()), most)
         return [replica for replica in found if replica.report.at >= oldest]
 
-    def begin_reading(
-        self, replica: replica_module.Replica, reading: backlog_module.Reading
+    def begin_prefill(
+        self, replica: replica_module.Replica, prefill: backlog_module.Prefill
     ) -> None:
         """Takes in that an attempt waits for a replica to read its prompt."""
-        replica.own_backlog = replica.own_backlog.with_reading(reading)
-        self._loaded[replica.entry.replica_id] = replica
+        replica.own_backlog = replica.own_backlog.with_prefill(prefill)
+        self._with_backlog[replica.entry.replica_id] = replica
 
-    def end_reading(
-        self, replica: replica_module.Replica, reading: backlog_module.Reading
+    def end_prefill(
+        self, replica: replica_module.Replica, prefill: backlog_module.Prefill
     ) -> None:
         """Takes in its first event, or that it ended without one."""
-        replica.own_backlog = replica.own_backlog.without(reading)
+        replica.own_backlog = replica.own_backlog.without_prefill(prefill)
         replica_id = replica.entry.replica_id
-        if not replica.own_backlog and self._loaded.get(replica_id) is replica:
-            del self._loaded[replica_id]
+        if (
+            not replica.own_backlog
+            and self._with_backlog.get(replica_id) is replica
+        ):
+            del self._with_backlog[replica_id]
 
     def with_own_backlog(self, most: int) -> list[replica_module.Replica]:
         """Returns replicas that have something to read for this instance."""
-        return list(itertools.islice(self._loaded.values(), most))
+        return list(itertools.islice(self._with_backlog.values(), most))
 
     def backlog(
         self, replica: replica_module.Replica
     ) -> backlog_module.Backlog:
         """Returns what a replica has still to read for all instances."""
-        return replica.own_backlog + self.peer_backlogs.at(replica.short_id)
+        return replica.own_backlog + self.peer_backlogs.of_replica(
+            replica.short_id
+        )
 
-    def usual_load(self, service: str) -> replica_module.UsualLoad:
+    def baseline_load(self, service: str) -> replica_module.BaselineLoad:
         """Returns what replicas of a service have reported lately."""
-        return self._usual_load.get(service, _NO_LOAD)
+        return self._baseline_load.get(service, _NO_LOAD)
 
     def left(self) -> datetime.timedelta:
         """Returns for how much longer deletions are held back."""
-        left = self._trusted_from - self._clock.monotonic()
+        left = self._deletions_held_until - self._clock.monotonic()
         return max(left, datetime.timedelta())
 
     def distrust_deletions(self, until: datetime.timedelta) -> None:
         """Holds deletions back until a monotonic time."""
-        self._trusted_from = max(self._trusted_from, until)
+        self._deletions_held_until = max(self._deletions_held_until, until)
 
     def replace(self, listed: Iterable[entries.ReplicaEntry]) -> None:
         """Takes in the whole list."""
@@ -264,7 +269,7 @@
         if self._holders.has_successor(entry):
             self.reject(entry.replica_id)
             return
-        self._missing_since_return.discard(entry.replica_id)
+        self._pending_removals.discard(entry.replica_id)
         known = self._by_id.get(entry.replica_id)
         if known is not None and not known.entry.is_same_start(entry):
             self._forget(entry.replica_id)
@@ -274,7 +279,7 @@
         if entry.leaving and not known.entry.leaving:
             logs.note("replica:leaving", replica=entry.replica_id)
         known.entry = entry
-        replaced = self._holders.take(entry)
+        replaced = self._holders.add(entry)
         if replaced is not None:
             logs.note(
                 "replica:replaced",
@@ -319,7 +324,7 @@
         )
         self._by_short_id[replica.short_id] = replica
         self._ring_of(entry).add(entry.replica_id)
-        self._everywhere[entry.service].add(entry.replica_id)
+        self._global_rings[entry.service].add(entry.replica_id)
         self._remember_start(entry)
         logs.note(
             "replica:listed",
@@ -338,7 +343,7 @@
             return
         self._last_starts_ms[entry.replica_id] = entry.started_ms
         self._last_starts_ms.move_to_end(entry.replica_id)
-        if len(self._last_starts_ms) > _STARTS_REMEMBERED:
+        if len(self._last_starts_ms) > _MAX_STARTS:
             self._last_starts_ms.popitem(last=False)
 
     def remove(self, replica_id: str) -> None:
@@ -349,8 +354,8 @@
         """
         if replica_id not in self._by_id:
             return
-        if self._clock.monotonic() < self._trusted_from:
-            self._missing_since_return.add(replica_id)
+        if self._clock.monotonic() < self._deletions_held_until:
+            self._pending_removals.add(replica_id)
             return
         self._forget(replica_id)
 
@@ -359,11 +364,11 @@
         return rings.setdefault(entry.data_centre, affinity.AffinityRing())
 
     def _drop_lapsed(self) -> None:
-        if not self._missing_since_return:
+        if not self._pending_removals:
             return
-        if self._clock.monotonic() < self._trusted_from:
+        if self._clock.monotonic() < self._deletions_held_until:
             return
-        for replica_id in list(self._missing_since_return):
+        for replica_id in list(self._pending_removals):
             self._forget(replica_id)
 
     def _forget(self, replica_id: str) -> None:
@@ -374,10 +379,10 @@
         if self._by_short_id.get(gone.short_id) is gone:
             del self._by_short_id[gone.short_id]
         self._holders.release(gone.entry)
-        self._missing_since_return.discard(replica_id)
+        self._pending_removals.discard(replica_id)
         self._ring_of(gone.entry).remove(replica_id)
-        self._everywhere[gone.entry.service].remove(replica_id)
-        self._loaded.pop(replica_id, None)
+        self._global_rings[gone.entry.service].remove(replica_id)
+        self._with_backlog.pop(replica_id, None)
         self._reported.pop(replica_id, None)
         self._on_gone(gone.entry.address)
         logs.note("replica:gone", replica=replica_id)
--- a/src/nutmeghook/internal/replicas/evacuations.py
+++ b/src/nutmeghook/internal/replicas/evacuations.py
@@ -6,19 +6,19 @@
 from nutmeghook.internal.observe import logs
 
 
-class EvacuationBook:
+class EvacuationRegistry:
     """The evacuations in force, as far as they were heard of.
 
     Args:
-        on_taken_back: Called with a data centre whose evacuation ended here.
+        on_restored: Called with a data centre whose evacuation ended here.
     """
 
-    __slots__ = ("_evacuated", "_on_taken_back")
+    __slots__ = ("_evacuated", "_on_restored")
 
     def __init__(
-        self, *, on_taken_back: Callable[[str], None] = lambda name: None
+        self, *, on_restored: Callable[[str], None] = lambda name: None
     ):
-        self._on_taken_back = on_taken_back
+        self._on_restored = on_restored
         self._evacuated: set[str] = set()
 
     def evacuate(self, data_centre: str) -> None:
@@ -28,19 +28,19 @@
         self._evacuated.add(data_centre)
         logs.note("data_centre:evacuated", data_centre=data_centre)
 
-    def take_back(self, data_centre: str) -> None:
+    def restore(self, data_centre: str) -> None:
         """Takes in that a data centre is in use again."""
         if data_centre not in self._evacuated:
             return
         self._evacuated.remove(data_centre)
         logs.note("data_centre:taken_back", data_centre=data_centre)
-        self._on_taken_back(data_centre)
+        self._on_restored(data_centre)
 
     def replace(self, evacuated: Iterable[str]) -> None:
         """Takes in all evacuations; those that are not named have ended."""
         named = set(evacuated)
         for data_centre in self._evacuated - named:
-            self.take_back(data_centre)
+            self.restore(data_centre)
         for data_centre in named:
             self.evacuate(data_centre)
 
--- a/src/nutmeghook/internal/replicas/health.py
+++ b/src/nutmeghook/internal/replicas/health.py
@@ -6,12 +6,12 @@
 # What a replica did this long ago counts for a third. A replica that is chosen
 # less for its failures makes fewer attempts to show that it is well again: by
 # attempts alone its record would never fade, and the others are swamped.
-FAILURE_MEMORY = datetime.timedelta(seconds=3)
+FAILURE_TIME_CONSTANT = datetime.timedelta(seconds=3)
 FIRST_EJECTION = datetime.timedelta(seconds=1)
-LONGEST_EJECTION = datetime.timedelta(seconds=8)
+MAX_EJECTION = datetime.timedelta(seconds=8)
 # Failures in a row after which a replica is left alone for a while. One alone
 # is common where a service fails some requests by its nature.
-FAILURES_IN_A_ROW = 3
+CONSECUTIVE_FAILURES = 3
 # Of one attempt in the failure rate.
 _RATE_WEIGHT = 0.12
 
@@ -24,15 +24,15 @@
     """
 
     __slots__ = (
+        "_consecutive_failures",
         "_counted_at",
         "_ejections",
         "_failure_rate",
-        "_in_a_row",
         "ejected_until",
     )
 
     def __init__(self):
-        self._in_a_row = 0
+        self._consecutive_failures = 0
         self._ejections = 0
         self._failure_rate = 0.0
         self._counted_at = datetime.timedelta()
@@ -45,14 +45,14 @@
     def note_success(self, now: datetime.timedelta) -> None:
         """Takes in an answer."""
         self._count(0.0, now)
-        self._in_a_row = 0
+        self._consecutive_failures = 0
         self._ejections = 0
 
     def note_failure(self, now: datetime.timedelta) -> bool:
         """Takes in a failed attempt; returns whether it ejects."""
         self._count(1.0, now)
-        self._in_a_row += 1
-        if self._in_a_row >= FAILURES_IN_A_ROW:
+        self._consecutive_failures += 1
+        if self._consecutive_failures >= CONSECUTIVE_FAILURES:
             self._eject(now)
             return True
         return False
@@ -63,12 +63,12 @@
         It is left alone at once: the next try would cost a caller the whole
         connection timeout.
         """
-        self._in_a_row += 1
+        self._consecutive_failures += 1
         self._eject(now)
 
     def failure_rate(self, now: datetime.timedelta) -> float:
         """Returns the share of recent attempts that failed."""
-        age = (now - self._counted_at) / FAILURE_MEMORY
+        age = (now - self._counted_at) / FAILURE_TIME_CONSTANT
         return self._failure_rate * math.exp(-max(0.0, age))
 
     def _count(self, failed: float, now: datetime.timedelta) -> None:
@@ -77,7 +77,7 @@
         self._counted_at = now
 
     def _eject(self, now: datetime.timedelta) -> None:
-        duration = min(FIRST_EJECTION * 2**self._ejections, LONGEST_EJECTION)
+        duration = min(FIRST_EJECTION * 2**self._ejections, MAX_EJECTION)
         self.ejected_until = now + duration
         self._ejections = min(self._ejections + 1, 8)
-        self._in_a_row = 0
+        self._consecutive_failures = 0
--- a/src/nutmeghook/internal/replicas/load_gossip.py
+++ b/src/nutmeghook/internal/replicas/load_gossip.py
@@ -19,11 +19,11 @@
 
 # A count passes through a data centre in three such steps, within the time in
 # which a replica's queue changes.
-TELL_EVERY = datetime.timedelta(milliseconds=250)
-PEERS_TOLD = 3
-MOST_COUNTS = 16
+GOSSIP_PERIOD = datetime.timedelta(milliseconds=250)
+FANOUT = 3
+MAX_REPORTS = 16
 # Older counts say nothing of a replica's load now.
-OLDEST_TOLD = datetime.timedelta(seconds=2)
+MAX_REPORT_AGE = datetime.timedelta(seconds=2)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
@@ -40,30 +40,34 @@
         *,
         directory: directory_module.ReplicaDirectory,
         near_addresses: Callable[[], list[str]],
-        **telling_parts,
+        **sender_arguments,
     ):
         super().__init__(
-            period=TELL_EVERY,
+            period=GOSSIP_PERIOD,
             message_type=ttypes.ReplicaLoads,
-            **telling_parts,
+            **sender_arguments,
         )
         self._directory = directory
         self._near_addresses = near_addresses
 
     def tell(self) -> None:
         """Tells a few peers the counts that were learnt last."""
-        near = self._near_addresses()
-        told = self._directory.last_reported(MOST_COUNTS, age=OLDEST_TOLD)
-        if not near or not told:
+        local = self._near_addresses()
+        reported = self._directory.recently_reported(
+            MAX_REPORTS, age=MAX_REPORT_AGE
+        )
+        if not local or not reported:
             return
         now = self._clock.monotonic()
         message = ttypes.ReplicaLoads(
-            replica_hashes=[r.short_id for r in told],
-            running=[r.report.running for r in told],
-            waiting=[r.report.waiting for r in told],
-            ages_ms=[round((now - r.report.at) / _MILLISECOND) for r in told],
+            replica_hashes=[r.short_id for r in reported],
+            running=[r.report.running for r in reported],
+            waiting=[r.report.waiting for r in reported],
+            ages_ms=[
+                round((now - r.report.at) / _MILLISECOND) for r in reported
+            ],
         )
-        chosen = self._random.sample(near, min(PEERS_TOLD, len(near)))
+        chosen = self._random.sample(local, min(FANOUT, len(local)))
         self._messages.send(chosen, message)
 
     def _receive(self, message: ttypes.ReplicaLoads) -> None:
@@ -77,7 +81,7 @@
         ):
             if min(running, waiting, age_ms) < 0:
                 continue
-            self._directory.note_load_heard(
+            self._directory.note_peer_report(
                 short_id,
                 replica_module.LoadReport(
                     running=running,
--- a/src/nutmeghook/internal/replicas/peer_backlogs.py
+++ b/src/nutmeghook/internal/replicas/peer_backlogs.py
@@ -10,12 +10,12 @@
 # An instance that has something under way tells it five times a second to
 # eight peers. What it told this long ago has been read since, or the instance
 # has gone.
-BACKLOG_LIFE = datetime.timedelta(seconds=1)
+BACKLOG_MAX_AGE = datetime.timedelta(seconds=1)
 _NONE = backlog_module.Backlog()
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class _Told:
+class _PeerReport:
     at: datetime.timedelta
     by_replica: dict[int, backlog_module.Backlog]
 
@@ -32,12 +32,12 @@
     def __init__(self, *, clock: clock_module.Clock):
         self._clock = clock
         # The last heard of at the end.
-        self._by_peer: collections.OrderedDict[str, _Told] = (
+        self._by_peer: collections.OrderedDict[str, _PeerReport] = (
             collections.OrderedDict()
         )
         self._totals: dict[int, backlog_module.Backlog] = {}
 
-    def note(
+    def update(
         self, peer_id: str, by_replica: dict[int, backlog_module.Backlog]
     ) -> None:
         """Takes in all that a peer has under way; it told no more than this."""
@@ -48,30 +48,30 @@
         }
         if not by_replica:
             return
-        self._by_peer[peer_id] = _Told(
+        self._by_peer[peer_id] = _PeerReport(
             at=self._clock.monotonic(), by_replica=by_replica
         )
         for short_id, backlog in by_replica.items():
             self._totals[short_id] = self._totals.get(short_id, _NONE) + backlog
 
-    def at(self, short_id: int) -> backlog_module.Backlog:
+    def of_replica(self, short_id: int) -> backlog_module.Backlog:
         """Returns the sum for a replica."""
         self._drop_old()
         return self._totals.get(short_id, _NONE)
 
     def _drop_old(self) -> None:
-        oldest = self._clock.monotonic() - BACKLOG_LIFE
+        oldest = self._clock.monotonic() - BACKLOG_MAX_AGE
         while self._by_peer:
-            peer_id, told = next(iter(self._by_peer.items()))
-            if told.at >= oldest:
+            peer_id, report = next(iter(self._by_peer.items()))
+            if report.at >= oldest:
                 return
             self._drop(peer_id)
 
     def _drop(self, peer_id: str) -> None:
-        told = self._by_peer.pop(peer_id, None)
-        if told is None:
+        report = self._by_peer.pop(peer_id, None)
+        if report is None:
             return
-        for short_id, backlog in told.by_replica.items():
+        for short_id, backlog in report.by_replica.items():
             left = self._totals[short_id] - backlog
             if left:
                 self._totals[short_id] = left
--- a/src/nutmeghook/internal/replicas/replica.py
+++ b/src/nutmeghook/internal/replicas/replica.py
@@ -12,7 +12,7 @@
 
 # Of each report in the usual load of its service: some ten reports, a second
 # or two of an instance's traffic.
-_USUAL_WEIGHT = 0.1
+_BASELINE_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -30,19 +30,19 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class UsualLoad:
+class BaselineLoad:
     """What a service's replicas have reported lately, on average."""
 
     running: float = 0.0
     waiting: float = 0.0
 
-    def after(self, report: LoadReport) -> "UsualLoad":
+    def after(self, report: LoadReport) -> "BaselineLoad":
         """Returns the average with one more report."""
-        return UsualLoad(
+        return BaselineLoad(
             running=self.running
-            + _USUAL_WEIGHT * (report.running - self.running),
+            + _BASELINE_WEIGHT * (report.running - self.running),
             waiting=self.waiting
-            + _USUAL_WEIGHT * (report.waiting - self.waiting),
+            + _BASELINE_WEIGHT * (report.waiting - self.waiting),
         )
 
 
--- a/src/nutmeghook/internal/replicas/send_gate.py
+++ b/src/nutmeghook/internal/replicas/send_gate.py
@@ -27,14 +27,16 @@
         """Tells whether one more request may go to a replica."""
 
     @abc.abstractmethod
-    def take(self, replica: replica_module.Replica) -> send_window.Place | None:
+    def reserve(
+        self, replica: replica_module.Replica
+    ) -> send_window.SendSlot | None:
         """Takes a place at a replica; None where places are not counted."""
 
     @abc.abstractmethod
     def may_write(
         self,
         replica: replica_module.Replica,
-        place: send_window.Place | None,
+        slot: send_window.SendSlot | None,
     ) -> bool:
         """Tells whether a request may be written now, and notes that it is."""
 
@@ -48,13 +50,13 @@
         """Lets it through."""
         return True
 
-    def take(self, replica: replica_module.Replica) -> None:
+    def reserve(self, replica: replica_module.Replica) -> None:
         """Counts nothing."""
 
     def may_write(
         self,
         replica: replica_module.Replica,
-        place: send_window.Place | None,
+        slot: send_window.SendSlot | None,
     ) -> bool:
         """Lets it through."""
         return True
@@ -76,7 +78,7 @@
     def __init__(
         self,
         *,
-        evacuations: evacuations_module.EvacuationBook,
+        evacuations: evacuations_module.EvacuationRegistry,
         senders: cold_senders_module.ColdSenders,
         service: Callable[[str], model.Service | None],
         share: Callable[[model.Service], cold_limits.ColdShare | None],
@@ -90,9 +92,11 @@
 
     def is_open(self, replica: replica_module.Replica) -> bool:
         """Tells whether one more request may go to a replica."""
-        return self._lets_in(replica, own_places=0)
+        return self._admits(replica, own_slots=0)
 
-    def take(self, replica: replica_module.Replica) -> send_window.Place | None:
+    def reserve(
+        self, replica: replica_module.Replica
+    ) -> send_window.SendSlot | None:
         """Takes a place at a replica; None where places are not counted.
 
         Warm replicas' places count too: one may turn cold at any moment, and
@@ -100,29 +104,27 @@
         """
         if self._share_at(replica) is None:
             return None
-        return replica.sends.take(self._clock.monotonic())
+        return replica.sends.reserve(self._clock.monotonic())
 
     def may_write(
         self,
         replica: replica_module.Replica,
-        place: send_window.Place | None,
+        slot: send_window.SendSlot | None,
     ) -> bool:
         """Tells whether a request may be written now, and notes that it is."""
-        own_places = 0 if place is None else 1
-        if not self._lets_in(replica, own_places=own_places):
+        own_slots = 0 if slot is None else 1
+        if not self._admits(replica, own_slots=own_slots):
             return False
         now = self._clock.monotonic()
-        if place is None or place.write(now):
+        if slot is None or slot.try_use(now):
             return True
         # A busy process was late for its place, which only a cold one's request
         # depends on.
         if replica.is_cold(now):
             return False
-        return replica.sends.take(now).write(now)
+        return replica.sends.reserve(now).try_use(now)
 
-    def note_taken_back(
-        self, replicas: Iterable[replica_module.Replica]
-    ) -> None:
+    def note_restored(self, replicas: Iterable[replica_module.Replica]) -> None:
         """Takes in that replicas are in use again after an evacuation.
 
         They may have turned cold shortly before, and their word of it comes
@@ -134,8 +136,8 @@
             if service is not None:
                 replica.note_cold(now + service.cold_time)
 
-    def _lets_in(
-        self, replica: replica_module.Replica, *, own_places: int
+    def _admits(
+        self, replica: replica_module.Replica, *, own_slots: int
     ) -> bool:
         if self._evacuations.is_evacuated(replica.entry.data_centre):
             return False
@@ -149,7 +151,7 @@
             replica.entry.replica_id, share.senders
         ):
             return False
-        return replica.sends.taken(now) - own_places < share.each_per_s
+        return replica.sends.count(now) - own_slots < share.each_per_s
 
     def _share_at(
         self, replica: replica_module.Replica
--- a/src/nutmeghook/internal/replicas/send_window.py
+++ b/src/nutmeghook/internal/replicas/send_window.py
@@ -11,10 +11,10 @@
 # The second of the bound, and what the way to the replica may vary by.
 _WINDOW = datetime.timedelta(milliseconds=1100)
 # Longer than a connection takes at most.
-_PLACE_LIFE = datetime.timedelta(seconds=1)
+_SLOT_LIFETIME = datetime.timedelta(seconds=1)
 
 
-class Place:
+class SendSlot:
     """Leave to write one request.
 
     Attributes:
@@ -26,7 +26,7 @@
     def __init__(self, *, written_by: datetime.timedelta):
         self.written_by = written_by
 
-    def write(self, now: datetime.timedelta) -> bool:
+    def try_use(self, now: datetime.timedelta) -> bool:
         """Takes in that it is written now; False if it is too late for it."""
         if now > self.written_by:
             return False
@@ -37,20 +37,20 @@
 class SendWindow:
     """The places taken at one replica that may fall into one second."""
 
-    __slots__ = ("_places",)
+    __slots__ = ("_slots",)
 
     def __init__(self):
-        self._places: list[Place] = []
+        self._slots: list[SendSlot] = []
 
-    def taken(self, now: datetime.timedelta) -> int:
+    def count(self, now: datetime.timedelta) -> int:
         """Returns how many places count now."""
         oldest = now - _WINDOW
-        self._places = [p for p in self._places if p.written_by > oldest]
-        return len(self._places)
+        self._slots = [p for p in self._slots if p.written_by > oldest]
+        return len(self._slots)
 
-    def take(self, now: datetime.timedelta) -> Place:
+    def reserve(self, now: datetime.timedelta) -> SendSlot:
         """Takes a place."""
-        self.taken(now)
-        place = Place(written_by=now + _PLACE_LIFE)
-        self._places.append(place)
-        return place
+        self.count(now)
+        slot = SendSlot(written_by=now + _SLOT_LIFETIME)
+        self._slots.append(slot)
+        return slot
--- a/src/nutmeghook/internal/routes/model.py
+++ b/src/nutmeghook/internal/routes/model.py
@@ -133,7 +133,7 @@
         for host_routes in self._by_host.values():
             host_routes.sort(key=lambda route: -len(route.prefix))
 
-    def lets_in(self, route: Route, key: str | None) -> bool:
+    def admits_key(self, route: Route, key: str | None) -> bool:
         """Tells whether a key, or none, may use a route."""
         if not route.needs_key or not self.teams_by_key:
             return True
--- a/src/nutmeghook/internal/suspects/gossip.py
+++ b/src/nutmeghook/internal/suspects/gossip.py
@@ -16,20 +16,20 @@
 from nutmeghook.internal.inner import messages as messages_module
 from nutmeghook.internal.inner import telling
 from nutmeghook.internal.inner.generated import ttypes
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 
 # Each instance reminds two others as often as this, so that one that comes back
 # hears some four reminders in a second.
-REPEAT_EVERY = datetime.timedelta(milliseconds=500)
-NEAR_TOLD = 8
-FAR_TOLD = 1.0
-NEAR_REMINDED = 1
-FAR_REMINDED = 1.0
+REMINDER_PERIOD = datetime.timedelta(milliseconds=500)
+LOCAL_FANOUT = 8
+REMOTE_FANOUT = 1.0
+LOCAL_REMINDER_FANOUT = 1
+REMOTE_REMINDER_FANOUT = 1.0
 # One takes 30 to 120 bytes, and a datagram should fit into one packet.
-MOST_TOLD = 9
+MAX_SUSPICIONS_SENT = 9
 # What one replica has ended under is the less worth telling the older it is:
 # its caller has long tried again.
-_SINGLE_TOLD_FOR = datetime.timedelta(seconds=10)
+_SINGLE_CRASH_MAX_AGE = datetime.timedelta(seconds=10)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
@@ -41,20 +41,20 @@
             average so many others.
     """
 
-    __slots__ = ("_audience", "_book", "_clock", "_messages", "_random")
+    __slots__ = ("_clock", "_messages", "_random", "_registry", "_sample_peers")
 
     def __init__(
         self,
         *,
-        book: book_module.SuspectBook,
+        registry: registry_module.SuspectRegistry,
         messages: messages_module.Messages,
-        audience: Callable[..., list[str]],
+        sample_peers: Callable[..., list[str]],
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
-        self._book = book
+        self._registry = registry
         self._messages = messages
-        self._audience = audience
+        self._sample_peers = sample_peers
         self._clock = clock
         self._random = random_source
         messages.register(ttypes.CrashSuspects, self._receive)
@@ -62,71 +62,84 @@
     async def run(self) -> None:
         """Tells news at once and reminds from time to time until cancelled."""
         while True:
-            pause = REPEAT_EVERY * self._random.uniform(0.75, 1.25)
+            pause = REMINDER_PERIOD * self._random.uniform(0.75, 1.25)
             try:
-                await self._clock.wait_for(self._book.news.wait(), pause)
+                await self._clock.wait_for(self._registry.updates.wait(), pause)
             except TimeoutError:
-                self.remind()
+                self.send_reminder()
             else:
-                self.tell_news()
+                self.send_updates()
 
-    def tell_news(self) -> None:
+    def send_updates(self) -> None:
         """Tells many peers what has just been learnt."""
-        while news := self._book.take_news(MOST_TOLD):
-            self._send(news, near=NEAR_TOLD, far=FAR_TOLD)
+        while updates := self._registry.take_updates(MAX_SUSPICIONS_SENT):
+            self._send(updates, near=LOCAL_FANOUT, far=REMOTE_FANOUT)
 
-    def remind(self) -> None:
+    def send_reminder(self) -> None:
         """Tells a peer or two of the gravest suspicions again."""
-        grave = self._book.grave(MOST_TOLD, age=_SINGLE_TOLD_FOR)
-        if grave:
-            self._send(grave, near=NEAR_REMINDED, far=FAR_REMINDED)
+        most_suspect = self._registry.most_suspect(
+            MAX_SUSPICIONS_SENT, age=_SINGLE_CRASH_MAX_AGE
+        )
+        if most_suspect:
+            self._send(
+                most_suspect,
+                near=LOCAL_REMINDER_FANOUT,
+                far=REMOTE_REMINDER_FANOUT,
+            )
 
     def _send(
-        self, told: list[book_module.Suspicion], *, near: int, far: float
+        self,
+        suspicions: list[registry_module.Suspicion],
+        *,
+        near: int,
+        far: float,
     ) -> None:
         now = self._clock.monotonic()
         message = ttypes.CrashSuspects(
-            suspects=[_encoded(suspicion, now) for suspicion in told]
+            suspects=[_encoded(suspicion, now) for suspicion in suspicions]
         )
-        self._messages.send(self._audience(near=near, far=far), message)
+        self._messages.send(self._sample_peers(near=near, far=far), message)
 
     def _receive(self, message: ttypes.CrashSuspects) -> None:
         now = self._clock.monotonic()
-        for told in message.suspects:
-            if len(told.identity) == identities.IDENTITY_BYTES:
-                self._book.merge(_decoded(told, now))
+        for received in message.suspects:
+            if len(received.identity) == identities.IDENTITY_BYTES:
+                self._registry.merge(_decoded(received, now))
 
 
 def _encoded(
-    suspicion: book_module.Suspicion, now: datetime.timedelta
+    suspicion: registry_module.Suspicion, now: datetime.timedelta
 ) -> ttypes.CrashSuspect:
     return ttypes.CrashSuspect(
         identity=suspicion.identity,
-        replica_hashes=[end.replica_hash for end in suspicion.ends],
-        begun=[end.begun for end in suspicion.ends],
-        ages_ms=[_age_ms(end.at, now) for end in suspicion.ends],
+        replica_hashes=[crash.replica_hash for crash in suspicion.crashes],
+        begun=[crash.begun for crash in suspicion.crashes],
+        ages_ms=[_age_ms(crash.at, now) for crash in suspicion.crashes],
         cleared_age_ms=_age_ms(suspicion.cleared_at, now),
-        tried_age_ms=_age_ms(suspicion.tried_at, now),
+        tried_age_ms=_age_ms(suspicion.probed_at, now),
     )
 
 
 def _decoded(
-    told: ttypes.CrashSuspect, now: datetime.timedelta
-) -> book_module.Suspicion:
-    return book_module.Suspicion(
-        identity=told.identity,
-        ends=tuple(
-            book_module.ReplicaEnd(
+    received: ttypes.CrashSuspect, now: datetime.timedelta
+) -> registry_module.Suspicion:
+    return registry_module.Suspicion(
+        identity=received.identity,
+        crashes=tuple(
+            registry_module.ReplicaCrash(
                 replica_hash=replica_hash,
                 begun=begun,
                 at=_moment(age_ms, now),
             )
             for replica_hash, begun, age_ms in zip(
-                told.replica_hashes, told.begun, told.ages_ms, strict=False
+                received.replica_hashes,
+                received.begun,
+                received.ages_ms,
+                strict=False,
             )
         ),
-        cleared_at=_moment(told.cleared_age_ms, now),
-        tried_at=_moment(told.tried_age_ms, now),
+        cleared_at=_moment(received.cleared_age_ms, now),
+        probed_at=_moment(received.tried_age_ms, now),
     )
 
 
--- a/src/nutmeghook/internal/suspects/rows.py
+++ b/src/nutmeghook/internal/suspects/rows.py
@@ -14,13 +14,13 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 
 TABLE = "quarantine"
 _PREFIX = f"{TABLE}/"
 # After a failed call. Peers tell what the store can't, so there is no hurry,
 # and all instances of a large fleet may be without it at once.
-_PAUSE = datetime.timedelta(seconds=4)
+_RETRY_DELAY = datetime.timedelta(seconds=4)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
@@ -41,17 +41,17 @@
 class QuarantineRows:
     """Reads all rows once, and writes those of this instance's doing."""
 
-    __slots__ = ("_book", "_clock", "_random", "_table")
+    __slots__ = ("_clock", "_random", "_registry", "_table")
 
     def __init__(
         self,
         *,
-        book: book_module.SuspectBook,
+        registry: registry_module.SuspectRegistry,
         table: table_module.TableService,
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
-        self._book = book
+        self._registry = registry
         self._table = table
         self._clock = clock
         self._random = random_source
@@ -61,7 +61,7 @@
         while not await self._try(self.read):
             pass
         while True:
-            await self._book.unwritten.wait()
+            await self._registry.unwritten.wait()
             await self._try(self.write)
 
     async def read(self) -> None:
@@ -70,16 +70,16 @@
         Raises:
             failures.PlatformError: The store did not answer.
         """
-        over = []
+        expired = []
         for row in await self._table.scan(prefix=_PREFIX):
             suspicion = self._suspicion(row)
             if suspicion is None:
-                over.append(row.key)
+                expired.append(row.key)
             else:
-                self._book.merge(suspicion)
-        if over:
+                self._registry.merge(suspicion)
+        if expired:
             await self._table.commit(
-                table_module.Transaction(deletes=tuple(over))
+                table_module.Transaction(deletes=tuple(expired))
             )
 
     async def write(self) -> None:
@@ -89,20 +89,20 @@
             failures.PlatformError: The store did not take it, or may not
                 have; it does no harm to write it again.
         """
-        for identity in self._book.unwritten_identities():
+        for identity in self._registry.unwritten_identities():
             key = _PREFIX + identity.hex()
-            if self._book.is_quarantined(identity):
+            if self._registry.is_quarantined(identity):
                 value = msgspec.json.encode(self._row(identity))
                 put = table_module.Put(key=key, value=value)
                 transaction = table_module.Transaction(puts=(put,))
             else:
                 transaction = table_module.Transaction(deletes=(key,))
             # What changes while the store is asked is to be written again.
-            self._book.note_written(identity)
+            self._registry.note_written(identity)
             try:
                 await self._table.commit(transaction)
             except failures.PlatformError:
-                self._book.write_later(identity)
+                self._registry.write_later(identity)
                 raise
 
     async def _try(self, call) -> bool:
@@ -110,21 +110,27 @@
             await call()
         except failures.PlatformError as error:
             logs.note("quarantine:store_failed", error=str(error))
-            await self._clock.sleep(_PAUSE * self._random.uniform(0.5, 1.5))
+            await self._clock.sleep(
+                _RETRY_DELAY * self._random.uniform(0.5, 1.5)
+            )
             return False
         return True
 
     def _row(self, identity: bytes) -> _Row:
-        suspicion = self._book.suspicion(identity)
+        suspicion = self._registry.suspicion(identity)
         return _Row(
-            replica_hashes=tuple(end.replica_hash for end in suspicion.ends),
-            ended_ms=self._unix_ms(suspicion.last_at),
+            replica_hashes=tuple(
+                crash.replica_hash for crash in suspicion.crashes
+            ),
+            ended_ms=self._unix_ms(suspicion.last_update_at),
             tried_ms=None
-            if suspicion.tried_at is None
-            else self._unix_ms(suspicion.tried_at),
+            if suspicion.probed_at is None
+            else self._unix_ms(suspicion.probed_at),
         )
 
-    def _suspicion(self, row: table_module.Row) -> book_module.Suspicion | None:
+    def _suspicion(
+        self, row: table_module.Row
+    ) -> registry_module.Suspicion | None:
         """Returns what a row says; None of one that is over or unreadable."""
         try:
             found = msgspec.json.decode(row.value, type=_Row)
@@ -133,15 +139,15 @@
             logs.note("quarantine:bad_row", key=row.key, error=str(error))
             return None
         at = self._moment(found.ended_ms)
-        if self._clock.monotonic() - at >= book_module.KEPT_FOR:
+        if self._clock.monotonic() - at >= registry_module.SUSPICION_LIFETIME:
             return None
-        return book_module.Suspicion(
+        return registry_module.Suspicion(
             identity=identity,
-            ends=tuple(
-                book_module.ReplicaEnd(replica_hash=h, begun=True, at=at)
+            crashes=tuple(
+                registry_module.ReplicaCrash(replica_hash=h, begun=True, at=at)
                 for h in found.replica_hashes
             ),
-            tried_at=None
+            probed_at=None
             if found.tried_ms is None
             else self._moment(found.tried_ms),
         )
--- a/src/nutmeghook/internal/upstream/sender.py
+++ b/src/nutmeghook/internal/upstream/sender.py
@@ -36,8 +36,8 @@
     Attributes:
         target: Path and query exactly as the caller sent them.
         repeatable: It may run more than once.
-        reading: Of its prompt; None of a request without one.
-        place: At a replica whose requests are counted.
+        prefill: Of its prompt; None of a request without one.
+        send_slot: At a replica whose requests are counted.
     """
 
     request_id: str
@@ -47,8 +47,8 @@
     headers: wire.Headers
     body: bytes
     repeatable: bool
-    reading: backlog_module.Reading | None = None
-    place: send_window.Place | None = None
+    prefill: backlog_module.Prefill | None = None
+    send_slot: send_window.SendSlot | None = None
 
     def encoded(self) -> bytes:
         """Returns the whole message."""
@@ -137,7 +137,7 @@
         answer = None
         replica.in_flight += 1
         try:
-            with self._reading(replica, outgoing.reading):
+            with self._prefill(replica, outgoing.prefill):
                 connection = await self._connect(replica, outgoing)
                 answer = await self._exchange(connection, replica, outgoing)
             yield answer
@@ -150,23 +150,23 @@
                 self._give_back(address, connection, answer)
 
     @contextlib.contextmanager
-    def _reading(
+    def _prefill(
         self,
         replica: replica_module.Replica,
-        reading: backlog_module.Reading | None,
+        prefill: backlog_module.Prefill | None,
     ) -> Iterator[None]:
         """Counts a prompt among what a replica has still to read.
 
         An answer's head comes with its first event.
         """
-        if reading is None:
+        if prefill is None:
             yield
             return
-        self._directory.begin_reading(replica, reading)
+        self._directory.begin_prefill(replica, prefill)
         try:
             yield
         finally:
-            self._directory.end_reading(replica, reading)
+            self._directory.end_prefill(replica, prefill)
 
     async def is_dark(self, replica: replica_module.Replica) -> bool:
         """Tells whether a silent replica is gone.
@@ -200,7 +200,7 @@
         replica: replica_module.Replica,
         outgoing: Outgoing,
     ) -> Answer:
-        if not self._gate.may_write(replica, outgoing.place):
+        if not self._gate.may_write(replica, outgoing.send_slot):
             raise outcomes.NotSentError(
                 f"{replica.entry.replica_id} may not be sent to any more"
             )
--- a/src/nutmeghook/platform/tables.py
+++ b/src/nutmeghook/platform/tables.py
@@ -30,7 +30,7 @@
         *,
         configuration: in_force_module.ConfigurationInForce,
         orders: orders_module.OrderBook,
-        evacuations: evacuations_module.EvacuationBook,
+        evacuations: evacuations_module.EvacuationRegistry,
     ):
         self._configuration = configuration
         self._orders = orders
@@ -75,7 +75,7 @@
         elif row.key.startswith(EVACUATION_PREFIX):
             data_centre = row.key.removeprefix(EVACUATION_PREFIX)
             if row.deleted:
-                self._evacuations.take_back(data_centre)
+                self._evacuations.restore(data_centre)
             else:
                 self._evacuations.evacuate(data_centre)
 
--- a/tests/cover/test_backlogs.py
+++ b/tests/cover/test_backlogs.py
@@ -41,15 +41,15 @@
     return entries.ReplicaEntry(**(fields | changes))
 
 
-def need(key: str = "part", **changes) -> choice.Need:
+def criteria(key: str = "part", **changes) -> choice.ReplicaCriteria:
     """Returns the need of a prompt with a shared part of 1 s."""
     prompt = {
-        "shared": SECOND,
-        "own": 300 * MS,
+        "prefix": SECOND,
+        "suffix": 300 * MS,
         "urgent": False,
         "target": 3 * SECOND,
     }
-    return choice.Need(
+    return choice.ReplicaCriteria(
         service=SERVICE,
         accepts=lambda known: True,
         key=key,
@@ -78,17 +78,17 @@
             messages=sealed_messages.SealedMessages(
                 datagrams=self.wire, seal=SEAL
             ),
-            audience=lambda: [a for a in receivers if a != name],
+            sample_peers=lambda: [a for a in receivers if a != name],
             clock=clock,
             random_source=random.Random(1),
         )
 
-    def send(self, wanted: choice.Need):
+    def send(self, wanted: choice.ReplicaCriteria):
         """Sends a prompt; returns the replica and what it has to read."""
         forecast = self.chooser.forecast(wanted)
-        reading = backlog.Reading(time=forecast.reading, urgent=False)
-        self.directory.begin_reading(forecast.replica, reading)
-        return forecast.replica, reading
+        prefill = backlog.Prefill(time=forecast.prefill, urgent=False)
+        self.directory.begin_prefill(forecast.replica, prefill)
+        return forecast.replica, prefill
 
     def waiting(self, replica_id: str) -> datetime.timedelta:
         """Returns what is known to be read at a replica."""
@@ -97,7 +97,7 @@
             for known in self.directory.of_service(SERVICE)
             if known.entry.replica_id == replica_id
         )
-        return self.directory.backlog(replica).later
+        return self.directory.backlog(replica).normal
 
 
 class BacklogTest(unittest.TestCase):
@@ -123,32 +123,32 @@
         Knowing only its own, the second sends its prompt behind two seconds
         of reading at the part's own replica, while others are idle.
         """
-        first, _ = self.one.send(need(own=2 * SECOND))
-        unaware = self.two.chooser.forecast(need()).replica
+        first, _ = self.one.send(criteria(suffix=2 * SECOND))
+        unaware = self.two.chooser.forecast(criteria()).replica
         self.assertEqual(unaware.entry.replica_id, first.entry.replica_id)
         self.one.gossip.tell()
-        aware = self.two.chooser.forecast(need()).replica
+        aware = self.two.chooser.forecast(criteria()).replica
         self.assertNotEqual(aware.entry.replica_id, first.entry.replica_id)
 
     def test_a_short_wait_is_worth_the_parts_that_are_kept(self):
         """The replica that has read a long shared part has a little to do.
         Another one would read the part for a second, so it is waited for.
         """
-        home = self.one.chooser.forecast(need())
-        self.one.chooser.note_read(home, "part")
-        busy = backlog.Reading(time=400 * MS, urgent=False)
-        self.one.directory.begin_reading(home.replica, busy)
-        chosen = self.one.chooser.forecast(need())
-        self.assertIs(chosen.replica, home.replica)
-        self.assertEqual(chosen.kept, 1.0)
+        owner = self.one.chooser.forecast(criteria())
+        self.one.chooser.note_prefilled(owner, "part")
+        busy = backlog.Prefill(time=400 * MS, urgent=False)
+        self.one.directory.begin_prefill(owner.replica, busy)
+        chosen = self.one.chooser.forecast(criteria())
+        self.assertIs(chosen.replica, owner.replica)
+        self.assertEqual(chosen.cached, 1.0)
 
     def test_what_was_read_no_longer_counts(self):
-        replica, reading = self.one.send(need())
+        replica, prefill = self.one.send(criteria())
         self.one.gossip.tell()
         self.assertEqual(
-            self.two.waiting(replica.entry.replica_id), reading.time
+            self.two.waiting(replica.entry.replica_id), prefill.time
         )
-        self.one.directory.end_reading(replica, reading)
+        self.one.directory.end_prefill(replica, prefill)
         self.one.gossip.tell()
         self.assertEqual(self.two.waiting(replica.entry.replica_id), 0 * MS)
 
@@ -156,15 +156,15 @@
         """An instance dies, or its last word is lost.
         What it told is not taken for work that goes on for ever.
         """
-        replica, reading = self.one.send(need())
+        replica, prefill = self.one.send(criteria())
         self.one.gossip.tell()
         self.one.wire.loses = True
-        self.one.directory.end_reading(replica, reading)
+        self.one.directory.end_prefill(replica, prefill)
         self.one.gossip.tell()
         self.assertEqual(
-            self.two.waiting(replica.entry.replica_id), reading.time
+            self.two.waiting(replica.entry.replica_id), prefill.time
         )
-        self.advance(peer_backlogs.BACKLOG_LIFE + MS)
+        self.advance(peer_backlogs.BACKLOG_MAX_AGE + MS)
         self.assertEqual(self.two.waiting(replica.entry.replica_id), 0 * MS)
 
     @given(
@@ -187,60 +187,62 @@
         for peer, backlogs_ms, pause_ms in told:
             clock._elapsed += pause_ms * MS
             last[peer] = (clock.monotonic(), backlogs_ms)
-            known.note(
+            known.update(
                 peer,
                 {
-                    r: backlog.Backlog(later=ms * MS)
+                    r: backlog.Backlog(normal=ms * MS)
                     for r, ms in backlogs_ms.items()
                 },
             )
-            oldest = clock.monotonic() - peer_backlogs.BACKLOG_LIFE
+            oldest = clock.monotonic() - peer_backlogs.BACKLOG_MAX_AGE
             for replica in range(4):
                 expected_ms = sum(
                     counts.get(replica, 0)
                     for at, counts in last.values()
                     if at >= oldest
                 )
-                self.assertEqual(known.at(replica).later, expected_ms * MS)
+                self.assertEqual(
+                    known.of_replica(replica).normal, expected_ms * MS
+                )
 
     def test_nothing_is_told_while_there_is_nothing_to_tell(self):
         heard = []
         self.receivers["two"] = heard.append
         self.one.gossip.tell()
         self.assertEqual(heard, [])
-        replica, reading = self.one.send(need())
+        replica, prefill = self.one.send(criteria())
         self.one.gossip.tell()
-        self.one.directory.end_reading(replica, reading)
+        self.one.directory.end_prefill(replica, prefill)
         for _ in range(3):
             self.one.gossip.tell()
         self.assertEqual(len(heard), 2)
 
     def test_a_replica_that_started_again_has_nothing_to_read(self):
         """A replica crashes with a backlog and starts under its old id."""
-        replica, reading = self.one.send(need())
+        replica, prefill = self.one.send(criteria())
         self.one.gossip.tell()
         replica_id = replica.entry.replica_id
         number = int(replica_id[1:])
         for instance in (self.one, self.two):
             instance.directory.put(entry(number, started_ms=1))
             self.assertEqual(instance.waiting(replica_id), 0 * MS)
-        self.one.directory.end_reading(replica, reading)
+        self.one.directory.end_prefill(replica, prefill)
         self.assertEqual(self.one.directory.with_own_backlog(10), [])
 
     def test_urgent_prompts_wait_for_less_of_what_is_not(self):
         """The largest model's prompts are read in pieces, and the smallest
         model's in between. They wait for some of it, not for all.
         """
-        replica, reading = self.one.send(need())
+        replica, prefill = self.one.send(criteria())
         key = "part"
         waits = {}
         for urgent in (True, False):
             forecast = self.one.chooser._forecast_at(
-                need(key, urgent=urgent), replica, is_home=False
+                criteria(key, urgent=urgent), replica, is_owner=False
             )
             waits[urgent] = forecast.waiting
-        self.assertEqual(waits[False], reading.time)
-        self.assertEqual(waits[True], choice.SHARE_OF_LATER * reading.time)
+        self.assertEqual(waits[False], prefill.time)
+        self.assertEqual(waits[True], choice.NORMAL_WAIT_SHARE * prefill.time)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_cold_replicas.py
+++ b/tests/cover/test_cold_replicas.py
@@ -24,7 +24,9 @@
 MILLISECOND = datetime.timedelta(milliseconds=1)
 PER_S, OVERRUN, ALLOWANCE = 18.0, 1.5, 5.0
 BOUND = PER_S * OVERRUN + ALLOWANCE
-SHARE = cold_limits.share_of(per_s=PER_S, overrun=OVERRUN, allowance=ALLOWANCE)
+SHARE = cold_limits.cold_share(
+    per_s=PER_S, overrun=OVERRUN, allowance=ALLOWANCE
+)
 SERVICE = model.Service(
     name="service",
     health_path="/health",
@@ -55,7 +57,7 @@
         self, per_s, overrun, allowance
     ):
         """Some instances know others than the rest, so there are two sets."""
-        share = cold_limits.share_of(
+        share = cold_limits.cold_share(
             per_s=per_s, overrun=overrun, allowance=allowance
         )
         together = share.senders * share.each_per_s
@@ -64,7 +66,7 @@
 
     def test_a_service_that_names_no_rate_is_not_limited(self):
         self.assertIsNone(
-            cold_limits.share_of(per_s=0.0, overrun=1.5, allowance=5.0)
+            cold_limits.cold_share(per_s=0.0, overrun=1.5, allowance=5.0)
         )
 
 
@@ -85,13 +87,13 @@
         """
         window = send_window.SendWindow()
         now = 10 * SECOND
-        waiting: collections.deque[send_window.Place] = collections.deque()
+        waiting: collections.deque[send_window.SendSlot] = collections.deque()
         written = []
         for step, passed_ms in steps:
             now += passed_ms * MILLISECOND
-            if step == "choose" and window.taken(now) < most:
-                waiting.append(window.take(now))
-            elif step == "write" and waiting and waiting.pop().write(now):
+            if step == "choose" and window.count(now) < most:
+                waiting.append(window.reserve(now))
+            elif step == "write" and waiting and waiting.pop().try_use(now):
                 written.append(now)
             elif step == "lose" and waiting:
                 waiting.popleft()
@@ -99,9 +101,9 @@
 
     def test_a_place_that_is_never_used_is_free_again(self):
         window = send_window.SendWindow()
-        window.take(SECOND)
-        self.assertEqual(window.taken(2 * SECOND), 1)
-        self.assertEqual(window.taken(4 * SECOND), 0)
+        window.reserve(SECOND)
+        self.assertEqual(window.count(2 * SECOND), 1)
+        self.assertEqual(window.count(4 * SECOND), 0)
 
 
 class Fleet:
@@ -111,7 +113,7 @@
         self.draw = random.Random(seed)
         self.clock = clock_module.FakeClock()
         self.names = [f"edge-{number}" for number in range(instances)]
-        self.unheard: dict[str, set[str]] = collections.defaultdict(set)
+        self.unreached: dict[str, set[str]] = collections.defaultdict(set)
         self.senders = {}
         for name in self.names:
             self.join(name, [other for other in self.names if other != name])
@@ -119,18 +121,18 @@
     def join(self, name: str, others: list[str]) -> None:
         """Has an instance register, with those that it finds."""
         senders = cold_senders.ColdSenders(instance_id=name, clock=self.clock)
-        senders.register(others, lambda span: self.heard_by(name, span))
+        senders.register(others, lambda span: self.contacts_of(name, span))
         self.senders[name] = senders
 
-    def heard_by(self, name: str, span: datetime.timedelta) -> list[str]:
+    def contacts_of(self, name: str, span: datetime.timedelta) -> list[str]:
         """Returns whom an instance heard of lately."""
         return [
             other
             for other in self.senders
-            if other != name and other not in self.unheard[name]
+            if other != name and other not in self.unreached[name]
         ]
 
-    def at_once(self, replica_id: str) -> int:
+    def permitted_per_s(self, replica_id: str) -> int:
         """Returns what the replica gets if all send all that they may."""
         return SHARE.each_per_s * sum(
             senders.includes_this(replica_id, SHARE.senders)
@@ -142,7 +144,7 @@
     async def settled(self, *, instances: int, seed: int) -> Fleet:
         """Returns instances that started long ago."""
         fleet = Fleet(instances=instances, seed=seed)
-        await fleet.clock.advance(2 * cold_senders.SETTLING)
+        await fleet.clock.advance(2 * cold_senders.SETTLING_TIME)
         return fleet
 
     def replica_ids(self, count: int = 40) -> list[str]:
@@ -152,7 +154,7 @@
         for instances in (9, 77, 195, 420):
             fleet = await self.settled(instances=instances, seed=1)
             for replica_id in self.replica_ids(3):
-                sent = fleet.at_once(replica_id)
+                sent = fleet.permitted_per_s(replica_id)
                 self.assertGreaterEqual(sent, 0.8 * PER_S)
                 self.assertLessEqual(sent, PER_S)
 
@@ -164,21 +166,21 @@
         fleet = await self.settled(instances=60, seed=2)
         dead = set(fleet.draw.sample(fleet.names, 40))
         for name in fleet.names:
-            fleet.unheard[name] |= dead
+            fleet.unreached[name] |= dead
         for replica_id in self.replica_ids():
-            self.assertLessEqual(fleet.at_once(replica_id), PER_S)
+            self.assertLessEqual(fleet.permitted_per_s(replica_id), PER_S)
 
     async def test_two_islands_send_within_the_bound(self):
         """A cut of minutes: each half takes itself for the whole fleet."""
         fleet = await self.settled(instances=60, seed=3)
         half = set(fleet.draw.sample(fleet.names, 30))
         for name in fleet.names:
-            fleet.unheard[name] |= (
+            fleet.unreached[name] |= (
                 set(fleet.names) - half if name in half else half
             )
-        await fleet.clock.advance(2 * cold_senders.MEMBER_LIFE)
+        await fleet.clock.advance(2 * cold_senders.MEMBER_RETENTION)
         for replica_id in self.replica_ids():
-            self.assertLessEqual(fleet.at_once(replica_id), BOUND)
+            self.assertLessEqual(fleet.permitted_per_s(replica_id), BOUND)
 
     async def test_members_that_the_others_have_not_heard_of(self):
         """As many instances again start at once. They know all that were
@@ -189,16 +191,16 @@
         for number in range(60):
             name = f"new-{number}"
             for other in fleet.senders:
-                fleet.unheard[other].add(name)
+                fleet.unreached[other].add(name)
             fleet.join(name, [*old, *[f"new-{n}" for n in range(number)]])
         for replica_id in self.replica_ids():
-            self.assertLessEqual(fleet.at_once(replica_id), PER_S)
-        await fleet.clock.advance(cold_senders.SETTLING)
-        for unheard in fleet.unheard.values():
-            kept = fleet.draw.sample(sorted(unheard), len(unheard) // 4)
-            unheard.intersection_update(kept)
+            self.assertLessEqual(fleet.permitted_per_s(replica_id), PER_S)
+        await fleet.clock.advance(cold_senders.SETTLING_TIME)
+        for unreached in fleet.unreached.values():
+            kept = fleet.draw.sample(sorted(unreached), len(unreached) // 4)
+            unreached.intersection_update(kept)
         for replica_id in self.replica_ids():
-            self.assertLessEqual(fleet.at_once(replica_id), BOUND)
+            self.assertLessEqual(fleet.permitted_per_s(replica_id), BOUND)
 
     async def test_an_instance_that_knows_nobody_sends_nothing(self):
         """It started while the store is out, and takes itself for alone."""
@@ -216,9 +218,9 @@
             instance_id="edge-1", clock=self.clock
         )
         self.senders.register((), lambda span: ())
-        await self.clock.advance(2 * cold_senders.SETTLING)
+        await self.clock.advance(2 * cold_senders.SETTLING_TIME)
         self.gate = send_gate.LimitingGate(
-            evacuations=evacuations.EvacuationBook(),
+            evacuations=evacuations.EvacuationRegistry(),
             senders=self.senders,
             service=lambda name: SERVICE,
             share=lambda service: SHARE,
@@ -236,7 +238,7 @@
     def send(self, replica: replica_module.Replica) -> bool:
         """Sends a request, if it may be."""
         return self.gate.is_open(replica) and self.gate.may_write(
-            replica, self.gate.take(replica)
+            replica, self.gate.reserve(replica)
         )
 
     def sent(self, replica: replica_module.Replica) -> int:
@@ -267,9 +269,9 @@
     ):
         """It turns cold while connections are made for many requests."""
         replica = self.replica()
-        places = [self.gate.take(replica) for _ in range(20)]
+        slots = [self.gate.reserve(replica) for _ in range(20)]
         self.replica(coldLeftMs=3000)
-        written = sum(self.gate.may_write(replica, p) for p in places)
+        written = sum(self.gate.may_write(replica, p) for p in slots)
         self.assertLessEqual(written, SHARE.each_per_s)
 
     async def test_a_place_that_came_too_late_keeps_nothing_from_a_warm_one(
@@ -279,19 +281,19 @@
         taken for one that may not be sent any more.
         """
         replica = self.replica()
-        place = self.gate.take(replica)
+        slot = self.gate.reserve(replica)
         await self.clock.advance(3 * SECOND)
-        self.assertTrue(self.gate.may_write(replica, place))
-        self.assertEqual(replica.sends.taken(self.clock.monotonic()), 1)
+        self.assertTrue(self.gate.may_write(replica, slot))
+        self.assertEqual(replica.sends.count(self.clock.monotonic()), 1)
         self.replica(coldLeftMs=3000)
-        late = self.gate.take(replica)
+        late = self.gate.reserve(replica)
         await self.clock.advance(2 * SECOND)
         self.assertFalse(self.gate.may_write(replica, late))
 
     async def test_one_that_is_taken_back_counts_as_cold(self):
         """Its word that it is cold comes with its next heartbeat."""
         replica = self.replica()
-        self.gate.note_taken_back([replica])
+        self.gate.note_restored([replica])
         self.assertEqual(self.sent(replica), SHARE.each_per_s)
         await self.clock.advance(SERVICE.cold_time + SECOND)
         self.assertEqual(self.sent(replica), 20)
--- a/tests/cover/test_crashing_requests.py
+++ b/tests/cover/test_crashing_requests.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from nutmeghook.internal.routes import model
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.standins import users_replica
 from tests import driven_relay
 from tests import relay_fixture
@@ -137,7 +137,7 @@
         first.crash()
         answer = await asking
         self.assertTrue(relay_fixture.is_complete(answer))
-        self.assertEqual(self.suspects.grave(10, age=10 * SECOND), [])
+        self.assertEqual(self.suspects.most_suspect(10, age=10 * SECOND), [])
 
     async def test_resets_condemn_nobody(self):
         """Links reset connections all day, of one request as of others. No
@@ -149,31 +149,31 @@
             self.assertEqual(self.arrivals(INNOCENT), 3 * (number + 1))
 
 
-class TrialTest(driven_relay.DrivenRelayCase, CrashingRequestCase):
+class ProbeTest(driven_relay.DrivenRelayCase, CrashingRequestCase):
     async def answer_to_copy(self) -> bytes:
         """Returns the answer to one more copy of the crashing request."""
         asking = asyncio.create_task(self.ask(STREAM, body=CRASHING))
         return await self.answer_of(asking)
 
-    async def ended_three(self) -> None:
+    async def crash_three(self) -> None:
         """Has three replicas end and come back, and time pass."""
         await self.answer_to_copy()
         await self.bring_back()
-        await self.clock.advance(book_module.TRIAL_AFTER + SECOND)
+        await self.clock.advance(registry_module.PROBE_DELAY + SECOND)
 
     async def test_a_trial_ends_one_replica_at_most(self):
-        await self.ended_three()
+        await self.crash_three()
         await self.answer_to_copy()
         self.assertEqual(self.arrivals(), 4)
         await self.bring_back()
-        await self.clock.advance(book_module.TRIAL_AFTER + SECOND)
+        await self.clock.advance(registry_module.PROBE_DELAY + SECOND)
         answer = await self.answer_to_copy()
         self.assertEqual(relay_fixture.status_of(answer), 503)
         self.assertEqual(self.arrivals(), 4)
 
     async def test_one_that_is_answered_on_trial_is_free(self):
         """What ended the replicas was mended, or was another request."""
-        await self.ended_three()
+        await self.crash_three()
         self.decide_by(lambda _: Reply(events=EVENTS))
         for _ in range(3):
             answer = await self.answer_to_copy()
@@ -184,7 +184,7 @@
         came was refused for that, and the one trial was taken all the same:
         an innocent request stayed out for an hour.
         """
-        await self.ended_three()
+        await self.crash_three()
         for replica in self.replicas:
             self.directory.remove(replica.replica_id)
         await self.answer_to_copy()
--- a/tests/cover/test_dispatch_crashing.py
+++ b/tests/cover/test_dispatch_crashing.py
@@ -7,7 +7,7 @@
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from tests import fakes
 from tests.cover import dispatch_errors
 
@@ -91,7 +91,7 @@
     async def test_a_trial_ends_one_engine_at_most(self):
         await self.copy()
         before = self.arrivals()
-        await self.fixture.clock.advance(book_module.TRIAL_AFTER)
+        await self.fixture.clock.advance(registry_module.PROBE_DELAY)
         await self.copy()
         self.assertEqual(self.arrivals(), before + 1)
 
@@ -101,7 +101,7 @@
         """
         await self.copy()
         before = self.arrivals()
-        await self.fixture.clock.advance(book_module.TRIAL_AFTER)
+        await self.fixture.clock.advance(registry_module.PROBE_DELAY)
         addresses = list(self.fixture.backends.addresses)
         self.fixture.backends.addresses.clear()
         await self.copy()
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -29,15 +29,15 @@
 
 class OperatorRowsTest(unittest.TestCase):
     def setUp(self):
-        self.taken_back: list[str] = []
-        self.book = evacuations.EvacuationBook(
-            on_taken_back=self.taken_back.append
+        self.restored: list[str] = []
+        self.registry = evacuations.EvacuationRegistry(
+            on_restored=self.restored.append
         )
         self.orders = orders.OrderBook()
         self.rows = tables.OperatorRows(
             configuration=in_force.ConfigurationInForce(),
             orders=self.orders,
-            evacuations=self.book,
+            evacuations=self.registry,
         )
 
     def evacuate(self, name: str, version: int) -> None:
@@ -47,8 +47,8 @@
         self.evacuate("pest", 1)
         self.evacuate("buda", 2)
         self.rows.change((row("evacuate/pest", 3, deleted=True),))
-        self.assertEqual(self.book.all(), {"buda"})
-        self.assertEqual(self.taken_back, ["pest"])
+        self.assertEqual(self.registry.all(), {"buda"})
+        self.assertEqual(self.restored, ["pest"])
 
     def test_one_placed_again_before_the_first_is_forgotten(self):
         self.evacuate("pest", 1)
@@ -58,7 +58,7 @@
                 row("evacuate/pest", 3),
             )
         )
-        self.assertTrue(self.book.is_evacuated("pest"))
+        self.assertTrue(self.registry.is_evacuated("pest"))
 
     def test_a_removal_that_only_a_whole_read_shows(self):
         """The store forgets its history, and with it that a row was removed.
@@ -67,8 +67,8 @@
         self.evacuate("pest", 1)
         self.evacuate("buda", 2)
         self.rows.replace((row("evacuate/buda", 2),), 9)
-        self.assertEqual(self.book.all(), {"buda"})
-        self.assertEqual(self.taken_back, ["pest"])
+        self.assertEqual(self.registry.all(), {"buda"})
+        self.assertEqual(self.restored, ["pest"])
 
     def test_an_order_s_removal_that_only_a_whole_read_shows(self):
         """The same of a roll-out: it would go on without an order."""
@@ -110,7 +110,7 @@
             else:
                 whole = [row(f"evacuate/{n}", v) for n, v in present.items()]
                 self.rows.replace(tuple(whole), version)
-            self.assertEqual(self.book.all(), set(present))
+            self.assertEqual(self.registry.all(), set(present))
 
 
 def reply_to(request: users_replica.SeenRequest) -> users_replica.Reply:
@@ -123,9 +123,9 @@
     """One replica is here and one is far."""
 
     def build_gate(self) -> send_gate.SendGate:
-        self.book = evacuations.EvacuationBook()
+        self.registry = evacuations.EvacuationRegistry()
         return send_gate.LimitingGate(
-            evacuations=self.book,
+            evacuations=self.registry,
             senders=cold_senders.ColdSenders(
                 instance_id="edge-1", clock=self.clock
             ),
@@ -142,7 +142,7 @@
             replica.decide_by(reply_to)
 
     async def test_every_kind_of_request_stays_away(self):
-        self.book.evacuate("here")
+        self.registry.evacuate("here")
         for number, kind in enumerate(model.RouteKind):
             answer = await self.ask(kind, request_id=f"request-{number}")
             self.assertEqual(relay_fixture.status_of(answer), 200)
@@ -152,7 +152,7 @@
         """The far replica refuses, and the next one is being emptied.
         The caller hears that it was not run, and when to come back.
         """
-        self.book.evacuate("here")
+        self.registry.evacuate("here")
         refusal = users_replica.Reply(status=503, not_run=True)
         self.far.decide_by(lambda request: refusal)
         answer = await self.ask(model.RouteKind.IDEMPOTENT)
@@ -161,13 +161,13 @@
         self.assertEqual(self.here.seen, [])
 
     async def test_what_runs_goes_on_to_its_end(self):
-        self.book.evacuate("far")
+        self.registry.evacuate("far")
         events = tuple(range(6))
         slow = users_replica.Reply(events=events, pause_s=0.02)
         self.here.decide_by(lambda request: slow)
         asking = asyncio.create_task(self.ask(model.RouteKind.STREAM))
         await self.arrival()
-        self.book.evacuate("here")
+        self.registry.evacuate("here")
         answer = await asking
         self.assertTrue(relay_fixture.is_complete(answer))
         self.assertEqual(len(relay_fixture.events_of(answer)), len(events))
@@ -176,14 +176,14 @@
         """The order comes between a replica's choice and the request's write.
         It reached the data centre after all.
         """
-        self.book.evacuate("far")
+        self.registry.evacuate("far")
         acquire = self.pool.acquire
 
         async def slow_acquire(address, *, longest_idle_s):
             connection = await acquire(address, longest_idle_s=longest_idle_s)
             if address == self.here.address:
-                self.book.evacuate("here")
-                self.book.take_back("far")
+                self.registry.evacuate("here")
+                self.registry.restore("far")
             return connection
 
         self.pool_acquire(slow_acquire)
@@ -203,13 +203,13 @@
 
     async def test_all_evacuated_is_refused_at_once(self):
         """Nothing can be served until the operator takes one back."""
-        self.book.evacuate("here")
-        self.book.evacuate("far")
+        self.registry.evacuate("here")
+        self.registry.evacuate("far")
         answer = await self.ask(model.RouteKind.STREAM)
         self.assertEqual(relay_fixture.status_of(answer), 503)
         self.assertIn(b"retry-after", answer.lower())
         self.assertEqual(self.seen(), [])
-        self.book.take_back("far")
+        self.registry.restore("far")
         answer = await self.ask(model.RouteKind.STREAM)
         self.assertEqual(relay_fixture.status_of(answer), 200)
 
--- a/tests/cover/test_load_gossip.py
+++ b/tests/cover/test_load_gossip.py
@@ -19,7 +19,7 @@
 SECOND = datetime.timedelta(seconds=1)
 
 
-class CountedPost(datagrams.Datagrams):
+class CountingDatagrams(datagrams.Datagrams):
     """One instance's socket; counts what it sends."""
 
     def __init__(self, receivers, address):
@@ -43,19 +43,19 @@
         self.directory = directory_module.ReplicaDirectory(clock=clock)
         for replica in range(REPLICAS):
             self.directory.put(_entry(replica))
-        self.post = CountedPost(receivers, self.address)
+        self.socket = CountingDatagrams(receivers, self.address)
         self.near: list[str] = []
         self.gossip = load_gossip.ReplicaLoadGossip(
             directory=self.directory,
             messages=sealed_messages.SealedMessages(
-                datagrams=self.post, seal=SEAL
+                datagrams=self.socket, seal=SEAL
             ),
             near_addresses=lambda: self.near,
             clock=clock,
             random_source=random.Random(number),
         )
 
-    def hear(self, number: int, *, waiting: int) -> None:
+    def receive_report(self, number: int, *, waiting: int) -> None:
         """Has a replica say so here, with 20 more running."""
         self.directory.note_load(
             self.replica(number), running=20, waiting=waiting
@@ -101,7 +101,7 @@
     async def rounds(self, count: int) -> None:
         """Has every instance tell so many times."""
         for _ in range(count):
-            await self.clock.advance(load_gossip.TELL_EVERY)
+            await self.clock.advance(load_gossip.GOSSIP_PERIOD)
             for instance in self.instances:
                 instance.gossip.tell()
 
@@ -111,7 +111,7 @@
         seconds. Within a second all of a data centre know.
         """
         first, *others = self.instances
-        first.hear(7, waiting=60)
+        first.receive_report(7, waiting=60)
         await self.rounds(4)
         told = [other.replica(7).report.waiting for other in others]
         self.assertEqual(told, [60] * len(others))
@@ -126,17 +126,17 @@
         The instance that saw it empty would send its callers elsewhere.
         """
         first, second, *_ = self.instances
-        first.hear(7, waiting=60)
+        first.receive_report(7, waiting=60)
         await self.clock.advance(SECOND / 2)
-        second.hear(7, waiting=0)
+        second.receive_report(7, waiting=0)
         await self.rounds(6)
         for instance in self.instances:
             self.assertEqual(instance.replica(7).report.waiting, 0)
 
     async def test_a_count_that_has_become_old_is_told_no_more(self):
         first, *others = self.instances
-        first.hear(7, waiting=60)
-        await self.clock.advance(load_gossip.OLDEST_TOLD * 1.1)
+        first.receive_report(7, waiting=60)
+        await self.clock.advance(load_gossip.MAX_REPORT_AGE * 1.1)
         await self.rounds(3)
         self.assertIsNone(others[0].replica(7).report)
 
@@ -145,9 +145,9 @@
         for _ in range(4):
             for instance in self.instances:
                 for number in range(REPLICAS):
-                    instance.hear(number, waiting=number)
+                    instance.receive_report(number, waiting=number)
             await self.rounds(1)
-        sent = max(i.post.sent_bytes for i in self.instances)
+        sent = max(i.socket.sent_bytes for i in self.instances)
         self.assertLess(sent, 3_000)
 
     async def test_counts_of_unknown_replicas_and_wrong_numbers_do_nothing(
@@ -170,7 +170,7 @@
 
     async def test_a_replica_that_ended_is_told_of_no_more(self):
         first, *others = self.instances
-        first.hear(7, waiting=60)
+        first.receive_report(7, waiting=60)
         first.directory.remove("r7")
         await self.rounds(2)
         self.assertIsNone(others[0].replica(7).report)
--- a/tests/cover/test_load_patterns.py
+++ b/tests/cover/test_load_patterns.py
@@ -47,7 +47,7 @@
         """
         pattern = load_scene.load(
             per_s=lambda at_s: (
-                load_scene.USUAL_PER_S * (2 if 4 < at_s < 12 else 1)
+                load_scene.BASE_PER_S * (2 if 4 < at_s < 12 else 1)
             )
         )
         weighed = load_scene.play(pattern)
--- a/tests/cover/test_load_replicas.py
+++ b/tests/cover/test_load_replicas.py
@@ -13,26 +13,28 @@
 class ComparesAll(choice_module.ReplicaChooser):
     """The baseline: the emptiest of all replicas by the backlogs known."""
 
-    def _homes(self, need, accepts):
-        return list(filter(accepts, self._directory.of_service(need.service)))
+    def _prefix_owners(self, criteria, accepts):
+        return list(
+            filter(accepts, self._directory.of_service(criteria.service))
+        )
 
 
 class ByCounts(choice_module.ReplicaChooser):
     """The baseline: by what replicas told of their running and waiting."""
 
-    def forecast(self, need):
+    def forecast(self, criteria):
         now = self._clock.monotonic()
         replica = min(
-            self._candidates(need, self._compared),
+            self._candidates(criteria, self._affinity_candidates),
             key=lambda candidate: self._score(candidate, now),
         )
-        return self._forecast_at(need, replica, is_home=False)
+        return self._forecast_at(criteria, replica, is_owner=False)
 
 
 class OwnDelayOnly(choice_module.ReplicaChooser):
     """The baseline: what a reading holds up of others counts nothing."""
 
-    def _held_up(self, forecast, now):
+    def _blocking_cost(self, forecast, now):
         return datetime.timedelta()
 
 
--- a/tests/cover/test_relay_parts.py
+++ b/tests/cover/test_relay_parts.py
@@ -110,7 +110,7 @@
     def choose(self, *, key="request", exclude=()):
         """Returns the id of the replica that is chosen."""
         chosen = self.chooser.choose(
-            choice.Need(
+            choice.ReplicaCriteria(
                 service="s",
                 accepts=lambda entry: True,
                 key=key,
@@ -215,7 +215,7 @@
             self.directory.put(entry(number, data_centre=centre))
         chosen = {
             self.chooser.choose(
-                choice.Need(
+                choice.ReplicaCriteria(
                     service="s",
                     accepts=lambda entry: entry.replica_id == "r123",
                     key=f"request {number}",
@@ -237,7 +237,10 @@
             other.remove(f"r{number}")
         for key in ("one", "two", "three"):
             orders = [
-                [r.entry.replica_id for r in known.in_order("s", "here", key)]
+                [
+                    r.entry.replica_id
+                    for r in known.affinity_order("s", "here", key)
+                ]
                 for known in (self.directory, other)
             ]
             self.assertEqual(orders[0][:5], orders[1][:5])
--- a/tests/cover/test_relay_way_back.py
+++ b/tests/cover/test_relay_way_back.py
@@ -344,9 +344,9 @@
         keys = []
         choose = choice_module.ReplicaChooser.choose
 
-        def noted(chooser, need: choice_module.Need):
-            keys.append(need.key)
-            return choose(chooser, need)
+        def noted(chooser, criteria: choice_module.ReplicaCriteria):
+            keys.append(criteria.key)
+            return choose(chooser, criteria)
 
         with mock.patch.object(choice_module.ReplicaChooser, "choose", noted):
             await self.answer_of(
--- a/tests/cover/test_replica_directory.py
+++ b/tests/cover/test_replica_directory.py
@@ -57,11 +57,13 @@
             for replica in self.directory.of_service(service)
         }
 
-    def in_order(self, service: str, data_centre: str) -> list[str]:
+    def affinity_order(self, service: str, data_centre: str) -> list[str]:
         """Returns the ids on a data centre's ring."""
         return [
             replica.entry.replica_id
-            for replica in self.directory.in_order(service, data_centre, "key")
+            for replica in self.directory.affinity_order(
+                service, data_centre, "key"
+            )
         ]
 
 
@@ -136,7 +138,7 @@
         self.assertEqual(now.in_flight, 0)
         self.assertFalse(now.health.is_ejected(self.clock.monotonic()))
         self.assertEqual(self.closed, ["10.0.0.1:80"])
-        self.assertEqual(self.in_order(SERVICE, HERE), ["r1"])
+        self.assertEqual(self.affinity_order(SERVICE, HERE), ["r1"])
 
     def test_the_former_start_s_late_answer_says_nothing_of_the_new_one(self):
         self.put(born=BORN_MS)
@@ -153,7 +155,7 @@
         self.put(born=BORN_MS)
         former = self.known()["r1"]
         self.put(born=BORN_MS + 1)
-        self.directory.note_load_heard(
+        self.directory.note_peer_report(
             former.short_id,
             replica_module.LoadReport(
                 running=60, waiting=30, at=self.clock.monotonic()
@@ -197,7 +199,7 @@
         self.assertEqual(known.report.running, 3)
 
     def _reported(self):
-        return self.directory.last_reported(
+        return self.directory.recently_reported(
             10, age=datetime.timedelta(seconds=5)
         )
 
@@ -273,12 +275,12 @@
             for centre in (HERE, "there"):
                 is_there = bool(expected) and centre == data_centre
                 self.assertEqual(
-                    self.in_order(known_service, centre),
+                    self.affinity_order(known_service, centre),
                     ["r1"] if is_there else [],
                 )
         self.assertEqual(len(self.directory), 1)
         self.directory.remove("r1")
-        self.assertEqual(self.in_order(service, data_centre), [])
+        self.assertEqual(self.affinity_order(service, data_centre), [])
         self.assertEqual(len(self.directory), 0)
 
 
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -8,8 +8,8 @@
 from nutmeghook.internal.inner import codec
 from nutmeghook.internal.inner import datagrams
 from nutmeghook.internal.inner import sealed_messages
-from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as gossip_module
+from nutmeghook.internal.suspects import registry as registry_module
 from tests import lossy_post
 
 SEAL = datagrams.Seal(credential="shared")
@@ -17,7 +17,7 @@
 SECOND = datetime.timedelta(seconds=1)
 SMALL, LARGE = 7, 420
 # Within this an instance that comes back has to know.
-KNOWN_WITHIN_S = 3.0
+LEARNT_WITHIN_S = 3.0
 
 
 class Instance:
@@ -27,24 +27,24 @@
         self._fleet = fleet
         self._draw = random.Random(number)
         self.address = f"10.0.{number // 250}.{number % 250}:7340"
-        self.book = book_module.SuspectBook(clock=fleet.clock)
+        self.registry = registry_module.SuspectRegistry(clock=fleet.clock)
         self.post = lossy_post.LossyPost(
             receivers=fleet.receivers, own=self.address
         )
         self.gossip = gossip_module.SuspectGossip(
-            book=self.book,
+            registry=self.registry,
             messages=sealed_messages.SealedMessages(
                 datagrams=self.post, seal=SEAL
             ),
-            audience=self._audience,
+            sample_peers=self._sample_peers,
             clock=fleet.clock,
             random_source=self._draw,
         )
 
-    def _audience(self, *, near: int, far: float) -> list[str]:
+    def _sample_peers(self, *, near: int, far: float) -> list[str]:
         others = [i for i in self._fleet.instances if i is not self]
-        told = self._draw.sample(others, min(len(others), near + round(far)))
-        return [other.address for other in told]
+        sampled = self._draw.sample(others, min(len(others), near + round(far)))
+        return [other.address for other in sampled]
 
 
 class Fleet:
@@ -63,25 +63,27 @@
         self.instances.append(instance)
         return instance
 
-    def tell_until_all_is_told(self) -> int:
+    def gossip_until_quiet(self) -> int:
         """Lets news spread; returns in how many rounds it did."""
         rounds = 0
-        while any(i.book.news.is_set() for i in self.instances):
+        while any(i.registry.updates.is_set() for i in self.instances):
             rounds += 1
             for instance in self.instances:
-                instance.gossip.tell_news()
+                instance.gossip.send_updates()
         return rounds
 
-    def knowing(self) -> int:
+    def count_quarantining(self) -> int:
         """Returns how many instances send the request nowhere."""
-        return sum(i.book.is_quarantined(REQUEST) for i in self.instances)
+        return sum(i.registry.is_quarantined(REQUEST) for i in self.instances)
 
 
 class SuspectGossipTest(unittest.IsolatedAsyncioTestCase):
-    def ended_at_three(self, fleet: Fleet) -> None:
+    def crash_at_three(self, fleet: Fleet) -> None:
         """Has three instances see one replica's end each."""
         for number, instance in enumerate(fleet.instances[:3]):
-            instance.book.note_end(REQUEST, replica_hash=number, begun=True)
+            instance.registry.note_crash(
+                REQUEST, replica_hash=number, begun=True
+            )
 
     async def test_what_three_saw_a_third_of_all_know(self):
         """Copies of a request come to three instances, and end a replica at
@@ -89,39 +91,39 @@
         fourth.
         """
         fleet = Fleet(size=SMALL)
-        self.ended_at_three(fleet)
-        fleet.tell_until_all_is_told()
-        self.assertEqual(fleet.knowing(), SMALL)
+        self.crash_at_three(fleet)
+        fleet.gossip_until_quiet()
+        self.assertEqual(fleet.count_quarantining(), SMALL)
 
     async def test_news_reaches_a_large_fleet_and_stops(self):
         fleet = Fleet(size=LARGE)
-        self.ended_at_three(fleet)
-        self.assertLess(fleet.tell_until_all_is_told(), 10)
-        self.assertGreaterEqual(fleet.knowing(), 0.99 * LARGE)
+        self.crash_at_three(fleet)
+        self.assertLess(fleet.gossip_until_quiet(), 10)
+        self.assertGreaterEqual(fleet.count_quarantining(), 0.99 * LARGE)
 
     async def test_one_that_starts_later_is_reminded(self):
         fleet = Fleet(size=SMALL)
-        self.ended_at_three(fleet)
-        fleet.tell_until_all_is_told()
+        self.crash_at_three(fleet)
+        fleet.gossip_until_quiet()
         late = fleet.join()
         passed_s = 0.0
-        while not late.book.is_quarantined(REQUEST):
+        while not late.registry.is_quarantined(REQUEST):
             for instance in fleet.instances:
-                instance.gossip.remind()
-            passed_s += gossip_module.REPEAT_EVERY.total_seconds()
-        self.assertLessEqual(passed_s, KNOWN_WITHIN_S)
+                instance.gossip.send_reminder()
+            passed_s += gossip_module.REMINDER_PERIOD.total_seconds()
+        self.assertLessEqual(passed_s, LEARNT_WITHIN_S)
 
     async def test_one_whose_word_was_lost_is_heard_later(self):
         fleet = Fleet(size=SMALL)
         silent = fleet.instances[0]
         silent.post.loses = True
-        self.ended_at_three(fleet)
-        fleet.tell_until_all_is_told()
-        self.assertLessEqual(fleet.knowing(), 1)
+        self.crash_at_three(fleet)
+        fleet.gossip_until_quiet()
+        self.assertLessEqual(fleet.count_quarantining(), 1)
         silent.post.loses = False
-        while fleet.knowing() < SMALL:
-            silent.gossip.remind()
-            fleet.tell_until_all_is_told()
+        while fleet.count_quarantining() < SMALL:
+            silent.gossip.send_reminder()
+            fleet.gossip_until_quiet()
 
     async def test_an_answer_anywhere_clears_it_everywhere(self):
         """A request was beside others under which replicas ended, and is then
@@ -129,48 +131,50 @@
         holds the ends against it, and must not bring them back to the rest.
         """
         fleet = Fleet(size=SMALL)
-        self.ended_at_three(fleet)
-        fleet.tell_until_all_is_told()
-        missed = fleet.instances[-1]
+        self.crash_at_three(fleet)
+        fleet.gossip_until_quiet()
+        uninformed = fleet.instances[-1]
         others = fleet.instances[:-1]
-        fleet.instances.remove(missed)
-        others[0].book.note_answered(REQUEST)
-        fleet.tell_until_all_is_told()
-        self.assertEqual(fleet.knowing(), 0)
-        fleet.instances.append(missed)
-        missed.gossip.remind()
-        fleet.tell_until_all_is_told()
-        self.assertEqual(fleet.knowing(), 0)
+        fleet.instances.remove(uninformed)
+        others[0].registry.note_answered(REQUEST)
+        fleet.gossip_until_quiet()
+        self.assertEqual(fleet.count_quarantining(), 0)
+        fleet.instances.append(uninformed)
+        uninformed.gossip.send_reminder()
+        fleet.gossip_until_quiet()
+        self.assertEqual(fleet.count_quarantining(), 0)
 
     async def test_a_trial_at_one_is_known_to_all(self):
         fleet = Fleet(size=SMALL)
-        self.ended_at_three(fleet)
-        fleet.tell_until_all_is_told()
-        await fleet.clock.advance(book_module.TRIAL_AFTER + SECOND)
-        self.assertTrue(fleet.instances[0].book.try_trial(REQUEST))
-        fleet.tell_until_all_is_told()
-        tried = [i.book.try_trial(REQUEST) for i in fleet.instances]
-        self.assertFalse(any(tried))
+        self.crash_at_three(fleet)
+        fleet.gossip_until_quiet()
+        await fleet.clock.advance(registry_module.PROBE_DELAY + SECOND)
+        self.assertTrue(fleet.instances[0].registry.try_probe(REQUEST))
+        fleet.gossip_until_quiet()
+        probed = [i.registry.try_probe(REQUEST) for i in fleet.instances]
+        self.assertFalse(any(probed))
 
     async def test_the_fullest_message_fits_into_a_datagram(self):
         sent = []
         fleet = Fleet(size=2)
-        teller = fleet.instances[0]
-        teller.post.send = lambda address, data: sent.append(data)
-        for number in range(gossip_module.MOST_TOLD):
+        sender = fleet.instances[0]
+        sender.post.send = lambda address, data: sent.append(data)
+        for number in range(gossip_module.MAX_SUSPICIONS_SENT):
             identity = b"%016d" % number
-            for replica in range(book_module.MOST_ENDS):
-                teller.book.note_end(
+            for replica in range(registry_module.MAX_CRASHES):
+                sender.registry.note_crash(
                     identity, replica_hash=2**31 - 1 - replica, begun=True
                 )
-            await fleet.clock.advance(book_module.TRIAL_AFTER)
-            teller.book.try_trial(identity)
-        await fleet.clock.advance(book_module.KEPT_FOR / 2)
-        teller.gossip.remind()
+            await fleet.clock.advance(registry_module.PROBE_DELAY)
+            sender.registry.try_probe(identity)
+        await fleet.clock.advance(registry_module.SUSPICION_LIFETIME / 2)
+        sender.gossip.send_reminder()
         (data,) = sent
         self.assertLessEqual(len(data), datagrams.MAX_DATAGRAM_BYTES)
         message = codec.decode(SEAL.open(data)).message
-        self.assertEqual(len(message.suspects), gossip_module.MOST_TOLD)
+        self.assertEqual(
+            len(message.suspects), gossip_module.MAX_SUSPICIONS_SENT
+        )
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/cover/test_suspect_registry.py
@@ -0,0 +1,212 @@
+"""Who is held to have ended replicas, and who is not."""
+
+import datetime
+import unittest
+
+import hypothesis
+from hypothesis import strategies
+
+from bench.models import crashing_requests
+from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.suspects import registry as registry_module
+
+REQUEST = b"r" * 16
+OTHER = b"o" * 16
+SECOND = datetime.timedelta(seconds=1)
+AGES_S = strategies.integers(min_value=0, max_value=200)
+# A replica ends once, so all that notice it do so at the same time.
+CRASHES = strategies.builds(
+    lambda replica_hash, begun: registry_module.ReplicaCrash(
+        replica_hash=replica_hash, begun=begun, at=-20 * replica_hash * SECOND
+    ),
+    strategies.integers(min_value=1, max_value=registry_module.MAX_CRASHES),
+    strategies.booleans(),
+)
+SUSPICIONS = strategies.builds(
+    lambda crashes, cleared_s: registry_module.Suspicion(
+        identity=REQUEST,
+        crashes=tuple(
+            {crash.replica_hash: crash for crash in crashes}.values()
+        ),
+        cleared_at=None if cleared_s is None else -cleared_s * SECOND,
+    ),
+    strategies.lists(CRASHES, max_size=4),
+    strategies.none() | AGES_S,
+)
+
+
+class RegistryCase(unittest.IsolatedAsyncioTestCase):
+    def setUp(self):
+        self.clock = clock_module.FakeClock()
+        self.registry = registry_module.SuspectRegistry(clock=self.clock)
+
+    def crash(self, *replicas: int, identity: bytes = REQUEST, begun=True):
+        """Has replicas end under a request."""
+        for replica in replicas:
+            self.registry.note_crash(
+                identity, replica_hash=replica, begun=begun
+            )
+
+
+class QuarantineTest(RegistryCase):
+    async def test_a_third_replica_that_ends_quarantines(self):
+        self.crash(1, 2, 2, 1)
+        self.assertFalse(self.registry.is_quarantined(REQUEST))
+        self.crash(3)
+        self.assertTrue(self.registry.is_quarantined(REQUEST))
+
+    async def test_having_waited_for_a_replica_counts_half(self):
+        self.crash(1, 2, 3, 4, 5, begun=False)
+        self.assertFalse(self.registry.is_quarantined(REQUEST))
+        self.crash(5, begun=True)
+        self.assertTrue(self.registry.is_quarantined(REQUEST))
+
+    async def test_an_answer_clears(self):
+        self.crash(1, 2)
+        self.registry.note_answered(REQUEST)
+        self.assertFalse(self.registry.is_suspect(REQUEST))
+
+    async def test_what_was_answered_a_moment_ago_is_no_suspect(self):
+        """Everybody asks for the same, and a rack loses power with a copy at
+        each of its replicas. Nobody was answered between the three ends, and
+        the most usual request of all would have been refused for an hour.
+        """
+        self.registry.note_answered(REQUEST)
+        self.crash(1, 2, 3)
+        self.assertFalse(self.registry.is_quarantined(REQUEST))
+
+    async def test_an_answer_of_long_ago_protects_from_nothing(self):
+        """A request was answered by an older version, and ends each replica
+        of the newer one.
+        """
+        self.registry.note_answered(REQUEST)
+        await self.clock.advance(registry_module.ANSWER_GRACE + SECOND)
+        self.crash(1, 2, 3)
+        self.assertTrue(self.registry.is_quarantined(REQUEST))
+
+    async def test_it_ends(self):
+        self.crash(1, 2, 3)
+        await self.clock.advance(registry_module.SUSPICION_LIFETIME)
+        self.assertFalse(self.registry.is_quarantined(REQUEST))
+
+    async def test_the_gravest_are_kept_in_bounded_memory(self):
+        self.crash(1, 2, 3)
+        for number in range(2 * registry_module.MAX_SUSPECTS):
+            self.crash(1, identity=b"%016d" % number)
+        self.assertTrue(self.registry.is_quarantined(REQUEST))
+        known = self.registry.most_suspect(10**6, age=SECOND)
+        self.assertLessEqual(len(known), registry_module.MAX_SUSPECTS)
+
+
+class ProbeTest(RegistryCase):
+    async def test_a_trial_comes_after_a_while_and_once(self):
+        """An innocent request was beside others that ended three replicas,
+        and is asked every minute. Without a trial it is refused for an hour;
+        with one each minute, a guilty one ends sixty replicas more.
+        """
+        self.crash(1, 2, 3)
+        self.assertFalse(self.registry.try_probe(REQUEST))
+        await self.clock.advance(self.registry.refused_for(REQUEST))
+        self.assertTrue(self.registry.try_probe(REQUEST))
+        self.assertFalse(self.registry.try_probe(REQUEST))
+        self.crash(4)
+        await self.clock.advance(2 * registry_module.PROBE_DELAY)
+        self.assertFalse(self.registry.try_probe(REQUEST))
+        self.assertTrue(self.registry.is_quarantined(REQUEST))
+
+    async def test_an_answer_on_trial_clears(self):
+        self.crash(1, 2, 3)
+        await self.clock.advance(registry_module.PROBE_DELAY)
+        self.assertTrue(self.registry.try_probe(REQUEST))
+        self.registry.note_answered(REQUEST)
+        self.assertFalse(self.registry.is_quarantined(REQUEST))
+
+
+class MergeTest(unittest.TestCase):
+    @hypothesis.given(
+        received=strategies.lists(SUSPICIONS, max_size=6),
+        order=strategies.randoms(use_true_random=False),
+    )
+    def test_the_order_of_what_is_heard_does_not_matter(self, received, order):
+        registries = []
+        for _ in range(2):
+            registry = registry_module.SuspectRegistry(
+                clock=clock_module.FakeClock()
+            )
+            for suspicion in received:
+                registry.merge(suspicion)
+            registries.append(registry)
+            received = order.sample(received, len(received)) + received[:1]
+        known = [
+            registry.most_suspect(1, age=200 * SECOND)
+            for registry in registries
+        ]
+        replicas = [
+            {
+                (crash.replica_hash, crash.begun)
+                for s in k
+                for crash in s.crashes
+            }
+            for k in known
+        ]
+        self.assertEqual(*replicas)
+
+    @hypothesis.given(received=strategies.lists(SUSPICIONS, max_size=6))
+    def test_two_that_know_the_same_have_nothing_to_tell(self, received):
+        one, other = (
+            registry_module.SuspectRegistry(clock=clock_module.FakeClock())
+            for _ in range(2)
+        )
+        for suspicion in received:
+            one.merge(suspicion)
+        for _ in range(3):
+            for sender, receiver in ((one, other), (other, one)):
+                for suspicion in sender.take_updates(100):
+                    receiver.merge(suspicion)
+        self.assertEqual(one.take_updates(100) + other.take_updates(100), [])
+
+
+class HistoriesTest(unittest.TestCase):
+    """Whole days of a pool, some of whose requests end replicas."""
+
+    DAYS = 6
+
+    def played(self, **day) -> list[crashing_requests.Outcome]:
+        """Plays days that are alike but for their seed."""
+        shape = crashing_requests.Day(length_s=20.0, **day)
+        return [
+            crashing_requests.Pool(day=shape, seed=seed).play()
+            for seed in range(self.DAYS)
+        ]
+
+    def test_one_crashing_request_ends_three_and_few_are_condemned(self):
+        """A request ends a replica beside some twenty others, which go on to
+        other replicas, as it does. Of all others that day at most one in
+        five hundred may be taken for it.
+        """
+        outcomes = self.played(crashing=1, copies=1)
+        for outcome in outcomes:
+            self.assertEqual(outcome.ended, 3)
+        self.assert_few_quarantined(outcomes)
+
+    def test_several_at_once_are_each_stopped(self):
+        for outcome in self.played(crashing=3, copies=2):
+            self.assertLessEqual(outcome.late, 3)
+
+    def test_replicas_that_end_by_themselves_condemn_next_to_nobody(self):
+        """Half of the replicas lose power at a time, three times, and no
+        request has anything to do with it.
+        """
+        self.assert_few_quarantined(self.played(crashing=0, outages=3))
+
+    def assert_few_quarantined(
+        self, outcomes: list[crashing_requests.Outcome]
+    ) -> None:
+        """Checks the chance of an innocent request, over all days."""
+        condemned = sum(outcome.condemned for outcome in outcomes)
+        others = sum(outcome.others for outcome in outcomes)
+        self.assertLessEqual(condemned, others / 500)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -27,7 +27,7 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import cascade
 from nutmeghook.internal.routing import versions
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from tests import fake_config
 from tests import fake_platform
 
@@ -328,7 +328,7 @@
             admission=self.admission,
             plain_admission=self.plain_admission,
             retry_budgets=self.budget,
-            suspects=book_module.SuspectBook(clock=self.clock),
+            suspects=registry_module.SuspectRegistry(clock=self.clock),
             ledger=self.ledger,
             ratings=self.ratings,
             events=self.events,
--- a/tests/load_scene.py
+++ b/tests/load_scene.py
@@ -14,13 +14,13 @@
 
 SEEDS = (1, 2, 3)
 # Of 12 engines this keeps some 7 busy if half of the answers are asked again.
-USUAL_PER_S = 72.0
+BASE_PER_S = 72.0
 
 
 def load(**changes) -> emulated_fleet.Load:
     """Returns a steady load, changed."""
     fields = {
-        "per_s": lambda at_s: USUAL_PER_S,
+        "per_s": lambda at_s: BASE_PER_S,
         "replicas_at": lambda at_s: 12,
         "duration_s": 20.0,
     }
@@ -30,7 +30,7 @@
 def whole_load(**changes) -> emulated_fleet.Load:
     """Returns the load of a whole grown fleet, changed."""
     fields = {
-        "per_s": lambda at_s: 3 * USUAL_PER_S,
+        "per_s": lambda at_s: 3 * BASE_PER_S,
         "replicas_at": lambda at_s: 36,
         "duration_s": 8.0,
         "instances": 73,
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -17,7 +17,7 @@
 from nutmeghook.internal.replicas import send_gate
 from nutmeghook.internal.routes import in_force as in_force_module
 from nutmeghook.internal.routes import model
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.upstream import pool as pool_module
 from nutmeghook.internal.version_plans import view
 from nutmeghook.platform import headers
@@ -115,7 +115,7 @@
     def build_listener(self) -> listener_module.CallerListener:
         """Returns the relay."""
         wire_format = headers.PlatformHeaders()
-        self.suspects = book_module.SuspectBook(clock=self.clock)
+        self.suspects = registry_module.SuspectRegistry(clock=self.clock)
         self.budgets = window_budget.WindowRetryBudgets(
             ratio=0.9,
             window=10 * SECOND,
--- a/tests/whole/test_cold_and_evacuated.py
+++ b/tests/whole/test_cold_and_evacuated.py
@@ -83,7 +83,7 @@
         for replica_id in list(self.trial.replicas):
             self.trial.operator.strike_replica(replica_id)
         await self.trial.add_replica("cold-1", "v1", cold_left_s=60.0)
-        await asyncio.sleep(cold_senders.SETTLING.total_seconds())
+        await asyncio.sleep(cold_senders.SETTLING_TIME.total_seconds())
         await self.calls(150)
         arrived_s = self.seen("cold-1")
         worst = soak_checks.most_in_one_second(arrived_s)
