--- a/src/nutmeghook/internal/relay/replica_search.py
+++ b/src/nutmeghook/internal/relay/replica_search.py
@@ -132,8 +132,8 @@
         accepts: Callable[[entries.ReplicaEntry], bool],
         tried: frozenset[str],
         model_index: int | None = None,
-    ) -> choice_module.Need:
-        return choice_module.Need(
+    ) -> choice_module.ReplicaCriteria:
+        return choice_module.ReplicaCriteria(
             service=service,
             accepts=self._homes.restrict(job, accepts),
             key=attempt_facts.affinity(job, model_index) or job.log_id,
@@ -152,8 +152,8 @@
         shared_tokens = attempt_facts.shared_tokens(job)
         own_tokens = job.input_tokens - shared_tokens
         return choice_module.Prompt(
-            shared=self._times.prefill_time(model_name, shared_tokens),
-            own=self._times.prefill_time(model_name, own_tokens),
+            prefix=self._times.prefill_time(model_name, shared_tokens),
+            suffix=self._times.prefill_time(model_name, own_tokens),
             urgent=attempt_facts.is_urgent(job, model_index),
             target=job.route.target,
         )
