--- a/src/nutmeghook/internal/rollout/exposure.py
+++ b/src/nutmeghook/internal/rollout/exposure.py
@@ -42,7 +42,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Returns the allowance of an answer that will not be sent."""
+        """Releases the allowance of an answer that will not be sent."""
 
 
 class NoExposureGate(ExposureGate):
--- a/src/nutmeghook/internal/rollout/gate.py
+++ b/src/nutmeghook/internal/rollout/gate.py
@@ -121,7 +121,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Returns the allowance of an answer that will not be sent."""
+        """Releases the allowance of an answer that will not be sent."""
         allowance = self._allowance(template, model_version)
         allowance.demand = max(0, allowance.demand - 1)
         if allowance.debt > 0:
@@ -133,10 +133,10 @@
 
     async def close(self) -> None:
         """Stops fetching; unused allowance is lost and counts as sent."""
-        work = list(self._tasks)
-        for task in work:
+        tasks = list(self._tasks)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*work, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
     def _allowance(
         self,
--- a/src/nutmeghook/internal/rollout/ready_gate.py
+++ b/src/nutmeghook/internal/rollout/ready_gate.py
@@ -55,7 +55,7 @@
         template: documents.Template,
         model_version: engine.ModelVersion,
     ) -> None:
-        """Returns the allowance of an answer that will not be sent."""
+        """Releases the allowance of an answer that will not be sent."""
         self._gate.release(template=template, model_version=model_version)
 
 
