--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -164,7 +164,7 @@
             80 * _MORE,
             "% of their batches",
             "80 x 9 / 8; above, admission refuses by priority",
-            "limits/following_limit",
+            "limits/adaptive_limit",
         ),
         figures.row(
             CENTRE,
--- a/bench/capacity/fleet_work.py
+++ b/bench/capacity/fleet_work.py
@@ -9,8 +9,8 @@
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.foundation import clock as clock_module
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import ceiling
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.orders import fleet_reading
@@ -92,12 +92,12 @@
 
 
 def _ceiling(count: int) -> Callable[[], int]:
-    follower = ceiling.CeilingFollower(
-        limit=following_limit.FollowingLimit(ceiling=512),
+    follower = ceiling.CeilingUpdater(
+        limit=adaptive_limit.AdaptiveLimit(ceiling=512),
         known=_directory(count).known,
         members=_members(),
         clock=clock_module.SystemClock(),
-        most_places=512,
+        max_slots=512,
     )
 
     def act() -> int:
--- a/bench/capacity/processor.py
+++ b/bench/capacity/processor.py
@@ -21,9 +21,9 @@
 from nutmeghook.internal.leases import preference
 from nutmeghook.internal.ledger import directory as ledger_directory
 from nutmeghook.internal.ledger import records
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import admission
 from nutmeghook.internal.limits import fair_admission
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.limits import token_budget
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
@@ -255,7 +255,7 @@
     admitting = fair_admission.FairAdmission(
         clock=clock,
         randomness=random.Random(1),
-        limit=following_limit.FollowingLimit(ceiling=512),
+        limit=adaptive_limit.AdaptiveLimit(ceiling=512),
         budgets=token_budget.TokenBudgets(clock=clock, members=_members(7)),
     )
     second = datetime.timedelta(seconds=1)
--- a/bench/models/admission_baselines.py
+++ b/bench/models/admission_baselines.py
@@ -16,10 +16,10 @@
 class FifoAdmission(admission.Admission):
     """A fixed number of places, and a queue bounded by its length only."""
 
-    __slots__ = ("_max_waiting", "_places", "_waiting")
+    __slots__ = ("_max_waiting", "_slots", "_waiting")
 
-    def __init__(self, *, places: int, max_waiting: int):
-        self._places = places
+    def __init__(self, *, slots: int, max_waiting: int):
+        self._slots = slots
         self._max_waiting = max_waiting
         self._waiting: collections.deque[asyncio.Future[None]] = (
             collections.deque()
@@ -46,8 +46,8 @@
         """Ignores it."""
 
     async def _enter(self) -> None:
-        if self._places:
-            self._places -= 1
+        if self._slots:
+            self._slots -= 1
             return
         if len(self._waiting) >= self._max_waiting:
             raise errors.CodedError(
@@ -68,7 +68,7 @@
             if not turn.done():
                 turn.set_result(None)
                 return
-        self._places += 1
+        self._slots += 1
 
 
 class NaiveRetries(admission.RetryBudget):
--- a/bench/models/load_policies.py
+++ b/bench/models/load_policies.py
@@ -5,10 +5,10 @@
 from bench.models import admission_baselines
 from bench.models import busy_fleet
 from bench.models import virtual_loop
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import admission
 from nutmeghook.internal.limits import concurrency_limit
 from nutmeghook.internal.limits import fair_admission
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.limits import retry_budget
 from nutmeghook.internal.limits import token_budget
 from nutmeghook.internal.membership import members
@@ -20,8 +20,10 @@
     scenario: busy_fleet.Scenario,
 ) -> busy_fleet.Limits:
     """The product's limits."""
-    limit = following_limit.FollowingLimit(ceiling=_ceiling(scenario))
-    return _fair(clock, randomness, limit, retry_budget.ShareRetryBudget())
+    limit = adaptive_limit.AdaptiveLimit(ceiling=_ceiling(scenario))
+    return _fair(
+        clock, randomness, limit, retry_budget.TokenBucketRetryBudget()
+    )
 
 
 def fixed_limit(
@@ -30,8 +32,10 @@
     scenario: busy_fleet.Scenario,
 ) -> busy_fleet.Limits:
     """Fair admission with places that don't follow service."""
-    limit = concurrency_limit.FixedLimit(places=_ceiling(scenario))
-    return _fair(clock, randomness, limit, retry_budget.ShareRetryBudget())
+    limit = concurrency_limit.FixedLimit(slots=_ceiling(scenario))
+    return _fair(
+        clock, randomness, limit, retry_budget.TokenBucketRetryBudget()
+    )
 
 
 def fifo(
@@ -42,7 +46,7 @@
     """A bounded queue, first come first served, and naive retries."""
     return busy_fleet.Limits(
         admission=admission_baselines.FifoAdmission(
-            places=_ceiling(scenario), max_waiting=100
+            slots=_ceiling(scenario), max_waiting=100
         ),
         retries=admission_baselines.NaiveRetries(),
     )
@@ -69,7 +73,7 @@
 
 
 def _ceiling(scenario: busy_fleet.Scenario) -> int:
-    return following_limit.capacity_share(
+    return adaptive_limit.capacity_share(
         capacity=scenario.engines * scenario.reported_slots,
         members=scenario.instances,
     )
--- a/bench/token_budgets.py
+++ b/bench/token_budgets.py
@@ -13,7 +13,7 @@
 from bench.models import simulation
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.limits import admission
-from nutmeghook.internal.limits import return_schedule
+from nutmeghook.internal.limits import retry_after_schedule
 from nutmeghook.internal.limits import token_budget
 from nutmeghook.internal.membership import members
 
@@ -49,14 +49,16 @@
     rng = random.Random(seed)
     clock = simulation.Simulation()
     budgets = _budgets(members_count, clock)
-    returns = return_schedule.ReturnSchedule(clock=clock, randomness=rng)
+    retry_schedule = retry_after_schedule.RetryAfterSchedule(
+        clock=clock, randomness=rng
+    )
     served = 0
     while clock.now_s < DURATION_S:
         clock.run_until(clock.now_s + rng.expovariate(per_minute / 60))
         request = _request(per_minute, clock)
         budget = rng.choice(budgets)
         try:
-            budget.check(request, returns=returns)
+            budget.check(request, retry_schedule=retry_schedule)
         except errors.CodedError:
             continue
         budget.charge(request, COST_TOKENS)
--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -27,10 +27,10 @@
 from nutmeghook.internal.inner import peer_messages
 from nutmeghook.internal.ledger import factory as ledger_factory
 from nutmeghook.internal.ledger import settings as ledger_settings
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import ceiling
 from nutmeghook.internal.limits import concurrency_limit
 from nutmeghook.internal.limits import fair_admission
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.limits import retry_budget
 from nutmeghook.internal.limits import token_budget
 from nutmeghook.internal.observe import events as events_module
@@ -207,7 +207,7 @@
             cascade=self._cascades.policy,
             admission=self._build_admission(),
             plain_admission=self._fair_admission(
-                following_limit.FollowingLimit(
+                adaptive_limit.AdaptiveLimit(
                     ceiling=self._settings.count("concurrent_plain_calls")
                 )
             ),
@@ -300,14 +300,14 @@
         )
 
     def _build_admission(self) -> fair_admission.FairAdmission:
-        most_places = self._settings.count("concurrent_requests")
-        limit = following_limit.FollowingLimit(ceiling=most_places)
-        self._ceiling = ceiling.CeilingFollower(
+        max_slots = self._settings.count("concurrent_requests")
+        limit = adaptive_limit.AdaptiveLimit(ceiling=max_slots)
+        self._ceiling = ceiling.CeilingUpdater(
             limit=limit,
             known=self._routing.directory.known,
             members=self.members,
             clock=self._clock,
-            most_places=most_places,
+            max_slots=max_slots,
         )
         return self._fair_admission(limit)
 
--- a/src/nutmeghook/internal/dispatch/spent.py
+++ b/src/nutmeghook/internal/dispatch/attempt_costs.py
@@ -7,7 +7,7 @@
 from nutmeghook.internal.dispatch import stage_calls
 
 
-def count(
+def record(
     config: view_module.ConfigView,
     call: stage_calls.StageCall,
     attempt: attempts_module.Attempt,
--- a/src/nutmeghook/internal/dispatch/attempts.py
+++ b/src/nutmeghook/internal/dispatch/attempts.py
@@ -23,7 +23,7 @@
 # Where nothing may follow: 3 to 6 s, so that the last one still finds what
 # engines keep for about 10 s after a cut, and a caller whose engine is gone
 # does not wait for its deadline.
-MAX_RESUMES_WITHOUT_LEAVE = 7
+MAX_RESUMES_WITHOUT_PERMISSION = 7
 FIRST_RESUME_DELAY = datetime.timedelta(milliseconds=50)
 CANCEL_TIMEOUT = datetime.timedelta(seconds=2)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -79,12 +79,12 @@
     backend: backends_module.Backend
     generation: engine_module.Generation
     deadline: datetime.timedelta
-    try_leave: Callable[[], bool]
+    try_permit: Callable[[], bool]
     check_send: engine_module.SendCheck
     next_token: int = 0
     resumes: int = 0
     started_at: datetime.timedelta | None = None
-    is_left: bool = False
+    is_abandoned: bool = False
     last: engine_module.Chunk | None = None
 
 
@@ -134,8 +134,8 @@
         """
         if attempt.started_at is None:
             attempt.started_at = self._clock.monotonic()
-        if attempt.is_left:
-            attempt.is_left = False
+        if attempt.is_abandoned:
+            attempt.is_abandoned = False
             self._note_resume(attempt)
         self._backends.started(attempt.backend)
         outcome = backends_module.AttemptOutcome.CANCELLED
@@ -170,14 +170,14 @@
             report=attempt.last.load if attempt.last else None,
         )
         self._meter.attempt_finished(outcome)
-        if outcome in _TELLS_OF_SERVICE:
+        if outcome in _SERVICE_OUTCOMES:
             self._admission.note_service(
                 duration=duration,
                 overloaded=outcome
                 is backends_module.AttemptOutcome.REFUSED_OVERLOAD,
                 work_tokens=max(1, attempt.next_token),
             )
-        if outcome in _MAY_STILL_RUN and not attempt.is_left:
+        if outcome in _MAY_STILL_RUN and not attempt.is_abandoned:
             self._background.start(self._cancel(attempt))
 
     async def _cancel(self, attempt: Attempt) -> None:
@@ -204,7 +204,7 @@
             ) as error:
                 if attempt.next_token > seen:
                     attempt.resumes = 0
-                if _try_give_up(attempt):
+                if _try_abandon(attempt):
                     raise _attempt_error(error, attempt) from error
             await self._clock.sleep(self._resume_delay(attempt.resumes + 1))
             self._note_resume(attempt)
@@ -258,23 +258,26 @@
         return longest * self._random.uniform(0.5, 1.0)
 
 
-def _try_give_up(attempt: Attempt) -> bool:
+def _try_abandon(attempt: Attempt) -> bool:
     """Tells whether to leave an engine after its resumes in vain.
 
     Leave for the attempt that follows is taken on the way, if need be. Before
     the first token there is nothing in hand: asking the same engine again
     could start the work a second time, which is a repeat like any other.
     """
-    if not attempt.next_token or attempt.resumes >= MAX_RESUMES_WITHOUT_LEAVE:
+    if (
+        not attempt.next_token
+        or attempt.resumes >= MAX_RESUMES_WITHOUT_PERMISSION
+    ):
         return True
-    attempt.is_left = (
-        attempt.resumes >= MAX_RESUMES_WITHOUT_PROGRESS and attempt.try_leave()
+    attempt.is_abandoned = (
+        attempt.resumes >= MAX_RESUMES_WITHOUT_PROGRESS and attempt.try_permit()
     )
-    return attempt.is_left
+    return attempt.is_abandoned
 
 
 def _checked_last(chunk: engine_module.Chunk) -> engine_module.Chunk:
-    if chunk.finish in _WHOLE:
+    if chunk.finish in _COMPLETE_REASONS:
         return chunk
     raise AttemptError(
         f"the engine ended the generation: {chunk.finish}", ran=True
@@ -312,8 +315,11 @@
     return backends_module.AttemptOutcome.UNREACHABLE
 
 
-_WHOLE = (engine_module.FinishReason.STOP, engine_module.FinishReason.LENGTH)
-_TELLS_OF_SERVICE = (
+_COMPLETE_REASONS = (
+    engine_module.FinishReason.STOP,
+    engine_module.FinishReason.LENGTH,
+)
+_SERVICE_OUTCOMES = (
     backends_module.AttemptOutcome.ANSWERED,
     backends_module.AttemptOutcome.REFUSED_OVERLOAD,
 )
--- a/src/nutmeghook/internal/dispatch/claims.py
+++ b/src/nutmeghook/internal/dispatch/claims.py
@@ -14,7 +14,7 @@
 # again. Without a bound of its own, callers with long deadlines sat through a
 # 10 s outage (seen in the demo) instead of hearing when to come back. A claim
 # given up on is voided by the ledger, so that "not run" stays true.
-PATIENCE = datetime.timedelta(seconds=1)
+CLAIM_TIMEOUT = datetime.timedelta(seconds=1)
 
 
 class Claims:
@@ -59,7 +59,7 @@
         if not identity.given_by_caller:
             return None
         result = await self._ledger.claim(
-            identity, request_id=request_id, timeout=min(timeout, PATIENCE)
+            identity, request_id=request_id, timeout=min(timeout, CLAIM_TIMEOUT)
         )
         if result.state is ledger_module.ClaimState.WON:
             self._events.record(
--- a/src/nutmeghook/internal/dispatch/consumers.py
+++ b/src/nutmeghook/internal/dispatch/consumers.py
@@ -28,7 +28,7 @@
         """Tells whether an attempt that gave its text here is the answer's."""
 
     @abc.abstractmethod
-    def for_repeat(self, on_begun: Callable[[], None]) -> "Consumer":
+    def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
         """Returns the consumer for an attempt that starts from the front.
 
         Args:
@@ -37,7 +37,7 @@
         """
 
 
-class Holder(Consumer):
+class BufferingConsumer(Consumer):
     """Holds a stage's text back: the answer may yet be judged too weak."""
 
     __slots__ = ("_on_begun", "_pieces")
@@ -60,12 +60,12 @@
         """Tells whether it holds any text."""
         return bool(self._pieces)
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> "Consumer":
+    def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
         """Returns an empty holder: nobody saw the earlier text."""
-        return Holder(on_begun=on_begun)
+        return BufferingConsumer(on_begun=on_begun)
 
 
-class Relay(Consumer):
+class RelayingConsumer(Consumer):
     """Passes text on to the caller as it comes."""
 
     __slots__ = ("_model_version", "_on_first", "_pieces", "_progress", "_sink")
@@ -100,14 +100,14 @@
         """Tells whether the caller was sent any text."""
         return bool(self._pieces)
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> "Consumer":
+    def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
         """Returns a consumer that goes on where the caller's text ends."""
         if not self._pieces:
             return self
-        return PrefixCheck(relay=self, on_begun=on_begun)
+        return PrefixCheckingConsumer(relay=self, on_begun=on_begun)
 
 
-class PrefixCheck(Consumer):
+class PrefixCheckingConsumer(Consumer):
     """Lets a repeated attempt go on only if it repeats the text so far.
 
     The failure: the engine is gone with half an answer given. A second
@@ -117,13 +117,15 @@
     on only if it begins with exactly that.
     """
 
-    __slots__ = ("_caught_up", "_expected", "_held", "_on_begun", "_relay")
+    __slots__ = ("_buffered", "_caught_up", "_expected", "_on_begun", "_relay")
 
-    def __init__(self, *, relay: Relay, on_begun: Callable[[], None]):
+    def __init__(
+        self, *, relay: RelayingConsumer, on_begun: Callable[[], None]
+    ):
         self._on_begun = on_begun
         self._relay = relay
         self._expected = relay.text()
-        self._held = ""
+        self._buffered = ""
         self._caught_up = False
 
     async def take(self, text: str) -> None:
@@ -135,13 +137,13 @@
         if self._caught_up:
             await self._relay.take(text)
             return
-        self._held += text
+        self._buffered += text
         if not self._matches():
             raise TextMismatchError
-        if len(self._held) >= len(self._expected):
+        if len(self._buffered) >= len(self._expected):
             self._caught_up = True
             self._on_begun()
-            rest = self._held[len(self._expected) :]
+            rest = self._buffered[len(self._expected) :]
             if rest:
                 await self._relay.take(rest)
 
@@ -159,11 +161,11 @@
         """Tells whether the repeat covers what the caller had."""
         return self._caught_up
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> Consumer:
+    def for_retry(self, on_begun: Callable[[], None]) -> Consumer:
         """Returns a fresh check against all that the caller has by now."""
-        return self._relay.for_repeat(on_begun)
+        return self._relay.for_retry(on_begun)
 
     def _matches(self) -> bool:
-        return self._held.startswith(self._expected) or (
-            self._expected.startswith(self._held)
+        return self._buffered.startswith(self._expected) or (
+            self._expected.startswith(self._buffered)
         )
--- a/src/nutmeghook/internal/dispatch/dispatcher.py
+++ b/src/nutmeghook/internal/dispatch/dispatcher.py
@@ -17,13 +17,13 @@
 from nutmeghook.internal.dispatch import background as background_module
 from nutmeghook.internal.dispatch import bills as bills_module
 from nutmeghook.internal.dispatch import claims as claims_module
-from nutmeghook.internal.dispatch import endings
-from nutmeghook.internal.dispatch import engine_ends
+from nutmeghook.internal.dispatch import engine_crashes
 from nutmeghook.internal.dispatch import generations as generations_module
 from nutmeghook.internal.dispatch import meter as meter_module
 from nutmeghook.internal.dispatch import plain_calls as plain_calls_module
 from nutmeghook.internal.dispatch import progress as progress_module
 from nutmeghook.internal.dispatch import ratings as ratings_module
+from nutmeghook.internal.dispatch import request_outcomes
 from nutmeghook.internal.dispatch import requests
 from nutmeghook.internal.dispatch import stages as stages_module
 from nutmeghook.internal.foundation import clock as clock_module
@@ -108,7 +108,7 @@
             background=self._background,
             random_source=random_source,
         )
-        ends = engine_ends.EngineEnds(
+        crashes = engine_crashes.EngineCrashDetector(
             registry=suspects, connector=engines, clock=clock
         )
         stages = stages_module.StageRunner(
@@ -117,7 +117,7 @@
             versions=versions,
             backends=backends,
             attempts=attempts,
-            ends=ends,
+            crashes=crashes,
             retry_budgets=retry_budgets,
             events=events,
             meter=meter,
@@ -128,7 +128,7 @@
             admission=admission,
             cascade=cascade,
             stages=stages,
-            ends=ends,
+            crashes=crashes,
             ratings=ratings,
             events=events,
             meter=meter,
@@ -171,7 +171,7 @@
                     self._generations.produce(request, progress, sink),
                 )
             except errors.CodedError as error:
-                held = await self._generations.give_held(
+                held = await self._generations.give_held_answer(
                     request, progress, sink, error
                 )
                 if held is None:
@@ -184,10 +184,10 @@
                 kept = sink.encode_whole(answer)
             await self._bills.bill_answer(request, answer, progress, kept)
 
-        return await self._accompanied(
+        return await self._run_shielded(
             request,
             progress,
-            self._settled(
+            self._run_recorded(
                 request,
                 progress,
                 produce=produce,
@@ -209,10 +209,10 @@
         async def finish(answer: plain.PlainAnswer) -> None:
             await self._bills.bill_plain(request, answer)
 
-        return await self._accompanied(
+        return await self._run_shielded(
             request,
             progress,
-            self._settled(
+            self._run_recorded(
                 request,
                 progress,
                 produce=lambda: self._within_deadline(
@@ -229,7 +229,7 @@
         """Waits until no request runs on behind a caller that is gone."""
         await self._background.settled()
 
-    async def _accompanied(
+    async def _run_shielded(
         self,
         request: _Request,
         progress: progress_module.Progress,
@@ -251,11 +251,11 @@
         except asyncio.CancelledError:
             on_detach()
             if not (request.identity.given_by_caller or progress.must_finish):
-                progress.caller_left = True
+                progress.caller_gone = True
                 task.cancel()
             raise
 
-    async def _settled(
+    async def _run_recorded(
         self,
         request: _Request,
         progress: progress_module.Progress,
@@ -264,12 +264,12 @@
         finish: Callable[[_Answer], Awaitable[None]],
     ) -> _Answer | ledger_module.KeptAnswer:
         try:
-            answer = await self._claimed(request, progress, produce, finish)
+            answer = await self._run_claimed(request, progress, produce, finish)
         except asyncio.CancelledError:
             self._record_end(request, codes.Code.CALLER_GONE, "")
             raise
         except Exception as error:
-            final = endings.final_error(request, progress, error)
+            final = request_outcomes.final_error(request, progress, error)
             self._record_end(request, final.code, final.detail)
             if final is error:
                 raise
@@ -277,7 +277,7 @@
         self._record_end(request, codes.Code.OK, "")
         return answer
 
-    async def _claimed(
+    async def _run_claimed(
         self,
         request: _Request,
         progress: progress_module.Progress,
@@ -334,7 +334,7 @@
                 progress=progress,
             )
         )
-        if progress.caller_left and progress.delivered is not None:
+        if progress.caller_gone and progress.delivered is not None:
             self._background.start(self._bills.bill_part(request, progress))
 
     def _remaining(self, request: _Request) -> datetime.timedelta:
@@ -344,7 +344,7 @@
         self, request: _Request, code: codes.Code, detail: str
     ) -> None:
         self._events.record(
-            endings.event_kind(code),
+            request_outcomes.event_kind(code),
             request.request_id,
             code=code.name,
             detail=detail,
--- a/src/nutmeghook/internal/dispatch/engine_ends.py
+++ b/src/nutmeghook/internal/dispatch/engine_crashes.py
@@ -17,13 +17,13 @@
 from nutmeghook.internal.suspects import registry as registry_module
 
 # An engine that lives answers this within a few milliseconds.
-_ASKING_TIMEOUT = datetime.timedelta(milliseconds=350)
+_PROBE_TIMEOUT = datetime.timedelta(milliseconds=350)
 # Engines don't tell their starts apart, and need longer to start. So all ends
 # of one address within this are one end, whichever instance notices it.
-_SAME_END_S = 10
+_SAME_CRASH_S = 10
 
 
-class EngineEnds:
+class EngineCrashDetector:
     """Holds the end of an engine against the generations that it had."""
 
     __slots__ = ("_clock", "_connector", "_registry")
@@ -106,25 +106,25 @@
         if not error.ran:
             return
         address = attempt.backend.address
-        if not attempt.backend.leaving and await self._has_ended(address):
+        if not attempt.backend.leaving and await self._has_crashed(address):
             self._registry.note_crash(
                 _identity(request),
-                replica_hash=self._end_hash(address),
+                replica_hash=self._crash_hash(address),
                 begun=attempt.next_token > 0,
             )
 
-    async def _has_ended(self, address: str) -> bool:
+    async def _has_crashed(self, address: str) -> bool:
         engine = self._connector.connect(address)
         try:
-            await self._clock.wait_for(engine.load_report(), _ASKING_TIMEOUT)
+            await self._clock.wait_for(engine.load_report(), _PROBE_TIMEOUT)
         except failures.NotDoneError as error:
             return not (error.overloaded or error.leaving)
         except (failures.OutcomeUnknownError, TimeoutError):
             return False
         return False
 
-    def _end_hash(self, address: str) -> int:
-        span = int(self._clock.now().timestamp()) // _SAME_END_S
+    def _crash_hash(self, address: str) -> int:
+        span = int(self._clock.now().timestamp()) // _SAME_CRASH_S
         return xxhash.xxh32_intdigest(f"{address}/{span}".encode()) >> 1
 
 
--- a/src/nutmeghook/internal/dispatch/generations.py
+++ b/src/nutmeghook/internal/dispatch/generations.py
@@ -6,7 +6,7 @@
 from nutmeghook.internal.dependencies import ratings as rating_service
 from nutmeghook.internal.dispatch import answers
 from nutmeghook.internal.dispatch import consumers
-from nutmeghook.internal.dispatch import engine_ends
+from nutmeghook.internal.dispatch import engine_crashes
 from nutmeghook.internal.dispatch import meter as meter_module
 from nutmeghook.internal.dispatch import progress as progress_module
 from nutmeghook.internal.dispatch import ratings as ratings_module
@@ -28,7 +28,7 @@
         "_admission",
         "_cascade",
         "_clock",
-        "_ends",
+        "_crashes",
         "_events",
         "_meter",
         "_ratings",
@@ -42,7 +42,7 @@
         admission: admission_module.Admission,
         cascade: cascade_module.CascadePolicy,
         stages: stages_module.StageRunner,
-        ends: engine_ends.EngineEnds,
+        crashes: engine_crashes.EngineCrashDetector,
         ratings: ratings_module.RatingQueue,
         events: events_module.EventRing,
         meter: meter_module.Meter,
@@ -51,7 +51,7 @@
         self._admission = admission
         self._cascade = cascade
         self._stages = stages
-        self._ends = ends
+        self._crashes = crashes
         self._ratings = ratings
         self._events = events
         self._meter = meter
@@ -67,7 +67,7 @@
         Raises:
             errors.CodedError: There is none.
         """
-        self._ends.check(request, progress)
+        self._crashes.check(request, progress)
         asked = _admission_request(request)
         async with self._admission.admitted(asked):
             self._events.record(
@@ -84,7 +84,7 @@
                     asked, used_tokens=progress.used_tokens
                 )
 
-    async def give_held(
+    async def give_held_answer(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
@@ -116,9 +116,9 @@
             version=str(progress.held.model_version),
             reason=str(error),
         )
-        return await self._given(request, progress, sink, progress.held)
+        return await self._send_whole(request, progress, sink, progress.held)
 
-    async def _given(
+    async def _send_whole(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
@@ -146,17 +146,19 @@
         stage_index = min(plan.first_stage, final_stage)
         if plan.may_escalate:
             while stage_index < final_stage:
-                answer = await self._judged(
+                answer = await self._run_judged(
                     request, progress, question, stage_index
                 )
                 if answer is not None:
-                    return await self._given(request, progress, sink, answer)
+                    return await self._send_whole(
+                        request, progress, sink, answer
+                    )
                 stage_index += 1
-        return await self._relayed(
+        return await self._run_relayed(
             request, progress, question, stage_index, sink
         )
 
-    async def _judged(
+    async def _run_judged(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
@@ -175,12 +177,12 @@
             request=request,
             progress=progress,
             stage_index=stage_index,
-            consumer_for=lambda _: consumers.Holder(),
+            consumer_for=lambda _: consumers.BufferingConsumer(),
         )
         try:
             answer = await self._stages.run(call)
         except errors.CodedError as error:
-            if error.code in _NEXT_STAGE_MAY_DO:
+            if error.code in _NEXT_STAGE_CODES:
                 return None
             raise
         self._offer_rating(question, stage_index, answer, call)
@@ -192,7 +194,7 @@
         progress.held = answer
         return None
 
-    async def _relayed(
+    async def _run_relayed(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
@@ -219,8 +221,8 @@
         progress: progress_module.Progress,
         sink: answers.AnswerSink,
         model_version: engine.ModelVersion,
-    ) -> consumers.Relay:
-        return consumers.Relay(
+    ) -> consumers.RelayingConsumer:
+        return consumers.RelayingConsumer(
             sink=sink,
             model_version=model_version,
             progress=progress,
@@ -293,7 +295,7 @@
     )
 
 
-_NEXT_STAGE_MAY_DO = frozenset(
+_NEXT_STAGE_CODES = frozenset(
     {
         codes.Code.NO_CANDIDATE,
         codes.Code.BACKEND_FAILED,
--- a/src/nutmeghook/internal/dispatch/hedge.py
+++ b/src/nutmeghook/internal/dispatch/hedge.py
@@ -11,7 +11,7 @@
 from nutmeghook.internal.dispatch import consumers
 from nutmeghook.internal.foundation import clock as clock_module
 
-LaneWork = Coroutine[Any, Any, engine.Chunk]
+AttemptWork = Coroutine[Any, Any, engine.Chunk]
 
 
 class LostRaceError(Exception):
@@ -25,25 +25,25 @@
 
     def __init__(self, *, consumer: consumers.Consumer):
         self._consumer = consumer
-        self.winner: Lane | None = None
+        self.winner: Racer | None = None
         self.decided: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def lane(self) -> "Lane":
+    def add_racer(self) -> "Racer":
         """Returns the consumer for one more attempt."""
-        return Lane(race=self, consumer=self._consumer)
+        return Racer(race=self, consumer=self._consumer)
 
-    def decide(self, lane: "Lane") -> None:
+    def decide(self, racer: "Racer") -> None:
         """Makes a lane the winner, or raises if another one is."""
         if self.winner is not None:
             raise LostRaceError
-        self.winner = lane
+        self.winner = racer
         if not self.decided.done():
             self.decided.set_result(None)
 
 
-class Lane(consumers.Consumer):
+class Racer(consumers.Consumer):
     """One attempt's way to the shared consumer.
 
     The check on each piece is what keeps the loser's late tokens out of the
@@ -74,9 +74,9 @@
         """Tells whether the answer so far is this lane's."""
         return self._race.winner is self and self._consumer.has_begun()
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> consumers.Consumer:
+    def for_retry(self, on_begun: Callable[[], None]) -> consumers.Consumer:
         """Returns the shared consumer's own."""
-        return self._consumer.for_repeat(on_begun)
+        return self._consumer.for_retry(on_begun)
 
 
 async def run_hedged(
@@ -84,8 +84,8 @@
     clock: clock_module.Clock,
     hedge_after: datetime.timedelta,
     consumer: consumers.Consumer,
-    first: Callable[[consumers.Consumer], LaneWork],
-    second: Callable[[consumers.Consumer], LaneWork | None],
+    first: Callable[[consumers.Consumer], AttemptWork],
+    second: Callable[[consumers.Consumer], AttemptWork | None],
 ) -> engine.Chunk:
     """Runs an attempt, and a second one if no token came in time.
 
@@ -103,69 +103,71 @@
         attempts.AttemptError: The winner failed, or all did without a token.
     """
     race = Race(consumer=consumer)
-    lane = race.lane()
-    lanes = {asyncio.ensure_future(first(lane)): lane}
+    racer = race.add_racer()
+    racers = {asyncio.ensure_future(first(racer)): racer}
     timer = asyncio.ensure_future(clock.sleep(hedge_after))
     try:
         await asyncio.wait(
-            {*lanes, timer, race.decided}, return_when=asyncio.FIRST_COMPLETED
+            {*racers, timer, race.decided}, return_when=asyncio.FIRST_COMPLETED
         )
-        lane = race.lane()
-        work = second(lane) if _is_late(lanes, race) else None
+        racer = race.add_racer()
+        work = second(racer) if _is_late(racers, race) else None
         if work is not None:
-            lanes[asyncio.ensure_future(work)] = lane
-        return await _winner(lanes, race)
+            racers[asyncio.ensure_future(work)] = racer
+        return await _winner(racers, race)
     finally:
         timer.cancel()
-        await _stop(lanes)
+        await _stop(racers)
 
 
-def _is_late(lanes: dict[asyncio.Future, Lane], race: Race) -> bool:
-    return race.winner is None and not any(task.done() for task in lanes)
+def _is_late(racers: dict[asyncio.Future, Racer], race: Race) -> bool:
+    return race.winner is None and not any(task.done() for task in racers)
 
 
 async def _winner(
-    lanes: dict[asyncio.Future, Lane], race: Race
+    racers: dict[asyncio.Future, Racer], race: Race
 ) -> engine.Chunk:
-    pending = dict(lanes)
+    pending = dict(racers)
     faults: list[attempts.AttemptError] = []
     while pending:
         if race.winner is not None:
             _cancel_losers(pending, race)
-            return await _task_of(lanes, race.winner)
+            return await _task_of(racers, race.winner)
         done, _ = await asyncio.wait(
             {*pending, race.decided}, return_when=asyncio.FIRST_COMPLETED
         )
         for task in [task for task in pending if task in done]:
-            lane = pending.pop(task)
+            racer = pending.pop(task)
             try:
                 last = task.result()
             except attempts.AttemptError as error:
-                if race.winner is lane:
+                if race.winner is racer:
                     raise
                 faults.append(error)
                 continue
             except LostRaceError:
                 continue
-            if race.winner in (None, lane):
+            if race.winner in (None, racer):
                 return last
     raise _worst(faults)
 
 
-def _cancel_losers(pending: dict[asyncio.Future, Lane], race: Race) -> None:
-    for task, lane in pending.items():
-        if lane is not race.winner:
+def _cancel_losers(pending: dict[asyncio.Future, Racer], race: Race) -> None:
+    for task, racer in pending.items():
+        if racer is not race.winner:
             task.cancel()
 
 
-def _task_of(lanes: dict[asyncio.Future, Lane], winner: Lane) -> asyncio.Future:
-    return next(task for task, lane in lanes.items() if lane is winner)
+def _task_of(
+    racers: dict[asyncio.Future, Racer], winner: Racer
+) -> asyncio.Future:
+    return next(task for task, racer in racers.items() if racer is winner)
 
 
-async def _stop(lanes: dict[asyncio.Future, Lane]) -> None:
-    for task in lanes:
+async def _stop(racers: dict[asyncio.Future, Racer]) -> None:
+    for task in racers:
         task.cancel()
-    await asyncio.gather(*lanes, return_exceptions=True)
+    await asyncio.gather(*racers, return_exceptions=True)
 
 
 def _worst(faults: list[attempts.AttemptError]) -> attempts.AttemptError:
--- a/src/nutmeghook/internal/dispatch/plain_calls.py
+++ b/src/nutmeghook/internal/dispatch/plain_calls.py
@@ -23,12 +23,12 @@
 RETRY_WITHOUT_BACKEND = datetime.timedelta(seconds=1)
 _SERVICE_ERROR_STATUS = 500
 # A call has no tokens; among calls each counts the same.
-_EVEN_COST_TOKENS = 1
+_EQUAL_COST_TOKENS = 1
 # Places come back only where service is noted, else each refusal for overload
 # would take some for good. But services differ in pace by their nature, and a
 # change of their mix is no overload: so all are noted as equally quick.
-_EVEN_PACE = datetime.timedelta(seconds=1)
-_TELLS_OF_SERVICE = (
+_EQUAL_DURATION = datetime.timedelta(seconds=1)
+_SERVICE_OUTCOMES = (
     backends_module.AttemptOutcome.ANSWERED,
     backends_module.AttemptOutcome.REFUSED_OVERLOAD,
 )
@@ -166,10 +166,10 @@
     def _choose_backend(
         self, request: requests.PlainRequest, tried: set[str]
     ) -> backends_module.Backend:
-        backend = self._backends.choose(_need(request, tried))
+        backend = self._backends.choose(_backend_criteria(request, tried))
         if backend is None and tried:
             tried.clear()
-            backend = self._backends.choose(_need(request, tried))
+            backend = self._backends.choose(_backend_criteria(request, tried))
         if backend is None:
             raise errors.CodedError(
                 code=codes.Code.NO_CANDIDATE,
@@ -210,9 +210,9 @@
             duration = self._clock.monotonic() - started
             self._backends.finished(backend, outcome=outcome, duration=duration)
             self._meter.attempt_finished(outcome)
-            if outcome in _TELLS_OF_SERVICE:
+            if outcome in _SERVICE_OUTCOMES:
                 self._admission.note_service(
-                    duration=_EVEN_PACE,
+                    duration=_EQUAL_DURATION,
                     overloaded=outcome
                     is backends_module.AttemptOutcome.REFUSED_OVERLOAD,
                 )
@@ -249,7 +249,7 @@
         await self._clock.sleep(longest * self._random.uniform(0.5, 1.0))
 
 
-def _need(
+def _backend_criteria(
     request: requests.PlainRequest, tried: set[str]
 ) -> backends_module.BackendCriteria:
     return backends_module.BackendCriteria(
@@ -268,5 +268,5 @@
         weight=request.team.weight,
         priority=request.priority,
         deadline=request.deadline,
-        cost_tokens=_EVEN_COST_TOKENS,
+        cost_tokens=_EQUAL_COST_TOKENS,
     )
--- a/src/nutmeghook/internal/dispatch/progress.py
+++ b/src/nutmeghook/internal/dispatch/progress.py
@@ -43,7 +43,7 @@
     delivered: Delivered | None = None
     must_finish: bool = False
     held: answers.GeneratedAnswer | None = None
-    caller_left: bool = False
+    caller_gone: bool = False
 
     def start_attempt(self, request_id: str) -> str:
         """Counts an attempt as possibly run and returns its id.
@@ -77,7 +77,7 @@
             return error
         code, state = error.code, error.run_state
         if code.run_state is codes.RunState.NOT_RUN:
-            code = _once_sent(code)
+            code = _code_once_sent(code)
         if state is codes.RunState.NOT_RUN:
             state = codes.RunState.UNKNOWN
         return errors.CodedError(
@@ -88,7 +88,7 @@
         )
 
 
-def _once_sent(code: codes.Code) -> codes.Code:
+def _code_once_sent(code: codes.Code) -> codes.Code:
     """Returns what a refusal is called once something may have run.
 
     The failure: a repeat is refused because the team lost its route. The body
--- a/src/nutmeghook/internal/dispatch/leave.py
+++ b/src/nutmeghook/internal/dispatch/retry_permission.py
@@ -3,7 +3,7 @@
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.config import view as view_module
 from nutmeghook.internal.dependencies import failures
-from nutmeghook.internal.dispatch import engine_ends
+from nutmeghook.internal.dispatch import engine_crashes
 from nutmeghook.internal.dispatch import stage_calls
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
@@ -14,10 +14,16 @@
 MAX_ATTEMPTS_PER_STAGE = 4
 
 
-class AttemptLeave:
+class RetryPermission:
     """Asks configuration, backend servers and retry budget for an attempt."""
 
-    __slots__ = ("_backends", "_config", "_ends", "_retry_budgets", "_versions")
+    __slots__ = (
+        "_backends",
+        "_config",
+        "_crashes",
+        "_retry_budgets",
+        "_versions",
+    )
 
     def __init__(
         self,
@@ -26,9 +32,9 @@
         versions: versions_module.VersionChooser,
         backends: backends_module.BackendChooser,
         retry_budgets: admission_module.RetryBudgets,
-        ends: engine_ends.EngineEnds,
+        crashes: engine_crashes.EngineCrashDetector,
     ):
-        self._ends = ends
+        self._crashes = crashes
         self._config = config
         self._versions = versions
         self._backends = backends
@@ -94,7 +100,7 @@
             f"model {call.choice.model_version.model}"
         )
 
-    def try_beside(
+    def try_permit_elsewhere(
         self, call: stage_calls.StageCall, at_work: backends_module.Backend
     ) -> backends_module.Backend | None:
         """Takes leave for one more attempt while one is at work.
@@ -102,7 +108,7 @@
         The budget is asked last: leave that is taken for nothing would be
         missing where a request needs it.
         """
-        if self._ends.is_quarantined(call.request):
+        if self._crashes.is_quarantined(call.request):
             return None
         try:
             self.check_version(call)
@@ -129,5 +135,5 @@
         """
         if call.failed_attempts + 1 >= MAX_ATTEMPTS_PER_STAGE:
             return False
-        call.granted = self.try_beside(call, at_work)
+        call.granted = self.try_permit_elsewhere(call, at_work)
         return call.granted is not None
--- a/src/nutmeghook/internal/dispatch/stage_calls.py
+++ b/src/nutmeghook/internal/dispatch/stage_calls.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class WayBack:
+class FallbackAttempt:
     """An attempt that was left, and the consumer that has its text."""
 
     attempt: attempts_module.Attempt
@@ -50,7 +50,7 @@
     tried: set[str] = dataclasses.field(default_factory=set)
     failed_attempts: int = 0
     granted: backends_module.Backend | None = None
-    way_back: WayBack | None = None
+    fallback: FallbackAttempt | None = None
 
 
 def backend_criteria(
--- a/src/nutmeghook/internal/dispatch/stages.py
+++ b/src/nutmeghook/internal/dispatch/stages.py
@@ -7,14 +7,14 @@
 from nutmeghook.internal.config import view as view_module
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.dispatch import answers
+from nutmeghook.internal.dispatch import attempt_costs
 from nutmeghook.internal.dispatch import attempts as attempts_module
 from nutmeghook.internal.dispatch import callers
 from nutmeghook.internal.dispatch import consumers
-from nutmeghook.internal.dispatch import engine_ends
+from nutmeghook.internal.dispatch import engine_crashes
 from nutmeghook.internal.dispatch import hedge
-from nutmeghook.internal.dispatch import leave as leave_module
 from nutmeghook.internal.dispatch import meter as meter_module
-from nutmeghook.internal.dispatch import spent
+from nutmeghook.internal.dispatch import retry_permission
 from nutmeghook.internal.dispatch import stage_calls
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import codes
@@ -37,10 +37,10 @@
         "_backends",
         "_clock",
         "_config",
-        "_ends",
+        "_crashes",
         "_events",
-        "_leave",
         "_meter",
+        "_permission",
         "_random",
         "_versions",
     )
@@ -53,7 +53,7 @@
         versions: versions_module.VersionChooser,
         backends: backends_module.BackendChooser,
         attempts: attempts_module.AttemptRunner,
-        ends: engine_ends.EngineEnds,
+        crashes: engine_crashes.EngineCrashDetector,
         retry_budgets: admission_module.RetryBudgets,
         events: events_module.EventRing,
         meter: meter_module.Meter,
@@ -61,13 +61,13 @@
     ):
         self._clock = clock
         self._config = config
-        self._ends = ends
-        self._leave = leave_module.AttemptLeave(
+        self._crashes = crashes
+        self._permission = retry_permission.RetryPermission(
             config=config,
             versions=versions,
             backends=backends,
             retry_budgets=retry_budgets,
-            ends=ends,
+            crashes=crashes,
         )
         self._versions = versions
         self._backends = backends
@@ -86,10 +86,10 @@
             return await self._until_answered(call)
         except BaseException:
             if not call.progress.relayed:
-                self._give_back(call)
+                self._release_choice(call)
             raise
         finally:
-            self._forget_way_back(call)
+            self._release_fallback(call)
 
     async def _until_answered(
         self, call: stage_calls.StageCall
@@ -100,7 +100,7 @@
                 backend = await self._next_backend(call)
             try:
                 answer = await self._answer_from(call, backend)
-                self._ends.note_answered(call.request)
+                self._crashes.note_answered(call.request)
                 return answer
             except attempts_module.AttemptError as error:
                 call.failed_attempts += 1
@@ -116,8 +116,8 @@
                 ) from error
             if not withheld:
                 call.tried.add(backend.address)
-            call.consumer = call.consumer.for_repeat(
-                functools.partial(self._forget_way_back, call)
+            call.consumer = call.consumer.for_retry(
+                functools.partial(self._release_fallback, call)
             )
 
     async def _answer_from(
@@ -140,8 +140,8 @@
             attempts_module.AttemptError,
             consumers.TextMismatchError,
         ) as error:
-            way_back = call.way_back
-            if call.granted is not None or way_back is None:
+            fallback = call.fallback
+            if call.granted is not None or fallback is None:
                 raise
             self._events.record(
                 events_module.EventKind.REQUEST_RETRIED,
@@ -149,11 +149,11 @@
                 reason=str(error) or "worded otherwise",
             )
             if isinstance(error, consumers.TextMismatchError):
-                call.failed_attempts = leave_module.MAX_ATTEMPTS_PER_STAGE
+                call.failed_attempts = retry_permission.MAX_ATTEMPTS_PER_STAGE
         call.tried.add(backend.address)
-        call.way_back = None
-        call.consumer = way_back.consumer
-        last = await self._run(call, way_back.attempt, way_back.consumer)
+        call.fallback = None
+        call.consumer = fallback.consumer
+        last = await self._run(call, fallback.attempt, fallback.consumer)
         return stage_calls.answer(call, last)
 
     async def _next_backend(
@@ -162,13 +162,13 @@
         """Returns where an attempt goes that was not granted before."""
         await self._settle_choice(call)
         callers.check_token(self._config, call.request, call.progress)
-        self._ends.check(call.request, call.progress)
+        self._crashes.check(call.request, call.progress)
         if not call.failed_attempts:
             # Of each stage: it is one more first attempt at its model.
-            self._leave.budget(call).note_request()
+            self._permission.budget(call).note_request()
         backend = self._choose_backend(call)
         if not call.progress.attempts:
-            self._ends.note_sent(call.request)
+            self._crashes.note_sent(call.request)
         return backend
 
     async def _settle_choice(self, call: stage_calls.StageCall) -> None:
@@ -180,7 +180,7 @@
         but not once the caller has text: another version's may not follow.
         """
         for _ in range(MAX_CHOICES_PER_SEND):
-            template = self._leave.template_now(call)
+            template = self._permission.template_now(call)
             if call.choice is None:
                 call.choice = await self._versions.choose(
                     template=template,
@@ -190,19 +190,19 @@
                 )
                 call.consumer = call.consumer_for(call.choice.model_version)
             try:
-                self._leave.check_version(call)
+                self._permission.check_version(call)
                 return
             except errors.CodedError:
                 if call.progress.relayed:
                     raise
-                self._give_back(call)
+                self._release_choice(call)
         raise errors.CodedError(
             code=codes.Code.NO_CANDIDATE,
             detail="each version chosen was withdrawn before it was sent to",
             retry_after=RETRY_WITHOUT_BACKEND,
         )
 
-    def _give_back(self, call: stage_calls.StageCall) -> None:
+    def _release_choice(self, call: stage_calls.StageCall) -> None:
         """Takes back a choice of which no text has left this instance.
 
         The failure: leave for an answer that nobody got is never rated, so
@@ -252,14 +252,14 @@
         call: stage_calls.StageCall,
         first: backends_module.Backend,
         consumer: consumers.Consumer,
-    ) -> hedge.LaneWork | None:
+    ) -> hedge.AttemptWork | None:
         """Starts a hedge on another backend server, if that may be.
 
         What an engine has ended under is not given to two at a time.
         """
-        if self._ends.is_suspect(call.request):
+        if self._crashes.is_suspect(call.request):
             return None
-        backend = self._leave.try_beside(call, first)
+        backend = self._permission.try_permit_elsewhere(call, first)
         if backend is None:
             return None
         self._note_repeat(call, "hedge", hedged=True)
@@ -276,9 +276,11 @@
             backend=backend,
             generation=stage_calls.generation(call),
             deadline=request.deadline,
-            try_leave=functools.partial(self._leave.try_grant, call, backend),
+            try_permit=functools.partial(
+                self._permission.try_grant, call, backend
+            ),
             check_send=functools.partial(
-                self._leave.check_send, call, call.choice, backend
+                self._permission.check_send, call, call.choice, backend
             ),
         )
         return await self._run(call, attempt, consumer)
@@ -300,23 +302,23 @@
             return await self._attempts.run(attempt, consumer)
         except attempts_module.AttemptError as error:
             ran = error.ran
-            await self._ends.note_failed(call.request, attempt, error)
+            await self._crashes.note_failed(call.request, attempt, error)
             raise
         finally:
-            if attempt.is_left and consumer.has_begun():
-                call.way_back = stage_calls.WayBack(
+            if attempt.is_abandoned and consumer.has_begun():
+                call.fallback = stage_calls.FallbackAttempt(
                     attempt=attempt, consumer=call.consumer
                 )
             else:
-                self._close(call, attempt, ran=ran)
+                self._settle_attempt(call, attempt, ran=ran)
 
-    def _forget_way_back(self, call: stage_calls.StageCall) -> None:
+    def _release_fallback(self, call: stage_calls.StageCall) -> None:
         """Gives up the attempt that was left: another one has begun."""
-        way_back, call.way_back = call.way_back, None
-        if way_back is not None:
-            self._close(call, way_back.attempt, ran=True)
+        fallback, call.fallback = call.fallback, None
+        if fallback is not None:
+            self._settle_attempt(call, fallback.attempt, ran=True)
 
-    def _close(
+    def _settle_attempt(
         self,
         call: stage_calls.StageCall,
         attempt: attempts_module.Attempt,
@@ -324,9 +326,9 @@
         ran: bool,
     ) -> None:
         """Counts an attempt that won't be resumed any more."""
-        if attempt.is_left:
+        if attempt.is_abandoned:
             self._attempts.drop(attempt)
-        spent.count(self._config, call, attempt, ran=ran)
+        attempt_costs.record(self._config, call, attempt, ran=ran)
 
     async def _allow_retry(
         self,
@@ -339,8 +341,9 @@
             errors.CodedError: No further attempt is allowed.
         """
         # What never left loads nobody, so the budget has no say.
-        if call.failed_attempts >= leave_module.MAX_ATTEMPTS_PER_STAGE or not (
-            error.withheld or self._leave.budget(call).try_spend()
+        if (
+            call.failed_attempts >= retry_permission.MAX_ATTEMPTS_PER_STAGE
+            or not (error.withheld or self._permission.budget(call).try_spend())
         ):
             raise errors.CodedError(
                 code=codes.Code.BACKEND_FAILED
--- a/src/nutmeghook/internal/limits/following_limit.py
+++ b/src/nutmeghook/internal/limits/adaptive_limit.py
@@ -7,11 +7,11 @@
 
 _SECOND = datetime.timedelta(seconds=1)
 _WINDOW_SHARE = 0.5
-_SMALLEST_WINDOW = 10
+_MIN_WINDOW = 10
 # Batches make each token slower, by up to half when full; that is no overload.
 _TOLERANCE = 1.6
-_STEEPEST_CUT = 0.5
-_OVERLOAD_CUT = 0.8
+_MIN_CUT_FACTOR = 0.5
+_OVERLOAD_FACTOR = 0.8
 _BASELINE_DRIFT = 1.002
 _LATENCY_FLOOR_SHARE = 0.5
 _GROWTH_SHARE = 0.25
@@ -33,7 +33,7 @@
     return max(1, math.ceil(share + 0.5 * math.sqrt(share)))
 
 
-class FollowingLimit(concurrency_limit.ConcurrencyLimit):
+class AdaptiveLimit(concurrency_limit.ConcurrencyLimit):
     """Cuts the places when service slows down or refuses, else grows them.
 
     Two signals, with unlike reach. A refusal for overload is certain, and may
@@ -48,30 +48,30 @@
         "_ceiling",
         "_cut_in_window",
         "_duration_s",
-        "_places",
         "_samples",
+        "_slots",
         "_used",
         "_work_tokens",
     )
 
     def __init__(self, *, ceiling: int):
-        self._ceiling = concurrency_limit.checked_places(ceiling)
-        self._places = float(ceiling)
+        self._ceiling = concurrency_limit.checked_slots(ceiling)
+        self._slots = float(ceiling)
         self._baseline = math.inf
         self._start_window()
 
     @property
-    def places(self) -> int:
+    def slots(self) -> int:
         """The number of requests that may run at once."""
-        return max(1, int(self._places))
+        return max(1, int(self._slots))
 
     def set_ceiling(self, ceiling: int) -> None:
         """Sets the most places, as the backend servers or members change."""
         before = self._ceiling
-        self._ceiling = concurrency_limit.checked_places(ceiling)
+        self._ceiling = concurrency_limit.checked_slots(ceiling)
         # The places keep their part of the ceiling, so that lost replicas
         # are felt at once and new ones are used without a slow climb.
-        self._places = max(1.0, self._places * ceiling / before)
+        self._slots = max(1.0, self._slots * ceiling / before)
 
     def note(
         self,
@@ -90,9 +90,9 @@
             self._work_tokens += max(1, work_tokens)
         # Of the whole places: of 1.3, no number that runs is four fifths, and
         # an instance cut to one place would never get a second one.
-        if running >= _USED_SHARE * self.places:
+        if running >= _USED_SHARE * self.slots:
             self._used = True
-        window = max(_SMALLEST_WINDOW, _WINDOW_SHARE * self._places)
+        window = max(_MIN_WINDOW, _WINDOW_SHARE * self._slots)
         if self._samples >= window:
             self._end_window()
 
@@ -106,24 +106,24 @@
     def _cut_for_overload(self) -> None:
         """Cuts once a window: refusals of one moment are one signal."""
         if not self._cut_in_window:
-            self._places = max(1.0, self._places * _OVERLOAD_CUT)
+            self._slots = max(1.0, self._slots * _OVERLOAD_FACTOR)
             self._cut_in_window = True
 
     def _end_window(self) -> None:
         if self._work_tokens and not self._cut_in_window:
-            self._follow_pace(self._duration_s / self._work_tokens)
+            self._adapt_to_pace(self._duration_s / self._work_tokens)
         self._start_window()
 
-    def _follow_pace(self, pace_s: float) -> None:
+    def _adapt_to_pace(self, pace_s: float) -> None:
         # The baseline creeps up, so that a lasting change (longer prompts,
         # another mix of models) is not taken for overload for ever.
         self._baseline = min(self._baseline * _BASELINE_DRIFT, pace_s)
         gradient = min(1.0, _TOLERANCE * self._baseline / max(pace_s, 1e-9))
-        places = self._places * max(_STEEPEST_CUT, gradient)
+        slots = self._slots * max(_MIN_CUT_FACTOR, gradient)
         if gradient < 1.0:
             floor = self._ceiling * _LATENCY_FLOOR_SHARE
             # Never up to the floor from below it: refusals brought it there.
-            self._places = max(places, min(floor, self._places), 1.0)
+            self._slots = max(slots, min(floor, self._slots), 1.0)
         elif self._used:
-            step = max(_GROWTH_SHARE * self._ceiling, math.sqrt(places))
-            self._places = min(self._ceiling, places + step)
+            step = max(_GROWTH_SHARE * self._ceiling, math.sqrt(slots))
+            self._slots = min(self._ceiling, slots + step)
--- a/src/nutmeghook/internal/limits/ceiling.py
+++ b/src/nutmeghook/internal/limits/ceiling.py
@@ -4,14 +4,14 @@
 import datetime
 
 from nutmeghook.internal.foundation import clock as clock_module
-from nutmeghook.internal.limits import following_limit
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.routing import backends
 
 PERIOD = datetime.timedelta(seconds=1)
 
 
-class CeilingFollower:
+class CeilingUpdater:
     """Follows the engines' capacity and the number of entry instances.
 
     Args:
@@ -19,22 +19,22 @@
         most_places: Bounds the memory of the instance, whatever its share.
     """
 
-    __slots__ = ("_clock", "_known", "_limit", "_members", "_most_places")
+    __slots__ = ("_clock", "_known", "_limit", "_max_slots", "_members")
 
     def __init__(
         self,
         *,
-        limit: following_limit.FollowingLimit,
+        limit: adaptive_limit.AdaptiveLimit,
         known: Callable[[], list[backends.Backend]],
         members: members_module.MemberView,
         clock: clock_module.Clock,
-        most_places: int,
+        max_slots: int,
     ):
         self._limit = limit
         self._known = known
         self._members = members
         self._clock = clock
-        self._most_places = most_places
+        self._max_slots = max_slots
 
     async def run(self) -> None:
         """Updates the ceiling each second until cancelled."""
@@ -54,7 +54,7 @@
         if not reported:
             return
         capacity = sum(reported) / len(reported) * len(engines)
-        share = following_limit.capacity_share(
+        share = adaptive_limit.capacity_share(
             capacity=round(capacity), members=len(self._members.members())
         )
-        self._limit.set_ceiling(min(share, self._most_places))
+        self._limit.set_ceiling(min(share, self._max_slots))
--- a/src/nutmeghook/internal/limits/concurrency_limit.py
+++ b/src/nutmeghook/internal/limits/concurrency_limit.py
@@ -9,7 +9,7 @@
 
     @property
     @abc.abstractmethod
-    def places(self) -> int:
+    def slots(self) -> int:
         """The number of requests that may run at once; at least 1."""
 
     @abc.abstractmethod
@@ -34,19 +34,19 @@
 class FixedLimit(ConcurrencyLimit):
     """A number that only its owner changes."""
 
-    __slots__ = ("_places",)
+    __slots__ = ("_slots",)
 
-    def __init__(self, *, places: int):
-        self._places = checked_places(places)
+    def __init__(self, *, slots: int):
+        self._slots = checked_slots(slots)
 
     @property
-    def places(self) -> int:
+    def slots(self) -> int:
         """The number given."""
-        return self._places
+        return self._slots
 
-    def set_places(self, places: int) -> None:
+    def set_slots(self, slots: int) -> None:
         """Changes the number."""
-        self._places = checked_places(places)
+        self._slots = checked_slots(slots)
 
     def note(
         self,
@@ -59,8 +59,8 @@
         """Ignores it."""
 
 
-def checked_places(places: int) -> int:
+def checked_slots(slots: int) -> int:
     """Returns the number, or raises ValueError if it is under 1."""
-    if places < 1:
-        raise ValueError(f"places is {places}; give 1 or more")
-    return places
+    if slots < 1:
+        raise ValueError(f"slots is {slots}; give 1 or more")
+    return slots
--- a/src/nutmeghook/internal/limits/fair_admission.py
+++ b/src/nutmeghook/internal/limits/fair_admission.py
@@ -18,7 +18,7 @@
 from nutmeghook.internal.limits import admission
 from nutmeghook.internal.limits import concurrency_limit
 from nutmeghook.internal.limits import fair_queue
-from nutmeghook.internal.limits import return_schedule
+from nutmeghook.internal.limits import retry_after_schedule
 from nutmeghook.internal.limits import service_rate
 from nutmeghook.internal.limits import token_budget
 from nutmeghook.internal.limits import wait_estimate
@@ -43,7 +43,7 @@
         "_max_waiting",
         "_queue",
         "_rate",
-        "_returns",
+        "_retry_schedule",
         "_running",
         "_shed_at",
     )
@@ -79,7 +79,7 @@
         self._estimate = wait_estimate.WaitEstimate(
             queue=self._queue, limit=limit, rate=self._rate
         )
-        self._returns = return_schedule.ReturnSchedule(
+        self._retry_schedule = retry_after_schedule.RetryAfterSchedule(
             clock=clock, randomness=randomness
         )
         self._running = 0
@@ -100,7 +100,7 @@
         self, request: admission.AdmissionRequest
     ) -> AsyncIterator[None]:
         """Holds a place while the request runs."""
-        await self._enter(admission.checked(request))
+        await self._acquire_slot(admission.checked(request))
         started = self._clock.monotonic()
         completed = False
         try:
@@ -112,7 +112,7 @@
                 duration=self._clock.monotonic() - started,
                 completed=completed,
             )
-            self._leave()
+            self._release_slot()
 
     def note_service(
         self,
@@ -138,14 +138,14 @@
         self._budgets.charge(request, extra_tokens)
         self._queue.correct(request.team, extra_tokens)
 
-    async def _enter(self, request: admission.AdmissionRequest) -> None:
+    async def _acquire_slot(self, request: admission.AdmissionRequest) -> None:
         now = self._clock.monotonic()
         if now >= request.deadline:
             raise self._refusal(
                 codes.Code.DEADLINE_BEFORE_RUN, request, "on arrival"
             )
-        self._budgets.check(request, returns=self._returns)
-        if self._running < self._limit.places and not self._queue:
+        self._budgets.check(request, retry_schedule=self._retry_schedule)
+        if self._running < self._limit.slots and not self._queue:
             # Without a queue the estimate is not asked: after a brown-out it
             # is too high, and only requests that run can bring it down.
             self._queue.charge(request)
@@ -222,15 +222,15 @@
             self._queue.remove(ticket)
             ticket.verdict.cancel()
         elif ticket.verdict.result() is fair_queue.Verdict.RUN:
-            self._leave()
+            self._release_slot()
 
-    def _leave(self) -> None:
+    def _release_slot(self) -> None:
         self._running -= 1
         self._dispatch()
 
     def _dispatch(self) -> None:
         now = self._clock.monotonic()
-        while self._queue and self._running < self._limit.places:
+        while self._queue and self._running < self._limit.slots:
             ticket = self._queue.pop()
             if ticket.latest_start < now:
                 self._queue.correct(
@@ -240,7 +240,7 @@
                 continue
             self._running += 1
             ticket.verdict.set_result(fair_queue.Verdict.RUN)
-        self._shed_hopeless(now)
+        self._shed_unservable(now)
 
     def _make_room(self, request: admission.AdmissionRequest) -> None:
         """Sheds the newest of lowest priority, or refuses the newcomer."""
@@ -251,7 +251,7 @@
             )
         self._shed(lowest)
 
-    def _shed_hopeless(self, now: datetime.timedelta) -> None:
+    def _shed_unservable(self, now: datetime.timedelta) -> None:
         """Refuses those that others overtook, now and not at their deadline.
 
         Of each team and priority the newest goes first: it has most before
@@ -262,11 +262,11 @@
         self._shed_at = now + _SHED_INTERVAL
         for newest in self._queue.newest_tickets():
             ticket: fair_queue.Ticket | None = newest
-            while ticket is not None and self._is_hopeless(ticket, now):
+            while ticket is not None and self._is_unservable(ticket, now):
                 self._shed(ticket)
                 ticket = self._queue.newest_like(ticket.request)
 
-    def _is_hopeless(
+    def _is_unservable(
         self, ticket: fair_queue.Ticket, now: datetime.timedelta
     ) -> bool:
         """Tells whether the newest of its kind can't end in time."""
@@ -287,7 +287,7 @@
         request: admission.AdmissionRequest,
         reason: str,
     ) -> errors.CodedError:
-        retry_after = self._returns.next_return(
+        retry_after = self._retry_schedule.next_retry_after(
             team=request.team,
             cost_tokens=request.cost_tokens,
             tokens_per_s=self._estimate.team_tokens_per_s(request),
--- a/src/nutmeghook/internal/limits/fair_queue.py
+++ b/src/nutmeghook/internal/limits/fair_queue.py
@@ -185,7 +185,7 @@
             any(team.cost_tokens[:priority]) for team in self._teams.values()
         )
 
-    def share_of(self, request: admission.AdmissionRequest) -> float:
+    def weight_share(self, request: admission.AdmissionRequest) -> float:
         """Returns the team's part of the weights of all that want service."""
         others = sum(
             team.weight
--- a/src/nutmeghook/internal/limits/return_schedule.py
+++ b/src/nutmeghook/internal/limits/retry_after_schedule.py
@@ -5,12 +5,12 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 
-DEFAULT_LONGEST = datetime.timedelta(seconds=60)
-_SHORTEST = datetime.timedelta(milliseconds=200)
+DEFAULT_MAX_DELAY = datetime.timedelta(seconds=60)
+_MIN_DELAY = datetime.timedelta(milliseconds=200)
 _JITTER_SHARE = 0.25
 
 
-class ReturnSchedule:
+class RetryAfterSchedule:
     """Spreads returns so that they come at a rate that can be served.
 
     If all callers refused in one second were told the same moment, they would
@@ -19,7 +19,7 @@
     measured service rate. The rest of the rate is left to new requests.
     """
 
-    __slots__ = ("_clock", "_free_at", "_longest", "_random", "_share")
+    __slots__ = ("_clock", "_free_at", "_max_delay", "_random", "_share")
 
     def __init__(
         self,
@@ -27,17 +27,17 @@
         clock: clock_module.Clock,
         randomness: random.Random,
         share: float = 0.5,
-        longest: datetime.timedelta = DEFAULT_LONGEST,
+        max_delay: datetime.timedelta = DEFAULT_MAX_DELAY,
     ):
         if not 0 < share <= 1:
             raise ValueError(f"share is {share}; give a number over 0, up to 1")
         self._clock = clock
         self._random = randomness
         self._share = share
-        self._longest = longest
+        self._max_delay = max_delay
         self._free_at: dict[str, datetime.timedelta] = {}
 
-    def next_return(
+    def next_retry_after(
         self,
         *,
         team: str,
@@ -57,9 +57,9 @@
         """
         now = self._clock.monotonic()
         start = max(
-            self._free_at.get(team, now), now + max(earliest, _SHORTEST)
+            self._free_at.get(team, now), now + max(earliest, _MIN_DELAY)
         )
-        start = min(start, now + self._longest)
+        start = min(start, now + self._max_delay)
         if tokens_per_s > 0:
             seconds = cost_tokens / (self._share * tokens_per_s)
             self._free_at[team] = start + datetime.timedelta(seconds=seconds)
--- a/src/nutmeghook/internal/limits/retry_budget.py
+++ b/src/nutmeghook/internal/limits/retry_budget.py
@@ -6,7 +6,7 @@
 DEFAULT_BURST_ATTEMPTS = 2.0
 
 
-class ShareRetryBudget(admission.RetryBudget):
+class TokenBucketRetryBudget(admission.RetryBudget):
     """A token bucket that first attempts fill.
 
     Each first attempt adds `share` of a token and each retry or hedge takes a
@@ -66,13 +66,13 @@
     ):
         self._share = share
         self._burst_attempts = burst_attempts
-        self._budgets: dict[str, ShareRetryBudget] = {}
+        self._budgets: dict[str, TokenBucketRetryBudget] = {}
 
-    def budget_for(self, dependency: str) -> ShareRetryBudget:
+    def budget_for(self, dependency: str) -> TokenBucketRetryBudget:
         """Returns the dependency's budget; names come from the catalogue."""
         budget = self._budgets.get(dependency)
         if budget is None:
-            budget = ShareRetryBudget(
+            budget = TokenBucketRetryBudget(
                 share=self._share, burst_attempts=self._burst_attempts
             )
             self._budgets[dependency] = budget
--- a/src/nutmeghook/internal/limits/service_rate.py
+++ b/src/nutmeghook/internal/limits/service_rate.py
@@ -53,11 +53,11 @@
         """Whether any request has finished yet."""
         return self._cost_tokens > 0
 
-    def tokens_per_s(self, places: int) -> float:
+    def tokens_per_s(self, slots: int) -> float:
         """Returns what so many places serve; 0 before the first measure."""
         if not self.measured:
             return 0.0
-        return places * self._cost_tokens / self._duration_s
+        return slots * self._cost_tokens / self._duration_s
 
     def likely_duration(self, cost_tokens: int) -> datetime.timedelta:
         """Returns a duration that most requests of this cost stay under."""
--- a/src/nutmeghook/internal/limits/token_budget.py
+++ b/src/nutmeghook/internal/limits/token_budget.py
@@ -6,7 +6,7 @@
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.limits import admission
-from nutmeghook.internal.limits import return_schedule
+from nutmeghook.internal.limits import retry_after_schedule
 from nutmeghook.internal.membership import members as members_module
 
 _MINUTE = datetime.timedelta(minutes=1)
@@ -46,7 +46,7 @@
         self,
         request: admission.AdmissionRequest,
         *,
-        returns: return_schedule.ReturnSchedule,
+        retry_schedule: retry_after_schedule.RetryAfterSchedule,
     ) -> None:
         """Raises `OVER_BUDGET` with the time to wait, if the budget is spent.
 
@@ -62,7 +62,7 @@
                 f"template {request.template} has used its "
                 f"{request.tokens_per_minute} tokens a minute"
             ),
-            retry_after=returns.jittered(wait),
+            retry_after=retry_schedule.jittered(wait),
         )
 
     def _wait_needed(
--- a/src/nutmeghook/internal/limits/wait_estimate.py
+++ b/src/nutmeghook/internal/limits/wait_estimate.py
@@ -53,7 +53,7 @@
 
     def team_tokens_per_s(self, request: admission.AdmissionRequest) -> float:
         """Returns the team's part of the service rate; 0 while unmeasured."""
-        return self._tokens_per_s() * self._queue.share_of(request)
+        return self._tokens_per_s() * self._queue.weight_share(request)
 
     def _tokens_per_s(self) -> float:
-        return self._rate.tokens_per_s(self._limit.places)
+        return self._rate.tokens_per_s(self._limit.slots)
--- a/src/nutmeghook/internal/limits/window_budget.py
+++ b/src/nutmeghook/internal/limits/window_budget.py
@@ -7,7 +7,7 @@
 from nutmeghook.internal.limits import admission
 
 # With fewer requests their rate is too rough to plan by.
-_LEAST_RATED = 5
+_MIN_REQUESTS_FOR_RATE = 5
 
 
 class WindowRetryBudget(admission.RetryBudget):
@@ -69,27 +69,27 @@
 
         The window may not have passed since the first one of all.
         """
-        self._forget_old()
-        if len(self._requests) < _LEAST_RATED:
+        self._drop_expired()
+        if len(self._requests) < _MIN_REQUESTS_FOR_RATE:
             return 0.0
         span = self._clock.monotonic() - self._requests[0]
         return len(self._requests) / max(span.total_seconds(), 1.0)
 
-    def _forget_old(self) -> None:
+    def _drop_expired(self) -> None:
         oldest = self._clock.monotonic() - self._window
         for times in (self._requests, self._spent):
             while times and times[0] <= oldest:
                 times.popleft()
 
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Returns how many further attempts may be made now."""
-        self._forget_old()
+        self._drop_expired()
         allowed = self._ratio * len(self._requests) + self._burst
         return allowed - len(self._spent) - self._reserved
 
     def try_spend(self) -> bool:
         """Takes leave for one more attempt."""
-        if self.left() < 1:
+        if self.remaining() < 1:
             return False
         self._spent.append(self._clock.monotonic())
         return True
@@ -103,7 +103,7 @@
         window as may be. So it counts until it is used or given back, and then
         like any attempt.
         """
-        if self.left() < 1:
+        if self.remaining() < 1:
             return False
         self._reserved += 1
         return True
--- a/src/nutmeghook/standins/users_replica.py
+++ b/src/nutmeghook/standins/users_replica.py
@@ -101,11 +101,11 @@
 
     __slots__ = (
         "_connections",
-        "_dark_sockets",
         "_decide",
         "_replies",
         "_server",
         "_tasks",
+        "_unreachable_sockets",
         "_writers",
         "address",
         "arrived",
@@ -129,7 +129,7 @@
         self._replies = [Reply()]
         self._server: asyncio.Server | None = None
         self._connections = 0
-        self._dark_sockets: list[socket.socket] = []
+        self._unreachable_sockets: list[socket.socket] = []
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: list[asyncio.Task] = []
         self.address = ""
@@ -164,7 +164,7 @@
         """Refuses new connections, as one that leaves does; works on."""
         self._server.close()
 
-    def go_dark(self) -> None:
+    def become_unreachable(self) -> None:
         """Answers no attempt to connect, as a machine without power does.
 
         Connections that are open stay so. A listener whose queue is full has
@@ -176,19 +176,19 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((host, int(port)))
         listener.listen(0)
-        self._dark_sockets.append(listener)
+        self._unreachable_sockets.append(listener)
         for _ in range(_FILLS_QUEUE):
             waiting = socket.socket()
             waiting.setblocking(False)
             waiting.connect_ex((host, int(port)))
-            self._dark_sockets.append(waiting)
+            self._unreachable_sockets.append(waiting)
 
     def crash(self) -> None:
         """Ends for everybody on it, as a process does."""
         self.crashed.set()
         self._server.close()
-        for dark in self._dark_sockets:
-            dark.close()
+        for unreachable in self._unreachable_sockets:
+            unreachable.close()
         for writer in self._writers:
             writer.transport.abort()
 
--- a/tests/cover/taken_away_case.py
+++ b/tests/cover/revoked_access_case.py
@@ -12,7 +12,7 @@
 from tests.cover import plain_requests
 
 
-class TakenAwayCase(unittest.IsolatedAsyncioTestCase):
+class RevokedAccessCase(unittest.IsolatedAsyncioTestCase):
     """Starts requests, and changes the configuration under them."""
 
     def setUp(self):
--- a/tests/cover/test_dispatch_claims.py
+++ b/tests/cover/test_dispatch_claims.py
@@ -32,7 +32,7 @@
         raise errors.CodedError(code=codes.Code.STORE_OUT)
 
 
-class ClaimPatienceTest(unittest.TestCase):
+class ClaimTimeoutTest(unittest.TestCase):
     """How long a caller waits to hear that its claim can't be made."""
 
     @hypothesis.given(strategies.integers(1, 60_000))
--- a/tests/cover/test_dispatch_crashing.py
+++ b/tests/cover/test_dispatch_crashing.py
@@ -17,7 +17,7 @@
 RETRIES_AFTER_THREE = 3
 
 
-class EndingEngine(fakes.FakeEngine):
+class CrashingEngine(fakes.FakeEngine):
     """Ends under each generation, and refuses connections until it is back."""
 
     def __init__(self):
@@ -46,7 +46,7 @@
         addresses = [f"e{number}:1" for number in range(ENGINES)]
         self.fixture.backends.addresses = addresses
         for address in addresses:
-            self.fixture.engines[address] = EndingEngine()
+            self.fixture.engines[address] = CrashingEngine()
         self.dispatcher = self.fixture.dispatcher()
 
     async def copy(self) -> errors.CodedError | None:
--- a/tests/cover/test_dispatch_way_back.py
+++ b/tests/cover/test_dispatch_fallback.py
@@ -15,7 +15,7 @@
 
 _TEXT = "The boiler holds."
 # Refused resumes until an engine is left for another one.
-_UNTIL_LEFT = 3
+_REFUSED_UNTIL_ABANDONED = 3
 _FOR_GOOD = 40
 
 
@@ -23,7 +23,7 @@
     return [fakes.Script(fails=dispatch_errors.refused())] * count
 
 
-class WayBackCase(unittest.IsolatedAsyncioTestCase):
+class FallbackCase(unittest.IsolatedAsyncioTestCase):
     """The first engine gives a word; then it can't be reached for a while.
 
     The second is asked with the last of the retry budget.
@@ -31,7 +31,7 @@
 
     def setUp(self):
         self.fixture = fakes.Fixture()
-        self.fixture.budget.leave = 1
+        self.fixture.budget.permits = 1
         self.gate = asyncio.Event()
         self.sink = fakes.RecordingSink()
         self.first = self.fixture.engines["e1:1"]
@@ -73,13 +73,13 @@
         )
         self.assertEqual(self.first.generations[-1].resume_at_token, 1)
         self.assertEqual(len(self.second.generations), 1)
-        self.assertEqual(self.fixture.budget.leave, 0)
+        self.assertEqual(self.fixture.budget.permits, 0)
         await fakes.settle()
         self.assertEqual(self.first.cancelled, [])
         self.assertEqual(len(self.fixture.ledger.bills), 1)
 
 
-class WayBackTest(WayBackCase):
+class FallbackTest(FallbackCase):
     """The engine that was left goes on if the next one doesn't."""
 
     async def test_the_next_one_refuses(self):
@@ -92,7 +92,7 @@
         await undisturbed.dispatcher().generate(
             fakes.generation_request(undisturbed), fakes.RecordingSink()
         )
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
         await self.assert_first_goes_on()
         [bill] = self.fixture.ledger.bills
@@ -104,7 +104,7 @@
 
     async def test_the_first_is_still_away_then(self):
         """The caller reads on: resumes are counted on, up to seven."""
-        self.lose_first(_UNTIL_LEFT + 3)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED + 3)
         self.second.scripts.extend(refusals(1))
         await self.assert_first_goes_on()
 
@@ -114,7 +114,7 @@
             fakes.Script(fails=dispatch_errors.lost()),
             fakes.Script(words=("T", "he ", "boiler"), cut_after=1),
         ):
-            self.lose_first(_UNTIL_LEFT)
+            self.lose_first(_REFUSED_UNTIL_ABANDONED)
             self.second.scripts.append(lost)
             if lost.cut_after:
                 self.second.scripts.extend(refusals(_FOR_GOOD))
@@ -137,15 +137,17 @@
         and the third refuses.
         """
         self.fixture.backends.addresses.append("e3:1")
-        self.fixture.budget.leave = 2
-        self.lose_first(_UNTIL_LEFT)
+        self.fixture.budget.permits = 2
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
             fakes.Script(words=("T", "he ", "boiler"), cut_after=1)
         )
-        self.second.scripts.extend(refusals(_UNTIL_LEFT))
+        self.second.scripts.extend(refusals(_REFUSED_UNTIL_ABANDONED))
         self.fixture.engines["e3:1"].scripts.extend(refusals(1))
         await self.assert_text_given()
-        self.assertEqual(len(self.second.generations), 1 + _UNTIL_LEFT)
+        self.assertEqual(
+            len(self.second.generations), 1 + _REFUSED_UNTIL_ABANDONED
+        )
         self.assertEqual(self.first.cancelled, [])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
@@ -157,7 +159,7 @@
         come back.
         """
         for words in (("A ", "tank ", "holds."), ("The",)):
-            self.lose_first(_UNTIL_LEFT)
+            self.lose_first(_REFUSED_UNTIL_ABANDONED)
             self.second.scripts.append(fakes.Script(words=words))
             await self.assert_first_goes_on()
             self.setUp()
@@ -167,33 +169,33 @@
         self.fixture.cascade = fakes.FakeCascade(
             first_stage=0, may_escalate=True
         )
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
         await self.assert_first_goes_on()
 
     async def test_a_hedged_answer_goes_on_too(self):
         """The caller reads on from the engine that won the race."""
         self.fixture = fakes.Fixture(hedge_after_ms=500)
-        self.fixture.budget.leave = 1
+        self.fixture.budget.permits = 1
         self.first = self.fixture.engines["e1:1"]
         self.second = self.fixture.engines["e2:1"]
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
         await self.assert_first_goes_on()
 
     async def test_leave_that_comes_later_serves_a_third_engine(self):
         """The caller reads on from it; each move was allowed by the budget."""
         self.fixture.backends.addresses.append("e3:1")
-        self.fixture.budget.leave = 2
+        self.fixture.budget.permits = 2
         self.lose_first(_FOR_GOOD)
         self.second.scripts.extend(refusals(1))
         await self.assert_text_given()
-        self.assertEqual(self.fixture.budget.leave, 0)
+        self.assertEqual(self.fixture.budget.permits, 0)
         self.assertEqual(len(self.fixture.engines["e3:1"].generations), 1)
         self.assertEqual(self.first.cancelled, ["req-1/1"])
 
 
-class OnlyOneTest(WayBackCase):
+class OnlyOneTest(FallbackCase):
     """One engine's text only, and nothing is left running."""
 
     async def test_both_engines_come_back(self):
@@ -202,7 +204,7 @@
         The first one could be reached again meanwhile. It keeps its run until
         the other has begun, and is cancelled then, not at the answer's end.
         """
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
             fakes.Script(gate=self.gate, order=[0], goes_silent=True)
         )
@@ -217,21 +219,23 @@
 
     async def test_the_other_one_s_answer_is_whole(self):
         """The caller reads on from the other engine; both runs are paid."""
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         asking = await self.started()
         self.gate.set()
         answer = await self.ended(asking)
         self.assertEqual(answer.text, _TEXT)
         self.assertEqual(self.sink.text, _TEXT)
-        self.assertEqual(len(self.first.generations), 1 + _UNTIL_LEFT)
+        self.assertEqual(
+            len(self.first.generations), 1 + _REFUSED_UNTIL_ABANDONED
+        )
         await fakes.settle()
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, [])
 
     async def test_the_caller_leaves_meanwhile(self):
         """Nobody reads: both engines are told to stop."""
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         asking = await self.started()
         asking.cancel()
@@ -241,7 +245,7 @@
 
     async def test_the_caller_leaves_on_the_way_back(self):
         """Nobody reads: the run that was resumed is told to stop."""
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.first.scripts.append(fakes.Script(gate=self.gate))
         self.second.scripts.extend(refusals(1))
         asking = await self.started()
@@ -251,7 +255,7 @@
 
     async def test_the_deadline_passes_meanwhile(self):
         """The caller hears `unknown`; both engines are told to stop."""
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         error = await self.refused(await self.started())
         self.assertIs(error.code, codes.Code.DEADLINE_DURING_RUN)
@@ -265,7 +269,7 @@
         The other engine adds a word and is lost for good. The first could go
         on by now, but behind its own words only.
         """
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
             fakes.Script(words=("The ", "boiler ", "leaks."), cut_after=2)
         )
@@ -273,7 +277,9 @@
         error = await self.refused(self.start())
         self.assertIs(error.code, codes.Code.BACKEND_FAILED)
         self.assertEqual(self.sink.text, "The boiler ")
-        self.assertEqual(len(self.first.generations), 1 + _UNTIL_LEFT)
+        self.assertEqual(
+            len(self.first.generations), 1 + _REFUSED_UNTIL_ABANDONED
+        )
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
@@ -321,17 +327,17 @@
         strategies.sampled_from([0, 500]),
     )
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
-    def test_one_text_within_the_budget(self, scripts, leave, hedge_after_ms):
+    def test_one_text_within_the_budget(self, scripts, permits, hedge_after_ms):
         """The caller reads one engine's text, or the front of one.
 
         No more runs are asked for than the budget has leave for, and each run
         that gave no whole answer is cancelled, unless it never began.
         """
-        asyncio.run(self.check(scripts, leave, hedge_after_ms))
+        asyncio.run(self.check(scripts, permits, hedge_after_ms))
 
-    async def check(self, scripts, leave, hedge_after_ms) -> None:
+    async def check(self, scripts, permits, hedge_after_ms) -> None:
         fixture = fakes.Fixture(hedge_after_ms=hedge_after_ms)
-        fixture.budget.leave = leave
+        fixture.budget.permits = permits
         addresses = ["e1:1", "e2:1", "e3:1"]
         fixture.backends.addresses = addresses
         engines = [fixture.engines[address] for address in addresses]
@@ -353,7 +359,7 @@
             self.assertEqual(answer.text, sink.text)
         self.assertTrue(any(text.startswith(sink.text) for text in texts))
         sent = [send for each in engines for send in each.generations]
-        self.assertLessEqual(len({s.attempt_id for s in sent}), 1 + leave)
+        self.assertLessEqual(len({s.attempt_id for s in sent}), 1 + permits)
         self.assert_nothing_runs_on(engines, answered=answer is not None)
 
     def assert_nothing_runs_on(
--- a/tests/cover/test_dispatch_generation.py
+++ b/tests/cover/test_dispatch_generation.py
@@ -162,7 +162,7 @@
 
         Both engines refuse; the fleet's retry budget has leave for one more.
         """
-        self.fixture.budget.leave = 1
+        self.fixture.budget.permits = 1
         for fake in (self.first, self.second):
             fake.scripts.extend(
                 [fakes.Script(fails=dispatch_errors.refused())] * 9
@@ -184,7 +184,7 @@
         """
         fixture = self.fixture = fakes.Fixture(tokens_per_minute=120)
         fixture.admission = fakes.fair_admission_with(
-            fixture.clock, concurrency_limit.FixedLimit(places=1)
+            fixture.clock, concurrency_limit.FixedLimit(slots=1)
         )
         for _ in range(15):
             await self.generate()
@@ -224,7 +224,7 @@
         gate.set()
         answer = await fakes.to_end(self.fixture.clock, ending)
         self.assertEqual(answer.model_version, newer)
-        self.assertEqual(self.fixture.versions.given_back, [fakes.LARGE])
+        self.assertEqual(self.fixture.versions.released, [fakes.LARGE])
         [generation] = self.second.generations
         self.assertEqual(generation.model_version, newer)
 
@@ -257,7 +257,7 @@
         await fakes.settle()
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.first.generations[0].deadline_ms, 2000)
-        self.assertEqual(self.fixture.versions.given_back, [fakes.LARGE])
+        self.assertEqual(self.fixture.versions.released, [fakes.LARGE])
 
     async def test_a_caller_that_goes_cancels_and_pays_what_it_took(self):
         """Nobody reads on: the engine stops, the two tokens are billed."""
@@ -273,7 +273,7 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         [bill] = self.fixture.ledger.bills
         self.assertEqual(bill.output_tokens, 2)
-        self.assertEqual(self.fixture.versions.given_back, [])
+        self.assertEqual(self.fixture.versions.released, [])
 
     async def test_a_keyed_request_is_finished_for_its_retry(self):
         """The caller's connection breaks; its retry gets the answer.
--- a/tests/cover/test_dispatch_hedging.py
+++ b/tests/cover/test_dispatch_hedging.py
@@ -43,8 +43,8 @@
         self.assertEqual(self.sink.text, "Second text.")
         self.assertEqual(self.fixture.engines["e1:1"].cancelled, ["req-1/1"])
         self.assertEqual(len(self.fixture.ledger.bills), 1)
-        self.assertEqual(self.fixture.budget.leave, 99)
-        self.assertEqual(self.fixture.versions.given_back, [])
+        self.assertEqual(self.fixture.budget.permits, 99)
+        self.assertEqual(self.fixture.versions.released, [])
 
     async def test_both_tokens_at_once_still_give_one_text(self):
         """The caller reads the hedge's text: both come in one turn.
@@ -112,7 +112,7 @@
         """
         self.fixture.backends.addresses = ["e1:1"]
         await self.assert_first_answers(await self.silent())
-        self.assertEqual(self.fixture.budget.leave, 100)
+        self.assertEqual(self.fixture.budget.permits, 100)
 
     async def test_what_is_taken_away_ends_no_attempt_at_work(self):
         """The caller reads the first engine's answer, but gets no second.
@@ -129,5 +129,5 @@
                 )
             await self.assert_first_answers(asking)
             self.assertEqual(self.second.generations, [])
-            self.assertEqual(self.fixture.budget.leave, 100)
+            self.assertEqual(self.fixture.budget.permits, 100)
             self.setUp()
--- a/tests/cover/test_dispatch_held_answers.py
+++ b/tests/cover/test_dispatch_held_answers.py
@@ -11,10 +11,10 @@
 from nutmeghook.internal.observe import events
 from tests import fakes
 from tests.cover import dispatch_errors
-from tests.cover import taken_away_case
+from tests.cover import revoked_access_case
 
 
-class HeldAnswerTest(taken_away_case.TakenAwayCase):
+class HeldAnswerTest(revoked_access_case.RevokedAccessCase):
     """A whole answer that was judged weak is kept until a better one comes."""
 
     def setUp(self):
@@ -68,7 +68,7 @@
         with self.subTest("failed before a word"):
             self.strong.words = ("",)
             self.strong.finish = engine.FinishReason.FAILED
-            self.fixture.budget.leave = 0
+            self.fixture.budget.permits = 0
             await self.assert_held_answer_given(
                 await self.started(self.generate())
             )
@@ -155,7 +155,7 @@
         self.assertEqual(self.sink.text, "The boiler holds.")
 
 
-class BegunStreamTest(taken_away_case.TakenAwayCase):
+class BegunStreamTest(revoked_access_case.RevokedAccessCase):
     """A begun answer's engine is left only for an attempt that may follow.
 
     Its connection breaks after a word, and four more are refused: the engine
@@ -182,14 +182,14 @@
 
     async def test_no_leave_for_a_further_attempt(self):
         """The caller reads on; the retry budget is spent."""
-        self.fixture.budget.leave = 0
+        self.fixture.budget.permits = 0
         await self.assert_goes_on(await self.started(self.generate()))
 
     async def test_no_other_backend_server(self):
         """The caller reads on; there is nobody else to ask."""
         self.fixture.backends.addresses = ["e1:1"]
         await self.assert_goes_on(await self.started(self.generate()))
-        self.assertEqual(self.fixture.budget.leave, 100)
+        self.assertEqual(self.fixture.budget.permits, 100)
 
     async def test_its_template_or_model_is_taken_away(self):
         """The caller reads on: its engine has had the work for long.
@@ -201,7 +201,7 @@
             asking = await self.started(self.generate())
             self.fixture.versions.refusal = refusal
             await self.assert_goes_on(asking)
-            self.assertEqual(self.fixture.budget.leave, 100)
+            self.assertEqual(self.fixture.budget.permits, 100)
             self.setUp()
         asking = await self.started(self.generate())
         self.configure(templates={})
@@ -215,19 +215,19 @@
         self.first.scripts.extend(
             [fakes.Script(fails=dispatch_errors.refused())] * 20
         )
-        self.fixture.budget.leave = 0
+        self.fixture.budget.permits = 0
         asking = await self.started(self.generate())
         self.gate.set()
         await self.fixture.clock.advance(datetime.timedelta(milliseconds=500))
         self.assertEqual(self.sink.text, "The ")
         self.assertFalse(asking.done())
-        self.fixture.budget.leave = 1
+        self.fixture.budget.permits = 1
         answer = await self.ended(asking)
         self.assertEqual(answer.text, "The boiler holds.")
         self.assertEqual(self.sink.text, answer.text)
         [repeat] = self.second.generations
         self.assertEqual(repeat.attempt_id, "req-1/2")
-        self.assertEqual(self.fixture.budget.leave, 0)
+        self.assertEqual(self.fixture.budget.permits, 0)
 
     async def test_a_granted_attempt_that_is_refused_cuts_no_answer(self):
         """The caller reads on.
@@ -236,7 +236,7 @@
         with the last of the retry budget. That one refuses. The first is back
         by then, and would have kept the attempt for 10 s.
         """
-        self.fixture.budget.leave = 1
+        self.fixture.budget.permits = 1
         self.second.scripts.append(
             fakes.Script(fails=dispatch_errors.refused())
         )
@@ -253,7 +253,7 @@
         self.first.scripts.extend(
             [fakes.Script(fails=dispatch_errors.refused())] * 20
         )
-        self.fixture.budget.leave = 0
+        self.fixture.budget.permits = 0
         asking = await self.started(self.generate(deadline_s=600))
         error = await self.refused(asking)
         self.assertIs(error.run_state, codes.RunState.UNKNOWN)
--- a/tests/cover/test_dispatch_outcomes.py
+++ b/tests/cover/test_dispatch_outcomes.py
@@ -55,10 +55,10 @@
         key=strategies.sampled_from(["", "finding-7"]),
         hedge_after_ms=strategies.sampled_from([0, 20]),
         may_escalate=strategies.booleans(),
-        leave=strategies.integers(0, 6),
+        permits=strategies.integers(0, 6),
     )
     def test_one_version_s_whole_text_or_a_true_error(
-        self, scripts, key, hedge_after_ms, may_escalate, leave
+        self, scripts, key, hedge_after_ms, may_escalate, permits
     ):
         """The caller reads a whole answer of one attempt, or an error.
 
@@ -71,7 +71,7 @@
 
         async def scenario():
             fixture = fakes.Fixture(hedge_after_ms=hedge_after_ms)
-            fixture.budget.leave = leave
+            fixture.budget.permits = permits
             fixture.cascade = fakes.FakeCascade(
                 first_stage=0, may_escalate=may_escalate
             )
@@ -116,7 +116,7 @@
 
     def _check_leave(self, fixture, sink, outcome):
         """Leave goes back exactly for choices that gave nobody anything."""
-        chosen, back = fixture.versions.chosen, fixture.versions.given_back
+        chosen, back = fixture.versions.chosen, fixture.versions.released
         self.assertEqual(back, chosen[: len(back)])
         answered = not isinstance(outcome, errors.CodedError)
         kept = chosen[len(back) :]
--- a/tests/cover/test_dispatch_plain.py
+++ b/tests/cover/test_dispatch_plain.py
@@ -11,8 +11,8 @@
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import concurrency_limit
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.limits import retry_budget
 from tests import fakes
 from tests.cover import plain_requests
@@ -35,12 +35,14 @@
         ),
         repeatable=strategies.booleans(),
         key=strategies.sampled_from(["", "booking-7"]),
-        leave=strategies.integers(0, 5),
+        permits=strategies.integers(0, 5),
     )
     @hypothesis.example(
-        names=["lost"], repeatable=True, key="booking-7", leave=0
+        names=["lost"], repeatable=True, key="booking-7", permits=0
     )
-    def test_run_at_most_once_and_said_so(self, names, repeatable, key, leave):
+    def test_run_at_most_once_and_said_so(
+        self, names, repeatable, key, permits
+    ):
         """A crew is booked once, or the caller knows what it can't know.
 
         Each send is refused (provably not run), lost after it was written,
@@ -49,7 +51,7 @@
         exactly when every send was refused.
         """
         fixture = fakes.Fixture()
-        fixture.budget.leave = leave
+        fixture.budget.permits = permits
         fixture.services.outcomes.extend(OUTCOMES[name] for name in names)
 
         async def scenario():
@@ -67,7 +69,7 @@
         outcome = asyncio.run(scenario())
         sends = len(fixture.services.calls)
         maybe_run = [n for n in (*names, "answer")[:sends] if n != "refused"]
-        self.assertLessEqual(sends, 1 + leave)
+        self.assertLessEqual(sends, 1 + permits)
         if not repeatable:
             self.assertLessEqual(len(maybe_run), 1)
         if isinstance(outcome, errors.CodedError):
@@ -141,9 +143,9 @@
 
     def setUp(self):
         self.fixture = fakes.Fixture()
-        self.limit = following_limit.FollowingLimit(ceiling=8)
+        self.limit = adaptive_limit.AdaptiveLimit(ceiling=8)
         self.fixture.admission = fakes.fair_admission_with(
-            self.fixture.clock, concurrency_limit.FixedLimit(places=2)
+            self.fixture.clock, concurrency_limit.FixedLimit(slots=2)
         )
         self.fixture.plain_admission = fakes.fair_admission_with(
             self.fixture.clock, self.limit
@@ -210,14 +212,14 @@
         """
         dispatcher = self.fixture.dispatcher()
         busy = failures.NotDoneError("busy", overloaded=True)
-        self.fixture.budget.leave = 0
+        self.fixture.budget.permits = 0
         self.fixture.services.outcomes.extend([busy] * 80)
         for _ in range(10):
             await self.call_together(dispatcher)
-        self.assertLess(self.limit.places, 4)
+        self.assertLess(self.limit.slots, 4)
         for _ in range(20):
             await self.call_together(dispatcher)
-        self.assertEqual(self.limit.places, 8)
+        self.assertEqual(self.limit.slots, 8)
 
     async def test_a_service_s_retries_are_not_the_engines(self):
         """A service is down; a caller of an engine still gets its retry.
--- a/tests/cover/test_dispatch_taken_away.py
+++ b/tests/cover/test_dispatch_revoked_access.py
@@ -9,10 +9,10 @@
 from tests import fakes
 from tests.cover import dispatch_errors
 from tests.cover import plain_requests
-from tests.cover import taken_away_case
+from tests.cover import revoked_access_case
 
 
-class ToldTrulyTest(taken_away_case.TakenAwayCase):
+class FinalErrorTest(revoked_access_case.RevokedAccessCase):
     """A request that may have run is never answered as one that was refused.
 
     The body's run state was true before; status, code and time line were the
@@ -57,7 +57,7 @@
         self.assertEqual(self.second.generations, [])
 
 
-class ChangedRouteTest(taken_away_case.TakenAwayCase):
+class ChangedRouteTest(revoked_access_case.RevokedAccessCase):
     """What a change of its route means for a call under way."""
 
     def change_routes(self, **changes) -> None:
@@ -137,10 +137,10 @@
         self.assertEqual(len(self.fixture.services.calls), 1)
 
 
-class TokenTest(taken_away_case.TakenAwayCase):
+class TokenTest(revoked_access_case.RevokedAccessCase):
     """What a token that is taken away means for requests let in with it."""
 
-    def take_token_away(self) -> None:
+    def revoke_token(self) -> None:
         self.change_team(tokens=())
 
     def assert_denied(self, error: errors.CodedError) -> None:
@@ -153,7 +153,7 @@
         One request holds the only place; the next waits behind it. The
         operator takes their token away, and then the place is free.
         """
-        one_place = concurrency_limit.FixedLimit(places=1)
+        one_place = concurrency_limit.FixedLimit(slots=1)
         self.fixture.admission = self.fixture.plain_admission = (
             fakes.fair_admission_with(self.fixture.clock, one_place)
         )
@@ -176,7 +176,7 @@
                 ),
             )
         ]
-        self.take_token_away()
+        self.revoke_token()
         self.assertEqual((await self.ended(under_way)).text, self.sink.text)
         for asking in waiting:
             self.assert_denied(await self.refused(asking))
@@ -191,13 +191,13 @@
         self.fixture.services.outcomes.append(dispatch_errors.refused())
         for work in (self.generate(), self.call_plain()):
             asking = await self.started(work)
-            self.take_token_away()
+            self.revoke_token()
             self.assert_denied(await self.refused(asking))
-            self.give_token_back()
+            self.restore_token()
         self.assertEqual(self.second.generations, [])
         self.assertEqual(len(self.fixture.services.calls), 1)
 
-    def give_token_back(self) -> None:
+    def restore_token(self) -> None:
         """Gives the token back, and closes the gate."""
         self.configure(teams=fake_config.snapshot().teams)
         self.gate.clear()
@@ -213,9 +213,9 @@
         self.fixture.services.outcomes.append(dispatch_errors.lost())
         for work in (self.generate(), self.call_plain(repeatable=True)):
             asking = await self.started(work)
-            self.take_token_away()
+            self.revoke_token()
             await self.ended(asking)
-            self.give_token_back()
+            self.restore_token()
         self.assertEqual(self.sink.text, "The boiler holds.")
         self.assertEqual(len(self.fixture.services.calls), 2)
 
@@ -226,7 +226,7 @@
             [fakes.Script(fails=dispatch_errors.refused())] * 20
         )
         asking = await self.started(self.generate())
-        self.take_token_away()
+        self.revoke_token()
         answer = await self.ended(asking)
         self.assertEqual(answer.text, "The boiler holds.")
         self.assertEqual(self.sink.text, answer.text)
--- a/tests/cover/test_guarantees_permission.py
+++ b/tests/cover/test_guarantees_permission.py
@@ -6,76 +6,82 @@
 
 from nutmeghook.internal.config import distribution
 from nutmeghook.internal.dependencies import engine
-from nutmeghook.internal.dispatch import leave as leave_module
 from nutmeghook.internal.dispatch import plain_calls
+from nutmeghook.internal.dispatch import retry_permission
 from nutmeghook.internal.routing import version_choice
 from nutmeghook.internal.routing import versions
-from tests import permission_scene
+from tests import permission_scenario
 
-SECOND = permission_scene.SECOND
+SECOND = permission_scenario.SECOND
 SEEDS = (1, 2, 3)
 BEFORE = 3 * SECOND
 AFTER = 9 * SECOND
-LOSER = permission_scene.LOSER
-KEEPER = permission_scene.KEEPER
+RESTRICTED_TEAM = permission_scenario.RESTRICTED_TEAM
+OTHER_TEAM = permission_scenario.OTHER_TEAM
 
 
-async def _play(seed: int, *, cut: bool) -> permission_scene.Scene:
+async def _run_scenario(
+    seed: int, *, cut: bool
+) -> permission_scenario.PermissionScenario:
     """Takes the right away through an instance that dies right after it."""
     asyncio.get_running_loop().set_debug(False)
-    scene = permission_scene.Scene(seed=seed)
-    clock = scene.fleet.clock
+    scenario = permission_scenario.PermissionScenario(seed=seed)
+    clock = scenario.fleet.clock
     try:
-        await scene.set_up()
-        loading = asyncio.ensure_future(scene.load(BEFORE + AFTER))
-        alone = scene.draw.choice(scene.fleet.listeners())
+        await scenario.set_up()
+        loading = asyncio.ensure_future(scenario.load(BEFORE + AFTER))
+        alone = scenario.draw.choice(scenario.fleet.listeners())
         if cut:
-            scene.cut_off(alone)
-        others = [a for a in scene.fleet.addresses if a != alone]
-        victims = scene.draw.sample(others, 3)
+            scenario.cut_off(alone)
+        others = [a for a in scenario.fleet.addresses if a != alone]
+        victims = scenario.draw.sample(others, 3)
         await clock.advance(BEFORE)
-        await scene.kill(victims[0])
+        await scenario.kill(victims[0])
         await clock.advance(SECOND / 5)
-        await scene.take_away(through=victims[1])
-        await scene.kill(victims[1])
+        await scenario.revoke(through=victims[1])
+        await scenario.kill(victims[1])
         await clock.advance(SECOND / 5)
-        await scene.kill(victims[2])
+        await scenario.kill(victims[2])
         await clock.advance(SECOND / 2)
-        scene.start(*victims)
-        await clock.advance(AFTER + permission_scene.DEADLINE)
+        scenario.start(*victims)
+        await clock.advance(AFTER + permission_scenario.DEADLINE)
         await loading
     finally:
-        await scene.fleet.stop()
-    return scene
+        await scenario.fleet.stop()
+    return scenario
 
 
-def play(seed: int, *, cut: bool = False) -> permission_scene.Scene:
+def run_scenario(
+    seed: int, *, cut: bool = False
+) -> permission_scenario.PermissionScenario:
     """Plays a scene to its end, when no request is under way any more."""
-    return asyncio.run(_play(seed, cut=cut))
+    return asyncio.run(_run_scenario(seed, cut=cut))
 
 
 class PermissionTest(unittest.TestCase):
     """Judged by what reached the stand-in backend servers."""
 
-    def assert_tells(self, scene: permission_scene.Scene) -> None:
+    def assert_covers(
+        self, scenario: permission_scenario.PermissionScenario
+    ) -> None:
         """Checks that the scene brought about what it is for."""
-        sent = scene.sent()
-        lost = [call for call in scene.calls if call.team == LOSER]
+        sent = scenario.sent()
+        lost = [call for call in scenario.calls if call.team == RESTRICTED_TEAM]
         under_way = [
             call
             for call in lost
             if sent.get(call.request_id)
-            and call.arrived < scene.taken_away
+            and call.arrived < scenario.revoked_at
             and not call.killed
         ]
-        after = scene.taken_away + permission_scene.BOUND
+        after = scenario.revoked_at + permission_scenario.BOUND
         self.assertGreater(len(under_way), 20)
-        self.assertGreater(len(scene.held_back()), 3)
-        self.assertGreater(sum(call.killed for call in scene.calls), 5)
-        for team, served in ((LOSER, False), (KEEPER, True)):
+        self.assertGreater(len(scenario.waiting_at_change()), 3)
+        self.assertGreater(sum(call.killed for call in scenario.calls), 5)
+        for team, served in ((RESTRICTED_TEAM, False), (OTHER_TEAM, True)):
             late = [
                 call.request_id in sent
-                for call in scene.calls
+                for call in scenario.calls
                 if call.team == team and call.arrived > after
             ]
             self.assertGreater(len(late), 50)
@@ -95,10 +101,10 @@
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                scene = play(seed)
-                self.assertEqual(permission_scene.violations(scene), [])
-                self.assertEqual(scene.fleet.violations(), [])
-                self.assert_tells(scene)
+                scenario = run_scenario(seed)
+                self.assertEqual(permission_scenario.violations(scenario), [])
+                self.assertEqual(scenario.fleet.violations(), [])
+                self.assert_covers(scenario)
 
     def test_the_same_with_an_instance_cut_off_from_its_peers(self):
         """It leaves reading to others, and nobody tells it of the change.
@@ -108,22 +114,22 @@
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                scene = play(seed, cut=True)
-                self.assertEqual(permission_scene.violations(scene), [])
-                self.assert_tells(scene)
+                scenario = run_scenario(seed, cut=True)
+                self.assertEqual(permission_scenario.violations(scenario), [])
+                self.assert_covers(scenario)
 
 
 class ChecksCanFailTest(unittest.TestCase):
     """The same scene with a defect put in on purpose."""
 
     def assert_found(self, words: str, *, cut: bool = True) -> None:
-        found = permission_scene.violations(play(SEEDS[0], cut=cut))
+        found = permission_scenario.violations(run_scenario(SEEDS[0], cut=cut))
         self.assertTrue([v for v in found if words in v], found[:5])
 
     def test_a_request_s_own_copy_is_trusted(self):
         """What waited when the right went is sent as it was let in."""
 
-        def copy(leave, call):
+        def copy(permission, call):
             return call.request.template
 
         async def choose(chooser, *, template, **_):
@@ -139,7 +145,9 @@
             pass
 
         with (
-            mock.patch.object(leave_module.AttemptLeave, "template_now", copy),
+            mock.patch.object(
+                retry_permission.RetryPermission, "template_now", copy
+            ),
             mock.patch.multiple(
                 version_choice.ConfiguredVersionChooser,
                 choose=choose,
@@ -175,16 +183,16 @@
 
     def test_what_was_sent_before_is_cut_off(self):
         """Instances drop what is under way as soon as the change comes."""
-        taken_away = permission_scene.Scene.take_away
+        revoked_at = permission_scenario.PermissionScenario.revoke
 
-        async def take_away_and_drop(scene, *, through):
-            await taken_away(scene, through=through)
-            for instance in scene.instances.values():
+        async def revoke_and_drop(scenario, *, through):
+            await revoked_at(scenario, through=through)
+            for instance in scenario.instances.values():
                 for task in instance.calls:
                     task.cancel()
 
         with mock.patch.object(
-            permission_scene.Scene, "take_away", take_away_and_drop
+            permission_scenario.PermissionScenario, "revoke", revoke_and_drop
         ):
             self.assert_found("has no end")
 
--- a/tests/cover/test_guarantees_send.py
+++ b/tests/cover/test_guarantees_send.py
@@ -75,7 +75,7 @@
         )
         self.fixture = fakes.Fixture(stages=(stage,))
         # What never left is no repeat, so it needs no leave of the budget.
-        self.fixture.budget.leave = 0
+        self.fixture.budget.permits = 0
         self.sink = fakes.RecordingSink()
         self.network = local.LocalNetwork(clock=self.fixture.clock)
         own = self.network.clock_of(MYSELF)
--- a/tests/cover/test_limits_admission.py
+++ b/tests/cover/test_limits_admission.py
@@ -34,12 +34,12 @@
     return members.FixedMemberView(myself=made[0], others=tuple(made[1:]))
 
 
-class Desk:
+class AdmissionHarness:
     """An admission on a fake clock, and what its callers saw."""
 
-    def __init__(self, *, places=2, member_count=1):
+    def __init__(self, *, slots=2, member_count=1):
         self.clock = clock_module.FakeClock()
-        self.limit = concurrency_limit.FixedLimit(places=places)
+        self.limit = concurrency_limit.FixedLimit(slots=slots)
         self.admission = fair_admission.FairAdmission(
             clock=self.clock,
             randomness=random.Random(1),
@@ -102,25 +102,25 @@
         """
 
         async def scenario():
-            desk = Desk(places=1)
-            await desk.warm_up()
-            asked_at = desk.clock.monotonic()
+            harness = AdmissionHarness(slots=1)
+            await harness.warm_up()
+            asked_at = harness.clock.monotonic()
             for _ in range(30):
-                desk.ask()
-            await desk.clock.advance(0 * SECOND)
-            at_once = len(desk.refused)
+                harness.ask()
+            await harness.clock.advance(0 * SECOND)
+            at_once = len(harness.refused)
             self.assertGreaterEqual(at_once, 20)
-            returns = {error.retry_after for _, _, error in desk.refused}
+            returns = {error.retry_after for _, _, error in harness.refused}
             self.assertEqual(len(returns), at_once)
             span = max(returns) - min(returns)
             self.assertGreater(span, 10 * SECOND)
-            await desk.clock.advance(20 * SECOND)
-            for _, at, error in desk.refused[:at_once]:
+            await harness.clock.advance(20 * SECOND)
+            for _, at, error in harness.refused[:at_once]:
                 self.assertEqual(at, asked_at)
                 self.assertIs(error.code, codes.Code.OVERLOADED)
                 self.assertIs(error.run_state, codes.RunState.NOT_RUN)
-            self.assertEqual(len(desk.ran) + len(desk.refused), 30)
-            for request, at in desk.ran:
+            self.assertEqual(len(harness.ran) + len(harness.refused), 30)
+            for request, at in harness.ran:
                 self.assertLessEqual(at, request.deadline)
 
         _run(scenario)
@@ -134,18 +134,18 @@
         """
 
         async def scenario():
-            desk = Desk(places=2)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=2)
+            await harness.warm_up()
             for _ in range(2):
-                desk.ask(runs_s=60, deadline_s=90)
-            waiting = desk.ask(deadline_s=10)
-            await desk.clock.advance(9 * SECOND)
+                harness.ask(runs_s=60, deadline_s=90)
+            waiting = harness.ask(deadline_s=10)
+            await harness.clock.advance(9 * SECOND)
             self.assertTrue(waiting.done())
-            request, at, error = desk.refused[0]
+            request, at, error = harness.refused[0]
             self.assertIs(error.code, codes.Code.DEADLINE_BEFORE_RUN)
             self.assertGreater(error.retry_after, 0 * SECOND)
             self.assertLess(at, request.deadline)
-            self.assertEqual(desk.admission.waiting, 0)
+            self.assertEqual(harness.admission.waiting, 0)
 
         _run(scenario)
 
@@ -159,21 +159,21 @@
         """
 
         async def scenario():
-            desk = Desk(places=2)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=2)
+            await harness.warm_up()
             for _ in range(60):
-                desk.ask(runs_s=10, deadline_s=10)
-                await desk.clock.advance(1 * SECOND)
-            late = desk.refused[-20:]
+                harness.ask(runs_s=10, deadline_s=10)
+                await harness.clock.advance(1 * SECOND)
+            late = harness.refused[-20:]
             for request, at, _ in late:
                 self.assertLess(at, request.deadline - 5 * SECOND)
-            await desk.clock.advance(20 * SECOND)
-            desk.ran.clear()
-            desk.refused.clear()
+            await harness.clock.advance(20 * SECOND)
+            harness.ran.clear()
+            harness.refused.clear()
             for _ in range(60):
-                desk.ask(runs_s=0.5)
-                await desk.clock.advance(1 * SECOND)
-            self.assertEqual(desk.refused, [])
+                harness.ask(runs_s=0.5)
+                await harness.clock.advance(1 * SECOND)
+            self.assertEqual(harness.refused, [])
 
         _run(scenario)
 
@@ -185,16 +185,16 @@
         """
 
         async def scenario():
-            desk = Desk(places=1)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=1)
+            await harness.warm_up()
             for _ in range(6):
-                desk.ask("lookups", deadline_s=12)
-            await desk.clock.advance(0.5 * SECOND)
-            self.assertEqual(desk.refused, [])
+                harness.ask("lookups", deadline_s=12)
+            await harness.clock.advance(0.5 * SECOND)
+            self.assertEqual(harness.refused, [])
             for _ in range(40):
-                desk.ask("reviews", priority=8, deadline_s=90)
-            await desk.clock.advance(0.5 * SECOND)
-            shed = [r for r, _, _ in desk.refused if r.team == "lookups"]
+                harness.ask("reviews", priority=8, deadline_s=90)
+            await harness.clock.advance(0.5 * SECOND)
+            shed = [r for r, _, _ in harness.refused if r.team == "lookups"]
             self.assertGreaterEqual(len(shed), 2)
 
         _run(scenario)
@@ -205,29 +205,29 @@
 
     def test_budget_refuses_with_a_time_at_which_it_lets_in(self):
         async def scenario():
-            desk = Desk(places=50, member_count=2)
+            harness = AdmissionHarness(slots=50, member_count=2)
             budget = {"tokens_per_minute": 1200, "cost_tokens": 100}
             for _ in range(10):
-                desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
+                harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
             # Half of the budget is this instance's.
-            self.assertEqual(len(desk.refused), 4)
-            error = desk.refused[0][2]
+            self.assertEqual(len(harness.refused), 4)
+            error = harness.refused[0][2]
             self.assertIs(error.code, codes.Code.OVER_BUDGET)
-            await desk.clock.advance(error.retry_after)
-            desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
-            self.assertEqual(len(desk.refused), 4)
+            await harness.clock.advance(error.retry_after)
+            harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
+            self.assertEqual(len(harness.refused), 4)
 
         _run(scenario)
 
     def test_estimates_are_replaced_by_what_was_used(self):
         async def scenario():
-            desk = Desk(places=50)
+            harness = AdmissionHarness(slots=50)
             budget = {"tokens_per_minute": 600, "cost_tokens": 100}
             for _ in range(6):
-                desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
+                harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
             used = admission.AdmissionRequest(
                 team="a",
                 template="t",
@@ -236,15 +236,15 @@
                 deadline=9 * SECOND,
                 **budget,
             )
-            desk.admission.reconcile(used, used_tokens=1)
-            desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
-            self.assertEqual(desk.refused, [])
+            harness.admission.reconcile(used, used_tokens=1)
+            harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
+            self.assertEqual(harness.refused, [])
 
         _run(scenario)
 
 
-class PlacesTest(unittest.TestCase):
+class SlotsTest(unittest.TestCase):
     """Places are never lost, nor given twice."""
 
     def test_a_caller_that_goes_away_frees_what_it_holds(self):
@@ -256,24 +256,24 @@
         """
 
         async def scenario():
-            desk = Desk(places=1)
-            desk.ask(runs_s=1)
-            await desk.clock.advance(0 * SECOND)
-            first, second = desk.ask(), desk.ask()
+            harness = AdmissionHarness(slots=1)
+            harness.ask(runs_s=1)
+            await harness.clock.advance(0 * SECOND)
+            first, second = harness.ask(), harness.ask()
             await asyncio.sleep(0)
-            while desk.admission.waiting == 2:
-                await desk.clock.advance(0.1 * SECOND)
+            while harness.admission.waiting == 2:
+                await harness.clock.advance(0.1 * SECOND)
             first.cancel()
             second.cancel()
             await asyncio.gather(first, second, return_exceptions=True)
-            await desk.clock.advance(5 * SECOND)
-            self.assertEqual(desk.admission.running, 0)
-            self.assertEqual(desk.admission.waiting, 0)
+            await harness.clock.advance(5 * SECOND)
+            self.assertEqual(harness.admission.running, 0)
+            self.assertEqual(harness.admission.waiting, 0)
 
         _run(scenario)
 
     @hypothesis.given(
-        places=strategies.integers(1, 4),
+        slots=strategies.integers(1, 4),
         steps=strategies.lists(
             strategies.tuples(
                 strategies.sampled_from(["ask", "ask", "cancel", "limit"]),
@@ -285,16 +285,16 @@
         ),
     )
     def test_every_caller_has_one_outcome_and_no_place_is_lost(
-        self, places, steps
+        self, slots, steps
     ):
         async def scenario():
-            desk = Desk(places=places)
-            most_places = places
+            harness = AdmissionHarness(slots=slots)
+            max_slots = slots
             callers = []
             for step, priority, number, wait_s in steps:
                 if step == "ask":
                     callers.append(
-                        desk.ask(
+                        harness.ask(
                             f"{number % 3}",
                             priority=priority,
                             runs_s=number / 4,
@@ -304,21 +304,22 @@
                 elif step == "cancel" and callers:
                     callers[number % len(callers)].cancel()
                 elif step == "limit":
-                    desk.limit.set_places(number)
-                    most_places = max(most_places, number)
+                    harness.limit.set_slots(number)
+                    max_slots = max(max_slots, number)
                 if wait_s:
-                    await desk.clock.advance(wait_s * SECOND)
+                    await harness.clock.advance(wait_s * SECOND)
                 else:
                     await asyncio.sleep(0)
-            await desk.clock.advance(60 * SECOND)
+            await harness.clock.advance(60 * SECOND)
             done = await asyncio.gather(*callers, return_exceptions=True)
             cancelled = sum(isinstance(d, BaseException) for d in done)
             self.assertEqual(
-                len(desk.ran) + len(desk.refused) + cancelled, len(callers)
+                len(harness.ran) + len(harness.refused) + cancelled,
+                len(callers),
             )
-            self.assertLessEqual(desk.most_running, most_places)
-            self.assertEqual(desk.admission.running, 0)
-            self.assertEqual(desk.admission.waiting, 0)
+            self.assertLessEqual(harness.most_running, max_slots)
+            self.assertEqual(harness.admission.running, 0)
+            self.assertEqual(harness.admission.waiting, 0)
 
         _run(scenario)
 
@@ -330,16 +331,16 @@
         """
 
         async def scenario():
-            desk = Desk(places=10)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=10)
+            await harness.warm_up()
             for _ in range(30):
                 for _ in range(10):
-                    desk.ask("large", deadline_s=6)
+                    harness.ask("large", deadline_s=6)
                 for index in range(9):
-                    desk.ask(f"small-{index}", deadline_s=6)
-                await desk.clock.advance(1 * SECOND)
-            await desk.clock.advance(10 * SECOND)
-            served = collections.Counter(r.team for r, _ in desk.ran)
+                    harness.ask(f"small-{index}", deadline_s=6)
+                await harness.clock.advance(1 * SECOND)
+            await harness.clock.advance(10 * SECOND)
+            served = collections.Counter(r.team for r, _ in harness.ran)
             for index in range(9):
                 self.assertGreaterEqual(served[f"small-{index}"], 28)
             self.assertGreater(served["large"], 20)
--- a/tests/cover/test_limits_service.py
+++ b/tests/cover/test_limits_service.py
@@ -8,8 +8,8 @@
 
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.foundation import clock
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import ceiling
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.limits import retry_budget
 from nutmeghook.internal.limits import service_rate
 from nutmeghook.internal.membership import members
@@ -24,7 +24,7 @@
             duration=100 * pace_s * SECOND,
             overloaded=overloaded,
             work_tokens=100,
-            running=limit.places,
+            running=limit.slots,
         )
 
 
@@ -48,7 +48,9 @@
         those allowed are their share plus what a small bucket holds.
         """
         wants_retry = [wants for wants, count in phases for _ in range(count)]
-        budget = retry_budget.ShareRetryBudget(share=share, burst_attempts=2)
+        budget = retry_budget.TokenBucketRetryBudget(
+            share=share, burst_attempts=2
+        )
         spent_at = []
         for number, wants in enumerate(wants_retry):
             budget.note_request()
@@ -97,13 +99,13 @@
         from here and not from engines that are kept busy refusing, and
         afterwards the places must all come back.
         """
-        limit = following_limit.FollowingLimit(ceiling=40)
+        limit = adaptive_limit.AdaptiveLimit(ceiling=40)
         _serve(limit, pace_s=0.03, count=100)
-        self.assertEqual(limit.places, 40)
+        self.assertEqual(limit.slots, 40)
         _serve(limit, pace_s=0, count=400, overloaded=True)
-        self.assertLessEqual(limit.places, 4)
+        self.assertLessEqual(limit.slots, 4)
         _serve(limit, pace_s=0.03, count=100)
-        self.assertEqual(limit.places, 40)
+        self.assertEqual(limit.slots, 40)
 
     @hypothesis.given(strategies.integers(1, 60), strategies.integers(0, 40))
     def test_places_come_back_from_any_cut(self, most, refusals):
@@ -112,18 +114,18 @@
         Refusals cut the places to a fraction over a whole number. All whole
         places are taken from then on, and the places must all come back.
         """
-        limit = following_limit.FollowingLimit(ceiling=most)
+        limit = adaptive_limit.AdaptiveLimit(ceiling=most)
         _serve(limit, pace_s=0, count=10 * refusals, overloaded=True)
         _serve(limit, pace_s=0.03, count=400)
-        self.assertEqual(limit.places, most)
+        self.assertEqual(limit.slots, most)
 
     def test_a_brown_out_cuts_to_half_and_no_further(self):
-        limit = following_limit.FollowingLimit(ceiling=40)
+        limit = adaptive_limit.AdaptiveLimit(ceiling=40)
         _serve(limit, pace_s=0.03, count=100)
         _serve(limit, pace_s=0.3, count=200)
-        self.assertEqual(limit.places, 20)
+        self.assertEqual(limit.slots, 20)
         _serve(limit, pace_s=0.03, count=100)
-        self.assertEqual(limit.places, 40)
+        self.assertEqual(limit.slots, 40)
 
     def test_a_lasting_change_of_pace_is_accepted_in_the_end(self):
         """Prompts become longer for good, and each token twice as slow.
@@ -131,12 +133,12 @@
         If the first pace were remembered for ever, half of the engines would
         stand idle from then on.
         """
-        limit = following_limit.FollowingLimit(ceiling=40)
+        limit = adaptive_limit.AdaptiveLimit(ceiling=40)
         _serve(limit, pace_s=0.03, count=100)
         _serve(limit, pace_s=0.06, count=200)
-        self.assertEqual(limit.places, 20)
+        self.assertEqual(limit.slots, 20)
         _serve(limit, pace_s=0.06, count=20_000)
-        self.assertEqual(limit.places, 40)
+        self.assertEqual(limit.slots, 40)
 
     @hypothesis.given(
         strategies.lists(
@@ -150,7 +152,7 @@
         )
     )
     def test_the_places_stay_between_one_and_the_ceiling(self, steps):
-        limit = following_limit.FollowingLimit(ceiling=50)
+        limit = adaptive_limit.AdaptiveLimit(ceiling=50)
         for duration_s, overloaded, work_tokens, number in steps:
             limit.note(
                 duration=duration_s * SECOND,
@@ -160,8 +162,8 @@
             )
             if work_tokens % 50 == 7:
                 limit.set_ceiling(number)
-                self.assertLessEqual(limit.places, number)
-            self.assertGreaterEqual(limit.places, 1)
+                self.assertLessEqual(limit.slots, number)
+            self.assertGreaterEqual(limit.slots, 1)
 
 
 class CeilingTest(unittest.TestCase):
@@ -186,24 +188,24 @@
             )
             for i in range(8)
         ]
-        limit = following_limit.FollowingLimit(ceiling=1000)
+        limit = adaptive_limit.AdaptiveLimit(ceiling=1000)
         myself = members.Member(
             inner_address="a", incarnation="i", region="r", data_centre="c"
         )
-        follower = ceiling.CeilingFollower(
+        follower = ceiling.CeilingUpdater(
             limit=limit,
             known=lambda: known,
             members=members.FixedMemberView(myself=myself, others=(myself,)),
             clock=clock.FakeClock(),
-            most_places=500,
+            max_slots=500,
         )
         follower.update()
-        self.assertEqual(limit.places, 68)
+        self.assertEqual(limit.slots, 68)
         for backend in known[:4]:
             backend.leaving = True
         follower.update()
-        self.assertEqual(limit.places, 35)
+        self.assertEqual(limit.slots, 35)
         for backend in known:
             backend.report = None
         follower.update()
-        self.assertEqual(limit.places, 35)
+        self.assertEqual(limit.slots, 35)
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -65,14 +65,14 @@
         (first,) = [r for r in self.replicas if r.seen]
         self.spend_all(but=3)
 
-        def go_dark(replica) -> Reply:
-            replica.go_dark()
+        def become_unreachable(replica) -> Reply:
+            replica.become_unreachable()
             return Reply(silent=True)
 
         def refuse(replica) -> Reply:
             return Reply(events=EVENTS) if replica is first else REFUSAL
 
-        self.answer_in_turn(go_dark, refuse)
+        self.answer_in_turn(become_unreachable, refuse)
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertEqual(len(self.seen()), 4)
@@ -150,7 +150,7 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertEqual(len(first.seen), 1)
         self.assertEqual(len(self.seen()), 3)
-        self.assertLess(self.budgets.budget_for("service").left(), 1)
+        self.assertLess(self.budgets.budget_for("service").remaining(), 1)
 
     async def test_the_fallback_is_used_if_no_other_replica_is_listed(self):
         """A begun stream is left. The replica that is to go on refuses, and it
@@ -201,12 +201,14 @@
 
         with mock.patch.object(asyncio, "open_connection", kept):
             self.asking = await self.begun()
-        before = self.budgets.budget_for("service").left()
+        before = self.budgets.budget_for("service").remaining()
         self.answer_in_turn(lambda _: Reply(silent=True))
         while len(self.seen()) < 2:
             await self.clock.advance(driven_relay.STEP)
             await asyncio.sleep(0.001)
-        self.assertEqual(self.budgets.budget_for("service").left(), before - 2)
+        self.assertEqual(
+            self.budgets.budget_for("service").remaining(), before - 2
+        )
         return before - 1
 
     async def test_at_the_time_limit(self):
@@ -215,7 +217,7 @@
         answer = await self.answer_of(self.asking)
         self.assertFalse(relay_fixture.is_complete(answer))
         self.assertEqual(
-            self.budgets.budget_for("service").left(), after_one_attempt
+            self.budgets.budget_for("service").remaining(), after_one_attempt
         )
 
     async def test_when_the_caller_leaves(self):
@@ -233,7 +235,7 @@
         await fakes.settle()
         self.assertEqual(self.listener.in_flight, 0)
         self.assertEqual(
-            self.budgets.budget_for("service").left(), after_one_attempt
+            self.budgets.budget_for("service").remaining(), after_one_attempt
         )
 
 
@@ -307,8 +309,8 @@
         self.limit(models=driven_relay.MODELS)
         self.spend_all(but=3)
 
-        def go_dark(replica) -> Reply:
-            replica.go_dark()
+        def become_unreachable(replica) -> Reply:
+            replica.become_unreachable()
             return Reply(silent=True)
 
         def weak(_) -> Reply:
@@ -318,7 +320,7 @@
 
         self.answer_in_turn(
             weak,
-            go_dark,
+            become_unreachable,
             lambda _: REFUSAL,
             lambda _: Reply(events=EVENTS, confidence=10),
         )
--- a/tests/cover/test_relay_further_attempts.py
+++ b/tests/cover/test_relay_further_attempts.py
@@ -242,10 +242,12 @@
         come back serves others: one attempt was made, and one is paid for.
         """
         asking = await self.begun()
-        before = self.budgets.budget_for("service").left()
+        before = self.budgets.budget_for("service").remaining()
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(self.budgets.budget_for("service").left(), before - 1)
+        self.assertEqual(
+            self.budgets.budget_for("service").remaining(), before - 1
+        )
 
     async def test_nor_does_one_that_can_not_be_sent(self):
         """A begun stream's replica falls silent, and those that are asked to
--- a/tests/cover/test_relay_revoked_access.py
+++ b/tests/cover/test_relay_revoked_access.py
@@ -43,7 +43,7 @@
         """
         asking = await self.begun()
         (unreachable,) = [r for r in self.replicas if r.seen]
-        unreachable.go_dark()
+        unreachable.become_unreachable()
         self.revoke_key()
         await self.assert_goes_on(asking)
 
--- a/tests/cover/test_relay_streams.py
+++ b/tests/cover/test_relay_streams.py
@@ -185,7 +185,7 @@
         asking = asyncio.create_task(self.ask_stream())
         await self.arrival()
         (unreachable,) = [r for r in self.replicas if r.seen]
-        unreachable.go_dark()
+        unreachable.become_unreachable()
         answer = await asking
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
 
--- a/tests/cover/test_window_budget.py
+++ b/tests/cover/test_window_budget.py
@@ -35,7 +35,7 @@
         while budget.try_spend():
             sent += 1
         budget.release_reserved()
-        self.assertEqual(budget.left(), BURST - sent)
+        self.assertEqual(budget.remaining(), BURST - sent)
 
     async def test_nor_is_it_forgotten_sooner(self):
         """The same within the window: the other attempt counts for as long as
@@ -48,7 +48,7 @@
         self.assertTrue(budget.try_spend())
         budget.release_reserved()
         await clock.advance(WINDOW * 0.6)
-        self.assertEqual(budget.left(), BURST - 1)
+        self.assertEqual(budget.remaining(), BURST - 1)
 
     @hypothesis.settings(max_examples=300)
     @hypothesis.given(
--- a/tests/driven_relay.py
+++ b/tests/driven_relay.py
@@ -105,7 +105,7 @@
     def spend_all(self, service: str = "service", *, but: int = 0) -> None:
         """Spends a service's retry budget but for a few attempts."""
         budget = self.budgets.budget_for(service)
-        while budget.left() >= 1 + but:
+        while budget.remaining() >= 1 + but:
             budget.try_spend()
 
     def in_order_of_arrival(self) -> list[str]:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -171,7 +171,7 @@
         self.withdrawn: set[engine.ModelVersion] = set()
         self.rolling_out = False
         self.chosen: list[engine.ModelVersion] = []
-        self.given_back: list[engine.ModelVersion] = []
+        self.released: list[engine.ModelVersion] = []
 
     async def choose(self, *, template, stage_index, session, request_id):
         self._refuse()
@@ -193,7 +193,7 @@
             raise errors.CodedError(code=codes.Code.NOT_ALLOWED)
 
     def release(self, *, template, choice):
-        self.given_back.append(choice.model_version)
+        self.released.append(choice.model_version)
 
     def _refuse(self):
         if self.refusal is not None:
@@ -226,8 +226,8 @@
 class FakeBudget(admission.RetryBudget, admission.RetryBudgets):
     """Gives leave as often as told, whatever the dependency."""
 
-    def __init__(self, leave=100):
-        self.leave = leave
+    def __init__(self, permits=100):
+        self.permits = permits
 
     def budget_for(self, dependency):
         return self
@@ -236,8 +236,8 @@
         pass
 
     def try_spend(self):
-        self.leave -= 1
-        return self.leave >= 0
+        self.permits -= 1
+        return self.permits >= 0
 
 
 def fair_admission_with(
--- a/tests/permission_scene.py
+++ b/tests/permission_scenario.py
@@ -37,22 +37,22 @@
 from tests.cover import versions_fleet
 
 SECOND = config_fleet.SECOND
-LOSER = "loser"
-KEEPER = "keeper"
+RESTRICTED_TEAM = "loser"
+OTHER_TEAM = "keeper"
 SERVICE = "crew"
 TEMPLATE = "review"
 BOUND = trial_module.CONFIG_BOUND
 # Of each instance; less than the load needs, so that requests wait in queues
 # across the change.
-PLACES = 2
+SLOTS = 2
 ENGINES = 4
 REQUEST_EVERY = SECOND / 60
 DEADLINE = 8 * SECOND
 CALL_TIME = 3 * SECOND / 2
 # An engine that is out of order takes so long to refuse.
 REFUSAL_TIME = 3 * SECOND / 10
-_TAKEN = engine.ModelVersion(model="small", version="1")
-_LEFT = engine.ModelVersion(model="other", version="1")
+_REVOKED_VERSION = engine.ModelVersion(model="small", version="1")
+_ALLOWED_VERSION = engine.ModelVersion(model="other", version="1")
 _ROUTE = documents.PlainRoute(service=SERVICE, path_prefix="/bookings")
 
 
@@ -83,12 +83,14 @@
         calls: Requests under way, by the task that runs them.
     """
 
-    def __init__(self, *, scene: "Scene", start: int, address: str):
+    def __init__(
+        self, *, scenario: "PermissionScenario", start: int, address: str
+    ):
         self.address = address
         self.start = start
-        self.replica = scene.fleet.parts[address].replica
+        self.replica = scenario.fleet.parts[address].replica
         self.calls: dict[asyncio.Task, Call] = {}
-        clock = scene.fleet.clock
+        clock = scenario.fleet.clock
         fixture = fakes.Fixture(clock=clock)
         fixture.config = self.replica
         fixture.versions = version_choice.ConfiguredVersionChooser(
@@ -97,14 +99,14 @@
             gate=versions_fleet.CountingGate(),
         )
         fixture.backends = recording_servers.AnyBackend(
-            addresses=list(scene.engines), draw=scene.draw
+            addresses=list(scenario.engines), draw=scenario.draw
         )
-        fixture.engines = scene.engines
-        fixture.services = scene.service
+        fixture.engines = scenario.engines
+        fixture.services = scenario.service
         fixture.cascade = fakes.FakeCascade(first_stage=0)
         fixture.admission, fixture.plain_admission = (
             fakes.fair_admission_with(
-                clock, concurrency_limit.FixedLimit(places=PLACES)
+                clock, concurrency_limit.FixedLimit(slots=SLOTS)
             )
             for _ in range(2)
         )
@@ -117,7 +119,7 @@
             task.cancel()
 
 
-class Scene:
+class PermissionScenario:
     """A fleet, its callers, and the backend servers' notes.
 
     Attributes:
@@ -131,15 +133,15 @@
         self.fleet = config_fleet.ConfigFleet(per_data_centre=3)
         self.received: list[recording_servers.ReceivedRequest] = []
         self.calls: list[Call] = []
-        self.taken_away: datetime.timedelta | None = None
+        self.revoked_at: datetime.timedelta | None = None
         self.revision = 0
         clock = self.fleet.clock
         self.engines = {
             f"10.0.9.{number}:80": recording_servers.RecordingEngine(
                 received=self.received,
-                restricted=_TAKEN,
+                restricted=_REVOKED_VERSION,
                 clock=clock,
-                loaded=(_TAKEN, _LEFT),
+                loaded=(_REVOKED_VERSION, _ALLOWED_VERSION),
             )
             for number in range(ENGINES)
         }
@@ -158,7 +160,7 @@
         for address in addresses or self.fleet.addresses:
             self.fleet.start(address)
             self.instances[address] = Instance(
-                scene=self, start=len(self.fleet.rings) - 1, address=address
+                scenario=self, start=len(self.fleet.rings) - 1, address=address
             )
 
     def cut_off(self, address: str) -> None:
@@ -180,33 +182,35 @@
                 prompt_token_cost_micros=1,
                 output_token_cost_micros=4,
             )
-            for version in (_TAKEN, _LEFT)
+            for version in (_REVOKED_VERSION, _ALLOWED_VERSION)
         )
-        teams = (LOSER, KEEPER)
+        teams = (RESTRICTED_TEAM, OTHER_TEAM)
         await self._accept(
             edits.ImportDocuments(
                 expected_revision=0,
                 fleet=documents.Fleet(models=models),
                 teams=tuple(_team(name, allowed=True) for name in teams),
-                templates=tuple(_template(name, _TAKEN) for name in teams),
+                templates=tuple(
+                    _template(name, _REVOKED_VERSION) for name in teams
+                ),
             ),
             through=self.fleet.addresses[0],
         )
         await self.fleet.clock.advance(BOUND)
 
-    async def take_away(self, *, through: str) -> None:
+    async def revoke(self, *, through: str) -> None:
         """Has an operator take the team's model and route away."""
         record = await self._accept(
             edits.ImportDocuments(
                 expected_revision=self.instances[through].replica.revision,
-                teams=(_team(LOSER, allowed=False),),
-                templates=(_template(LOSER, _LEFT),),
+                teams=(_team(RESTRICTED_TEAM, allowed=False),),
+                templates=(_template(RESTRICTED_TEAM, _ALLOWED_VERSION),),
             ),
             through=through,
         )
         self.revision = record.revision
         clock = self.fleet.clock
-        self.taken_away = clock.monotonic() - (clock.now() - record.settled_at)
+        self.revoked_at = clock.monotonic() - (clock.now() - record.settled_at)
 
     async def _accept(self, edit: edits.Edit, *, through: str):
         change = config_fleet.operation(f"op-{self.draw.random()}", edit)
@@ -226,7 +230,7 @@
         instance = self.draw.choice(list(self.instances.values()))
         call = Call(
             request_id=f"r{len(self.calls)}",
-            team=self.draw.choice((LOSER, KEEPER)),
+            team=self.draw.choice((RESTRICTED_TEAM, OTHER_TEAM)),
             start=instance.start,
             is_plain=self.draw.random() < 0.3,
             arrived=self.fleet.clock.monotonic(),
@@ -305,7 +309,7 @@
                     found.setdefault(start, at)
         return found
 
-    def held_back(self) -> list[Call]:
+    def waiting_at_change(self) -> list[Call]:
         """Returns what waited when the right went, and was judged anew.
 
         It went on with what the team has left, or was told so.
@@ -315,7 +319,7 @@
         return [
             call
             for call in self.calls
-            if call.team == LOSER
+            if call.team == RESTRICTED_TEAM
             and not call.killed
             and call.request_id not in sent
             and call.arrived < in_force.get(call.start, call.arrived)
@@ -340,25 +344,25 @@
         return generated | self.service.called
 
 
-def violations(scene: Scene) -> list[str]:
+def violations(scenario: PermissionScenario) -> list[str]:
     """Returns what did not hold, by the backend servers' notes."""
     found = []
-    sent = scene.sent()
-    in_force = scene.in_force()
-    ran = scene.ran()
-    for call in scene.calls:
+    sent = scenario.sent()
+    in_force = scenario.in_force()
+    ran = scenario.ran()
+    for call in scenario.calls:
         times = sent.get(call.request_id, [])
-        if call.team == LOSER:
-            if any(at > scene.taken_away + BOUND for at in times):
+        if call.team == RESTRICTED_TEAM:
+            if any(at > scenario.revoked_at + BOUND for at in times):
                 found.append(f"{call.request_id} was sent after the bound")
             known = in_force.get(call.start)
             if known is not None and any(at > known for at in times):
                 found.append(f"{call.request_id} was sent against the rules")
-        found.extend(_of_end(call, has_run=call.request_id in ran))
+        found.extend(_outcome_violations(call, has_run=call.request_id in ran))
     return found
 
 
-def _of_end(call: Call, *, has_run: bool) -> Iterator[str]:
+def _outcome_violations(call: Call, *, has_run: bool) -> Iterator[str]:
     if call.killed:
         return
     if call.error is None and call.text is None:
@@ -386,7 +390,7 @@
 
 
 def _team(name: str, *, allowed: bool) -> documents.Team:
-    models = (_TAKEN.model, _LEFT.model)
+    models = (_REVOKED_VERSION.model, _ALLOWED_VERSION.model)
     return documents.Team(
         name=name,
         allowed_models=models if allowed else models[1:],
