--- a/src/nutmeghook/internal/inner/addresses.py
+++ b/src/nutmeghook/internal/inner/addresses.py
@@ -1,4 +1,4 @@
-"""Inner addresses: an IP number and a port, as `10.0.0.1:7000`."""
+"""Inner addresses: an IP address and a port, as `10.0.0.1:7000`."""
 
 import ipaddress
 
@@ -6,10 +6,10 @@
 
 
 def split(inner_address: str) -> tuple[str, int]:
-    """Returns the IP number, without brackets, and the port.
+    """Returns the IP address, without brackets, and the port.
 
     Raises:
-        ValueError: The text is no `ip:port`.
+        ValueError: The text is not `ip:port`.
     """
     host, _, port = inner_address.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
@@ -29,7 +29,7 @@
 
 
 def is_valid(inner_address: str) -> bool:
-    """Tells whether a text is an `ip:port`."""
+    """Tells whether a text is `ip:port`."""
     try:
         split(inner_address)
     except ValueError:
--- a/src/nutmeghook/internal/inner/codec.py
+++ b/src/nutmeghook/internal/inner/codec.py
@@ -1,7 +1,7 @@
-"""Messages to bytes and back, in thrift's compact protocol.
+"""Encodes and decodes messages in thrift's compact protocol.
 
-The generated `Body` is a union; callers hand over and receive the one struct
-that it holds, so that a message's type says what it is.
+The generated `Body` is a union. Callers pass and receive the one struct that
+it holds, so that a message is identified by its type.
 """
 
 import dataclasses
@@ -13,8 +13,8 @@
 from nutmeghook.internal.inner.generated import ttypes
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-# An empty struct takes one byte in a list and a hundred once decoded: without
-# this bound a frame of the allowed length could cost 400 MB.
+# An empty struct takes one byte in an encoded list and about a hundred once
+# decoded: without this limit a frame of the maximum size could use 400 MB.
 _MAX_LIST_ITEMS = 65536
 
 _FIELD_OF_TYPE: dict[type, str] = {
@@ -23,7 +23,7 @@
 
 
 class MalformedError(ValueError):
-    """Bytes that are no envelope with exactly one known message."""
+    """The bytes are not an envelope with exactly one known message."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -31,7 +31,7 @@
     """An envelope's bytes.
 
     Attributes:
-        kind: The message's kind, as traffic counts name it.
+        kind: The message's kind, as used in traffic counts.
     """
 
     kind: str
@@ -40,10 +40,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Received:
-    """An envelope that arrived.
+    """A received envelope.
 
     Attributes:
-        message: A struct of `generated`; what the sender left out is None.
+        message: A struct of `generated`; fields that were not sent are None.
     """
 
     kind: str
@@ -63,8 +63,8 @@
     """Returns the bytes of an envelope around a message.
 
     Raises:
-        TypeError: The message is none of `Body`'s structs, or a field of it
-            has a wrong type.
+        TypeError: The message is none of `Body`'s structs, or one of its fields
+            has the wrong type.
         ValueError: A field is out of range, or the envelope is too long.
     """
     kind = _FIELD_OF_TYPE.get(type(message))
@@ -97,7 +97,7 @@
     """Returns the envelope in `data`.
 
     Raises:
-        MalformedError: `data` is no envelope.
+        MalformedError: `data` is not an envelope.
     """
     transport = TTransport.TMemoryBuffer(data)
     protocol = TCompactProtocol.TCompactProtocolAccelerated(
@@ -108,10 +108,10 @@
     envelope = ttypes.Envelope()
     try:
         envelope.read(protocol)
-    # The decoder raises whatever the C level met: EOFError, TypeError,
-    # UnicodeDecodeError, OverflowError, TProtocolException and kin.
+    # The C decoder raises EOFError, TypeError, UnicodeDecodeError,
+    # OverflowError, TProtocolException and others.
     except Exception as error:
-        raise MalformedError(f"no envelope: {error!r}") from error
+        raise MalformedError(f"not an envelope: {error!r}") from error
     if envelope.sequence is None:
         raise MalformedError("the envelope has no sequence")
     kind = _kind_in(envelope.body)
--- a/src/nutmeghook/internal/inner/datagrams.py
+++ b/src/nutmeghook/internal/inner/datagrams.py
@@ -1,4 +1,4 @@
-"""Envelopes in UDP datagrams, each sealed with the shared credential."""
+"""Envelopes in UDP datagrams, authenticated by the shared credential."""
 
 import abc
 import asyncio
@@ -10,10 +10,10 @@
 from nutmeghook.internal.inner import codec
 from nutmeghook.internal.inner import frames
 
-# Below the smallest MTU met in practice (1,280) less IP and UDP headers, so
-# that no datagram is cut into fragments, of which each can be lost.
+# Below the smallest common MTU (1,280) less IP and UDP headers, so that no
+# datagram is fragmented; the loss of one fragment loses the datagram.
 MAX_DATAGRAM_BYTES = 1200
-# What IPv4 and UDP add to each datagram; part of what traffic counts.
+# IPv4 and UDP headers, which traffic counts include.
 HEADER_BYTES = 28
 _SEAL_BYTES = 12
 MAX_ENVELOPE_BYTES = MAX_DATAGRAM_BYTES - _SEAL_BYTES
@@ -26,20 +26,19 @@
 
     @abc.abstractmethod
     def set_receiver(self, receiver: Receiver) -> None:
-        """Sets who is given each datagram that arrives; it must not fail."""
+        """Sets the callback for received datagrams; it must not raise."""
 
     @abc.abstractmethod
     def send(self, inner_address: str, data: bytes) -> None:
-        """Sends to `ip:port`; what can't be sent is lost."""
+        """Sends to `ip:port`; a datagram that can't be sent is dropped."""
 
 
 class Seal:
-    """Marks datagrams as coming from an instance that has the credential.
+    """Authenticates datagrams with a keyed hash.
 
-    A connection shows the credential once. A datagram stands alone, and
-    anyone may write any sender into it, so each carries a keyed hash. One
-    that is repeated later does no harm: states are ordered by their number
-    and replies by their sequence.
+    A connection presents the credential once. A datagram's source can be
+    forged, so each carries a hash keyed with the credential. Replaying one does
+    no harm: states are ordered by number and replies by sequence.
     """
 
     __slots__ = ("_key",)
@@ -49,14 +48,14 @@
         self._key = hashlib.blake2b(credential.encode()).digest()
 
     def wrap(self, envelope: bytes) -> bytes:
-        """Returns a datagram with an envelope."""
+        """Returns an envelope's datagram: the keyed hash, then the envelope."""
         return self._hash(envelope) + envelope
 
     def unwrap(self, datagram: bytes) -> bytes:
         """Returns the envelope of a datagram.
 
         Raises:
-            MalformedError: It was not sealed with this credential.
+            MalformedError: The hash was not made with this credential.
         """
         seal = datagram[:_SEAL_BYTES]
         envelope = datagram[_SEAL_BYTES:]
@@ -71,7 +70,7 @@
 
 
 class UdpDatagrams(Datagrams, asyncio.DatagramProtocol):
-    """One UDP socket, on the same port as the TCP side."""
+    """A UDP socket on the same port as the TCP server."""
 
     __slots__ = ("_receiver", "_transport")
 
@@ -94,7 +93,7 @@
             self._transport.close()
 
     def set_receiver(self, receiver: Receiver) -> None:
-        """Sets who is given each datagram."""
+        """Sets the callback for received datagrams."""
         self._receiver = receiver
 
     def send(self, inner_address: str, data: bytes) -> None:
@@ -109,7 +108,7 @@
             self._receiver(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Called by asyncio when an earlier datagram found no socket.
+        """Called by asyncio when an earlier datagram was rejected.
 
-        The prober sees the missing ack; there is nothing to add.
+        Ignored: the membership probe notices the missing acknowledgement.
         """
--- a/src/nutmeghook/internal/inner/frames.py
+++ b/src/nutmeghook/internal/inner/frames.py
@@ -1,4 +1,4 @@
-"""Envelopes on a byte stream: four bytes of length, then the envelope."""
+"""Envelopes on a byte stream, each after its length in four bytes."""
 
 import asyncio
 import hmac
@@ -9,14 +9,14 @@
 from nutmeghook.internal.inner.generated import ttypes
 
 _LENGTH = struct.Struct(">I")
-# What a stranger may make the server read before it has shown the credential.
+# The largest frame read before the peer has presented the credential.
 MAX_HELLO_BYTES = 4096
-# The first envelope each way; a reply with it speaks of the connection.
+# The first envelope's sequence; a reply with it concerns the connection.
 HELLO_SEQUENCE = 0
 
 
 class StreamEndedError(Exception):
-    """The other side closed the stream."""
+    """The peer closed the stream."""
 
 
 async def read(
@@ -29,13 +29,13 @@
 
     Raises:
         StreamEndedError: The stream ended, between frames or within one.
-        MalformedError: The frame is too long or is no envelope.
+        MalformedError: The frame is too long or not an envelope.
     """
     try:
         (length,) = _LENGTH.unpack(await reader.readexactly(_LENGTH.size))
         if length > limit_bytes:
             raise codec.MalformedError(
-                f"a frame of {length} bytes; at most {limit_bytes} are taken"
+                f"frame of {length} bytes; the limit is {limit_bytes}"
             )
         data = await reader.readexactly(length)
     except (asyncio.IncompleteReadError, ConnectionError) as error:
@@ -53,9 +53,9 @@
 ) -> None:
     """Queues an envelope; the caller awaits `drain`.
 
-    The failure: a connection has ended, and whoever reads from it has not had
-    its turn. Some event loops refuse to write with an error that is none of a
-    connection; it went up through a background part, and ended the process.
+    Between the end of a connection and its reader's next turn, some event loops
+    refuse a write with an exception that is no `ConnectionError`. Unhandled in
+    a background task it would end the process, so it is checked for here.
 
     Raises:
         ConnectionResetError: The connection has ended.
@@ -67,22 +67,22 @@
 
 
 def hello(credential: str) -> codec.Encoded:
-    """Returns the first envelope of a connection."""
+    """Returns a connection's first envelope, with the credential."""
     return codec.encode(
         ttypes.Empty(), sequence=HELLO_SEQUENCE, credential=credential
     )
 
 
 def has_credential(first: codec.Received, credential: str) -> bool:
-    """Tells, in constant time, whether an envelope holds the credential."""
+    """Tells in constant time whether an envelope has the credential."""
     return hmac.compare_digest(first.credential.encode(), credential.encode())
 
 
 def check_credential(credential: str) -> None:
-    """Refuses a credential that would let everyone in.
+    """Checks the length of a credential; an empty one would admit everyone.
 
     Raises:
-        ValueError: It is empty or too long for a first frame.
+        ValueError: It is empty or too long for the first frame.
     """
     if not credential or len(credential) > MAX_HELLO_BYTES // 8:
         raise ValueError(
--- a/src/nutmeghook/internal/inner/gossip_senders.py
+++ b/src/nutmeghook/internal/inner/gossip_senders.py
@@ -1,4 +1,4 @@
-"""Tells peers something over and over, at times that spread."""
+"""Periodic gossip to peers, with jitter."""
 
 import abc
 import datetime
@@ -8,27 +8,27 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import sealed_messages
 
-# Around the period, so that instances which started together do not send
-# together.
+# As shares of the period, so that instances that started together do not send
+# at the same moments.
 _MIN_JITTER = 0.75
 _MAX_JITTER = 1.25
 
 
 class GossipSender(abc.ABC):
-    """Tells peers something."""
+    """Sends state to peers."""
 
     __slots__ = ()
 
     @abc.abstractmethod
     async def run(self) -> None:
-        """Tells peers until cancelled."""
+        """Sends until cancelled."""
 
 
 class PeriodicGossipSender(GossipSender):
-    """Tells peers until cancelled, over and over.
+    """Sends state to peers periodically.
 
     Args:
-        period: Between two tells, on average.
+        period: Mean time between two updates.
     """
 
     __slots__ = ("_clock", "_period", "_random")
@@ -46,10 +46,10 @@
 
     @abc.abstractmethod
     def send_update(self) -> None:
-        """Tells peers what there is to tell now."""
+        """Sends the current state to peers."""
 
     async def run(self) -> None:
-        """Tells peers until cancelled."""
+        """Sends until cancelled."""
         while True:
             jitter = self._random.uniform(_MIN_JITTER, _MAX_JITTER)
             await self._clock.sleep(jitter * self._period)
@@ -57,10 +57,10 @@
 
 
 class MessageGossipSender(PeriodicGossipSender):
-    """Tells peers by messages of one kind, and takes in theirs.
+    """Sends messages of one type to peers and handles theirs.
 
     Args:
-        message_type: The kind of message that is told and taken in.
+        message_type: The type of message that is sent and received.
     """
 
     __slots__ = ("_messages",)
@@ -78,4 +78,4 @@
 
     @abc.abstractmethod
     def _receive(self, message: Any) -> None:
-        """Takes in what a peer tells."""
+        """Handles a peer's message."""
--- a/src/nutmeghook/internal/inner/local.py
+++ b/src/nutmeghook/internal/inner/local.py
@@ -1,11 +1,11 @@
-"""A network inside one process, for tests and the experiment tool.
+"""An in-process network, for tests and the experiment tool.
 
-It is part of the product package, not of the tests, because the experiment
-tool measures the same parts on it. Nothing that serves traffic uses it.
+It is in the product package, not with the tests, because the experiment tool
+uses it too. Nothing that serves traffic does.
 
-All waits are on the given clock. Messages pass through the real codec, so
-that no struct is shared between two instances and none gets through that TCP
-would refuse.
+All waits are on the given clock. Messages are encoded and decoded by the real
+codec, so that instances share no structs and a message that TCP would refuse
+fails here too.
 """
 
 import asyncio
@@ -21,9 +21,9 @@
 
 
 class LocalNetwork:
-    """Instances by inner address, with faults on the links between them.
+    """Connects instances by inner address and injects faults on links.
 
-    A link is one way: from one address to another.
+    A link is directed: from one address to another.
     """
 
     __slots__ = (
@@ -59,13 +59,13 @@
         *,
         traffic: traffic_module.Traffic | None = None,
     ) -> "LocalPeerCaller":
-        """Adds or restarts an instance and returns its way to call others."""
+        """Adds or restarts an instance and returns its caller."""
         self._handlers[inner_address] = handlers
         self._traffic[inner_address] = traffic or traffic_module.Traffic()
         return LocalPeerCaller(network=self, inner_address=inner_address)
 
     def detach(self, inner_address: str) -> None:
-        """Crashes an instance: calls to it fail at once."""
+        """Crashes an instance; calls to it fail at once."""
         self._handlers.pop(inner_address, None)
 
     def cut(self, source: str, target: str) -> None:
@@ -88,7 +88,7 @@
     def set_delay(
         self, source: str, target: str, delay: datetime.timedelta
     ) -> None:
-        """Sets how long `source`'s messages take to `target`."""
+        """Sets the delay of messages from `source` to `target`."""
         self._delays[(source, target)] = delay
 
     def freeze(self, inner_address: str) -> None:
@@ -96,7 +96,7 @@
         self._thawed.setdefault(inner_address, asyncio.Event()).clear()
 
     def thaw(self, inner_address: str) -> None:
-        """Lets a frozen instance go on with all that was held."""
+        """Resumes a frozen instance with all that was held."""
         event = self._thawed.pop(inner_address, None)
         if event is not None:
             event.set()
@@ -107,7 +107,7 @@
         *,
         wall_clock_lag: datetime.timedelta = _NO_DELAY,
     ) -> "InstanceClock":
-        """Returns a clock whose sleepers stay asleep while it is frozen."""
+        """Returns a clock whose sleeps don't end while it is frozen."""
         return InstanceClock(
             clock=self._clock,
             network=self,
@@ -120,7 +120,7 @@
         return inner_address in self._handlers
 
     async def transmit(self, source: str, target: str) -> bool:
-        """Takes a message along a link; returns whether it arrives."""
+        """Passes a message over a link; returns whether it arrives."""
         if (source, target) in self._cut_links:
             return False
         delay = self._delays.get((source, target), self._default_delay)
@@ -146,7 +146,7 @@
     ) -> bytes:
         """Sends a request's bytes and returns the reply's.
 
-        The handler goes on when the caller gives up, as it would on another
+        The handler continues after the caller's timeout, as it would on another
         machine.
 
         Raises:
@@ -180,7 +180,7 @@
             codec.decode(request.data), handlers=handlers
         )
         await self.until_thawed(target)
-        # An instance that crashed while its handler ran replies to nobody.
+        # An instance that crashed while its handler ran sends no reply.
         if self._handlers.get(target) is not handlers:
             return
         self._count_sent(target, answer)
@@ -222,7 +222,7 @@
         data = codec.encode(request, sequence=1, wants_reply=True)
         await network.until_thawed(self._inner_address)
         if not network.has(inner_address):
-            raise peers.PeerUnreachableError(f"{inner_address} is not there")
+            raise peers.PeerUnreachableError(f"{inner_address} is not attached")
         try:
             reply = await network.exchange(
                 self._inner_address, inner_address, data, timeout=timeout
@@ -232,16 +232,16 @@
                 f"no reply from {inner_address} within {timeout}"
             ) from error
         finally:
-            # A frozen process notices its timeouts only when it runs again.
+            # A frozen process notices its timeouts only once it is resumed.
             await network.until_thawed(self._inner_address)
         return serving.result_of(codec.decode(reply).message)
 
 
 class InstanceClock(clock_module.Clock):
-    """A shared clock as a process that may be frozen sees it.
+    """A shared clock as seen by a process that may be frozen.
 
-    Time goes on while the process stands still, as under SIGSTOP: `monotonic`
-    jumps at the thaw, and sleepers wake late.
+    Time passes while the process is frozen, as under SIGSTOP: `monotonic` jumps
+    at the thaw, and sleeps end late.
     """
 
     __slots__ = ("_clock", "_inner_address", "_network", "_wall_clock_lag")
--- a/src/nutmeghook/internal/inner/local_datagrams.py
+++ b/src/nutmeghook/internal/inner/local_datagrams.py
@@ -13,7 +13,8 @@
 class LocalDatagramNetwork:
     """Passes datagrams between instances of a `LocalNetwork`.
 
-    Cuts, delays, freezes and crashes are those of the network; loss is added.
+    Cuts, delays, freezes and crashes are those of the network; datagrams may
+    also be lost at random.
     """
 
     __slots__ = (
@@ -44,11 +45,11 @@
         return socket
 
     def detach(self, inner_address: str) -> None:
-        """Drops an instance's socket; what is on its way to it is lost."""
+        """Removes an instance's socket; datagrams in transit to it are lost."""
         self._sockets.pop(inner_address, None)
 
     def send(self, source: str, target: str, data: bytes) -> None:
-        """Carries a datagram, or loses it."""
+        """Sends a datagram, or drops it at random."""
         if self._random.uniform(0, 100) < self.lost_percent:
             return
         task = asyncio.create_task(self._transmit(source, target, data))
@@ -74,7 +75,7 @@
         self._receiver: datagrams.Receiver | None = None
 
     def set_receiver(self, receiver: datagrams.Receiver) -> None:
-        """Sets who is given each datagram."""
+        """Sets the callback for received datagrams."""
         self._receiver = receiver
 
     def send(self, inner_address: str, data: bytes) -> None:
@@ -82,6 +83,6 @@
         self._network.send(self._inner_address, inner_address, data)
 
     def receive(self, data: bytes) -> None:
-        """Gives a datagram to the receiver."""
+        """Passes a datagram to the receiver."""
         if self._receiver is not None:
             self._receiver(data)
--- a/src/nutmeghook/internal/inner/messages.py
+++ b/src/nutmeghook/internal/inner/messages.py
@@ -1,4 +1,4 @@
-"""Messages to peers that may be lost, as an interface."""
+"""Interface of one-way messages to peers, which may be lost."""
 
 import abc
 from collections.abc import Callable
@@ -8,13 +8,13 @@
 
 
 class Messages(abc.ABC):
-    """Sends messages, and hands over those that arrive."""
+    """Sends messages and dispatches received ones."""
 
     __slots__ = ()
 
     @abc.abstractmethod
     def register(self, message_type: type, handler: Handler) -> None:
-        """Has messages of a type given to a handler."""
+        """Registers the handler for messages of a type."""
 
     @abc.abstractmethod
     def send(self, inner_addresses: list[str], message: Any) -> None:
--- a/src/nutmeghook/internal/inner/peer_messages.py
+++ b/src/nutmeghook/internal/inner/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages to peers without a reply, on the kept connections."""
+"""One-way messages to peers on the persistent connections."""
 
 import asyncio
 import datetime
@@ -8,12 +8,12 @@
 from nutmeghook.internal.inner import peers
 from nutmeghook.internal.inner.generated import ttypes
 
-# What is told is told again; a peer that takes longer is left out this time.
+# Messages are repeated by their senders; one that takes longer is dropped.
 _SEND_TIMEOUT = datetime.timedelta(seconds=1)
 
 
 class PeerMessages(messages.Messages):
-    """Sends each message as a call whose reply says nothing."""
+    """Sends each message as a call with an empty reply."""
 
     __slots__ = ("_caller", "_handlers", "_sends")
 
@@ -25,7 +25,7 @@
         self._sends: set[asyncio.Task[None]] = set()
 
     def register(self, message_type: type, handler: messages.Handler) -> None:
-        """Has messages of a type given to a handler."""
+        """Registers the handler for messages of a type."""
 
         async def handle(message: Any) -> ttypes.Empty:
             handler(message)
@@ -46,5 +46,5 @@
                 inner_address, message, timeout=_SEND_TIMEOUT
             )
         except (peers.PeerUnreachableError, peers.PeerRefusedError):
-            # It hears of it later, from others too.
+            # The peer gets the state by a later message, from others too.
             return
--- a/src/nutmeghook/internal/inner/peers.py
+++ b/src/nutmeghook/internal/inner/peers.py
@@ -1,4 +1,4 @@
-"""Calling other entry instances, as an interface."""
+"""Interface of calls to other instances."""
 
 import abc
 from collections.abc import Awaitable
@@ -13,7 +13,7 @@
 
 
 class PeerUnreachableError(Exception):
-    """No reply came; the peer may or may not have handled the request."""
+    """No reply arrived; the peer may have handled the request."""
 
 
 class PeerRefusedError(Exception):
@@ -30,7 +30,7 @@
 
 
 class PeerCaller(abc.ABC):
-    """Sends requests to other instances over kept TCP connections."""
+    """Sends requests to other instances over persistent connections."""
 
     @abc.abstractmethod
     async def call(
@@ -49,7 +49,7 @@
 
 
 class PeerHandlers:
-    """The request handlers of this instance, one a message type."""
+    """This instance's request handlers, one per message type."""
 
     __slots__ = ("_handlers",)
 
@@ -57,7 +57,11 @@
         self._handlers: dict[type, Handler] = {}
 
     def register(self, message_type: type, handler: Handler) -> None:
-        """Sets the handler for requests of a type; one each."""
+        """Registers the handler for requests of a type.
+
+        Raises:
+            ValueError: The type has a handler already.
+        """
         if message_type in self._handlers:
             raise ValueError(
                 f"message_type {message_type.__name__} has a handler already"
--- a/src/nutmeghook/internal/inner/sealed_messages.py
+++ b/src/nutmeghook/internal/inner/sealed_messages.py
@@ -1,4 +1,4 @@
-"""Messages in sealed datagrams, each given to whoever takes its kind."""
+"""One-way messages in authenticated datagrams."""
 
 from typing import Any
 
@@ -10,10 +10,10 @@
 
 
 class SealedMessages(messages.Messages):
-    """Sends messages that may be lost, and hands over those that arrive.
+    """Sends messages and dispatches received ones by type.
 
-    A datagram without the fleet's seal, or of a kind that nobody here takes
-    (a newer version may send it), is dropped.
+    A datagram that fails authentication is dropped, and so is a message without
+    a handler, which a newer version may send.
     """
 
     __slots__ = ("_datagrams", "_handlers", "_seal", "_traffic")
@@ -32,7 +32,7 @@
         datagrams.set_receiver(self._receive)
 
     def register(self, message_type: type, handler: messages.Handler) -> None:
-        """Has messages of a type given to a handler."""
+        """Registers the handler for messages of a type."""
         self._handlers[message_type] = handler
 
     def send(self, inner_addresses: list[str], message: Any) -> None:
--- a/src/nutmeghook/internal/inner/serving.py
+++ b/src/nutmeghook/internal/inner/serving.py
@@ -1,4 +1,4 @@
-"""Running the handler for a request; what a peer is told when it fails."""
+"""Runs request handlers and turns their errors into replies."""
 
 import eliot
 
@@ -12,7 +12,7 @@
 async def reply_to(
     request: codec.Received, *, handlers: peers.PeerHandlers
 ) -> codec.Encoded:
-    """Returns the handler's reply, or a `Failure` in its place."""
+    """Returns the handler's reply, or a `Failure` if it fails."""
     name = type(request.message).__name__
     handler = handlers.handler_for(request.message)
     if handler is None:
@@ -22,15 +22,15 @@
         return codec.encode(reply, sequence=request.sequence)
     except errors.CodedError as error:
         return _failure(request, error.code, error.detail)
-    # A fault in one handler, or a reply that can't be encoded, must not end
-    # the connection that carries the other requests of the same peer.
+    # A fault in a handler, or a reply that can't be encoded, must not end the
+    # connection, which carries the peer's other requests too.
     except Exception:
         eliot.write_traceback()
         return _failure(request, codes.Code.INTERNAL, f"{name}: handler failed")
 
 
 def result_of(reply: peers.Message) -> peers.Message:
-    """Returns a reply as the caller shall see it.
+    """Returns a reply, or raises if it is a failure.
 
     Raises:
         PeerRefusedError: The reply is a failure.
--- a/src/nutmeghook/internal/inner/sockets.py
+++ b/src/nutmeghook/internal/inner/sockets.py
@@ -8,12 +8,12 @@
 
 
 def set_options(writer: asyncio.StreamWriter) -> None:
-    """Makes the kernel give up a connection to a machine that is gone.
+    """Makes the kernel close a connection to a machine that is gone.
 
-    Without it a peer that lost its power leaves the connection open for
-    about a quarter of an hour of retransmissions, and each call on it runs
-    into its timeout although the peer may have been replaced long since. A
-    frozen process does not count: its kernel still acknowledges.
+    Without it the connection to a peer that lost power stays open for about a
+    quarter of an hour of retransmissions, and each call on it times out though
+    the peer may long have been replaced. A frozen process is not affected: its
+    kernel still acknowledges.
     """
     connection = writer.get_extra_info("socket")
     limit_ms = _UNACKNOWLEDGED_LIMIT // datetime.timedelta(milliseconds=1)
--- a/src/nutmeghook/internal/inner/tcp_client.py
+++ b/src/nutmeghook/internal/inner/tcp_client.py
@@ -1,4 +1,4 @@
-"""Calls to other instances over kept TCP connections."""
+"""Calls to other instances over persistent TCP connections."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class TcpPeerCaller(peers.PeerCaller):
-    """One connection and one task for each peer that is called."""
+    """Calls peers over one connection and one task per peer."""
 
     __slots__ = (
         "_clock",
@@ -74,13 +74,13 @@
         return serving.result_of(reply)
 
     async def close(self, *, grace: datetime.timedelta) -> None:
-        """Ends: no new calls; waits at most `grace` for those running."""
+        """Refuses new calls and waits at most `grace` for running ones."""
         self._closing = True
         peer_connections = list(self._peers.values())
         idle = asyncio.gather(
             *(peer.wait_until_idle() for peer in peer_connections)
         )
-        # Calls that take longer fail as unreachable, which is true of them.
+        # Calls that take longer fail with `PeerUnreachableError`.
         with contextlib.suppress(TimeoutError):
             await self._clock.wait_for(idle, grace)
         for peer in peer_connections:
@@ -107,7 +107,7 @@
 
 
 class _Peer:
-    """The connection to one peer: made when wanted, closed when idle."""
+    """The connection to one peer: opened on demand, closed when idle."""
 
     __slots__ = (
         "_backoff",
@@ -163,7 +163,7 @@
         async with self._slots:
             if self._clock.monotonic() < self._backoff_until:
                 raise peers.PeerUnreachableError(
-                    f"{self._inner_address} could not be reached just now"
+                    f"{self._inner_address} could not be reached; backing off"
                 )
             sequence = next(self._sequences)
             reply = asyncio.get_running_loop().create_future()
@@ -179,7 +179,7 @@
                 self._remove(sequence)
 
     async def run(self) -> None:
-        """Connects when a call wants it; ends after a long idle time."""
+        """Connects when a call is pending; ends after a long idle time."""
         try:
             while await self._is_wanted():
                 try:
@@ -207,11 +207,11 @@
 
     async def _send(self, sequence: int, envelope: codec.Encoded) -> None:
         if self._writer is None:
-            # Written once connected, unless its caller has given up by then.
+            # Written once connected, unless the call has timed out by then.
             self._unsent[sequence] = envelope
             self._wanted.set()
             return
-        # The reader of a connection that has ended fails all that is pending.
+        # When a connection ends, its reader fails all pending calls.
         with contextlib.suppress(ConnectionError):
             frames.write(self._writer, envelope, traffic=self._traffic)
             await self._writer.drain()
@@ -226,10 +226,11 @@
         """Connects and reads replies until the connection ends.
 
         Raises:
-            OSError: It could not be made, or broke; TimeoutError is one.
-            StreamEndedError: The peer closed it.
-            MalformedError: The peer sent no envelope.
-            PeerRefusedError: The peer does not know the credential.
+            OSError: Connecting failed or the connection broke, including
+                TimeoutError.
+            StreamEndedError: The peer closed the connection.
+            MalformedError: The peer sent something other than an envelope.
+            PeerRefusedError: The peer refused the credential.
         """
         host, port = addresses.split(self._inner_address)
         reader, writer = await self._clock.wait_for(
@@ -240,7 +241,8 @@
             while True:
                 await self._read_reply(reader)
         except TimeoutError:
-            # Nothing came for longer than any call waits: close it quietly.
+            # Nothing arrived for longer than any call waits: close it without
+            # backing off.
             self._fail_pending(self._unreachable("the connection was idle"))
         finally:
             self._writer = None
@@ -264,16 +266,16 @@
         if received.sequence == frames.HELLO_SEQUENCE:
             serving.result_of(received.message)
         self._backoff = _FIRST_BACKOFF
-        # A reply whose call has given up finds nobody.
+        # A reply to a call that has timed out is dropped.
         reply = self._pending.get(received.sequence)
         if reply is not None and not reply.done():
             reply.set_result(received.message)
 
     def _back_off(self) -> None:
-        """Makes the next calls fail at once, for a while.
+        """Makes calls fail at once until a back-off with jitter has passed.
 
-        420 instances that lost one peer at the same moment would otherwise
-        call it again at the same moments; the jitter spreads them.
+        Without jitter, 420 instances that lost a peer at the same moment would
+        all retry at the same moments.
         """
         wait = self._backoff * self._random.uniform(0.5, 1.5)
         self._backoff_until = self._clock.monotonic() + wait
--- a/src/nutmeghook/internal/inner/tcp_server.py
+++ b/src/nutmeghook/internal/inner/tcp_server.py
@@ -1,4 +1,4 @@
-"""The side of the inner protocol that other instances connect to."""
+"""The TCP server for calls from other instances."""
 
 import asyncio
 import datetime
@@ -16,14 +16,14 @@
 from nutmeghook.internal.inner.generated import ttypes
 
 _HELLO_TIMEOUT = datetime.timedelta(seconds=5)
-# Longer than the callers' own idle limit, so that it is the caller who closes
-# and no request crosses with a close.
+# Longer than the callers' idle timeout, so that the caller closes first and no
+# request is sent while the server closes.
 _IDLE_TIMEOUT = datetime.timedelta(seconds=150)
 _WRITE_TIMEOUT = datetime.timedelta(seconds=10)
 
 
 class TcpServer:
-    """Accepts connections and runs one task for each."""
+    """Accepts connections and runs one task per connection."""
 
     __slots__ = (
         "_clock",
@@ -59,13 +59,13 @@
         self._closing = False
 
     async def start(self, *, host: str, port: int) -> str:
-        """Listens, and returns `ip:port` with the port that was taken."""
+        """Listens and returns `ip:port` with the bound port."""
         self._server = await asyncio.start_server(self._accept, host, port)
         bound_host, bound_port = self._server.sockets[0].getsockname()[:2]
         return f"{bound_host}:{bound_port}"
 
     async def close(self, *, grace: datetime.timedelta) -> None:
-        """Ends: no new requests, replies to those running, within `grace`."""
+        """Refuses new requests; finishes running ones within `grace`."""
         self._closing = True
         if self._server is not None:
             self._server.close()
@@ -107,7 +107,7 @@
 
 
 class _Connection:
-    """One caller's connection."""
+    """A caller's connection."""
 
     __slots__ = (
         "_clock",
@@ -143,18 +143,18 @@
         self._reading: asyncio.Task | None = None
 
     def stop_reading(self) -> None:
-        """Takes no further request; those running still get replies."""
+        """Reads no further request; running ones still get replies."""
         if self._reading is not None:
             self._reading.cancel()
 
     def abort(self) -> None:
-        """Ends the handlers too; their callers learn nothing of them."""
+        """Cancels the handlers too; their callers get no replies."""
         self.stop_reading()
         for task in self._running:
             task.cancel()
 
     async def run(self) -> None:
-        """Serves until either side ends or the caller errs."""
+        """Serves until either side closes or the caller sends garbage."""
         sockets.set_options(self._writer)
         self._reading = asyncio.create_task(self._read_requests())
         try:
@@ -175,9 +175,9 @@
             return
         except TimeoutError:
             eliot.log_message("inner:connection_idle", peer=self._peer_name())
-        # Whoever sent this may be of another version or no instance at all;
-        # where its next frame starts is unknown, so the connection ends. It
-        # shares nothing with others, so nothing else is harmed.
+        # The sender may run another version or be no instance at all. Where its
+        # next frame starts is unknown, so the connection is closed; others are
+        # not affected.
         except codec.MalformedError as error:
             eliot.log_message(
                 "inner:malformed", peer=self._peer_name(), reason=str(error)
@@ -226,10 +226,10 @@
             await self._write(reply)
 
     async def _write(self, reply: codec.Encoded) -> None:
-        """Sends a reply; a caller that does not read is cut off.
+        """Sends a reply; disconnects a caller that does not read.
 
-        Its replies would otherwise fill this process's memory, up to the
-        bound of requests in flight for each such caller.
+        Its replies would otherwise stay in this process's memory, up to the
+        limit of requests in flight for each such caller.
         """
         try:
             frames.write(self._writer, reply, traffic=self._traffic)
--- a/src/nutmeghook/internal/inner/traffic.py
+++ b/src/nutmeghook/internal/inner/traffic.py
@@ -1,11 +1,11 @@
-"""Bytes between instances by message kind, to hold against the budget."""
+"""Counts traffic between instances by message kind, to check its budget."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class KindTraffic:
-    """What went over the wire of one message kind, framing included."""
+    """Messages and bytes of one kind, framing included."""
 
     sent_messages: int = 0
     sent_bytes: int = 0
@@ -14,7 +14,7 @@
 
 
 class Traffic:
-    """Counts of one process since its start; replies count as kinds too."""
+    """Counts of one process since its start; replies have their own kinds."""
 
     __slots__ = ("_kinds",)
 
@@ -22,13 +22,13 @@
         self._kinds: dict[str, KindTraffic] = {}
 
     def count_sent(self, kind: str, size_bytes: int) -> None:
-        """Adds one message that was handed to the network."""
+        """Counts a message that was passed to the network."""
         entry = self._kinds.setdefault(kind, KindTraffic())
         entry.sent_messages += 1
         entry.sent_bytes += size_bytes
 
     def count_received(self, kind: str, size_bytes: int) -> None:
-        """Adds one message that arrived and was understood."""
+        """Counts a message that was received and decoded."""
         entry = self._kinds.setdefault(kind, KindTraffic())
         entry.received_messages += 1
         entry.received_bytes += size_bytes
