--- a/src/nutmeghook/internal/routing/cells.py
+++ b/src/nutmeghook/internal/routing/cells.py
@@ -1,15 +1,15 @@
-"""The small part of the fleet whose load this instance knows well.
-
-Instances tell each other what they have in flight a few times a second. That
-is what keeps the choice of backend server good while reports are a second
-late, but its bytes grow with the square of the number of instances. So a
-large data centre is cut into cells of about six instances and an equal part
-of its backend servers; each cell is as well informed as today's seven
-instances are. Work leaves the cell only where the cell is full.
-
-Each instance works its cell out by itself from the members and backend
-servers that it knows. Where views differ for a moment, two instances share a
-little less than they could; nothing depends on their agreeing.
+"""Assignment of instances and backend servers to cells.
+
+The instances of a cell gossip what they have in flight a few times a second.
+That keeps the choice of backend server good while reports are a second late,
+but its traffic grows with the square of the number of instances. So a large
+data centre is divided into cells of about six instances and an equal part of
+its backend servers; each is as well informed as a fleet of seven instances.
+Work leaves the cell only when the cell is full.
+
+Each instance computes its cell from the members and backend servers that it
+knows. While views differ, two instances gossip a little less than they could;
+nothing depends on their agreement.
 """
 
 import collections
@@ -22,11 +22,11 @@
 from nutmeghook.internal.routing import directory as directory_module
 
 # Up to this many instances of a region, or else of a data centre, form one
-# cell; above it they are cut into cells of about the second number.
+# cell; more are divided into cells of about `CELL_MEMBERS`.
 WHOLE_CELL_MEMBERS = 8
 CELL_MEMBERS = 6
 # A service with fewer backend servers than this for each cell is shared by
-# several cells: balance among one or two would be no balance.
+# several cells, since one or two leave no choice for balancing.
 SMALLEST_CELL_BACKENDS = 3
 
 
@@ -36,7 +36,7 @@
 
     Attributes:
         peers: Inner addresses of the other instances in it.
-        spans_region: It takes in the whole region's backend servers.
+        spans_region: It includes the whole region's backend servers.
         index: Its number among the cells of the data centre.
         count: How many cells there are.
     """
@@ -48,7 +48,7 @@
 
 
 class CellView:
-    """Keeps this instance's cell and the backend servers' nearness."""
+    """Keeps this instance's cell and the locality of backend servers."""
 
     __slots__ = ("_cell", "_directory", "_generation", "_members")
 
@@ -69,57 +69,60 @@
         return self._cell
 
     def refresh(self) -> None:
-        """Works everything out again if members or backend servers changed."""
+        """Recomputes everything if members or backend servers changed."""
         cell = cell_of(self._members)
         generation = self._directory.generation
         if cell == self._cell and generation == self._generation:
             return
         self._cell = cell
         self._generation = generation
-        place = self._members.myself
-        # By service only, which the list tells to all. The versions would
-        # part more evenly, but are known of the own cell's replicas alone:
-        # parts would shrink with what each instance knows.
+        myself = self._members.myself
+        # Grouped by service, which the instance list gives to all. Versions
+        # would divide more evenly, but are known of the own cell's replicas
+        # only: each part would shrink to what the instance knows.
         services = collections.defaultdict(list)
         for backend in self._directory.known():
-            if _in_scope(backend, cell, place):
+            if _in_scope(backend, cell, myself):
                 services[backend.service].append(backend)
             else:
-                self._directory.set_nearness(
-                    backend, _outer_nearness(backend, place)
+                self._directory.set_locality(
+                    backend, _locality_outside_cell(backend, myself)
                 )
-        for of_one_service in services.values():
-            self._part(of_one_service, place)
+        for service_backends in services.values():
+            self._assign_localities(service_backends, myself)
 
-    def reads(self, backend: backends.Backend) -> bool:
+    def polls(self, backend: backends.Backend) -> bool:
         """Tells whether this instance polls the backend server's reports.
 
-        Of the cell's instances, the one with the highest hash does.
+        The instance of the cell with the highest rendezvous hash does.
         """
-        if backend.nearness is not backends.Nearness.OWN_CELL:
+        if backend.locality is not backends.Locality.OWN_CELL:
             return False
-        me = _rank(self._members.myself.inner_address, backend.address)
+        me = _rendezvous_hash(
+            self._members.myself.inner_address, backend.address
+        )
         return all(
-            me >= _rank(peer, backend.address) for peer in self._cell.peers
+            me >= _rendezvous_hash(peer, backend.address)
+            for peer in self._cell.peers
         )
 
-    def _part(
+    def _assign_localities(
         self,
-        of_one_service: list[backends.Backend],
-        place: members_module.Member,
+        service_backends: list[backends.Backend],
+        myself: members_module.Member,
     ) -> None:
-        """Gives each cell its part of the backend servers of one service."""
+        """Assigns each cell its part of the backend servers of a service."""
         cell = self._cell
-        size = len(of_one_service)
+        size = len(service_backends)
         parts = min(cell.count, max(1, size // SMALLEST_CELL_BACKENDS))
         mine = cell.index * parts // cell.count
-        of_one_service.sort(key=lambda b: _rank("", b.address))
-        for number, backend in enumerate(of_one_service):
+        service_backends.sort(key=lambda b: _rendezvous_hash("", b.address))
+        for number, backend in enumerate(service_backends):
             if number * parts // size == mine:
-                nearness = backends.Nearness.OWN_CELL
+                locality = backends.Locality.OWN_CELL
             else:
-                nearness = _outer_nearness(backend, place)
-            self._directory.set_nearness(backend, nearness)
+                locality = _locality_outside_cell(backend, myself)
+            self._directory.set_locality(backend, locality)
 
 
 def cell_of(members: members_module.MemberView) -> Cell:
@@ -132,7 +135,7 @@
         for m in in_region
         if spans_region or m.data_centre == myself.data_centre
     ]
-    scope.sort(key=lambda address: _rank("", address))
+    scope.sort(key=lambda address: _rendezvous_hash("", address))
     count = 1
     if len(scope) > WHOLE_CELL_MEMBERS:
         count = round(len(scope) / CELL_MEMBERS)
@@ -149,22 +152,22 @@
 
 
 def _in_scope(
-    backend: backends.Backend, cell: Cell, place: members_module.Member
+    backend: backends.Backend, cell: Cell, myself: members_module.Member
 ) -> bool:
     if cell.spans_region:
-        return backend.region == place.region
-    return backend.data_centre == place.data_centre
+        return backend.region == myself.region
+    return backend.data_centre == myself.data_centre
 
 
-def _outer_nearness(
-    backend: backends.Backend, place: members_module.Member
-) -> backends.Nearness:
-    if backend.data_centre == place.data_centre:
-        return backends.Nearness.OWN_DATA_CENTRE
-    if backend.region == place.region:
-        return backends.Nearness.OWN_REGION
-    return backends.Nearness.ELSEWHERE
+def _locality_outside_cell(
+    backend: backends.Backend, myself: members_module.Member
+) -> backends.Locality:
+    if backend.data_centre == myself.data_centre:
+        return backends.Locality.OWN_DATA_CENTRE
+    if backend.region == myself.region:
+        return backends.Locality.OWN_REGION
+    return backends.Locality.OTHER_REGION
 
 
-def _rank(salt: str, address: str) -> int:
+def _rendezvous_hash(salt: str, address: str) -> int:
     return xxhash.xxh64_intdigest(f"{salt}|{address}".encode())
--- a/src/nutmeghook/internal/routing/load_book.py
+++ b/src/nutmeghook/internal/routing/load_tracker.py
@@ -1,9 +1,9 @@
-"""What runs on each backend server now, as far as this instance can tell.
+"""Estimates the number of attempts in flight on each backend server.
 
 An estimate is the sum of three parts: this instance's own attempts, known
 exactly; those of the peers in its cell, known a fraction of a second late;
-and those of everybody else, which only the backend server's own reports
-show, seconds late. See docs/design/backend-choice.md.
+and all others, which only the backend server's own reports show, seconds
+late. See docs/design/backend-choice.md.
 """
 
 import collections
@@ -16,16 +16,17 @@
 
 # Reports are at most this late; changes older than that are forgotten.
 HISTORY = datetime.timedelta(seconds=5)
-# With what speed an old report's difference from the mean stops to count.
-# Without it, frozen reports would draw all work to whoever was idle last.
-FADE_S = 2.0
-# How far a new report moves the estimate of what runs from outside.
+# Time constant with which an old report's difference from the mean decays.
+# Without it, all work would go to the backend server that was last idle if
+# reports stopped.
+DECAY_S = 2.0
+# Weight of a new report in the moving average of external attempts.
 REPORT_WEIGHT = 0.5
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _Change:
-    """A change of what is known to run."""
+    """A change in the known number of attempts in flight."""
 
     at: datetime.timedelta
     attempts: int
@@ -33,12 +34,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Mean:
-    """The mean of `outside` over reported backend servers of one service.
+    """Mean of `external_in_flight` over a service's reported backend servers.
 
-    Those of the own cell and those outside it have means of their own: what
-    runs on the latter comes all from outside, and next to nothing does on the
-    former. With one mean for both, a stranger whose report is old would look
-    nearly empty, and the work of all full cells would go there.
+    Those of the own cell and those outside it have separate means: all that
+    runs on the latter is external, and next to nothing on the former. With
+    one mean for both, a backend server outside the cell whose report is old
+    would look nearly idle, and the work of all full cells would go there.
     """
 
     total: float = 0.0
@@ -49,8 +50,8 @@
         return max(0.0, self.total / self.count) if self.count else 0.0
 
 
-class LoadBook:
-    """Keeps the parts of the estimates, and what changed lately."""
+class LoadTracker:
+    """Keeps the parts of the estimates, and their recent changes."""
 
     __slots__ = (
         "_cell_means",
@@ -68,7 +69,7 @@
         self._mean_of: dict[str, _Mean] = {}
 
     def note_own(self, backend: backends.Backend, attempts: int) -> None:
-        """Adds to (or with a negative number takes from) the own attempts."""
+        """Adds `attempts`, which may be negative, to the own attempts."""
         backend.in_flight = max(0, backend.in_flight + attempts)
         self._note_change(backend, attempts)
 
@@ -84,47 +85,51 @@
         total: int,
         measured_at: datetime.timedelta,
     ) -> None:
-        """Takes in how many attempts a report showed, at its own moment."""
+        """Records the attempts that a report showed when it was measured."""
         known_then = backend.in_flight + backend.peers_in_flight
         for change in reversed(self._changes.get(backend.address, ())):
             if change.at <= measured_at:
                 break
             known_then -= change.attempts
-        self.note_outside(
-            backend, outside=total - known_then, measured_at=measured_at
+        self.note_external(
+            backend,
+            external_in_flight=total - known_then,
+            measured_at=measured_at,
         )
 
-    def note_outside(
+    def note_external(
         self,
         backend: backends.Backend,
         *,
-        outside: float,
+        external_in_flight: float,
         measured_at: datetime.timedelta,
     ) -> None:
-        """Takes in how many attempts came from outside the cell."""
+        """Records the number of attempts from outside the cell."""
         previous = self._mean_of.get(backend.address)
         if previous is not None:
-            previous.total -= backend.outside
+            previous.total -= backend.external_in_flight
             previous.count -= 1
-            outside = backend.outside + REPORT_WEIGHT * (
-                outside - backend.outside
+            external_in_flight = backend.external_in_flight + REPORT_WEIGHT * (
+                external_in_flight - backend.external_in_flight
             )
-        own_cell = backend.nearness is backends.Nearness.OWN_CELL
+        own_cell = backend.locality is backends.Locality.OWN_CELL
         means = self._cell_means if own_cell else self._outer_means
         mean = means.setdefault(backend.service, _Mean())
-        mean.total += outside
+        mean.total += external_in_flight
         mean.count += 1
         self._mean_of[backend.address] = mean
-        backend.outside = outside
-        backend.outside_at = measured_at
+        backend.external_in_flight = external_in_flight
+        backend.external_at = measured_at
 
     def note_full(self, backend: backends.Backend) -> None:
-        """Takes in that the backend server refused for its load."""
+        """Records that the backend server refused work because of its load."""
         known = backend.in_flight + backend.peers_in_flight
         missing = 1.0 + backend.capacity - known
-        self.note_outside(
+        self.note_external(
             backend,
-            outside=max(backend.outside, missing / REPORT_WEIGHT),
+            external_in_flight=max(
+                backend.external_in_flight, missing / REPORT_WEIGHT
+            ),
             measured_at=self._clock.monotonic(),
         )
 
@@ -133,25 +138,27 @@
         self._changes.pop(backend.address, None)
         mean = self._mean_of.pop(backend.address, None)
         if mean is not None:
-            mean.total -= backend.outside
+            mean.total -= backend.external_in_flight
             mean.count -= 1
 
-    def fullness(self, backend: backends.Backend) -> float:
+    def utilisation(self, backend: backends.Backend) -> float:
         """Returns the estimate with one attempt more, as a share of capacity.
 
-        For a plain service, whose capacity nobody knows, it is the number.
+        For a plain service, whose capacity is unknown, it is the number.
         """
         known = backend.in_flight + backend.peers_in_flight + 1
-        return (known + self._outside_now(backend)) / backend.capacity
+        return (known + self._external_now(backend)) / backend.capacity
 
-    def _outside_now(self, backend: backends.Backend) -> float:
+    def _external_now(self, backend: backends.Backend) -> float:
         mean = self._mean_of.get(backend.address)
         if mean is None:
             return 0.0
-        age_s = (self._clock.monotonic() - backend.outside_at).total_seconds()
+        age_s = (self._clock.monotonic() - backend.external_at).total_seconds()
         common = mean.value()
-        faded = (backend.outside - common) * math.exp(-age_s / FADE_S)
-        return max(0.0, common + faded)
+        decayed = (backend.external_in_flight - common) * math.exp(
+            -age_s / DECAY_S
+        )
+        return max(0.0, common + decayed)
 
     def _note_change(self, backend: backends.Backend, attempts: int) -> None:
         now = self._clock.monotonic()
--- a/src/nutmeghook/internal/version_plans/driver.py
+++ b/src/nutmeghook/internal/version_plans/driver.py
@@ -1,4 +1,4 @@
-"""Writes plans, evidence and verdicts, and reads those of the others."""
+"""Writes plans, evidence and verdicts, and reads those of other instances."""
 
 import abc
 import asyncio
@@ -23,16 +23,17 @@
 TABLE = "rollouts"
 PLAN_PREFIX = "plan/"
 EVIDENCE_PREFIX = "evidence/"
-# How often a verdict is looked for. A proof acts on this instance at once;
-# this only bounds how soon the others hear of it.
+# Base interval between two steps. A proof acts on this instance at once; the
+# step only bounds how soon the others learn of it.
 _STEP = datetime.timedelta(milliseconds=200)
-# Evidence is published this often at most, and only if it has grown by a bad
-# answer: a good version costs no writes.
+# Shortest interval between two writes of evidence. Before the final report,
+# evidence is written only once it has grown by a bad answer, so a good version
+# costs no writes.
 _PUBLISH_EVERY = datetime.timedelta(milliseconds=600)
 
 
 class StatusRows(abc.ABC):
-    """Spells what the operator reads of an order."""
+    """Encodes the status of an order for the operator."""
 
     @abc.abstractmethod
     def put(
@@ -41,8 +42,8 @@
         """Returns the write of the state."""
 
 
-class PlanRows(follower.TableListener):
-    """Takes in plans and the others' evidence."""
+class PlanRowReader(follower.TableListener):
+    """Applies plans and other instances' evidence from the store."""
 
     __slots__ = ("_instance_id", "_orders", "_rollouts")
 
@@ -50,7 +51,7 @@
         self,
         *,
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         instance_id: str,
     ):
         self._rollouts = rollouts
@@ -60,23 +61,23 @@
     def replace(
         self, rows: tuple[source.FollowedRow, ...], revision: int
     ) -> None:
-        """Takes in the whole table."""
+        """Applies the whole table."""
         self.change(rows)
 
     def change(self, rows: tuple[source.FollowedRow, ...]) -> None:
-        """Takes in changes."""
+        """Applies changed rows."""
         for row in rows:
             if row.deleted:
                 continue
             try:
-                self._take(row)
+                self._apply(row)
             except (msgspec.MsgspecError, ValueError) as error:
                 logs.note("roll_out:bad_row", key=row.key, error=str(error))
 
-    def _take(self, row: source.FollowedRow) -> None:
+    def _apply(self, row: source.FollowedRow) -> None:
         if row.key.startswith(PLAN_PREFIX):
             plan = msgspec.json.decode(row.value, type=plan_module.PlanRow)
-            self._rollouts.take_plan(plan)
+            self._rollouts.apply_plan(plan)
             logs.note(
                 "roll_out:plan",
                 service=plan.service,
@@ -98,10 +99,11 @@
 
 
 class RollOutDriver:
-    """Moves every open order on, a step at a time."""
+    """Advances every open order step by step."""
 
     __slots__ = (
         "_clock",
+        "_final_reports_sent",
         "_fleet_rate_per_s",
         "_follower",
         "_instance_id",
@@ -114,7 +116,6 @@
         "_status",
         "_store_monitor",
         "_table",
-        "_told_all",
     )
 
     def __init__(
@@ -124,7 +125,7 @@
         plans: follower.TableFollower,
         read_plans: Callable[[], Awaitable[None]],
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         status: StatusRows,
         fleet_rate_per_s: Callable[[str], float],
         store_monitor: follower.StoreMonitor,
@@ -145,8 +146,8 @@
         self._instance_id = instance_id
         self._published_at = datetime.timedelta()
         self._published: dict[int, float] = {}
-        # Orders of which all that was seen before the last stretch was told.
-        self._told_all: set[int] = set()
+        # Orders whose final report was written.
+        self._final_reports_sent: set[int] = set()
 
     async def run(self) -> None:
         """Runs until cancelled."""
@@ -164,24 +165,24 @@
 
     async def _drive(self) -> None:
         while True:
-            # Spread, so that one instance writes and the others read of it.
+            # Jitter lets one instance write first and the others read it.
             await self._clock.sleep(_STEP * self._random.uniform(0.5, 2.0))
             await self.step_all()
 
     async def step_all(self) -> None:
-        """Moves every open order on by a step."""
+        """Advances every open order by one step."""
         if self._store_monitor.is_unreachable:
-            self._note_out_of_touch()
+            self._note_store_unreachable()
             return
         for order in self._open_orders():
             try:
                 await self._step(order)
             except failures.PlatformError as error:
-                self._note_out_of_touch()
+                self._note_store_unreachable()
                 logs.note("roll_out:store_failed", error=str(error))
 
-    def _note_out_of_touch(self) -> None:
-        self._rollouts.progress.note_out_of_touch(
+    def _note_store_unreachable(self) -> None:
+        self._rollouts.progress.note_store_unreachable(
             order.order_id for order in self._orders.all()
         )
 
@@ -198,10 +199,10 @@
             await self._begin(order)
             return
         await self._publish(order, plan)
-        self._rollouts.progress.note_in_touch(plan)
+        self._rollouts.progress.note_store_reachable(plan)
         reason = self._rollouts.judge(order)
-        if reason is None and self._rollouts.progress.is_trial_over(plan):
-            reason = self._rollouts.suspect(order)
+        if reason is None and self._rollouts.progress.is_canary_over(plan):
+            reason = self._rollouts.suspicion(order)
         if reason is not None:
             await self._conclude(order, plan_module.Verdict.BAD, reason)
         elif self._rollouts.progress.may_complete(plan) and not (
@@ -211,12 +212,12 @@
             await self._conclude(
                 order,
                 plan_module.Verdict.GOOD,
-                f"nothing speaks against it: {known.bad_seen} of"
+                f"no evidence against the version: {known.bad_seen} of"
                 f" {known.answers_seen} answers known here were bad",
             )
 
     async def _begin(self, order: orders_module.RollOutOrder) -> None:
-        """Writes the plan's start unless another instance has."""
+        """Writes the plan unless another instance has."""
         store_time = self._store_monitor.store_time()
         if store_time is None or self._follower.revision < 0:
             return
@@ -224,7 +225,7 @@
         if row is not None:
             known = msgspec.json.decode(row.value, type=plan_module.PlanRow)
             if known.order_id >= order.order_id:
-                self._rollouts.take_plan(known)
+                self._rollouts.apply_plan(known)
                 return
         plan = plan_module.PlanRow(
             order_id=order.order_id,
@@ -232,7 +233,7 @@
             version=order.version,
             started_ms=store_time / datetime.timedelta(milliseconds=1),
             within_s=order.within_s,
-            trial_share=self._rollouts.progress.schedule.trial_share(
+            trial_share=self._rollouts.progress.schedule.canary_share(
                 order.within_s, self._fleet_rate_per_s(order.service)
             ),
         )
@@ -247,8 +248,8 @@
     ) -> None:
         """Writes a verdict, unless another instance has.
 
-        The condition lets the first of two verdicts stand; who comes later
-        reads it.
+        The write is a compare-and-swap on the row's version, so the first of
+        two verdicts stands; the other instance reads it.
         """
         row = await self._table.read(_plan_key(order.service))
         if row is None:
@@ -257,7 +258,7 @@
         if plan.order_id != order.order_id:
             return
         if not plan.is_open:
-            self._rollouts.take_plan(plan)
+            self._rollouts.apply_plan(plan)
             return
         plan = msgspec.structs.replace(plan, verdict=verdict, reason=reason)
         await self._write_plan(order, plan, row.version)
@@ -268,10 +269,9 @@
         plan: plan_module.PlanRow,
         version: int,
     ) -> None:
-        """Writes the plan and what the operator reads, both or neither.
+        """Writes the plan and the operator's status row.
 
-        Both are written in one transaction, so that the operator hears of each
-        verdict.
+        One transaction writes both, so that the operator sees each verdict.
         """
         key = _plan_key(plan.service)
         result = await self._table.commit(
@@ -285,7 +285,7 @@
         )
         if not result.committed:
             return
-        self._rollouts.take_plan(plan)
+        self._rollouts.apply_plan(plan)
         logs.note(
             "roll_out:decided",
             service=plan.service,
@@ -303,7 +303,7 @@
         weight = own.weight
         if weight < self._published.get(
             order.order_id, 0.0
-        ) + 1.0 and not self._owes_all(order, plan):
+        ) + 1.0 and not self._owes_final_report(order, plan):
             return
         now = self._clock.monotonic()
         if now - self._published_at < _PUBLISH_EVERY:
@@ -319,23 +319,23 @@
         )
         self._published[order.order_id] = weight
         if self._rollouts.progress.is_final_report_due(plan):
-            self._told_all.add(order.order_id)
+            self._final_reports_sent.add(order.order_id)
 
-    def _owes_all(
+    def _owes_final_report(
         self,
         order: orders_module.RollOutOrder,
         plan: plan_module.PlanRow,
     ) -> bool:
-        """Tells whether what was seen is to be told although none of it is bad.
+        """Tells whether the final report is due and was not written yet.
 
-        What each instance saw may be too little to be worth a write, and
-        together a proof.
+        It also holds evidence that was too weak to be written before: pooled
+        over all instances it may be a proof.
         """
         own = self._rollouts.evidence_of(order).own
         return (
             self._rollouts.progress.is_final_report_due(plan)
-            and order.order_id not in self._told_all
-            and bool(own.paced or own.routes)
+            and order.order_id not in self._final_reports_sent
+            and bool(own.pace_count or own.routes)
         )
 
 
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -1,4 +1,4 @@
-"""How far an order is, by the store's clock and by what is known here."""
+"""An order's progress, by the store's clock and by what is known here."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -9,15 +9,15 @@
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
 
-# A version that begins its answers six times later in 6 of 10 requests is found
-# after 8 answers at the median and 18 in nine of ten (simulated).
-ENOUGH_AFTER_ABSENCE = 16
-# Shorter ones leave most of an order's time for a proof; it is 16 s or more.
-LONG_ABSENCE = datetime.timedelta(seconds=3)
-# A store that has answered nobody for so long is taken to be out. Feeds of its
-# readers return every 2 s at least; one word of it in a thousand is 1.9 s old
-# or more.
-_STORE_SILENT = datetime.timedelta(seconds=2.5)
+# A version whose first event comes six times later in 6 of 10 requests is found
+# slow after 8 answers at the median, and after 18 in nine of ten roll-outs.
+ENOUGH_ANSWERS_AFTER_OUTAGE = 16
+# Shorter outages leave most of an order's time, 16 s or more, for a proof.
+LONG_OUTAGE = datetime.timedelta(seconds=3)
+# A store of which no answer is known for this long counts as out. Readers' feed
+# requests return within 2 s, and one report of an answer in a thousand is 1.9 s
+# old or more.
+_STORE_SILENCE = datetime.timedelta(seconds=2.5)
 
 
 class RollOutProgress:
@@ -25,7 +25,7 @@
 
     Args:
         schedule: Which share a new version gets, and when.
-        store_monitor: What is known of the store.
+        store_monitor: The store's time and availability.
         answers_seen: How many answers of a plan's version are known here.
         clock: Measures time.
 
@@ -35,11 +35,11 @@
 
     __slots__ = (
         "_answers_seen",
-        "_away_since",
         "_clock",
-        "_had_absence",
+        "_final_phase_since",
+        "_had_long_outage",
         "_store_monitor",
-        "_stretch_since",
+        "_unreachable_since",
         "schedule",
     )
 
@@ -55,79 +55,90 @@
         self._store_monitor = store_monitor
         self._answers_seen = answers_seen
         self._clock = clock
-        # Since when an order's last stretch has gone on here, in touch with the
-        # store all the while.
-        self._stretch_since: dict[int, datetime.timedelta] = {}
-        self._away_since: datetime.timedelta | None = None
-        # Orders in the course of which the store was away for long.
-        self._had_absence: set[int] = set()
-
-    def part_of(self, plan: plan_module.PlanRow) -> float:
-        """Returns which part of a plan's time has passed."""
+        # Since when an order's final phase has lasted here with the store
+        # reachable throughout.
+        self._final_phase_since: dict[int, datetime.timedelta] = {}
+        self._unreachable_since: datetime.timedelta | None = None
+        # Orders during which there was a long store outage.
+        self._had_long_outage: set[int] = set()
+
+    def elapsed_fraction(self, plan: plan_module.PlanRow) -> float:
+        """Returns the elapsed fraction of a plan's time."""
         store_time = self._store_monitor.store_time()
-        return 0.0 if store_time is None else plan.part_at(store_time)
+        return (
+            0.0 if store_time is None else plan.elapsed_fraction_at(store_time)
+        )
 
-    def steady_part(self, plan: plan_module.PlanRow) -> float:
-        """Returns the time's part, held before the last stretch at need.
+    def steady_fraction(self, plan: plan_module.PlanRow) -> float:
+        """Returns the elapsed fraction, at need capped before the final phase.
 
-        Without the store nobody can complete the roll-out, and the others'
-        evidence is unheard. An instance that reads nothing itself goes by what
-        readers tell.
+        The cap holds while the store is out, since then nobody can complete the
+        roll-out and other instances' evidence does not arrive, and while too
+        few answers are known after an outage. An instance that does not read
+        the store itself relies on the readers' reports of its answers.
         """
-        part = self.part_of(plan)
-        silent = self._store_monitor.time_since_contact() > _STORE_SILENT
-        if self._store_monitor.is_unreachable or silent or self._is_thin(plan):
-            part = min(part, schedule_module.MAY_MOVE_SESSIONS_AT)
-        return part
-
-    def _is_thin(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether too little was seen of a version for its last stretch.
-
-        After an absence of the store the order is late either way, and the
-        trial goes on until enough answers are known. Without one the time
-        decides, since some services get few requests in all.
+        elapsed = self.elapsed_fraction(plan)
+        silent = self._store_monitor.time_since_contact() > _STORE_SILENCE
+        if (
+            self._store_monitor.is_unreachable
+            or silent
+            or self._has_too_few_answers(plan)
+        ):
+            elapsed = min(elapsed, schedule_module.MAY_MOVE_SESSIONS_AT)
+        return elapsed
+
+    def _has_too_few_answers(self, plan: plan_module.PlanRow) -> bool:
+        """Tells whether too few answers are known for the final phase.
+
+        After a long store outage the order is late anyway, so the canary lasts
+        until enough answers are known. Without an outage the time decides,
+        since some services get few requests in all.
         """
-        if plan.order_id not in self._had_absence:
+        if plan.order_id not in self._had_long_outage:
             return False
-        return self._answers_seen(plan) < ENOUGH_AFTER_ABSENCE
+        return self._answers_seen(plan) < ENOUGH_ANSWERS_AFTER_OUTAGE
 
-    def is_trial_over(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether everything moves to the new version now."""
-        return self.schedule.is_trial_over_at(
-            self.steady_part(plan), plan.within_s
+    def is_canary_over(self, plan: plan_module.PlanRow) -> bool:
+        """Tells whether all requests go to the new version now."""
+        return self.schedule.is_canary_over_at(
+            self.steady_fraction(plan), plan.within_s
         )
 
     def is_final_report_due(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether all that was seen is to be told, good and bad."""
+        """Tells whether all answers seen are to be reported, good and bad."""
         return self.schedule.is_final_report_due_at(
-            self.part_of(plan), plan.within_s
+            self.elapsed_fraction(plan), plan.within_s
         )
 
     def may_complete(self, plan: plan_module.PlanRow) -> bool:
         """Tells whether the old version's replicas may stop.
 
-        The last stretch has to have gone on here, in touch with the store: the
-        clock alone says nothing of evidence that was told meanwhile.
+        The final phase has to have lasted here with the store reachable: the
+        clock alone does not show that the others' evidence has been read.
         """
-        if not self.schedule.may_complete_at(self.part_of(plan), plan.within_s):
+        if not self.schedule.may_complete_at(
+            self.elapsed_fraction(plan), plan.within_s
+        ):
             return False
-        since = self._stretch_since.get(plan.order_id)
+        since = self._final_phase_since.get(plan.order_id)
         if since is None:
             return False
-        return self._clock.monotonic() - since >= schedule_module.LAST_WAIT
+        return (
+            self._clock.monotonic() - since >= schedule_module.COMPLETION_DELAY
+        )
 
-    def note_in_touch(self, plan: plan_module.PlanRow) -> None:
-        """Takes in that the store answers while a plan is open."""
-        self._away_since = None
-        if self.is_trial_over(plan):
+    def note_store_reachable(self, plan: plan_module.PlanRow) -> None:
+        """Records that the store answers while a plan is open."""
+        self._unreachable_since = None
+        if self.is_canary_over(plan):
             now = self._clock.monotonic()
-            self._stretch_since.setdefault(plan.order_id, now)
+            self._final_phase_since.setdefault(plan.order_id, now)
 
-    def note_out_of_touch(self, open_orders: Iterable[int]) -> None:
-        """Takes in that the store does not answer, and orders it holds up."""
-        self._stretch_since.clear()
+    def note_store_unreachable(self, open_orders: Iterable[int]) -> None:
+        """Records that the store does not answer, and the orders open then."""
+        self._final_phase_since.clear()
         now = self._clock.monotonic()
-        if self._away_since is None:
-            self._away_since = now
-        if now - self._away_since >= LONG_ABSENCE:
-            self._had_absence = set(open_orders)
+        if self._unreachable_since is None:
+            self._unreachable_since = now
+        if now - self._unreachable_since >= LONG_OUTAGE:
+            self._had_long_outage = set(open_orders)
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -33,7 +33,7 @@
         self.book = evacuations.EvacuationBook(
             on_taken_back=self.taken_back.append
         )
-        self.orders = orders.OrderBook()
+        self.orders = orders.OrderRegistry()
         self.rows = tables.OperatorRows(
             configuration=in_force.ConfigurationInForce(),
             orders=self.orders,
@@ -179,8 +179,8 @@
         self.book.evacuate("far")
         acquire = self.pool.acquire
 
-        async def slow_acquire(address, *, longest_idle_s):
-            connection = await acquire(address, longest_idle_s=longest_idle_s)
+        async def slow_acquire(address, *, max_idle_s):
+            connection = await acquire(address, max_idle_s=max_idle_s)
             if address == self.here.address:
                 self.book.evacuate("here")
                 self.book.take_back("far")
