--- a/tests/cover/test_followed_tables.py
+++ b/tests/cover/test_followed_tables.py
@@ -1,4 +1,4 @@
-"""The replicas' rows, followed through faults of the store."""
+"""The replicas' table is replicated through faults of the store."""
 
 import datetime
 import random
@@ -18,7 +18,7 @@
 
 
 class FollowedTablesTest(unittest.IsolatedAsyncioTestCase):
-    """The operator's and the replicas' rows, followed through faults."""
+    """One follower of the replicas' table and a stand-in store."""
 
     async def asyncSetUp(self):
         self.store = users_store.StandInStore()
@@ -66,29 +66,29 @@
         )
 
     def listed(self) -> list[str]:
-        """Returns the ids of the replicas known."""
+        """Returns the ids of the known replicas."""
         return sorted(
             replica.entry.replica_id
             for replica in self.directory.of_service(version_fixture.SERVICE)
         )
 
     async def fail_once(self, fault: users_store.StoreFault) -> None:
-        """Lets one read fail, as a step does, without the pause after it."""
+        """Fails one read as a step does, without the delay after it."""
         self.store.fault = fault
         with self.assertRaises(failures.NotDoneError) as caught:
             await self.follower._read(datetime.timedelta())
         self.store_monitor.record_failure(caught.exception)
         self.store.fault = users_store.StoreFault.NONE
 
-    async def test_a_deletion_without_an_outage_counts_at_once(self):
+    async def test_a_deletion_without_an_outage_is_applied_at_once(self):
         self.store.delete("servers", "id-1")
         await self.follower.step()
         self.assertEqual(self.listed(), ["id-2"])
 
-    async def test_entries_that_lapsed_in_an_outage_are_waited_for(self):
-        """The store was away and an entry is missing on its return.
-        The replica lives and is back within two seconds; dropped at once,
-        the other one would be swamped.
+    async def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
+        """After a store outage an entry is missing, though its replica lives
+        and is listed again within two seconds. If it were dropped at once, the
+        other replica would be overloaded.
         """
         await self.fail_once(users_store.StoreFault.REFUSING)
         self.store.delete("servers", "id-1")
@@ -100,16 +100,16 @@
         await self.clock.advance(datetime.timedelta(seconds=5))
         self.assertEqual(self.listed(), ["id-1", "id-2"])
 
-    async def test_what_is_still_missing_after_the_outage_is_gone(self):
+    async def test_entries_missing_after_the_grace_are_deleted(self):
         await self.fail_once(users_store.StoreFault.BUSY)
         self.store.delete("servers", "id-1")
         await self.follower.step()
         await self.clock.advance(datetime.timedelta(milliseconds=2300))
         self.assertEqual(self.listed(), ["id-2"])
 
-    async def test_a_forgotten_history_is_read_anew(self):
-        """The store drops its history and a replica leaves in the gap.
-        The feed answers 410; the whole table is read and the replica gone.
+    async def test_after_a_lost_history_the_whole_table_is_read(self):
+        """The store discards its history and a replica leaves in the gap. The
+        feed answers 410; the whole table is read and the replica is gone.
         """
         self.store.delete("servers", "id-2")
         self.store.forget_history()
@@ -118,9 +118,9 @@
         self.assertEqual(self.listed(), ["id-1"])
 
     async def test_writes_to_other_tables_do_not_move_the_revision(self):
-        """Replicas of another table and instances write all the time, and the
-        store counts all writes together. Told as this table's revision, each
-        count made every peer ask for changes that there were not.
+        """Other tables are written all the time, and the store has one counter
+        for all writes. If that counter were sent as this table's revision,
+        every peer would ask for changes that do not exist.
         """
         before = self.follower.revision
         self.store.put("instances", "one", b"{}")
@@ -131,10 +131,10 @@
         self.assertGreater(self.follower.revision, before)
         self.assertEqual(self.listed(), ["id-1", "id-2", "id-3"])
 
-    async def test_a_whole_read_tells_the_store_s_own_count(self):
-        """A replica is deleted while nobody's feed is open, and the table is
-        read whole. A peer that still has the replica must not take a proof
-        that the version of the newest row left is all there is to know.
+    async def test_a_whole_read_sets_the_revision_to_the_store_s_counter(self):
+        """A replica is deleted while no feed is open, and the table is read
+        whole. The newest remaining row's version must not become the revision:
+        it would confirm the state of a peer that still has the replica.
         """
         before = self.follower.revision
         self.store.delete("servers", "id-2")
@@ -145,7 +145,7 @@
         self.assertGreater(self.follower.revision, before)
         self.assertEqual(self.listed(), ["id-1"])
 
-    async def test_a_malformed_entry_leaves_the_others(self):
+    async def test_a_malformed_entry_does_not_affect_others(self):
         self.store.put("servers", "id-3", b"{")
         self.put(4)
         await self.follower.step()
--- a/tests/cover/test_gossip_traffic.py
+++ b/tests/cover/test_gossip_traffic.py
@@ -1,8 +1,8 @@
-"""What instances tell each other costs, most of all between data centres.
+"""The cost of gossip, mainly between data centres.
 
-The pattern: 200 instances in five data centres, with one small change a
-second. The grounds: such a fleet's digests were two thirds of what it sent
-between data centres, which is dear, and a tenth of them does as well.
+200 instances in five data centres, with one small change a second. With digests
+sent without regard to locality, they were two thirds of such a fleet's traffic
+between data centres, which is expensive; a tenth of them suffices.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 
 
 class GossipTrafficTest(unittest.TestCase):
-    def test_a_small_change_is_everywhere_in_a_second_and_cheap(self):
+    def test_a_small_change_spreads_in_a_second_at_little_cost(self):
         _virtual_time.run(self._check_traffic())
 
     async def _check_traffic(self) -> None:
         fleet = gossip_fleet.Fleet(size=SIZE, seed=5, data_centres=5)
         fleet.put(fleet.names, b"first", 1)
         tasks = [asyncio.ensure_future(g.run()) for g in fleet.gossips]
-        # Data centres are learnt from digests.
+        # Instances learn each other's data centres from digests.
         await fleet.clock.sleep(3 * _SECOND)
         fleet.links.datagram_bytes.clear()
         for version in range(2, 2 + CHANGES):
@@ -42,8 +42,8 @@
             for (sender, receiver), size in datagram_bytes.items()
             if fleet.data_centre(sender) != fleet.data_centre(receiver)
         )
-        # The 3 KB/s that an instance may spend on control are without changes;
-        # each change here is pushed to nine peers by everybody.
+        # The budget of 3 KB/s per instance is without changes; here each
+        # instance also pushes every change to nine peers.
         self.assertLess(datagram_bytes.total() / per_instance_s, 4000)
         self.assertLess(between_data_centres / per_instance_s, 500)
 
@@ -57,7 +57,7 @@
     def choose(
         self, localities: str, *, local: int, remote: float
     ) -> list[str]:
-        """Returns whom is told, by data centres in the order of peers."""
+        """Samples peers whose data centres are the letters, "?" if unknown."""
         peers = {
             str(n): f"{locality}{n}" for n, locality in enumerate(localities)
         }
@@ -66,7 +66,7 @@
             peers, known, local=local, remote=remote
         )
 
-    def test_most_are_near(self):
+    def test_most_are_local(self):
         chosen = [
             address
             for _ in range(200)
@@ -76,16 +76,16 @@
         self.assertEqual(len(chosen) - len(remote), 1000)
         self.assertTrue(70 <= len(remote) <= 130, len(remote))
 
-    def test_an_instance_alone_in_its_data_centre_tells_others_as_much(self):
+    def test_an_instance_alone_in_its_data_centre_samples_as_many(self):
         self.assertGreaterEqual(
             len(self.choose("b" * 30, local=5, remote=0)), 5
         )
 
-    def test_one_that_has_just_started_tells_those_it_knows_nothing_of(self):
+    def test_peers_of_unknown_data_centre_come_before_remote_ones(self):
         chosen = self.choose("?" * 20 + "b" * 20, local=5, remote=0)
         self.assertEqual([c[0] for c in chosen], ["?"] * 5)
 
-    def test_in_a_small_fleet_all_are_alike(self):
+    def test_in_a_small_fleet_locality_is_ignored(self):
         chosen = self.choose("a" * 4 + "b" * 4, local=5, remote=1.0)
         self.assertEqual(len(chosen), 6)
 
--- a/tests/cover/test_inner_local.py
+++ b/tests/cover/test_inner_local.py
@@ -1,4 +1,4 @@
-"""The in-process network does what other tests blame on a real one."""
+"""The in-process network has the faults that other tests rely on."""
 
 import asyncio
 import datetime
@@ -17,7 +17,7 @@
 
 
 class LocalNetworkTest(unittest.IsolatedAsyncioTestCase):
-    """Two instances; B answers a pull with its revision and notes it."""
+    """Two instances; B records pulls and answers them with its revision."""
 
     def setUp(self):
         self.clock = clock.FakeClock()
@@ -53,12 +53,9 @@
             caught.exception.code_number, codes.Code.BAD_FIELD.number
         )
 
-    async def test_a_cut_of_the_way_back_leaves_the_effect(self):
-        """The caller gets no reply although the peer did the work.
-
-        A's request reaches B, B's handler runs, and the reply is lost because
-        only the link from B to A is cut. A can't tell this from a lost
-        request.
+    async def test_a_lost_reply_leaves_the_effect(self):
+        """Only the link from B to A is cut: B handles A's request, and the
+        reply is lost. A can't distinguish this from a lost request.
         """
         self.network.cut(B, A)
         call = self._call(3)
@@ -77,11 +74,9 @@
             await call
         self.assertEqual(self.seen, [3, 4])
 
-    async def test_a_frozen_instance_works_late(self):
-        """The caller times out, and the effect comes after that.
-
-        B is frozen when the request arrives. A gives up; B is thawed and
-        handles the request then, because it lay in its socket all along.
+    async def test_a_frozen_instance_handles_requests_late(self):
+        """B is frozen when the request arrives, and A times out. B handles the
+        request after the thaw, since it is still in its socket.
         """
         self.network.freeze(B)
         call = self._call(3)
@@ -93,7 +88,7 @@
         await self.clock.advance(SECOND)
         self.assertEqual(self.seen, [3])
 
-    async def test_a_frozen_process_wakes_late(self):
+    async def test_a_sleep_in_a_frozen_process_ends_late(self):
         woke = []
 
         async def sleeper():
--- a/tests/cover/test_inner_tcp.py
+++ b/tests/cover/test_inner_tcp.py
@@ -1,4 +1,4 @@
-"""The inner protocol over real TCP on loopback: faults stay where they are."""
+"""The inner protocol over TCP on loopback; faults don't affect other calls."""
 
 import asyncio
 import contextlib
@@ -33,7 +33,7 @@
 
 
 class Pair:
-    """A server, a caller, and a gate that holds replies to pulls of 1."""
+    """A server, a caller, and a gate that delays replies to pulls of 1."""
 
     def __init__(self):
         self.gate = asyncio.Event()
@@ -99,7 +99,7 @@
 
 
 async def eventually_pull(pair, revision):
-    """Calls again while the caller backs off."""
+    """Retries while the caller backs off."""
     while True:
         try:
             return await pair.pull(revision)
@@ -108,7 +108,7 @@
 
 
 def kept(open_connection, connections):
-    """Returns the same function, which notes the writers that it made."""
+    """Wraps `open_connection` to record the writers that it returns."""
 
     async def open_and_keep(*arguments, **options):
         reader, writer = await open_connection(*arguments, **options)
@@ -129,9 +129,9 @@
 
 
 class TcpTest(unittest.IsolatedAsyncioTestCase):
-    """Calls, failures of the peer, and ends of connections."""
+    """Calls, failures of the peer, and closed connections."""
 
-    async def test_a_slow_reply_holds_up_no_other(self):
+    async def test_a_slow_reply_delays_no_other(self):
         async with running_pair() as pair:
             slow = pair.pull(1)
             await pair.entered.wait()
@@ -146,11 +146,9 @@
                 pair.server_traffic.total().received_bytes,
             )
 
-    async def test_a_late_reply_finds_nobody(self):
-        """A caller gets the reply to its own request, never an older one.
-
-        A call gives up; its reply comes while the next call on the same
-        connection waits. The sequence tells them apart.
+    async def test_a_late_reply_is_dropped(self):
+        """A call times out, and its reply arrives while the next call on the
+        same connection waits. That one must get its own reply, by sequence.
         """
         async with running_pair() as pair:
             with self.assertRaises(peers.PeerUnreachableError):
@@ -194,11 +192,9 @@
             self.assertEqual(pair.handled, [])
 
     async def test_no_reply_and_a_later_reconnect_after_a_crash(self):
-        """The running call fails, and calls work again after the restart.
-
-        The server ends without grace while a call runs and comes back on the
-        same port. The call's outcome is unknown to its caller; later calls
-        fail at once while backing off, then connect anew.
+        """The server ends without grace while a call runs, and restarts on the
+        same port. The call fails with its outcome unknown; later calls fail at
+        once during the back-off, then reconnect.
         """
         async with running_pair() as pair:
             running = pair.pull(1)
@@ -213,10 +209,10 @@
             await pair.server.start(host=host, port=int(port))
             self.assertEqual((await eventually_pull(pair, 4)).revision, 4)
 
-    async def test_a_call_as_its_connection_ends_finds_no_peer(self):
-        """A connection to a peer ends, and a call is made before its reader
-        has had its turn. The transport refuses with an error that nobody takes
-        for a broken connection: it ended the instance.
+    async def test_a_call_as_its_connection_ends_fails_as_unreachable(self):
+        """A connection ends, and a call is made before its reader's next turn.
+        The transport refuses the write with an exception that is no
+        `ConnectionError`; unhandled, it ended the instance.
         """
         for turns in range(4):
             with self.subTest(turns=turns):
@@ -235,7 +231,7 @@
                     with self.assertRaises(peers.PeerUnreachableError):
                         await pair.pull(3)
 
-    async def test_a_graceful_close_answers_what_runs(self):
+    async def test_a_graceful_close_answers_running_requests(self):
         async with running_pair() as pair:
             running = pair.pull(1)
             await pair.entered.wait()
@@ -260,7 +256,7 @@
 
 
 class MalformedTest(unittest.TestCase):
-    """Whatever a stranger or a broken peer sends harms only itself."""
+    """Malformed bytes affect only the connection that sent them."""
 
     @hypothesis.settings(max_examples=60)
     @hypothesis.given(
@@ -282,7 +278,7 @@
     )
     @hypothesis.example(True, b"\xff\xff\xff\xff")
     @hypothesis.example(False, raw_frame(REQUEST))
-    def test_bytes_of_a_stranger(self, knows_credential, data):
+    def test_arbitrary_bytes_affect_no_other_call(self, knows_credential, data):
         async def scenario():
             async with running_pair() as pair:
                 held = pair.pull(1)
@@ -310,10 +306,10 @@
             return
         self.assertIsInstance(received.sequence, int)
 
-    def test_a_short_frame_can_not_claim_much_memory(self):
-        """A frame of a broken peer must not cost this process hundreds of
-        megabytes: neither a list of empty structs, which grow a hundredfold
-        when decoded, nor a frame said to hold 2**31 bytes is taken.
+    def test_a_short_frame_can_not_allocate_much_memory(self):
+        """A frame must not cost this process hundreds of megabytes: a list of
+        empty structs, which grow a hundredfold when decoded, and a frame whose
+        header claims 2**31 bytes are refused.
         """
         empty = ttypes.MemberState()
         bomb = codec.encode(
--- a/tests/cover/test_large_changes.py
+++ b/tests/cover/test_large_changes.py
@@ -1,9 +1,9 @@
-"""A configuration of some hundred kilobytes on its way through a large fleet.
+"""A configuration of some hundred kilobytes spreads through a large fleet.
 
-The pattern: an operator adds more than a thousand routes at once. A fleet of
-100 and of 420 instances, whose links carry 5 to 100 Mbit/s, hears of it from
-the few that read the store. The grounds: platforms give the smallest of such
-instances 5 Mbit/s, and a change has to be in force within 2 to 4 s.
+An operator adds more than a thousand routes at once. Fleets of 100 and 420
+instances with links of 5 to 100 Mbit/s get it from the few that read the store.
+The smallest instances have 5 Mbit/s, and a change has to be in force within 2
+to 4 s.
 """
 
 import asyncio
@@ -59,25 +59,25 @@
         wanted = configuration_rows.configuration(routes=1400)
         for name in self.living(fleet):
             self.assertEqual(fleet.listeners[name].value, wanted)
-        # Digests are left out of the count; they pass the links' queues by.
+        # Digests are not counted; they bypass the links' queues.
         needed_bytes = size * len(zlib.compress(wanted))
         self.assertLess(fleet.links.sent_bytes, 1.5 * needed_bytes)
 
     def living(self, fleet: gossip_fleet.Fleet) -> list[str]:
-        """Returns the instances that did not vanish."""
+        """Returns the instances that have not been killed."""
         return [n for n in fleet.names if n not in fleet.links.dead]
 
     def test_is_in_force_everywhere_and_costs_each_link_its_size_once(self):
-        """An operator adds 1,360 routes to a fleet of 100 with slow links.
-        Sent whole and as one reply, copies overlapped on the slow links until
-        each took longer than its receiver waited; asked for again of others,
-        they filled those links too, and many callers heard 404 for seconds.
+        """An operator adds 1,360 routes to a fleet of 100 with slow links. Sent
+        whole, copies overlapped on the slow links until each took longer than
+        its receiver's timeout. Retries at other peers filled their links too,
+        and many callers got 404 for seconds.
         """
         self.check(size=100)
 
-    def test_arrives_though_peers_vanish_in_the_middle(self):
-        """Half of those that read the store are killed a tenth of a second
-        after the change. Whoever had begun a copy there finishes it elsewhere.
+    def test_arrives_though_peers_are_killed_during_transfers(self):
+        """Half of the readers are killed a tenth of a second after the change.
+        Transfers from them are resumed from other peers.
         """
         self.check(size=100, vanish=6)
 
@@ -86,7 +86,7 @@
 
     def test_a_series_of_changes_costs_about_what_changed(self):
         """Twenty configurations of 1,400 routes within two seconds, each with
-        one more route. Whole copies would be 0.7 MB for each instance.
+        one more route. Whole copies would be 0.7 MB per instance.
         """
         _virtual_time.run(self.series())
 
--- a/tests/cover/test_peer_messages.py
+++ b/tests/cover/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages without a reply, on connections that carry calls."""
+"""One-way messages on the connections for calls."""
 
 import datetime
 import random
@@ -17,7 +17,7 @@
 
 
 class PeerMessagesTest(unittest.IsolatedAsyncioTestCase):
-    """Three instances that tell each other of suspects."""
+    """Three instances exchange suspects by gossip."""
 
     def setUp(self):
         self.clock = clock_module.FakeClock()
@@ -44,7 +44,7 @@
         )
 
     def knowing(self) -> int:
-        """Returns how many instances send the request nowhere."""
+        """Returns how many instances have the request in quarantine."""
         return sum(book.is_quarantined(REQUEST) for book in self.books)
 
     async def test_each_end_is_known_to_all(self):
@@ -55,7 +55,7 @@
         await self.clock.advance(SECOND)
         self.assertEqual(self.knowing(), len(self.books))
 
-    async def test_one_that_is_cut_off_hears_once_it_is_back(self):
+    async def test_one_that_is_cut_off_is_updated_once_it_is_back(self):
         self.network.cut_both_ways(ADDRESSES[0], ADDRESSES[2])
         for replica in range(3):
             self.books[0].note_end(REQUEST, replica_hash=replica, begun=True)
--- a/tests/cover/test_readers_lost.py
+++ b/tests/cover/test_readers_lost.py
@@ -1,9 +1,9 @@
-"""The store turns away all instances that read it, and serves the others.
+"""The store refuses all instances that read it and serves the others.
 
-The pattern: a large fleet in which a few instances read the store for all; a
-third of the fleet, all of these among them, gets no answer for seconds, and an
-operator changes the configuration in that moment. The grounds: with three
-readers one outage in 23 that turns a third away hits all of them.
+A few instances of a large fleet read the store for all. A third of the fleet,
+among them all readers, gets no answer for seconds, and an operator changes the
+configuration in that time. With three readers, one in 23 outages that affect a
+third of the fleet affects all of them.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
     async def worst_delay_of(
         self, size: int, bound: datetime.timedelta, outages: int
     ) -> datetime.timedelta:
-        """Returns the longest time until all have a change."""
+        """Returns the longest time until all instances have a change."""
         fleet = gossip_fleet.Fleet(size=size, seed=size, change_time=bound)
         fleet.store.put(b"first")
         tasks = [asyncio.ensure_future(g.run()) for g in fleet.gossips]
@@ -67,19 +67,19 @@
         return fleet.clock.monotonic() - began_at
 
     def test_a_change_is_in_force_in_time_on_73_instances(self):
-        """A key is taken away while the store answers none of the readers.
-        They live and hold their feeds open, so nobody replaces them; until
-        the others' proofs were 4.5 s old the key was let in everywhere.
+        """A key is revoked while the store answers none of the readers. As they
+        live and keep their feeds open, they were not replaced, and the key was
+        accepted everywhere until the others' confirmations were 4.5 s old.
         """
         self.check_worst_delay(size=73, bound=3 * _SECOND, outages=6)
 
     def test_a_change_is_in_force_in_time_on_200_instances(self):
         self.check_worst_delay(size=200, bound=4 * _SECOND, outages=2)
 
-    def test_a_store_that_is_out_is_not_asked_by_everybody_all_the_time(self):
-        """The store answers nobody for eight seconds. No instance has a young
-        proof any more, and 73 asked again and again, each some ten times. On
-        its return all hear of a change in time nevertheless.
+    def test_instances_back_off_while_the_store_is_out(self):
+        """The store answers nobody for eight seconds. All confirmations grow
+        old, and 73 instances each called some ten times. On its return all get
+        a change in time nevertheless.
         """
         call_count, took = _virtual_time.run(self.full_outage())
         self.assertLess(call_count / 73, 3.5)
--- a/tests/cover/test_registration.py
+++ b/tests/cover/test_registration.py
@@ -1,4 +1,4 @@
-"""Instances that write themselves into the store and find their peers."""
+"""Registration of instances in the store."""
 
 import asyncio
 import unittest
@@ -33,8 +33,8 @@
         )
 
     async def test_instances_that_start_together_share_one_credential(self):
-        """Seven instances start in the same moment on an empty store.
-        All want to write the credential; one does, and all use that one.
+        """Seven instances start at the same moment on an empty store. All try
+        to write the credential; one succeeds, and all use that one.
         """
         found = await asyncio.gather(
             *(self.registry(name).register() for name in "abcdefg")
--- a/tests/cover/test_table_gossip.py
+++ b/tests/cover/test_table_gossip.py
@@ -1,4 +1,4 @@
-"""Instances that tell each other what is new in the store's tables."""
+"""Gossip about the revisions of the store's tables."""
 
 import asyncio
 import datetime
@@ -30,7 +30,7 @@
 
 
 class FakeDatagrams(datagrams.Datagrams):
-    """Datagrams between the instances of a test; some are dropped."""
+    """Datagrams between the instances of a test; chosen ones are dropped."""
 
     def __init__(self, *, receivers, dropped):
         self._receivers = receivers
@@ -92,7 +92,7 @@
         )
 
     def instance(self, name: str):
-        """Returns an instance's gossip and what it knows of replicas."""
+        """Returns an instance's gossip, table and replica directory."""
         directory = directory_module.ReplicaDirectory(clock=self.clock)
         copy = table_copy.TableCopy(
             listener=tables.ReplicaRows(directory=directory)
@@ -137,7 +137,7 @@
         return gossip, table, directory
 
     def connect(self, *everyone) -> None:
-        """Lets all instances know each other."""
+        """Adds all instances to each other's peers."""
         names = [gossip._instance_id for gossip, _, _ in everyone]
         for gossip, _, _ in everyone:
             gossip.peers.update(
@@ -145,7 +145,7 @@
             )
 
     async def catch_up(self, instance) -> None:
-        """Fetches what a peer was heard to know more."""
+        """Fetches the newer rows that a peer reported."""
         gossip = instance[0]
         self.assertTrue(gossip._peers_ahead[TABLE])
         catching_up = asyncio.ensure_future(gossip._keep_caught_up(TABLE))
@@ -156,10 +156,9 @@
         """Returns the replicas that an instance knows."""
         return sorted(r.entry.replica_id for r in instance[2].of_service("s"))
 
-    async def test_an_instance_that_the_store_turns_away_hears_the_news(self):
-        """The store refuses one instance and serves the others.
-        A replica joins and another leaves; by a peer's digest the refused one
-        learns of both.
+    async def test_an_instance_the_store_refuses_gets_changes_from_peers(self):
+        """The store refuses one instance and serves the others. A replica joins
+        and another leaves; the refused one learns of both by a peer's digest.
         """
         served, refused = self.instance("a"), self.instance("b")
         self.connect(served, refused)
@@ -172,9 +171,9 @@
         await self.catch_up(refused)
         self.assertEqual(self.listed(refused), ["2"])
 
-    async def test_a_peer_that_does_not_reply_delays_no_news(self):
-        """Two peers tell of a key that was taken away. The last one's replies
-        are lost; the other one's news must not wait for its next digest.
+    async def test_a_peer_that_does_not_reply_delays_no_changes(self):
+        """Two peers report a change and the later one's replies are lost. The
+        change must be fetched from the other one before its next digest.
         """
         silent, responsive, late = (self.instance(name) for name in "abc")
         self.connect(silent, responsive, late)
@@ -201,9 +200,9 @@
         await self.catch_up(behind)
         self.assertFalse(behind[0].is_behind(TABLE))
 
-    async def test_word_of_a_revision_that_nobody_gives_is_forgotten(self):
-        """A peer tells of a change and dies with it. Refusing by its word
-        for good, an instance would serve no unknown path an answer again.
+    async def test_a_reported_revision_that_nobody_serves_expires(self):
+        """A peer reports a change and dies with it. If the report did not
+        expire, the instance would refuse requests for unknown paths for good.
         """
         dead, instance = self.instance("a"), self.instance("b")
         self.connect(dead, instance)
@@ -214,7 +213,7 @@
         await self.clock.advance(4 * _SECOND)
         self.assertFalse(instance[0].is_behind(TABLE))
 
-    async def test_a_newcomer_gets_the_whole_table(self):
+    async def test_a_new_instance_gets_the_whole_table(self):
         old, new = self.instance("a"), self.instance("b")
         self.connect(old, new)
         await old[1].follower.step()
@@ -222,10 +221,10 @@
         await self.catch_up(new)
         self.assertEqual(self.listed(new), ["1"])
 
-    async def test_a_late_answer_of_the_store_brings_nothing_back(self):
-        """A feed's answer is on its way while a peer's newer rows are taken.
-        It holds a replica whose deletion they held; taken in, a replica
-        that is gone would be sent requests until the next full read.
+    async def test_a_late_page_of_the_feed_restores_no_deleted_row(self):
+        """A feed's response is in transit while a peer's newer rows are
+        applied. It has a replica that they deleted; if it were applied, a
+        replica that is gone would be sent requests until the next full read.
         """
         instance = self.instance("a")
         await instance[1].follower.step()
@@ -258,9 +257,9 @@
         self.assertEqual(instance[1].revision, 9)
 
     async def test_few_read_and_another_takes_over_from_a_dead_reader(self):
-        """Seven instances hear each other, and a reader dies.
-        Three read at first; when one of them falls silent the next one reads
-        instead, within the time in which a change has to be in force.
+        """Of seven instances three read the store, and one reader dies. The
+        next one by priority reads instead, within the time in which a change
+        has to be in force.
         """
         everyone = [self.instance(name) for name in "abcdefg"]
         self.connect(*everyone)
@@ -279,10 +278,10 @@
         self.assertEqual(self.reading(living), sorted(by_priority[1:4]))
 
     async def test_as_few_read_in_a_fleet_in_which_each_hears_a_part(self):
-        """Seventy instances tell six others each time, as a large fleet does.
-        Each hears a given peer every few seconds only; by that alone the more
-        would read the larger the fleet. When all readers die, others take
-        over in time.
+        """Seventy instances send digests to six others per round, so each hears
+        from a given peer only every few seconds. Judged by that alone, the
+        number of readers would grow with the fleet. When all readers die,
+        others take over in time.
         """
         everyone = [self.instance(f"i{number}") for number in range(70)]
         reader_count = reader_election.READER_COUNT
@@ -303,10 +302,10 @@
         )
         self.assertLessEqual(len(reading), reader_count + 3)
 
-    async def test_readers_that_the_store_turns_away_are_replaced(self):
-        """The store refuses all readers of a fleet and serves the others. An
-        operator takes a key away; no instance would hear of it until its own
-        proof had grown too old, later than the bound allows.
+    async def test_readers_that_the_store_refuses_are_replaced(self):
+        """The store refuses all readers of a fleet and serves the others.
+        Unless they are replaced, no instance learns of a change until its own
+        confirmation is too old, later than the bound allows.
         """
         everyone = [self.instance(f"i{number}") for number in range(40)]
         self.connect(*everyone)
@@ -327,7 +326,7 @@
         )
 
     async def gossip_for(self, instances, *, rounds: int) -> None:
-        """Lets instances read at need and tell six peers, round by round."""
+        """Runs rounds in which instances read if needed and send digests."""
         for _ in range(rounds):
             await self.clock.advance(gossip_module.GOSSIP_PERIOD)
             for gossip, table, _ in instances:
@@ -345,9 +344,10 @@
         """Returns the instances that read the store."""
         return [n._instance_id for n, t, _ in everyone if n.should_read(t)]
 
-    async def test_without_proof_an_instance_reads_whatever_it_hears(self):
-        """All readers are cut off from the store and say so by silence of
-        their proofs. An instance that only listened would never know.
+    async def test_without_confirmations_every_instance_reads(self):
+        """All readers are cut off from the store; their digests go on, without
+        newer confirmations. An instance that relied on digests alone would
+        never learn of a change.
         """
         everyone = [self.instance(name) for name in "abcd"]
         self.connect(*everyone)
@@ -359,10 +359,10 @@
                 instance[0]._send_digest(local=10, remote=0)
         self.assertEqual(self.reading(everyone), ["a", "b", "c", "d"])
 
-    async def test_a_peer_s_wait_for_lapsed_entries_is_taken_over(self):
-        """The store was away, and on its return an entry has lapsed.
-        The reader waits for it; an instance that did not notice the outage
-        must not drop the replica because of the reader's rows.
+    async def test_a_peer_s_deletion_grace_is_adopted(self):
+        """After a store outage an entry has lapsed, and the reader delays its
+        deletion. An instance that did not notice the outage must not drop the
+        replica because of the reader's rows.
         """
         reader, other = self.instance("a"), self.instance("b")
         self.connect(reader, other)
--- a/tests/cover/test_table_pages.py
+++ b/tests/cover/test_table_pages.py
@@ -1,4 +1,4 @@
-"""Rows on their way to a peer: differences, pages, pieces."""
+"""Transfer of rows to a peer: deltas, pages, pieces."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 
 class NullListener(follower.TableListener):
-    """Takes rows in and forgets them."""
+    """Ignores all rows."""
 
     def replace(self, rows, revision) -> None:
         pass
@@ -44,7 +44,7 @@
 
 
 class NoDeletionGrace(shared_table.DeletionGrace):
-    """The store was never away."""
+    """Deletions are never delayed."""
 
     def remaining(self) -> datetime.timedelta:
         return datetime.timedelta()
@@ -54,7 +54,7 @@
 
 
 def empty_table(clock) -> shared_table.SharedTable:
-    """Returns an empty table that peers fill."""
+    """Returns an empty table without a store."""
     copy = table_copy.TableCopy(listener=NullListener())
     return shared_table.SharedTable(
         copy=copy,
@@ -76,7 +76,9 @@
 
 class DeltasTest(unittest.TestCase):
     @hypothesis.given(former=_VALUES, value=_VALUES)
-    def test_applied_to_the_former_value_give_the_new_one(self, former, value):
+    def test_applied_to_the_former_value_yields_the_new_one(
+        self, former, value
+    ):
         delta = deltas.compute(former, value)
         self.assertEqual(deltas.apply(former, delta), value)
 
@@ -124,7 +126,7 @@
         self.assertEqual(server.rows(), fetcher.rows())
 
     def pull(self, server, fetcher, after: int) -> None:
-        """Brings the taker up to date."""
+        """Brings the fetcher up to date."""
         content = pages.encode(
             server.changes_after(after), table=server, known_revision=after
         )
@@ -160,10 +162,11 @@
 
 
 class FakePeerCaller(peers.PeerCaller):
-    """Calls to givers by their address.
+    """Calls to page servers by address.
 
     Attributes:
-        breaks_after: Calls that an address answers before it falls silent.
+        calls_before_failure: Calls that an address answers before all further
+            ones fail.
     """
 
     def __init__(self):
@@ -211,9 +214,9 @@
         )
         return table
 
-    async def test_a_transfer_that_breaks_off_goes_on_at_another_peer(self):
-        """A peer is killed after the first of four pieces.
-        The rest comes from another one; nothing is sent twice.
+    async def test_a_broken_transfer_is_resumed_from_another_peer(self):
+        """A peer is killed after the first of four pieces. The rest comes from
+        another one; nothing is sent twice.
         """
         # Random bytes can't be compressed, so that there are four pieces.
         value = random.Random(1).randbytes(3 * page_server.PIECE_BYTES + 100)
@@ -229,9 +232,9 @@
         self.assertEqual(self.table.copy.rows(), (row(5, value),))
         self.assertLess(self.peer_caller.received_bytes, len(value) + 300)
 
-    async def test_a_peer_with_other_bytes_begins_anew(self):
-        """The second peer knows a later configuration than the one that broke
-        off. Joined, the two would be nobody's configuration.
+    async def test_a_peer_with_other_bytes_restarts_the_transfer(self):
+        """The second peer has a later configuration than the one that broke
+        off. Pieces of both joined would be a configuration that never was.
         """
         random_source = random.Random(2)
         first, second = (
@@ -246,9 +249,9 @@
         )
         self.assertEqual(self.table.copy.rows(), (row(6, second),))
 
-    async def test_steps_from_a_row_that_is_not_here_are_asked_for_whole(self):
+    async def test_a_row_whose_delta_does_not_apply_is_fetched_whole(self):
         """The peer went from version 1 to 3, this instance to version 2 by a
-        page that the peer never saw. Its step fits no row here.
+        page that the peer never got. The peer's delta applies to no row here.
         """
         values = {
             v: configuration_rows.configuration(routes=20 + v) for v in range(4)
@@ -265,10 +268,10 @@
         )
         self.assertEqual(self.table.copy.rows(), (row(3, values[3]),))
 
-    async def test_a_busy_link_is_left_to_callers(self):
-        """Many peers ask an instance with a link of 5 Mbit/s at once.
-        It gives what a part of a tenth of a second carries, and says to the
-        others that it is busy, so that they ask elsewhere.
+    async def test_transfers_leave_bandwidth_to_callers(self):
+        """Many peers ask an instance with a link of 5 Mbit/s at once. It sends
+        at most what the link carries in a tenth of a second and refuses the
+        others as busy, so that they ask elsewhere.
         """
         value = random.Random(3).randbytes(page_server.PIECE_BYTES)
         self.server("a", link_mbit_per_s=5.0).apply_update(
--- a/tests/gossip_fleet.py
+++ b/tests/gossip_fleet.py
@@ -1,4 +1,4 @@
-"""Many instances that tell each other what is new, in virtual time."""
+"""A fleet of instances that replicate a table by gossip, in virtual time."""
 
 import asyncio
 import collections
@@ -22,7 +22,7 @@
 TABLE = "op"
 SEAL = datagrams.Seal(credential="shared")
 _BYTES_PER_MBIT = 125_000
-# One way between two instances.
+# One-way latency between two instances.
 _DELAY_S = 0.001
 # Longer than any call waits.
 FOREVER_S = 60.0
@@ -33,8 +33,8 @@
     """The platform's store, with one table.
 
     Attributes:
-        turned_away: Instances whose calls it leaves without an answer.
-        asked: How many calls came, answered or not.
+        refused_instances: Instances whose calls get no answer.
+        call_count: Calls received, answered or not.
     """
 
     def __init__(self):
@@ -60,7 +60,7 @@
         return self.revision
 
     def page(self, since: int) -> source.Page:
-        """Returns what changed."""
+        """Returns the changes after a revision."""
         return source.Page(
             rows=tuple(row for row in self._rows if row.version > since),
             revision=self.revision,
@@ -70,7 +70,7 @@
         )
 
     async def wait_for_write(self, wait: datetime.timedelta) -> None:
-        """Waits for a write, `wait` at most."""
+        """Waits for a write, at most `wait`."""
         written = self._written.wait()
         try:
             await asyncio.wait_for(written, wait.total_seconds())
@@ -79,7 +79,7 @@
 
 
 class StoreView(source.FollowedTable):
-    """The store as one instance reaches it."""
+    """The store as seen by one instance."""
 
     _ANSWER_S = 0.004
     _TIMEOUT_SLACK_S = 0.6
@@ -111,7 +111,7 @@
 
 
 class Links:
-    """The instances' links, each with a queue in either direction."""
+    """The instances' links, each with a queue per direction."""
 
     def __init__(self):
         self._free_at_s = collections.defaultdict(float)
@@ -124,7 +124,7 @@
         self.datagram_bytes = collections.Counter()
 
     async def transmit(self, sender: str, receiver: str, size: int) -> None:
-        """Returns once so many bytes have arrived; never at a dead one."""
+        """Returns once the bytes have arrived, or late if an end is dead."""
         self.sent_bytes += size
         for queue in ((sender, "out"), (receiver, "in")):
             now = asyncio.get_running_loop().time()
@@ -137,7 +137,7 @@
 
 
 class FleetDatagrams(datagrams.Datagrams):
-    """One instance's datagrams; small, so they pass the queues by."""
+    """One instance's datagrams; as they are small, they bypass the queues."""
 
     def __init__(self, *, links: Links, own: str):
         self._links = links
@@ -155,7 +155,7 @@
 
 
 class FleetPeerCaller(peers.PeerCaller):
-    """One instance's calls, along the links."""
+    """One instance's calls over the links."""
 
     def __init__(self, *, links: Links, own: str, clock):
         self._links = links
@@ -163,8 +163,8 @@
         self._clock = clock
 
     async def call(self, inner_address, request, *, timeout):
-        # What was sent arrives, and takes its place on the links, also when
-        # the caller has given up; so it does on a real connection.
+        # Bytes that were sent use the links even if the call times out, as on a
+        # real connection.
         task = asyncio.ensure_future(self._exchange(inner_address, request))
         try:
             reply = await self._clock.wait_for(asyncio.shield(task), timeout)
@@ -196,7 +196,7 @@
 
 
 class Fleet:
-    """Instances that hear of the configuration from each other."""
+    """Instances that get the configuration from each other."""
 
     def __init__(
         self,
@@ -267,11 +267,11 @@
         )
 
     def data_centre(self, name: str) -> str:
-        """Returns where an instance runs."""
+        """Returns an instance's data centre."""
         return f"d{self.names.index(name) % self._data_centres}"
 
     def put(self, names, value: bytes, version: int) -> None:
-        """Has instances learn a value, as from the store."""
+        """Gives instances a value, as read from the store."""
         row = source.FollowedRow(key="config", value=value, version=version)
         for name in names:
             table = self.tables[name]
@@ -279,7 +279,7 @@
             table.record_peer(version, 0)
 
     def behind(self, version: int) -> list[str]:
-        """Returns the living instances that have not got a version."""
+        """Returns the live instances without a version."""
         return [
             name
             for name in self.names
@@ -289,7 +289,7 @@
 
 
 class NoDeletionGrace(shared_table.DeletionGrace):
-    """The store was never away."""
+    """Deletions are never delayed."""
 
     def remaining(self) -> datetime.timedelta:
         return datetime.timedelta()
@@ -299,7 +299,7 @@
 
 
 async def stop(tasks: list[asyncio.Task]) -> None:
-    """Ends tasks, and lets calls to instances that vanished end."""
+    """Cancels tasks and waits for calls to dead instances to end."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/lossy_datagrams.py
+++ b/tests/lossy_datagrams.py
@@ -1,4 +1,4 @@
-"""An instance's datagrams, delivered at once or lost, as a test decides."""
+"""An instance's datagrams, delivered at once or dropped, as a test sets."""
 
 from nutmeghook.internal.inner import datagrams
 
@@ -7,7 +7,7 @@
     """One instance's socket.
 
     Attributes:
-        loses: Nothing that it sends arrives.
+        loses: Drops everything that is sent.
     """
 
     def __init__(self, *, receivers: dict, own: str):
--- a/tests/platform_rows.py
+++ b/tests/platform_rows.py
@@ -15,9 +15,9 @@
 
 
 def replica_row(**changes) -> bytes:
-    """Returns a replica's entry; a field that is changed to None is left out.
+    """Returns a replica's entry with changed fields; None omits a field.
 
-    Names are those of the wire.
+    Names are those on the wire.
     """
     fields = REPLICA_FIELDS | changes
     return msgspec.json.encode(
