--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -20,8 +20,8 @@
 from nutmeghook.internal.replicas import cold_senders as cold_senders_module
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import load_gossip
-from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.table_replication import bandwidth_limiter
 from nutmeghook.internal.table_replication import gossip as gossip_module
 from nutmeghook.internal.table_replication import registration
@@ -79,7 +79,7 @@
         cold_senders: cold_senders_module.ColdSenders,
         rollouts: rollouts_module.RollOuts,
         orders: orders_module.OrderRegistry,
-        suspects: book_module.SuspectBook,
+        suspects: registry_module.SuspectRegistry,
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
@@ -206,9 +206,9 @@
             backlog_gossip.BacklogGossip(
                 instance_id=self._instance_id,
                 directory=self._directory,
-                audience=lambda: gossip.sample_live_addresses(
-                    local=backlog_gossip.NEAR_TOLD,
-                    remote=backlog_gossip.FAR_TOLD,
+                sample_peers=lambda: gossip.sample_live_addresses(
+                    local=backlog_gossip.LOCAL_FANOUT,
+                    remote=backlog_gossip.REMOTE_FANOUT,
                 ),
                 **common,
             ),
@@ -220,8 +220,8 @@
                 **common,
             ),
             suspect_gossip.SuspectGossip(
-                book=self._suspects,
-                audience=gossip.sample_live_addresses,
+                registry=self._suspects,
+                sample_peers=gossip.sample_live_addresses,
                 **common,
             ),
         )
