--- a/src/nutmeghook/internal/suspects/gossip.py
+++ b/src/nutmeghook/internal/suspects/gossip.py
@@ -13,8 +13,8 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import identities
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner import messages as messages_module
-from nutmeghook.internal.inner import telling
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.suspects import registry as registry_module
 
@@ -33,7 +33,7 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class SuspectGossip(telling.Teller):
+class SuspectGossip(gossip_senders.GossipSender):
     """Sends and takes in suspicions.
 
     Args:
@@ -73,7 +73,7 @@
     def send_updates(self) -> None:
         """Tells many peers what has just been learnt."""
         while updates := self._registry.take_updates(MAX_SUSPICIONS_SENT):
-            self._send(updates, near=LOCAL_FANOUT, far=REMOTE_FANOUT)
+            self._send(updates, local=LOCAL_FANOUT, remote=REMOTE_FANOUT)
 
     def send_reminder(self) -> None:
         """Tells a peer or two of the gravest suspicions again."""
@@ -83,22 +83,24 @@
         if most_suspect:
             self._send(
                 most_suspect,
-                near=LOCAL_REMINDER_FANOUT,
-                far=REMOTE_REMINDER_FANOUT,
+                local=LOCAL_REMINDER_FANOUT,
+                remote=REMOTE_REMINDER_FANOUT,
             )
 
     def _send(
         self,
         suspicions: list[registry_module.Suspicion],
         *,
-        near: int,
-        far: float,
+        local: int,
+        remote: float,
     ) -> None:
         now = self._clock.monotonic()
         message = ttypes.CrashSuspects(
             suspects=[_encoded(suspicion, now) for suspicion in suspicions]
         )
-        self._messages.send(self._sample_peers(near=near, far=far), message)
+        self._messages.send(
+            self._sample_peers(local=local, remote=remote), message
+        )
 
     def _receive(self, message: ttypes.CrashSuspects) -> None:
         now = self._clock.monotonic()
--- a/tests/cover/test_peer_messages.py
+++ b/tests/cover/test_peer_messages.py
@@ -40,7 +40,7 @@
             messages=peer_messages.PeerMessages(
                 caller=caller, handlers=handlers
             ),
-            sample_peers=lambda *, near, far: others,
+            sample_peers=lambda *, local, remote: others,
             clock=self.clock,
             random_source=random.Random(1),
         )
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -10,7 +10,7 @@
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.suspects import gossip as gossip_module
 from nutmeghook.internal.suspects import registry as registry_module
-from tests import lossy_post
+from tests import lossy_datagrams
 
 SEAL = datagrams.Seal(credential="shared")
 REQUEST = b"r" * 16
@@ -28,7 +28,7 @@
         self._draw = random.Random(number)
         self.address = f"10.0.{number // 250}.{number % 250}:7340"
         self.registry = registry_module.SuspectRegistry(clock=fleet.clock)
-        self.post = lossy_post.LossyPost(
+        self.post = lossy_datagrams.LossyDatagrams(
             receivers=fleet.receivers, own=self.address
         )
         self.gossip = gossip_module.SuspectGossip(
@@ -41,9 +41,11 @@
             random_source=self._draw,
         )
 
-    def _sample_peers(self, *, near: int, far: float) -> list[str]:
+    def _sample_peers(self, *, local: int, remote: float) -> list[str]:
         others = [i for i in self._fleet.instances if i is not self]
-        sampled = self._draw.sample(others, min(len(others), near + round(far)))
+        sampled = self._draw.sample(
+            others, min(len(others), local + round(remote))
+        )
         return [other.address for other in sampled]
 
 
@@ -171,7 +173,7 @@
         sender.gossip.send_reminder()
         (data,) = sent
         self.assertLessEqual(len(data), datagrams.MAX_DATAGRAM_BYTES)
-        message = codec.decode(SEAL.open(data)).message
+        message = codec.decode(SEAL.unwrap(data)).message
         self.assertEqual(
             len(message.suspects), gossip_module.MAX_SUSPICIONS_SENT
         )
