--- a/src/nutmeghook/internal/replicas/address_holders.py
+++ b/src/nutmeghook/internal/replicas/address_holders.py
@@ -1,13 +1,13 @@
-"""Which replica has an address, where the list names several."""
+"""Finds the current replica where several entries share an address."""
 
 from nutmeghook.internal.replicas import entries
 
 
 class AddressHolders:
-    """The newest entry at each address.
+    """Tracks the newest entry at each address.
 
-    A replica that ends stays on the list for some seconds. Its successor at the
-    same address is listed beside it, and its row is the newer one.
+    A replica that has ended stays listed for some seconds. A successor at the
+    same address is listed beside it, with a newer row version.
     """
 
     __slots__ = ("_by_address",)
@@ -16,7 +16,7 @@
         self._by_address: dict[str, entries.ReplicaEntry] = {}
 
     def has_successor(self, entry: entries.ReplicaEntry) -> bool:
-        """Tells whether another replica has taken an entry's address since."""
+        """Returns whether a newer replica holds the entry's address."""
         holder = self._by_address.get(entry.address)
         return (
             holder is not None
@@ -25,10 +25,10 @@
         )
 
     def add(self, entry: entries.ReplicaEntry) -> str | None:
-        """Takes in an entry that has no successor.
+        """Records an entry that has no successor.
 
         Returns:
-            The id of the replica that had the address before; None if none had.
+            The id of the replica that it replaces at its address, or None.
         """
         former = self._by_address.get(entry.address)
         self._by_address[entry.address] = entry
@@ -38,7 +38,7 @@
         return former.replica_id if is_newer else None
 
     def release(self, entry: entries.ReplicaEntry) -> None:
-        """Takes in that a replica is gone."""
+        """Removes the entry of a replica that is gone."""
         holder = self._by_address.get(entry.address)
         if holder is not None and holder.replica_id == entry.replica_id:
             del self._by_address[entry.address]
--- a/src/nutmeghook/internal/replicas/backlog.py
+++ b/src/nutmeghook/internal/replicas/backlog.py
@@ -1,10 +1,10 @@
-"""Prompts that a replica has still to read, as time that the reading takes.
+"""Backlog of a replica: prefill time of prompts that it has still to process.
 
-A request's first event waits until its replica has read what was sent there
-before. Replicas tell how many requests run and wait, but only with an answer:
-that is most of a second old, and a prompt of a large model takes a hundred
-times as long as one of a small. Instances know better: each knows what it has
-sent and not heard of yet.
+The time to first token depends on the prompts queued before. Replicas report
+counts of running and waiting requests, but only with their answers, so a count
+is most of a second old, and the prefill of a large model's prompt takes a
+hundred times as long as that of a small one's. The backlog is derived from what
+instances have sent and got no first event for.
 """
 
 import dataclasses
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Prefill:
-    """One prompt's reading.
+    """The prefill of one prompt.
 
     Attributes:
-        time: How long it takes an idle replica.
-        urgent: It goes before what is not.
+        time: How long it takes on an idle replica.
+        urgent: Engines process it before prompts that are not urgent.
     """
 
     time: datetime.timedelta
@@ -28,11 +28,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Backlog:
-    """The reading before several requests' first events.
+    """Total prefill time of several prompts.
 
     Attributes:
         urgent: Of urgent prompts.
-        later: Of the others.
+        normal: Of the others.
     """
 
     urgent: datetime.timedelta = _ZERO
@@ -53,11 +53,11 @@
         )
 
     def with_prefill(self, prefill: Prefill) -> "Backlog":
-        """Returns the backlog with one more prompt."""
+        """Returns the backlog with one prompt added."""
         return self + _of(prefill)
 
     def without_prefill(self, prefill: Prefill) -> "Backlog":
-        """Returns the backlog with one prompt less."""
+        """Returns the backlog with one prompt removed."""
         return self - _of(prefill)
 
 
--- a/src/nutmeghook/internal/replicas/backlog_gossip.py
+++ b/src/nutmeghook/internal/replicas/backlog_gossip.py
@@ -1,11 +1,11 @@
-"""Tells other instances which prompts replicas have still to read.
+"""Gossips the backlogs of replicas among instances.
 
-Engines read prompts one after the other, so the time to a first event depends
-on what all instances have sent to a replica. What replicas tell of their load
-comes too late to foresee it.
+Engines process prompts one after the other, so the time to first token depends
+on what all instances have sent to a replica. Replicas' own load reports come
+too late to predict it.
 
-Each message holds all that the sender has under way, so a lost one is made
-good by the next, and one of an instance that died is soon too old to count.
+Each message holds the sender's whole state: a lost message is repaired by the
+next one, and the last message of an instance that died expires.
 """
 
 from collections.abc import Callable
@@ -16,10 +16,10 @@
 from nutmeghook.internal.replicas import backlog as backlog_module
 from nutmeghook.internal.replicas import directory as directory_module
 
-# Prompts take some 0.1 to 2 s to read. Nothing is sent while there is nothing
-# to tell.
+# Prefill takes some 0.1 to 2 s. Nothing is sent while there is no backlog.
 GOSSIP_PERIOD = datetime.timedelta(milliseconds=200)
-# Near instances use the same replicas most, since distance counts as time.
+# Peers that get each message. Most are in the own data centre: they use the
+# same replicas most, since the choice of a replica penalises remote ones.
 LOCAL_FANOUT = 7
 REMOTE_FANOUT = 1.0
 MAX_REPLICAS = 16
@@ -27,10 +27,10 @@
 
 
 class BacklogGossip(gossip_senders.MessageGossipSender):
-    """Sends this instance's backlogs and takes in those of its peers.
+    """Sends this instance's backlogs and receives those of its peers.
 
     Args:
-        audience: Returns where peers listen that are to be told this time.
+        sample_peers: Returns the addresses of the next message's recipients.
     """
 
     __slots__ = (
@@ -59,10 +59,10 @@
         self._had_backlog = False
 
     def send_update(self) -> None:
-        """Tells peers what this instance has under way, if anything.
+        """Sends peers this instance's backlogs, if there are any.
 
-        Once nothing is, they are told once more; whoever misses that counts
-        the last message until it is too old.
+        When the last one has ended, one empty message follows; a peer that
+        misses it counts the message before until that expires.
         """
         loaded = self._directory.with_own_backlog(MAX_REPLICAS)
         if not loaded and not self._had_backlog:
--- a/src/nutmeghook/internal/replicas/cached_prefixes.py
+++ b/src/nutmeghook/internal/replicas/cached_prefixes.py
@@ -1,14 +1,14 @@
-"""Where this instance's own requests left shared parts of prompts."""
+"""Prompt prefixes that this instance's requests left cached at replicas."""
 
 import collections
 
-# Parts remembered. A replica keeps some hundred long ones; a large fleet's
-# instance sends 20 requests a second, so these are minutes.
+# Prefixes remembered. A replica caches some hundred long ones; an instance of a
+# large fleet sends 20 requests a second, so the limit covers minutes.
 MAX_PREFIXES = 4000
 
 
 class CachedPrefixes:
-    """The last replicas that read a key's shared parts."""
+    """The pairs of replica and affinity key with the latest prefills."""
 
     __slots__ = ("_known",)
 
@@ -18,12 +18,12 @@
         )
 
     def note(self, short_id: int, key: str) -> None:
-        """Takes in that a replica has read a key's shared parts."""
+        """Records that a replica has processed a key's prompt prefix."""
         self._known[short_id, key] = None
         self._known.move_to_end((short_id, key))
         if len(self._known) > MAX_PREFIXES:
             self._known.popitem(last=False)
 
     def holds(self, short_id: int, key: str) -> bool:
-        """Tells whether a replica is known to have read them."""
+        """Returns whether a replica is known to have processed it."""
         return (short_id, key) in self._known
--- a/src/nutmeghook/internal/replicas/choice.py
+++ b/src/nutmeghook/internal/replicas/choice.py
@@ -1,4 +1,4 @@
-"""Which replica a request goes to."""
+"""Chooses the replica that a request goes to."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,37 +15,37 @@
 from nutmeghook.internal.replicas import replica as replica_module
 from nutmeghook.internal.replicas import send_gate
 
-# Time constant with which a replica's own report gives way to the usual load of
-# its service. Dropped at once, it would leave this instance's own attempts
-# only, a small part of what runs there.
+# Time constant with which a replica's load report decays to the baseline load
+# of its service. Were an old report dropped, only this instance's own attempts
+# would count, a small part of the replica's load.
 REPORT_TIME_CONSTANT = datetime.timedelta(milliseconds=500)
-# Running requests that one waiting request counts as.
+# Number of running requests that one waiting request counts as.
 WAITING_WEIGHT = 5.0
-# Replicas that are compared for a request without a prompt, in the own data
-# centre and in the others. Comparing few spreads instances that know the same
-# reports, which are half a second old.
+# Replicas compared for a request without a prompt, in the own data centre and
+# in the others. Reports are half a second old and known to all instances, so
+# with many candidates all instances would pick the same replica.
 LOCAL_COMPARED = 2
 REMOTE_COMPARED = 1
-# Load per slot that is added for a replica in another data centre.
+# Load per slot added for a replica in another data centre.
 REMOTE_LOAD = 0.6
-# Load per slot that a failure rate of 1 stands for.
+# Load per slot added for a failure rate of 1.
 FAILURE_LOAD = 1.0
 
-# Replicas that are compared for a prompt: the first for its key of all, and of
-# the own data centre. All instances agree on the first of all, so each shared
-# part is read there once.
+# Replicas compared for a prompt: the first in its key's affinity order over all
+# data centres, and the first of the own data centre. All instances compute the
+# same owner, so that each prompt prefix is processed there once.
 OWNERS_COMPARED = 3
 LOCAL_OWNERS_COMPARED = 1
-# Probability that the first replica for a key keeps its shared parts.
+# Assumed probability that the owner of a key has its prompt prefix cached.
 OWNER_CACHE_PROBABILITY = 0.5
-# Part of the reading of large models that a small one's prompt waits for,
-# although it goes first: engines read in chunks, those of all in turn.
+# Share of the normal backlog that an urgent prompt waits for. It goes first,
+# but engines process prompts in chunks and take turns between them.
 NORMAL_WAIT_SHARE = 0.5
-# Part of a prompt's reading time that counts for each request that runs at its
-# replica, which generates nothing meanwhile.
+# Share of a prompt's prefill time added for each request that runs at the
+# replica, because the engine generates no tokens for them during prefill.
 BLOCKING_SHARE = 0.3
-# By how much sooner a replica of another data centre has to answer: the price
-# of the bytes between data centres, which no message tells.
+# By how much sooner a replica in another data centre has to answer. It stands
+# for the cost of traffic between data centres, which no message reports.
 REMOTE_DELAY = datetime.timedelta(milliseconds=100)
 
 _Predicate = Callable[[replica_module.Replica], bool]
@@ -53,13 +53,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Prompt:
-    """What an engine has to read for a request.
+    """The prompt of a request, as prefill time.
 
     Attributes:
-        shared: How long its parts that others share take, if none is kept.
-        own: How long the rest takes.
-        urgent: It is read before what is not.
-        target: An answer within this time has its full worth.
+        prefix: Prefill time of the prefix shared with other requests, if it is
+            not cached.
+        suffix: Prefill time of the rest.
+        urgent: Engines process it before prompts that are not urgent.
+        target: An answer within this time has its full utility.
     """
 
     prefix: datetime.timedelta
@@ -73,9 +74,9 @@
     """When a replica is expected to begin its answer.
 
     Attributes:
-        waiting: For what it reads before.
-        reading: Of the prompt itself, without what is kept.
-        kept: How likely the shared parts of the prompt are kept.
+        waiting: Time spent on the backlog before the prompt.
+        prefill: Prefill time of the prompt, less the expected cached part.
+        cached: Probability that the prompt prefix is cached.
     """
 
     replica: replica_module.Replica
@@ -89,7 +90,7 @@
     """Where a request goes.
 
     Attributes:
-        forecast: What speaks for it; None of a request that is no generation.
+        forecast: None for a request that is not a generation.
     """
 
     replica: replica_module.Replica
@@ -97,15 +98,15 @@
 
 
 class ReplicaCriteria:
-    """What a request asks of a replica.
+    """What a request requires of a replica.
 
     Attributes:
-        service: Its service.
-        accepts: Tells whether a version may run it.
-        key: Requests with the same one go to the same few replicas, where
-            the parts of the prompt that they share are kept.
+        service: Name of the service.
+        accepts: Returns whether the entry's version may run the request.
+        key: Affinity key. Requests with the same key go to the same few
+            replicas, which have their common prompt prefix cached.
         exclude: Ids of replicas that were tried.
-        prompt: What it has to read; None of a request that is no generation.
+        prompt: None for a request that is not a generation.
     """
 
     __slots__ = ("accepts", "exclude", "key", "prompt", "service")
@@ -126,7 +127,7 @@
         self.exclude = exclude
 
     def allows(self, replica: replica_module.Replica) -> bool:
-        """Tells whether a replica may run the request."""
+        """Returns whether a replica may run the request."""
         return (
             not replica.entry.leaving
             and replica.entry.replica_id not in self.exclude
@@ -135,7 +136,7 @@
 
 
 class ReplicaChooser:
-    """Chooses by load, distance, shared prompt parts and own evidence."""
+    """Chooses by load, locality, cached prefixes and failure rate."""
 
     __slots__ = (
         "_cached_prefixes",
@@ -162,9 +163,8 @@
     def choose(self, criteria: ReplicaCriteria) -> Choice | None:
         """Returns the best replica, or None if none may run the request.
 
-        Replicas that are left alone for their failures are used if there is
-        no other: a service that fails as a whole is better tried than given
-        up.
+        Ejected replicas are used if there is no other, so that requests to a
+        service whose replicas all fail are still tried.
         """
         if criteria.prompt is not None:
             forecast = self.forecast(criteria)
@@ -180,10 +180,10 @@
         return Choice(replica=replica) if replica else None
 
     def forecast(self, criteria: ReplicaCriteria) -> Forecast | None:
-        """Returns where a prompt's answer begins first, and when.
+        """Returns the forecast of the replica with the lowest cost.
 
-        What is kept counts as much as what waits: a large model reads a long
-        shared part for a second, which is as long as a usual queue.
+        Cached prefixes count as much as backlogs: the prefill of a long prefix
+        takes a large model a second, as long as a common queue.
         """
         candidates = self._candidates(criteria, self._prefix_owners)
         if not candidates:
@@ -196,7 +196,7 @@
         return min(forecasts, key=lambda found: self._cost(criteria, found))
 
     def note_prefilled(self, forecast: Forecast, key: str) -> None:
-        """Takes in that a replica has read a key's shared parts."""
+        """Records that a replica has processed a key's prompt prefix."""
         self._cached_prefixes.note(forecast.replica.short_id, key)
 
     def _candidates(
@@ -206,7 +206,7 @@
             [ReplicaCriteria, _Predicate], list[replica_module.Replica]
         ],
     ) -> list[replica_module.Replica]:
-        """Returns the replicas to choose from, sound ones if there are any."""
+        """Returns the replicas to choose from, preferably none ejected."""
         now = self._clock.monotonic()
 
         def may_take(replica: replica_module.Replica) -> bool:
@@ -226,10 +226,10 @@
     def _first_owner(
         self, criteria: ReplicaCriteria
     ) -> replica_module.Replica | None:
-        """Returns the replica that has a key's shared parts, if any has.
+        """Returns the owner of a key, which may have its prefix cached.
 
-        Replicas of versions that may not run the request keep none of its
-        parts, and are passed over.
+        Replicas of versions that may not run the request never processed its
+        prefix and are skipped.
         """
         owners = self._directory.global_affinity_order(
             criteria.service, criteria.key
@@ -247,7 +247,7 @@
     def _prefix_owners(
         self, criteria: ReplicaCriteria, accepts: _Predicate
     ) -> list[replica_module.Replica]:
-        """Returns the few replicas where a prompt's parts may be kept."""
+        """Returns the few replicas that may have a prompt's prefix cached."""
         owners = self._directory.global_affinity_order(
             criteria.service, criteria.key
         )
@@ -285,7 +285,7 @@
     def _cost(
         self, criteria: ReplicaCriteria, forecast: Forecast
     ) -> datetime.timedelta:
-        """Returns the time to a first event, and what speaks against it."""
+        """Returns the expected time to first token plus penalties."""
         now = self._clock.monotonic()
         replica = forecast.replica
         delay = forecast.waiting + forecast.prefill
@@ -298,7 +298,7 @@
     def _blocking_cost(
         self, forecast: Forecast, now: datetime.timedelta
     ) -> datetime.timedelta:
-        """Returns what a prompt's reading costs the requests that run there."""
+        """Returns what a prefill costs the requests running at the replica."""
         replica = forecast.replica
         running = self.load_per_slot(replica, now) * replica.entry.slots
         return BLOCKING_SHARE * running * forecast.prefill
@@ -306,7 +306,7 @@
     def load_per_slot(
         self, replica: replica_module.Replica, now: datetime.timedelta
     ) -> float:
-        """Returns the estimated load, 1 where all slots are taken."""
+        """Returns the estimated load; 1 if all slots are taken."""
         estimate = float(replica.in_flight)
         report = replica.report
         if report is not None:
@@ -322,7 +322,7 @@
     def _affinity_candidates(
         self, criteria: ReplicaCriteria, accepts: _Predicate
     ) -> list[replica_module.Replica]:
-        """Returns the few replicas that a request's key belongs to."""
+        """Returns the first few replicas in a request's affinity order."""
         local = self._directory.affinity_order(
             criteria.service, self._data_centre, criteria.key
         )
@@ -339,7 +339,7 @@
         return found
 
     def _remote_data_centres(self, criteria: ReplicaCriteria) -> list[str]:
-        """Returns the other data centres, in an order that the key decides."""
+        """Returns the other data centres, rotated by a hash of the key."""
         others = sorted(self._directory.data_centres(criteria.service))
         if self._data_centre in others:
             others.remove(self._data_centre)
--- a/src/nutmeghook/internal/replicas/cold_limits.py
+++ b/src/nutmeghook/internal/replicas/cold_limits.py
@@ -1,19 +1,19 @@
-"""How many requests a cold replica bears, and how instances share that."""
+"""Divides the request rate of a cold replica among instances."""
 
 import dataclasses
 import math
 
-# Instances that may send to one cold replica. With fewer, work reaches it from
-# few places; with more, each may send it less than one request a second.
+# Instances that may send to one cold replica. With fewer, it gets requests from
+# few instances; with more, each may send less than one request a second.
 SENDERS = 8
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ColdShare:
-    """How a cold replica's requests are shared.
+    """How the request rate of a cold replica is divided.
 
     Attributes:
-        senders: Instances that may send to it.
+        senders: Number of instances that may send to it.
         each_per_s: Requests that each of them may send in any second.
     """
 
@@ -24,16 +24,16 @@
 def cold_share(
     *, per_s: float, overrun: float, allowance: float
 ) -> ColdShare | None:
-    """Returns how a service's cold replicas are shared; None if unlimited.
+    """Returns the division for a service's cold replicas; None if unlimited.
 
-    Together the senders stay below what the replica bears, and below half of
-    the bound: for some seconds after members were lost or found, instances may
-    disagree on who the senders are.
+    Together the senders stay below the replica's rate, and below half of the
+    bound: for some seconds after a change of membership, instances may disagree
+    on who the senders are, so that there are two sets of them.
 
     Args:
-        per_s: Requests a second that a cold replica bears; 0 for any number.
-        overrun: The bound is so many times as high,
-        allowance: and so many requests higher.
+        per_s: Requests a second that a cold replica can handle; 0 for no limit.
+        overrun: The bound on requests in a second is `per_s` times this
+        allowance: plus this many requests.
     """
     if per_s <= 0:
         return None
--- a/src/nutmeghook/internal/replicas/cold_senders.py
+++ b/src/nutmeghook/internal/replicas/cold_senders.py
@@ -1,13 +1,13 @@
-"""Which instances may send to a cold replica.
+"""Elects the instances that may send to a cold replica.
 
-A cold replica bears few requests a second from all instances together, and
-nobody has the time to ask the others. So each instance works out by itself
-which few of them may send to it: those that come first by a hash of both ids.
-Whoever is not among them sends elsewhere, and each of them its part.
+A cold replica can handle few requests a second from all instances together,
+and there is no time to coordinate. So each instance computes by rendezvous
+hashing, from the ids of members and replica, which few of them may send to it.
+Each sender sends its share; the other instances send elsewhere.
 
-An instance that knows fewer members than there are takes itself for a sender
-too often. So a member counts for a minute after it was last heard of, dead or
-not, and a new instance sends nothing to cold replicas until it is known.
+An instance that knows too few members elects itself too often. So a member
+counts for a minute after its last contact, dead or not, and a new instance
+sends nothing to cold replicas until the others know it.
 """
 
 from collections.abc import Callable
@@ -19,18 +19,18 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 
-# At 420 instances a member is heard of about every 28 s.
+# With 420 instances, a member is heard from about every 28 s.
 MEMBER_RETENTION = datetime.timedelta(seconds=60)
-# After its registration an instance sends nothing to cold replicas for so long,
-# since others still take themselves for senders in its place. Of 77 instances
-# each hears of another one about every five seconds.
+# For so long after its registration an instance sends nothing to cold replicas,
+# since others that do not know it yet have elected themselves instead. With 77
+# instances, each hears from another one about every five seconds.
 SETTLING_TIME = datetime.timedelta(seconds=10)
-# Ranks are worked out again this often at most.
+# Elections are recomputed this often at most.
 _RANKING_LIFETIME = datetime.timedelta(seconds=1)
 
 
 class ColdSenders:
-    """Tells whether this instance is a sender of a cold replica."""
+    """Decides whether this instance is a sender of a cold replica."""
 
     __slots__ = (
         "_clock",
@@ -59,22 +59,23 @@
         others: Iterable[str],
         contacted_within: Callable[[datetime.timedelta], Iterable[str]],
     ) -> None:
-        """Takes in that this instance is registered.
+        """Records that this instance is registered.
 
         Args:
-            others: The instances that were registered before.
-            contacted_within: Returns those that were heard of within a time.
+            others: Ids of the instances that were registered before.
+            contacted_within: Returns the ids of instances whose last contact
+                is within a time.
         """
         self._registered = frozenset(others)
         self._registered_at = self._clock.monotonic()
         self._contacted_within = contacted_within
 
     def includes_this(self, replica_id: str, senders: int) -> bool:
-        """Tells whether this instance may send to a cold replica.
+        """Returns whether this instance may send to a cold replica.
 
         Args:
-            replica_id: The replica.
-            senders: How many instances may.
+            replica_id: Id of the replica.
+            senders: Number of instances that may.
         """
         if self._registered_at is None:
             return False
@@ -100,7 +101,7 @@
 def elect_senders(
     members: Iterable[str], replica_id: str, senders: int
 ) -> list[str]:
-    """Returns the members that come first for a replica."""
+    """Returns the members with the lowest hashes for a replica."""
     return heapq.nsmallest(
         senders,
         members,
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -1,4 +1,4 @@
-"""The replicas known here, and what this instance knows of each."""
+"""The directory of known replicas."""
 
 import collections
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 from nutmeghook.internal.routing import affinity
 from nutmeghook.internal.table_replication import shared_table
 
-# Entries lapse while the store is away and are back within two seconds of
-# its return. Until then, and some slack, a missing entry proves nothing.
+# Entries expire while the store is unreachable and are written again within two
+# seconds of its return. Until then, and 200 ms, a missing entry proves nothing.
 LAPSE_GRACE = datetime.timedelta(milliseconds=2200)
 
-# Ages are told in whole milliseconds and grow on the way, so a report that
-# comes back from a peer may look this much newer than it is.
+# Messages give ages in whole milliseconds and without the network delay, so a
+# report that comes back from a peer may look this much newer than it is.
 _AGE_ERROR = datetime.timedelta(milliseconds=20)
-# Replicas whose last start is remembered after they have gone: more than twice
-# the largest fleet. It takes 100 bytes for each.
+# Replicas whose last start is remembered, also after they are gone: more than
+# twice the largest fleet, at 100 bytes each.
 _MAX_STARTS = 10_000
 
 
@@ -34,11 +34,11 @@
 
 
 class ReplicaDirectory(shared_table.DeletionGrace):
-    """Replicas by service; entries come from the list, in any order.
+    """Replicas by service. Entries come from the list, in any order.
 
     Attributes:
         known: The list was read at least once.
-        peer_backlogs: What other instances have under way.
+        peer_backlogs: Backlogs that other instances have at replicas.
     """
 
     __slots__ = (
@@ -78,13 +78,13 @@
             collections.defaultdict(affinity.AffinityRing)
         )
         self._holders = address_holders.AddressHolders()
-        # Replicas that have something to read for this instance, by id.
+        # Replicas with a backlog of this instance, by id.
         self._with_backlog: dict[str, replica_module.Replica] = {}
-        # Replicas whose load is known, the last heard of at the end.
+        # Replicas with a load report, the latest at the end.
         self._reported: collections.OrderedDict[str, replica_module.Replica] = (
             collections.OrderedDict()
         )
-        # When replicas last started, by id; the last heard of at the end.
+        # When replicas last started, by id; the latest recorded at the end.
         self._last_starts_ms: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
@@ -95,26 +95,27 @@
         self.peer_backlogs = peer_backlogs_module.PeerBacklogs(clock=clock)
 
     def of_service(self, service: str) -> Iterable[replica_module.Replica]:
-        """Returns the replicas of a service, leaving ones too."""
+        """Returns the replicas of a service, including leaving ones."""
         self._drop_lapsed()
         return self._by_service.get(service, {}).values()
 
     def all(self) -> Iterable[replica_module.Replica]:
-        """Returns the replicas of all services, leaving ones too."""
+        """Returns the replicas of all services, including leaving ones."""
         return self._by_id.values()
 
     def data_centres(self, service: str) -> list[str]:
-        """Returns where a service's replicas run."""
+        """Returns the data centres of a service's replicas."""
         return list(self._rings.get(service, {}))
 
     def affinity_order(
         self, service: str, data_centre: str, key: str
     ) -> Iterator[replica_module.Replica]:
-        """Yields replicas of a data centre, those that a key belongs to first.
+        """Yields replicas of a data centre in the affinity order of a key.
 
-        All instances agree on the order without talking, and a replica that
-        goes gives only its own keys away. A few replicas cost the logarithm of
-        how many there are. The last ones in the order may be missing.
+        The order comes from consistent hashing: all instances compute the same
+        one, and when a replica goes, only its own keys move. Yielding a few
+        takes time logarithmic in the number of replicas. The last ones in the
+        order may be missing.
         """
         ring = self._rings.get(service, {}).get(data_centre)
         return self._walk(ring, service, key)
@@ -122,7 +123,7 @@
     def global_affinity_order(
         self, service: str, key: str
     ) -> Iterator[replica_module.Replica]:
-        """Yields replicas of all data centres, in an order like `in_order`."""
+        """Yields replicas of all data centres, like `affinity_order`."""
         return self._walk(self._global_rings.get(service), service, key)
 
     def _walk(
@@ -141,10 +142,10 @@
     def note_load(
         self, replica: replica_module.Replica, *, running: int, waiting: int
     ) -> None:
-        """Takes in what a replica has just said of its load.
+        """Records a load report that a replica has just sent.
 
-        An answer of a start that is over says nothing of the one that runs
-        under the same id now.
+        A report of a former start is ignored: it says nothing about the process
+        that runs under the same id now.
         """
         if self._by_id.get(replica.entry.replica_id) is not replica:
             return
@@ -158,7 +159,7 @@
     def note_peer_report(
         self, short_id: int, report: replica_module.LoadReport
     ) -> None:
-        """Takes in what a peer heard of a replica's load, if it is news."""
+        """Records a peer's load report if it is newer than the known one."""
         replica = self._by_short_id.get(short_id)
         if replica is None:
             return
@@ -183,7 +184,7 @@
     def note_cold(
         self, replica: replica_module.Replica, left: datetime.timedelta
     ) -> None:
-        """Takes in a replica's word that it stays cold for some time."""
+        """Records a replica's report that it stays cold for some time."""
         now = self._clock.monotonic()
         if not replica.is_cold(now):
             logs.note(
@@ -196,7 +197,7 @@
     def recently_reported(
         self, most: int, *, age: datetime.timedelta
     ) -> list[replica_module.Replica]:
-        """Returns the replicas whose load was learnt last."""
+        """Returns the replicas with the latest load reports."""
         oldest = self._clock.monotonic() - age
         found = itertools.islice(reversed(self._reported.values()), most)
         return [replica for replica in found if replica.report.at >= oldest]
@@ -204,14 +205,14 @@
     def begin_prefill(
         self, replica: replica_module.Replica, prefill: backlog_module.Prefill
     ) -> None:
-        """Takes in that an attempt waits for a replica to read its prompt."""
+        """Records that an attempt waits for the prefill of its prompt."""
         replica.own_backlog = replica.own_backlog.with_prefill(prefill)
         self._with_backlog[replica.entry.replica_id] = replica
 
     def end_prefill(
         self, replica: replica_module.Replica, prefill: backlog_module.Prefill
     ) -> None:
-        """Takes in its first event, or that it ended without one."""
+        """Records that the attempt got its first event or has ended."""
         replica.own_backlog = replica.own_backlog.without_prefill(prefill)
         replica_id = replica.entry.replica_id
         if (
@@ -221,19 +222,19 @@
             del self._with_backlog[replica_id]
 
     def with_own_backlog(self, most: int) -> list[replica_module.Replica]:
-        """Returns replicas that have something to read for this instance."""
+        """Returns replicas with a backlog of this instance."""
         return list(itertools.islice(self._with_backlog.values(), most))
 
     def backlog(
         self, replica: replica_module.Replica
     ) -> backlog_module.Backlog:
-        """Returns what a replica has still to read for all instances."""
+        """Returns a replica's backlog from all instances."""
         return replica.own_backlog + self.peer_backlogs.of_replica(
             replica.short_id
         )
 
     def baseline_load(self, service: str) -> replica_module.BaselineLoad:
-        """Returns what replicas of a service have reported lately."""
+        """Returns the average of a service's recent load reports."""
         return self._baseline_load.get(service, _NO_LOAD)
 
     def remaining(self) -> datetime.timedelta:
@@ -246,7 +247,7 @@
         self._deletions_held_until = max(self._deletions_held_until, until)
 
     def replace(self, listed: Iterable[entries.ReplicaEntry]) -> None:
-        """Takes in the whole list."""
+        """Replaces all entries by a complete list."""
         self.known = True
         fresh = {entry.replica_id: entry for entry in listed}
         for replica_id in [i for i in self._by_id if i not in fresh]:
@@ -257,10 +258,10 @@
     def put(self, entry: entries.ReplicaEntry) -> None:
         """Adds or updates a replica.
 
-        An entry of another start under the same id takes the place of all that
-        was known, load, health and connections included; one of an older start
-        is dropped. So is one whose address another replica has taken since:
-        what is sent there would be refused, and draw on the retry budget.
+        An entry of a newer start under the same id discards all state of the
+        former one, including load, health and connections. An entry of an older
+        start is dropped. So is one whose address a newer replica holds: the
+        process there would refuse the requests, which uses up retry budget.
         """
         last_ms = self._last_starts_ms.get(entry.replica_id, 0)
         if entry.started_ms < last_ms:
@@ -291,19 +292,19 @@
             self.note_cold(known, datetime.timedelta(seconds=entry.cold_left_s))
 
     def reject(self, replica_id: str) -> None:
-        """Drops a replica whose entry can't be made sense of.
+        """Drops a replica whose entry is invalid.
 
-        Nothing says that such a row still means the replica that wrote it
-        first. A replica that lives writes its own again within seconds.
+        Such a row may no longer be of the replica that first wrote it. A live
+        replica writes its row again within seconds.
         """
         if replica_id in self._by_id:
             self._forget(replica_id)
 
     def _note_outdated(self, entry: entries.ReplicaEntry, last_ms: int) -> None:
-        """Takes in an entry that is older than what its replica last said.
+        """Handles an entry that is older than the replica's last known start.
 
-        Whoever told its start once tells it always, so an entry without one
-        comes from another writer.
+        A replica that has stated its start always states it, so an entry
+        without one was written by something else.
         """
         logs.note(
             "replica:outdated_entry",
@@ -347,10 +348,9 @@
             self._last_starts_ms.popitem(last=False)
 
     def remove(self, replica_id: str) -> None:
-        """Takes a replica out, or waits for it while entries may lapse.
+        """Removes a replica, at once or when deletions are no longer held.
 
-        Entries lapse during an outage of the store although their replicas
-        live.
+        During an outage of the store, entries of live replicas expire.
         """
         if replica_id not in self._by_id:
             return
--- a/src/nutmeghook/internal/replicas/entries.py
+++ b/src/nutmeghook/internal/replicas/entries.py
@@ -1,4 +1,4 @@
-"""What the replica list says of a replica."""
+"""Entries of the replica list."""
 
 import dataclasses
 
@@ -8,12 +8,12 @@
     """One start of a replica.
 
     Attributes:
-        slots: Requests that it works on at once.
-        leaving: It asked for no more work.
-        cold_left_s: How much longer it is slow after its start.
-        started_ms: Unix time of its start, which tells starts under one id
-            apart; 0 if it does not tell.
-        row_version: Grows with each word of any replica; 0 if not known.
+        slots: Number of requests that it runs concurrently.
+        leaving: It is draining and takes no new requests.
+        cold_left_s: How much longer it is cold after its start.
+        started_ms: Unix time of its start, which distinguishes starts under one
+            id; 0 if the entry does not state it.
+        row_version: Grows with each write by any replica; 0 if not known.
     """
 
     replica_id: str
@@ -28,10 +28,10 @@
     row_version: int = 0
 
     def is_same_start(self, other: "ReplicaEntry") -> bool:
-        """Tells whether another entry is of the same start of the replica.
+        """Returns whether another entry is of the same start of the replica.
 
-        A process keeps its service, place and version for as long as it runs,
-        so an entry that differs in one of them is of another one.
+        A process keeps its service, address, data centre and version for as
+        long as it runs, so an entry that differs in one is of another process.
         """
         return (
             self.replica_id == other.replica_id
--- a/src/nutmeghook/internal/replicas/evacuations.py
+++ b/src/nutmeghook/internal/replicas/evacuations.py
@@ -1,4 +1,4 @@
-"""Data centres that the operator is emptying."""
+"""Data centres that the operator is evacuating."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -7,10 +7,10 @@
 
 
 class EvacuationRegistry:
-    """The evacuations in force, as far as they were heard of.
+    """The evacuations in force, as far as known here.
 
     Args:
-        on_restored: Called with a data centre whose evacuation ended here.
+        on_restored: Called with a data centre when its evacuation has ended.
     """
 
     __slots__ = ("_evacuated", "_on_restored")
@@ -22,14 +22,14 @@
         self._evacuated: set[str] = set()
 
     def evacuate(self, data_centre: str) -> None:
-        """Takes in that nothing more is to be sent to a data centre."""
+        """Records that no requests may be sent to a data centre."""
         if data_centre in self._evacuated:
             return
         self._evacuated.add(data_centre)
         logs.note("data_centre:evacuated", data_centre=data_centre)
 
     def restore(self, data_centre: str) -> None:
-        """Takes in that a data centre is in use again."""
+        """Records that a data centre is in use again."""
         if data_centre not in self._evacuated:
             return
         self._evacuated.remove(data_centre)
@@ -37,7 +37,7 @@
         self._on_restored(data_centre)
 
     def replace(self, evacuated: Iterable[str]) -> None:
-        """Takes in all evacuations; those that are not named have ended."""
+        """Records the complete set of evacuations; others have ended."""
         named = set(evacuated)
         for data_centre in self._evacuated - named:
             self.restore(data_centre)
@@ -45,7 +45,7 @@
             self.evacuate(data_centre)
 
     def is_evacuated(self, data_centre: str) -> bool:
-        """Tells whether nothing may be sent to a data centre's replicas."""
+        """Returns whether no requests may be sent to a data centre."""
         return data_centre in self._evacuated
 
     def all(self) -> frozenset[str]:
--- a/src/nutmeghook/internal/replicas/health.py
+++ b/src/nutmeghook/internal/replicas/health.py
@@ -1,26 +1,27 @@
-"""What this instance's own attempts tell of a replica's health."""
+"""Outlier detection: a replica's health by this instance's own attempts."""
 
 import datetime
 import math
 
-# What a replica did this long ago counts for a third. A replica that is chosen
-# less for its failures makes fewer attempts to show that it is well again: by
-# attempts alone its record would never fade, and the others are swamped.
+# Time constant with which the failure rate decays; after it, a third is left. A
+# replica that is chosen less for its failures gets fewer attempts: without the
+# decay its rate would stay high, and the other replicas would be overloaded.
 FAILURE_TIME_CONSTANT = datetime.timedelta(seconds=3)
 FIRST_EJECTION = datetime.timedelta(seconds=1)
 MAX_EJECTION = datetime.timedelta(seconds=8)
-# Failures in a row after which a replica is left alone for a while. One alone
-# is common where a service fails some requests by its nature.
+# Consecutive failures after which a replica is ejected. A single one is common,
+# as some services fail a share of their requests in normal operation.
 CONSECUTIVE_FAILURES = 3
-# Of one attempt in the failure rate.
+# Weight of one attempt in the moving average of failures.
 _RATE_WEIGHT = 0.12
 
 
 class ReplicaHealth:
-    """Counts failures, and leaves a failing replica alone for a while.
+    """Counts failures and ejects a failing replica for a while.
 
     Attributes:
-        ejected_until: Not chosen before this monotonic time if another can be.
+        ejected_until: Monotonic time before which the replica is chosen only if
+            there is no other.
     """
 
     __slots__ = (
@@ -39,17 +40,17 @@
         self.ejected_until = datetime.timedelta()
 
     def is_ejected(self, now: datetime.timedelta) -> bool:
-        """Tells whether it is being left alone."""
+        """Returns whether the replica is ejected."""
         return now < self.ejected_until
 
     def note_success(self, now: datetime.timedelta) -> None:
-        """Takes in an answer."""
+        """Records a successful attempt."""
         self._count(0.0, now)
         self._consecutive_failures = 0
         self._ejections = 0
 
     def note_failure(self, now: datetime.timedelta) -> bool:
-        """Takes in a failed attempt; returns whether it ejects."""
+        """Records a failed attempt; returns whether it ejects the replica."""
         self._count(1.0, now)
         self._consecutive_failures += 1
         if self._consecutive_failures >= CONSECUTIVE_FAILURES:
@@ -58,10 +59,10 @@
         return False
 
     def note_unreachable(self, now: datetime.timedelta) -> None:
-        """Takes in a connection that was not accepted.
+        """Records a failed connection attempt.
 
-        It is left alone at once: the next try would cost a caller the whole
-        connection timeout.
+        The replica is ejected at once: the next attempt would cost a caller the
+        whole connection timeout.
         """
         self._consecutive_failures += 1
         self._eject(now)
--- a/src/nutmeghook/internal/replicas/load_gossip.py
+++ b/src/nutmeghook/internal/replicas/load_gossip.py
@@ -1,12 +1,12 @@
-"""Tells near instances what replicas said of their load.
+"""Gossips load reports of replicas among the instances of a data centre.
 
-A replica's own count of its requests comes with its answers only, and an
-instance of a large fleet hears each replica seldom. Together the instances hear
-every replica many times a second. So each tells a few others the counts that it
-learnt last, from replicas and from peers.
+A replica reports its load with its answers only, and one instance of a large
+fleet gets an answer from each replica seldom. Together the instances get many
+from every replica in a second. So each sends a few others the latest reports
+that it has, from replicas and from peers.
 
-Only instances of one data centre tell each other: they send to the same
-replicas, and bytes between data centres are dear.
+The gossip stays within a data centre: its instances send to the same replicas,
+and traffic between data centres is expensive.
 """
 
 from collections.abc import Callable
@@ -17,18 +17,18 @@
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import replica as replica_module
 
-# A count passes through a data centre in three such steps, within the time in
-# which a replica's queue changes.
+# A report reaches a whole data centre in three rounds, before the replica's
+# queue has changed much.
 GOSSIP_PERIOD = datetime.timedelta(milliseconds=250)
 FANOUT = 3
 MAX_REPORTS = 16
-# Older counts say nothing of a replica's load now.
+# Older reports say nothing about the current load.
 MAX_REPORT_AGE = datetime.timedelta(seconds=2)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 class ReplicaLoadGossip(gossip_senders.MessageGossipSender):
-    """Sends and takes in counts of replicas' requests."""
+    """Sends and receives load reports of replicas."""
 
     __slots__ = (
         "_directory",
@@ -51,7 +51,7 @@
         self._local_addresses = local_addresses
 
     def send_update(self) -> None:
-        """Tells a few peers the counts that were learnt last."""
+        """Sends the latest load reports to a few peers."""
         local = self._local_addresses()
         reported = self._directory.recently_reported(
             MAX_REPORTS, age=MAX_REPORT_AGE
--- a/src/nutmeghook/internal/replicas/peer_backlogs.py
+++ b/src/nutmeghook/internal/replicas/peer_backlogs.py
@@ -1,4 +1,4 @@
-"""What other instances have under way at replicas, as they last told."""
+"""Backlogs that peers have at replicas, as they last reported."""
 
 import collections
 import dataclasses
@@ -7,9 +7,8 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.replicas import backlog as backlog_module
 
-# An instance that has something under way tells it five times a second to
-# eight peers. What it told this long ago has been read since, or the instance
-# has gone.
+# An instance with a backlog reports it five times a second to eight peers. A
+# report this old has been processed since, or its sender has gone.
 BACKLOG_MAX_AGE = datetime.timedelta(seconds=1)
 _NONE = backlog_module.Backlog()
 
@@ -21,17 +20,17 @@
 
 
 class PeerBacklogs:
-    """Sums up what peers told of each replica, by the replicas' short ids.
+    """Sums up the reported backlogs of each replica, by its short id.
 
-    Sums are kept as words come, so that asking costs the same whatever the
-    number of peers.
+    Sums are updated with each report, so that a look-up's cost does not depend
+    on the number of peers.
     """
 
     __slots__ = ("_by_peer", "_clock", "_totals")
 
     def __init__(self, *, clock: clock_module.Clock):
         self._clock = clock
-        # The last heard of at the end.
+        # The latest report at the end.
         self._by_peer: collections.OrderedDict[str, _PeerReport] = (
             collections.OrderedDict()
         )
@@ -40,9 +39,9 @@
     def update(
         self, peer_id: str, by_replica: dict[int, backlog_module.Backlog]
     ) -> None:
-        """Takes in all that a peer has under way; it told no more than this."""
+        """Replaces a peer's report by a new one, which is its whole state."""
         self._drop(peer_id)
-        # Less than half a millisecond is told as nothing.
+        # Less than half a millisecond is rounded to zero in messages.
         by_replica = {
             i: backlog for i, backlog in by_replica.items() if backlog
         }
@@ -55,7 +54,7 @@
             self._totals[short_id] = self._totals.get(short_id, _NONE) + backlog
 
     def of_replica(self, short_id: int) -> backlog_module.Backlog:
-        """Returns the sum for a replica."""
+        """Returns a replica's backlog from all peers."""
         self._drop_old()
         return self._totals.get(short_id, _NONE)
 
--- a/src/nutmeghook/internal/replicas/replica.py
+++ b/src/nutmeghook/internal/replicas/replica.py
@@ -1,4 +1,4 @@
-"""One replica, and what it said and shows of its load."""
+"""A replica, its reported load and its observed health."""
 
 import dataclasses
 import datetime
@@ -10,18 +10,19 @@
 from nutmeghook.internal.replicas import health as health_module
 from nutmeghook.internal.replicas import send_window
 
-# Of each report in the usual load of its service: some ten reports, a second
-# or two of an instance's traffic.
+# Weight of one report in the moving average of its service's load: some ten
+# reports count, a second or two of an instance's traffic.
 _BASELINE_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class LoadReport:
-    """A replica's own count of its requests, those of others included.
+    """A replica's own count of its requests from all instances.
 
     Attributes:
-        waiting: Requests that have not begun to run.
-        at: Monotonic time at which the replica told it.
+        running: Requests that it runs.
+        waiting: Requests in its queue.
+        at: Monotonic time at which the replica reported it.
     """
 
     running: int
@@ -31,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class BaselineLoad:
-    """What a service's replicas have reported lately, on average."""
+    """Moving average of the load reports of a service's replicas."""
 
     running: float = 0.0
     waiting: float = 0.0
@@ -50,16 +51,16 @@
     """One start of a replica.
 
     Attributes:
-        entry: What the list says of it.
-        in_flight: Attempts of this instance that it works on.
-        health: What this instance's attempts tell of it.
-        own_backlog: The reading that this instance's attempts wait for.
-        report: What it last said of its load; None if nothing yet.
-        in_flight_at_report: `in_flight` when that was heard.
-        sends: What was sent to it lately from here.
-        short_id: Names this start in a few bytes. Of 4,400 replicas two share
-            one once in 200 starts of the fleet; then one is told the other's
-            load.
+        entry: Its entry in the list.
+        in_flight: Attempts of this instance that are under way there.
+        health: Health by this instance's attempts.
+        own_backlog: Prefill time that this instance's attempts wait for.
+        report: Its last load report; None if there was none yet.
+        in_flight_at_report: `in_flight` when the report was received.
+        sends: Recent and reserved sends of this instance to it.
+        short_id: 31-bit hash that identifies this start in messages. Among
+            4,400 replicas two collide once in 200 starts of the fleet; then one
+            gets the other's load reports.
     """
 
     __slots__ = (
@@ -92,14 +93,14 @@
         self.short_id = xxhash.xxh32_intdigest(start.encode()) >> 1
 
     def is_cold(self, now: datetime.timedelta) -> bool:
-        """Tells whether it bears few requests only, as far as it said."""
+        """Returns whether it is cold by its own reports."""
         return now < self._cold_until
 
     def note_cold(self, until: datetime.timedelta) -> None:
-        """Takes in that it is cold; a word that came late shortens nothing."""
+        """Records that it is cold; a late report never shortens the time."""
         self._cold_until = max(self._cold_until, until)
 
     def note_load(self, report: LoadReport) -> None:
-        """Takes in what it says of its load."""
+        """Records a load report."""
         self.report = report
         self.in_flight_at_report = self.in_flight
--- a/src/nutmeghook/internal/replicas/send_gate.py
+++ b/src/nutmeghook/internal/replicas/send_gate.py
@@ -1,7 +1,7 @@
-"""Which replicas this instance may send to at all, asked twice.
+"""Decides which replicas this instance may send to.
 
-Once when a replica is chosen, and again as the request is written: between
-the two a connection may be made, and what is known may change.
+The gate is checked when a replica is chosen and again before the request is
+written, since the decision may change while a connection is being opened.
 """
 
 import abc
@@ -18,19 +18,19 @@
 
 
 class SendGate(abc.ABC):
-    """Tells which replicas may be sent to."""
+    """Decides which replicas may be sent to."""
 
     __slots__ = ()
 
     @abc.abstractmethod
     def is_open(self, replica: replica_module.Replica) -> bool:
-        """Tells whether one more request may go to a replica."""
+        """Returns whether one more request may be sent to a replica."""
 
     @abc.abstractmethod
     def reserve(
         self, replica: replica_module.Replica
     ) -> send_window.SendSlot | None:
-        """Takes a place at a replica; None where places are not counted."""
+        """Reserves a slot at a replica; None if slots are not counted."""
 
     @abc.abstractmethod
     def may_write(
@@ -38,38 +38,38 @@
         replica: replica_module.Replica,
         slot: send_window.SendSlot | None,
     ) -> bool:
-        """Tells whether a request may be written now, and notes that it is."""
+        """Returns whether a request may be written now; then it counts."""
 
 
 class OpenGate(SendGate):
-    """Lets everything through; for emulations and tests."""
+    """Admits every request; for emulations and tests."""
 
     __slots__ = ()
 
     def is_open(self, replica: replica_module.Replica) -> bool:
-        """Lets it through."""
+        """Admits every request."""
         return True
 
     def reserve(self, replica: replica_module.Replica) -> None:
-        """Counts nothing."""
+        """Counts no requests."""
 
     def may_write(
         self,
         replica: replica_module.Replica,
         slot: send_window.SendSlot | None,
     ) -> bool:
-        """Lets it through."""
+        """Admits every request."""
         return True
 
 
 class LimitingGate(SendGate):
-    """Keeps requests from evacuated and from overloaded cold replicas.
+    """Keeps requests away from evacuated and overloaded cold replicas.
 
     Args:
-        evacuations: The data centres that are being emptied.
-        senders: Tells whether this instance may send to a cold replica.
+        evacuations: The data centres under evacuation.
+        senders: Decides whether this instance may send to a cold replica.
         service: Returns a service by its name; None if it is not known.
-        share: Returns how a service's cold replicas are shared.
+        share: Returns how the rate of a service's cold replicas is divided.
         clock: Measures time.
     """
 
@@ -91,16 +91,16 @@
         self._clock = clock
 
     def is_open(self, replica: replica_module.Replica) -> bool:
-        """Tells whether one more request may go to a replica."""
+        """Returns whether one more request may be sent to a replica."""
         return self._admits(replica, own_slots=0)
 
     def reserve(
         self, replica: replica_module.Replica
     ) -> send_window.SendSlot | None:
-        """Takes a place at a replica; None where places are not counted.
+        """Reserves a slot at a replica; None if slots are not counted.
 
-        Warm replicas' places count too: one may turn cold at any moment, and
-        what it got in the second before counts with what follows.
+        Slots at warm replicas count too: a replica may turn cold at any moment,
+        and what it got in the second before counts towards its limit.
         """
         if self._share_at(replica) is None:
             return None
@@ -111,24 +111,24 @@
         replica: replica_module.Replica,
         slot: send_window.SendSlot | None,
     ) -> bool:
-        """Tells whether a request may be written now, and notes that it is."""
+        """Returns whether a request may be written now; then it counts."""
         own_slots = 0 if slot is None else 1
         if not self._admits(replica, own_slots=own_slots):
             return False
         now = self._clock.monotonic()
         if slot is None or slot.try_use(now):
             return True
-        # A busy process was late for its place, which only a cold one's request
-        # depends on.
+        # The slot expired because this process was busy. Only a cold replica
+        # needs a valid one.
         if replica.is_cold(now):
             return False
         return replica.sends.reserve(now).try_use(now)
 
     def note_restored(self, replicas: Iterable[replica_module.Replica]) -> None:
-        """Takes in that replicas are in use again after an evacuation.
+        """Treats replicas as cold when their evacuation has ended.
 
-        They may have turned cold shortly before, and their word of it comes
-        with their next heartbeat.
+        They may have turned cold shortly before, which they report with their
+        next heartbeat.
         """
         now = self._clock.monotonic()
         for replica in replicas:
--- a/src/nutmeghook/internal/replicas/send_window.py
+++ b/src/nutmeghook/internal/replicas/send_window.py
@@ -1,24 +1,25 @@
-"""Counts what this instance sends to one replica, in any second.
+"""Limits what this instance sends to one replica within any second.
 
-A request is written up to a connection's time-out after its replica was
-chosen, and what reaches the replica depends on when it was written. So each
-request takes a place when its replica is chosen, and the place counts as if it
-could still be written until it is.
+A request is written up to a connection timeout after its replica was chosen,
+and the replica's load depends on when it is written. So each request reserves a
+slot when its replica is chosen, and until it is written the slot counts as if
+it were written at the latest possible time.
 """
 
 import datetime
 
-# The second of the bound, and what the way to the replica may vary by.
+# The second of the limit, and 100 ms for varying network delay.
 _WINDOW = datetime.timedelta(milliseconds=1100)
-# Longer than a connection takes at most.
+# Longer than the connection timeout.
 _SLOT_LIFETIME = datetime.timedelta(seconds=1)
 
 
 class SendSlot:
-    """Leave to write one request.
+    """Permission to write one request.
 
     Attributes:
-        written_by: When it was written, or the latest time it may be.
+        written_by: Monotonic time at which the request was written, or may be
+            at the latest.
     """
 
     __slots__ = ("written_by",)
@@ -27,7 +28,7 @@
         self.written_by = written_by
 
     def try_use(self, now: datetime.timedelta) -> bool:
-        """Takes in that it is written now; False if it is too late for it."""
+        """Records that the request is written now; False if it is too late."""
         if now > self.written_by:
             return False
         self.written_by = now
@@ -35,7 +36,7 @@
 
 
 class SendWindow:
-    """The places taken at one replica that may fall into one second."""
+    """The slots at one replica that may fall into the same second."""
 
     __slots__ = ("_slots",)
 
@@ -43,13 +44,13 @@
         self._slots: list[SendSlot] = []
 
     def count(self, now: datetime.timedelta) -> int:
-        """Returns how many places count now."""
+        """Returns how many slots count now."""
         oldest = now - _WINDOW
         self._slots = [p for p in self._slots if p.written_by > oldest]
         return len(self._slots)
 
     def reserve(self, now: datetime.timedelta) -> SendSlot:
-        """Takes a place."""
+        """Reserves a slot."""
         self.count(now)
         slot = SendSlot(written_by=now + _SLOT_LIFETIME)
         self._slots.append(slot)
