--- a/tests/cover/test_backlogs.py
+++ b/tests/cover/test_backlogs.py
@@ -1,4 +1,4 @@
-"""Prompts that replicas have still to read, told among instances."""
+"""Backlogs of replicas, gossiped among instances."""
 
 import datetime
 import random
@@ -42,7 +42,7 @@
 
 
 def criteria(key: str = "part", **changes) -> choice.ReplicaCriteria:
-    """Returns the need of a prompt with a shared part of 1 s."""
+    """Returns the criteria of a prompt with a prefix of 1 s."""
     prompt = {
         "prefix": SECOND,
         "suffix": 300 * MS,
@@ -86,14 +86,14 @@
         )
 
     def send(self, wanted: choice.ReplicaCriteria):
-        """Sends a prompt; returns the replica and what it has to read."""
+        """Sends a prompt; returns the replica and the prefill."""
         forecast = self.chooser.forecast(wanted)
         prefill = backlog.Prefill(time=forecast.prefill, urgent=False)
         self.directory.begin_prefill(forecast.replica, prefill)
         return forecast.replica, prefill
 
     def waiting(self, replica_id: str) -> datetime.timedelta:
-        """Returns what is known to be read at a replica."""
+        """Returns the known backlog of a replica."""
         (replica,) = (
             known
             for known in self.directory.of_service(SERVICE)
@@ -117,13 +117,13 @@
         )
 
     def advance(self, duration: datetime.timedelta) -> None:
-        """Moves the clock on."""
+        """Advances the clock."""
         self.clock._elapsed += duration
 
-    def test_a_prompt_avoids_the_replica_that_a_peer_has_just_filled(self):
-        """Two instances get prompts with the same shared part at once.
-        Knowing only its own, the second sends its prompt behind two seconds
-        of reading at the part's own replica, while others are idle.
+    def test_a_prompt_avoids_a_replica_with_a_peer_s_new_backlog(self):
+        """Two instances get prompts with the same prefix at once.
+        Without gossip, the second would queue its prompt behind two seconds of
+        prefill at the owner of the prefix, although other replicas are idle.
         """
         first, _ = self.one.send(criteria(suffix=2 * SECOND))
         unaware = self.two.chooser.forecast(criteria()).replica
@@ -132,9 +132,9 @@
         aware = self.two.chooser.forecast(criteria()).replica
         self.assertNotEqual(aware.entry.replica_id, first.entry.replica_id)
 
-    def test_a_short_wait_is_worth_the_parts_that_are_kept(self):
-        """The replica that has read a long shared part has a little to do.
-        Another one would read the part for a second, so it is waited for.
+    def test_a_short_backlog_is_accepted_for_a_cached_prefix(self):
+        """The replica with a long prefix cached has a short backlog. Another
+        one would need a second for the prefix, so the owner is chosen.
         """
         owner = self.one.chooser.forecast(criteria())
         self.one.chooser.note_prefilled(owner, "part")
@@ -144,7 +144,7 @@
         self.assertIs(chosen.replica, owner.replica)
         self.assertEqual(chosen.cached, 1.0)
 
-    def test_what_was_read_no_longer_counts(self):
+    def test_a_finished_prefill_no_longer_counts(self):
         replica, prefill = self.one.send(criteria())
         self.one.gossip.send_update()
         self.assertEqual(
@@ -154,9 +154,9 @@
         self.one.gossip.send_update()
         self.assertEqual(self.two.waiting(replica.entry.replica_id), 0 * MS)
 
-    def test_a_lost_message_counts_only_until_it_is_old(self):
-        """An instance dies, or its last word is lost.
-        What it told is not taken for work that goes on for ever.
+    def test_a_backlog_whose_end_was_lost_expires(self):
+        """An instance dies, or its last message is lost. The backlog that it
+        reported before must not count for ever.
         """
         replica, prefill = self.one.send(criteria())
         self.one.gossip.send_update()
@@ -181,12 +181,12 @@
         )
     )
     @example([("one", {0: 0}, 0), ("two", {0: 0}, 0)] * 2)
-    def test_sums_are_those_of_what_each_peer_told_last(self, told):
-        """Peers tell in any order and fall silent for any time."""
+    def test_sums_are_those_of_each_peer_s_last_report(self, reports):
+        """Peers report in any order and with any pauses."""
         clock = clock_module.FakeClock()
         known = peer_backlogs.PeerBacklogs(clock=clock)
         last = {}
-        for peer, backlogs_ms, pause_ms in told:
+        for peer, backlogs_ms, pause_ms in reports:
             clock._elapsed += pause_ms * MS
             last[peer] = (clock.monotonic(), backlogs_ms)
             known.update(
@@ -207,20 +207,20 @@
                     known.of_replica(replica).normal, expected_ms * MS
                 )
 
-    def test_nothing_is_told_while_there_is_nothing_to_tell(self):
-        heard = []
-        self.receivers["two"] = heard.append
+    def test_nothing_is_sent_without_a_backlog(self):
+        received = []
+        self.receivers["two"] = received.append
         self.one.gossip.send_update()
-        self.assertEqual(heard, [])
+        self.assertEqual(received, [])
         replica, prefill = self.one.send(criteria())
         self.one.gossip.send_update()
         self.one.directory.end_prefill(replica, prefill)
         for _ in range(3):
             self.one.gossip.send_update()
-        self.assertEqual(len(heard), 2)
+        self.assertEqual(len(received), 2)
 
-    def test_a_replica_that_started_again_has_nothing_to_read(self):
-        """A replica crashes with a backlog and starts under its old id."""
+    def test_a_restarted_replica_has_no_backlog(self):
+        """A replica crashes with a backlog and restarts under the same id."""
         replica, prefill = self.one.send(criteria())
         self.one.gossip.send_update()
         replica_id = replica.entry.replica_id
@@ -231,9 +231,9 @@
         self.one.directory.end_prefill(replica, prefill)
         self.assertEqual(self.one.directory.with_own_backlog(10), [])
 
-    def test_urgent_prompts_wait_for_less_of_what_is_not(self):
-        """The largest model's prompts are read in pieces, and the smallest
-        model's in between. They wait for some of it, not for all.
+    def test_urgent_prompts_wait_for_part_of_the_normal_backlog(self):
+        """The largest model's prompts are processed in chunks and the smallest
+        model's in between, so these wait for a share of the normal backlog.
         """
         replica, prefill = self.one.send(criteria())
         key = "part"
--- a/tests/cover/test_cold_replicas.py
+++ b/tests/cover/test_cold_replicas.py
@@ -1,4 +1,4 @@
-"""How much cold replicas get, from all instances together."""
+"""The request rate of cold replicas from all instances together."""
 
 import collections
 import datetime
@@ -37,7 +37,7 @@
 
 
 def worst_second(moments: list[datetime.timedelta]) -> int:
-    """Returns the most moments that lie within one second."""
+    """Returns the largest number of moments within one second."""
     moments = sorted(moments)
     worst = first = 0
     for last, moment in enumerate(moments):
@@ -56,7 +56,7 @@
     def test_two_sets_of_senders_stay_within_the_bound(
         self, per_s, overrun, allowance
     ):
-        """Some instances know others than the rest, so there are two sets."""
+        """Instances disagree on the membership, so two sets of senders send."""
         share = cold_limits.cold_share(
             per_s=per_s, overrun=overrun, allowance=allowance
         )
@@ -64,7 +64,7 @@
         self.assertLessEqual(together, max(1.0, per_s))
         self.assertLessEqual(2 * together, per_s * overrun + allowance)
 
-    def test_a_service_that_names_no_rate_is_not_limited(self):
+    def test_a_service_without_a_cold_rate_is_not_limited(self):
         self.assertIsNone(
             cold_limits.cold_share(per_s=0.0, overrun=1.5, allowance=5.0)
         )
@@ -81,9 +81,10 @@
         ),
         strategies.integers(1, 4),
     )
-    def test_no_second_holds_more_than_was_allowed(self, steps, most):
-        """Requests wait for connections, and are written together later.
-        Counted when they are chosen, a second could hold twice as many.
+    def test_no_second_has_more_requests_than_the_limit(self, steps, most):
+        """Requests wait for connections and are written together later. If
+        they counted at the time of the choice only, a second could get twice
+        the limit.
         """
         window = send_window.SendWindow()
         now = 10 * SECOND
@@ -99,7 +100,7 @@
                 waiting.popleft()
         self.assertLessEqual(worst_second(written), most)
 
-    def test_a_place_that_is_never_used_is_free_again(self):
+    def test_an_unused_slot_is_released(self):
         window = send_window.SendWindow()
         window.reserve(SECOND)
         self.assertEqual(window.count(2 * SECOND), 1)
@@ -107,7 +108,7 @@
 
 
 class Fleet:
-    """Instances that know each other, or not, and one cold replica."""
+    """Instances with their contacts, and cold replicas."""
 
     def __init__(self, *, instances: int, seed: int):
         self.draw = random.Random(seed)
@@ -119,13 +120,13 @@
             self.join(name, [other for other in self.names if other != name])
 
     def join(self, name: str, others: list[str]) -> None:
-        """Has an instance register, with those that it finds."""
+        """Registers an instance, with the instances that it finds."""
         senders = cold_senders.ColdSenders(instance_id=name, clock=self.clock)
         senders.register(others, lambda span: self.contacts_of(name, span))
         self.senders[name] = senders
 
     def contacts_of(self, name: str, span: datetime.timedelta) -> list[str]:
-        """Returns whom an instance heard of lately."""
+        """Returns the instances with a recent contact to an instance."""
         return [
             other
             for other in self.senders
@@ -133,7 +134,7 @@
         ]
 
     def permitted_per_s(self, replica_id: str) -> int:
-        """Returns what the replica gets if all send all that they may."""
+        """Returns the replica's rate if every sender sends its share."""
         return SHARE.each_per_s * sum(
             senders.includes_this(replica_id, SHARE.senders)
             for senders in self.senders.values()
@@ -150,7 +151,7 @@
     def replica_ids(self, count: int = 40) -> list[str]:
         return [f"i-{number}" for number in range(count)]
 
-    async def test_all_that_agree_send_most_of_what_it_bears(self):
+    async def test_senders_use_most_of_the_rate_with_equal_membership(self):
         for instances in (9, 77, 195, 420):
             fleet = await self.settled(instances=instances, seed=1)
             for replica_id in self.replica_ids(3):
@@ -158,10 +159,10 @@
                 self.assertGreaterEqual(sent, 0.8 * PER_S)
                 self.assertLessEqual(sent, PER_S)
 
-    async def test_members_that_die_change_nothing_at_first(self):
-        """Two thirds of the members die at once, and the rest hear nothing of
-        them. Those who take over at once would send beside the ones that are
-        only cut off.
+    async def test_members_that_die_do_not_change_the_senders_at_first(self):
+        """Two thirds of the members lose contact with the rest at once. If
+        others replaced them as senders at once, both would send in case the
+        former are partitioned and not dead.
         """
         fleet = await self.settled(instances=60, seed=2)
         dead = set(fleet.draw.sample(fleet.names, 40))
@@ -170,8 +171,8 @@
         for replica_id in self.replica_ids():
             self.assertLessEqual(fleet.permitted_per_s(replica_id), PER_S)
 
-    async def test_two_islands_send_within_the_bound(self):
-        """A cut of minutes: each half takes itself for the whole fleet."""
+    async def test_two_partitions_send_within_the_bound(self):
+        """After minutes, each half regards itself as the whole fleet."""
         fleet = await self.settled(instances=60, seed=3)
         half = set(fleet.draw.sample(fleet.names, 30))
         for name in fleet.names:
@@ -182,9 +183,9 @@
         for replica_id in self.replica_ids():
             self.assertLessEqual(fleet.permitted_per_s(replica_id), BOUND)
 
-    async def test_members_that_the_others_have_not_heard_of(self):
-        """As many instances again start at once. They know all that were
-        there, and once they are settled some do not know some of them yet.
+    async def test_new_members_that_others_do_not_know_yet(self):
+        """The fleet doubles at once. New instances know all older ones, but
+        after the settling time a quarter of them is still unknown to others.
         """
         fleet = await self.settled(instances=60, seed=4)
         old = list(fleet.names)
@@ -202,8 +203,8 @@
         for replica_id in self.replica_ids():
             self.assertLessEqual(fleet.permitted_per_s(replica_id), BOUND)
 
-    async def test_an_instance_that_knows_nobody_sends_nothing(self):
-        """It started while the store is out, and takes itself for alone."""
+    async def test_an_unregistered_instance_sends_nothing(self):
+        """It started during an outage of the store and knows no members."""
         senders = cold_senders.ColdSenders(
             instance_id="edge-1", clock=clock_module.FakeClock()
         )
@@ -228,7 +229,7 @@
         )
 
     def replica(self, **changes) -> replica_module.Replica:
-        """Lists a replica and returns it."""
+        """Adds a replica to the directory and returns it."""
         self.directory.put(
             replicas_wire.decode("i-1", platform_rows.replica_row(**changes))
         )
@@ -236,16 +237,18 @@
         return replica
 
     def send(self, replica: replica_module.Replica) -> bool:
-        """Sends a request, if it may be."""
+        """Sends a request if the gate allows it."""
         return self.gate.is_open(replica) and self.gate.may_write(
             replica, self.gate.reserve(replica)
         )
 
     def sent(self, replica: replica_module.Replica) -> int:
-        """Sends twenty requests at once; returns how many it got."""
+        """Tries to send twenty requests; returns how many were sent."""
         return sum(self.send(replica) for _ in range(20))
 
-    async def test_a_cold_one_gets_its_share_and_a_warm_one_all(self):
+    async def test_a_cold_replica_gets_its_share_and_a_warm_one_everything(
+        self,
+    ):
         replica = self.replica(coldLeftMs=3000)
         self.assertEqual(self.sent(replica), SHARE.each_per_s)
         await self.clock.advance(1.2 * SECOND)
@@ -253,12 +256,12 @@
         await self.clock.advance(2 * SECOND)
         self.assertEqual(self.sent(replica), 20)
 
-    async def test_a_late_word_of_less_time_shortens_nothing(self):
+    async def test_a_late_report_does_not_shorten_the_cold_time(self):
         replica = self.replica(coldLeftMs=3000)
         self.replica(coldLeftMs=0)
         self.assertEqual(self.sent(replica), SHARE.each_per_s)
 
-    async def test_what_it_got_while_warm_counts_once_it_is_cold(self):
+    async def test_requests_sent_while_warm_count_once_it_is_cold(self):
         replica = self.replica()
         self.assertEqual(self.sent(replica), 20)
         self.replica(coldLeftMs=3000)
@@ -267,18 +270,18 @@
     async def test_a_request_chosen_for_a_warm_one_is_not_written_to_a_cold_one(
         self,
     ):
-        """It turns cold while connections are made for many requests."""
+        """It turns cold while connections for many requests are opened."""
         replica = self.replica()
         slots = [self.gate.reserve(replica) for _ in range(20)]
         self.replica(coldLeftMs=3000)
         written = sum(self.gate.may_write(replica, p) for p in slots)
         self.assertLessEqual(written, SHARE.each_per_s)
 
-    async def test_a_place_that_came_too_late_keeps_nothing_from_a_warm_one(
+    async def test_an_expired_slot_still_allows_a_write_to_a_warm_replica(
         self,
     ):
-        """The process was busy while a connection was made. The request was
-        taken for one that may not be sent any more.
+        """The process was busy while a connection was opened, and the slot
+        expired. A warm replica needs none, so the request must be sent.
         """
         replica = self.replica()
         slot = self.gate.reserve(replica)
@@ -290,15 +293,15 @@
         await self.clock.advance(2 * SECOND)
         self.assertFalse(self.gate.may_write(replica, late))
 
-    async def test_one_that_is_taken_back_counts_as_cold(self):
-        """Its word that it is cold comes with its next heartbeat."""
+    async def test_a_replica_counts_as_cold_after_an_evacuation(self):
+        """It reports that it is cold only with its next heartbeat."""
         replica = self.replica()
         self.gate.note_restored([replica])
         self.assertEqual(self.sent(replica), SHARE.each_per_s)
         await self.clock.advance(SERVICE.cold_time + SECOND)
         self.assertEqual(self.sent(replica), 20)
 
-    async def test_an_answer_tells_that_it_is_cold(self):
+    async def test_an_answer_reports_that_it_is_cold(self):
         replica = self.replica()
         self.directory.note_cold(replica, 2 * SECOND)
         self.assertEqual(self.sent(replica), SHARE.each_per_s)
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Data centres that the operator empties, and takes back."""
+"""Data centres that the operator evacuates and restores."""
 
 import asyncio
 import unittest
@@ -22,7 +22,7 @@
 
 
 def row(key: str, version: int, **changes) -> source.FollowedRow:
-    """Returns a row of the operator's table."""
+    """Returns a row of the operator's table with some fields changed."""
     fields = {"key": key, "value": b"{}", "version": version}
     return source.FollowedRow(**(fields | changes))
 
@@ -43,14 +43,14 @@
     def evacuate(self, name: str, version: int) -> None:
         self.rows.change((row(f"evacuate/{name}", version),))
 
-    def test_two_evacuations_overlap_and_each_ends_by_itself(self):
+    def test_overlapping_evacuations_end_separately(self):
         self.evacuate("pest", 1)
         self.evacuate("buda", 2)
         self.rows.change((row("evacuate/pest", 3, deleted=True),))
         self.assertEqual(self.registry.all(), {"buda"})
         self.assertEqual(self.restored, ["pest"])
 
-    def test_one_placed_again_before_the_first_is_forgotten(self):
+    def test_an_evacuation_placed_again_is_in_force(self):
         self.evacuate("pest", 1)
         self.rows.change(
             (
@@ -60,9 +60,9 @@
         )
         self.assertTrue(self.registry.is_evacuated("pest"))
 
-    def test_a_removal_that_only_a_whole_read_shows(self):
-        """The store forgets its history, and with it that a row was removed.
-        A data centre would stay empty for good.
+    def test_a_full_read_ends_an_evacuation(self):
+        """The store lost its history and with it the removal of a row. The data
+        centre would stay evacuated for ever.
         """
         self.evacuate("pest", 1)
         self.evacuate("buda", 2)
@@ -70,8 +70,8 @@
         self.assertEqual(self.registry.all(), {"buda"})
         self.assertEqual(self.restored, ["pest"])
 
-    def test_an_order_s_removal_that_only_a_whole_read_shows(self):
-        """The same of a roll-out: it would go on without an order."""
+    def test_a_full_read_ends_an_order(self):
+        """The same for a roll-out, which would go on without an order."""
         order = {"service": "pool", "to": "v2", "withinS": 20.0}
         key = rollout_rows.ORDER_PREFIX + "pool"
         self.rows.change((row(key, 1, value=msgspec.json.encode(order)),))
@@ -79,8 +79,8 @@
         self.rows.replace((), 9)
         self.assertIsNone(self.orders.of_service("pool"))
 
-    def test_an_order_that_is_malformed_now_is_not_taken_for_removed(self):
-        """A row that can't be read leaves what is in force."""
+    def test_a_malformed_order_does_not_count_as_removed(self):
+        """A row that can't be decoded leaves the former order in force."""
         order = {"service": "pool", "to": "v2", "withinS": 20.0}
         key = rollout_rows.ORDER_PREFIX + "pool"
         self.rows.change((row(key, 1, value=msgspec.json.encode(order)),))
@@ -95,8 +95,8 @@
             )
         )
     )
-    def test_the_book_holds_what_the_table_holds(self, steps):
-        """Any series of changes and whole reads ends with the table's rows."""
+    def test_the_registry_matches_the_table(self, steps):
+        """Holds after any series of changes and full reads."""
         self.setUp()
         present: dict[str, int] = {}
         for version, (name, step) in enumerate(steps, 1):
@@ -114,13 +114,13 @@
 
 
 def reply_to(request: users_replica.SeenRequest) -> users_replica.Reply:
-    """Returns a stream or a whole answer, by the route."""
+    """Returns a stream or a whole answer, depending on the route."""
     is_stream = request.target.startswith(f"/{model.RouteKind.STREAM.value}/")
     return users_replica.Reply(events=(1, 2) if is_stream else ())
 
 
 class EvacuatedRequestsTest(relay_fixture.RelayCase):
-    """One replica is here and one is far."""
+    """One replica is in the own data centre and one in another."""
 
     def build_gate(self) -> send_gate.SendGate:
         self.registry = evacuations.EvacuationRegistry()
@@ -136,35 +136,35 @@
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.here, self.far = self.replicas
-        self.directory.put(self.entry(self.far, data_centre="far"))
+        self.local, self.remote = self.replicas
+        self.directory.put(self.entry(self.remote, data_centre="far"))
         for replica in self.replicas:
             replica.decide_by(reply_to)
 
-    async def test_every_kind_of_request_stays_away(self):
+    async def test_requests_of_every_kind_avoid_an_evacuated_data_centre(self):
         self.registry.evacuate("here")
         for number, kind in enumerate(model.RouteKind):
             answer = await self.ask(kind, request_id=f"request-{number}")
             self.assertEqual(relay_fixture.status_of(answer), 200)
-        self.assertEqual(self.here.seen, [])
+        self.assertEqual(self.local.seen, [])
 
-    async def test_a_repeat_stays_away_too(self):
-        """The far replica refuses, and the next one is being emptied.
-        The caller hears that it was not run, and when to come back.
+    async def test_a_retry_avoids_it_too(self):
+        """The remote replica refuses, and the other one is evacuated. The
+        caller gets an answer that the request was not run, with Retry-After.
         """
         self.registry.evacuate("here")
         refusal = users_replica.Reply(status=503, not_run=True)
-        self.far.decide_by(lambda request: refusal)
+        self.remote.decide_by(lambda request: refusal)
         answer = await self.ask(model.RouteKind.IDEMPOTENT)
         self.assertEqual(relay_fixture.status_of(answer), 503)
         self.assertIn(b"retry-after", answer.lower())
-        self.assertEqual(self.here.seen, [])
+        self.assertEqual(self.local.seen, [])
 
-    async def test_what_runs_goes_on_to_its_end(self):
+    async def test_a_running_request_is_completed(self):
         self.registry.evacuate("far")
         events = tuple(range(6))
         slow = users_replica.Reply(events=events, pause_s=0.02)
-        self.here.decide_by(lambda request: slow)
+        self.local.decide_by(lambda request: slow)
         asking = asyncio.create_task(self.ask(model.RouteKind.STREAM))
         await self.arrival()
         self.registry.evacuate("here")
@@ -172,16 +172,18 @@
         self.assertTrue(relay_fixture.is_complete(answer))
         self.assertEqual(len(relay_fixture.events_of(answer)), len(events))
 
-    async def test_what_waits_for_a_connection_is_chosen_for_anew(self):
-        """The order comes between a replica's choice and the request's write.
-        It reached the data centre after all.
+    async def test_a_request_that_waits_for_a_connection_gets_another_replica(
+        self,
+    ):
+        """An evacuation starts between the choice of a replica and the write of
+        the request, which must not reach the data centre.
         """
         self.registry.evacuate("far")
         acquire = self.pool.acquire
 
         async def slow_acquire(address, *, longest_idle_s):
             connection = await acquire(address, longest_idle_s=longest_idle_s)
-            if address == self.here.address:
+            if address == self.local.address:
                 self.registry.evacuate("here")
                 self.registry.restore("far")
             return connection
@@ -189,8 +191,8 @@
         self.pool_acquire(slow_acquire)
         answer = await self.ask(model.RouteKind.ONCE)
         self.assertEqual(relay_fixture.status_of(answer), 200)
-        self.assertEqual(self.here.seen, [])
-        self.assertEqual(len(self.far.seen), 1)
+        self.assertEqual(self.local.seen, [])
+        self.assertEqual(len(self.remote.seen), 1)
 
     def pool_acquire(self, function) -> None:
         patched = mock.patch.object(
@@ -201,8 +203,8 @@
         patched.start()
         self.addCleanup(patched.stop)
 
-    async def test_all_evacuated_is_refused_at_once(self):
-        """Nothing can be served until the operator takes one back."""
+    async def test_requests_are_refused_at_once_if_all_is_evacuated(self):
+        """Nothing can be served until the operator restores a data centre."""
         self.registry.evacuate("here")
         self.registry.evacuate("far")
         answer = await self.ask(model.RouteKind.STREAM)
--- a/tests/cover/test_home_regions.py
+++ b/tests/cover/test_home_regions.py
@@ -1,4 +1,4 @@
-"""Requests that may not leave their home regions."""
+"""Requests that must stay in their home regions."""
 
 import unittest
 
@@ -16,11 +16,11 @@
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.here, self.far = self.replicas
-        self.directory.put(self.entry(self.far, data_centre="far"))
+        self.local, self.remote = self.replicas
+        self.directory.put(self.entry(self.remote, data_centre="far"))
 
     def bind(self, *, route: tuple[str, ...] = (), team: tuple[str, ...] = ()):
-        """Puts homes of the route and of the team in force."""
+        """Puts home regions of the route and of the team in force."""
         routes = tuple(
             relay_fixture.route(kind, home_regions=frozenset(route))
             for kind in model.RouteKind
@@ -39,43 +39,43 @@
         answer = await self.ask(kind)
         return relay_fixture.status_of(answer)
 
-    async def test_a_route_s_home_binds(self):
+    async def test_a_route_s_home_region_is_enforced(self):
         self.bind(route=("other-region",))
         self.assertEqual(await self.status(), 200)
-        self.assertEqual(self.here.seen, [])
+        self.assertEqual(self.local.seen, [])
 
-    async def test_a_team_s_home_binds(self):
+    async def test_a_team_s_home_region_is_enforced(self):
         self.bind(team=("other-region",))
         self.assertEqual(await self.status(), 200)
-        self.assertEqual(self.here.seen, [])
+        self.assertEqual(self.local.seen, [])
 
-    async def test_a_repeat_does_not_leave_home(self):
-        """The home's replica refuses, and another region's is free."""
+    async def test_a_retry_stays_in_the_home_region(self):
+        """The home region's replica refuses; another region has an idle one."""
         self.bind(route=("other-region",))
-        self.far.reply_from([REFUSAL])
+        self.remote.reply_from([REFUSAL])
         self.assertEqual(await self.status(model.RouteKind.IDEMPOTENT), 503)
-        self.assertEqual(self.here.seen, [])
+        self.assertEqual(self.local.seen, [])
 
-    async def test_with_both_both_bind(self):
-        """Route and team have no home in common: refused, and not run."""
+    async def test_home_regions_of_route_and_team_are_both_enforced(self):
+        """Without a common home region, the request is refused and not run."""
         self.bind(route=("other-region",), team=("region",))
         self.assertEqual(await self.status(), 503)
         self.assertEqual(self.seen(), [])
 
-    async def test_a_home_in_common_serves(self):
+    async def test_a_common_home_region_serves(self):
         self.bind(route=("other-region", "region"), team=("other-region",))
         self.assertEqual(await self.status(), 200)
-        self.assertEqual(self.here.seen, [])
+        self.assertEqual(self.local.seen, [])
 
-    async def test_a_data_centre_without_a_region_is_no_home(self):
-        self.directory.put(self.entry(self.far, data_centre="unknown"))
+    async def test_a_data_centre_without_a_region_is_no_home_region(self):
+        self.directory.put(self.entry(self.remote, data_centre="unknown"))
         self.bind(route=("other-region",))
         self.assertEqual(await self.status(), 503)
         self.assertEqual(self.seen(), [])
 
 
 class DecodingTest(unittest.TestCase):
-    def test_homes_of_routes_and_teams_are_read(self):
+    def test_home_regions_of_routes_and_teams_are_decoded(self):
         decoded = configuration_wire.decode(
             b'{"version": 1, "routes": [{"name": "r", "host": "h", '
             b'"prefix": "/", "routeKind": "streaming", "timeoutMs": 1000, '
--- a/tests/cover/test_load_gossip.py
+++ b/tests/cover/test_load_gossip.py
@@ -1,4 +1,4 @@
-"""Near instances that tell each other of replicas' loads."""
+"""Gossip of load reports among instances of a data centre."""
 
 import datetime
 import random
@@ -20,7 +20,7 @@
 
 
 class CountingDatagrams(datagrams.Datagrams):
-    """One instance's socket; counts what it sends."""
+    """One instance's socket; counts the bytes sent."""
 
     def __init__(self, receivers, address):
         self._receivers = receivers
@@ -36,7 +36,7 @@
 
 
 class Instance:
-    """What one instance knows of the replicas, and its gossip."""
+    """One instance's replica directory and gossip."""
 
     def __init__(self, *, number, receivers, clock):
         self.address = f"10.0.0.{number}:7340"
@@ -56,13 +56,13 @@
         )
 
     def receive_report(self, number: int, *, waiting: int) -> None:
-        """Has a replica say so here, with 20 more running."""
+        """Receives a report of a replica, with 20 requests running."""
         self.directory.note_load(
             self.replica(number), running=20, waiting=waiting
         )
 
     def replica(self, number: int) -> replica_module.Replica:
-        """Returns a replica as this instance knows it."""
+        """Returns this instance's state of a replica."""
         wanted = _entry(number).replica_id
         return next(
             replica
@@ -99,31 +99,31 @@
             ]
 
     async def rounds(self, count: int) -> None:
-        """Has every instance tell so many times."""
+        """Runs so many gossip rounds of all instances."""
         for _ in range(count):
             await self.clock.advance(load_gossip.GOSSIP_PERIOD)
             for instance in self.instances:
                 instance.gossip.send_update()
 
-    async def test_a_queue_that_one_instance_saw_is_known_to_all(self):
-        """A replica's queue grows, and one instance of 24 hears of it.
-        The others went on sending there until their callers waited for
-        seconds. Within a second all of a data centre know.
+    async def test_a_report_reaches_the_whole_data_centre(self):
+        """A replica's queue grows, and one instance of 24 gets the report.
+        Without gossip the others keep sending there and their callers wait for
+        seconds. All instances must know within a second.
         """
         first, *others = self.instances
         first.receive_report(7, waiting=60)
         await self.rounds(4)
-        told = [other.replica(7).report.waiting for other in others]
-        self.assertEqual(told, [60] * len(others))
+        reported = [other.replica(7).report.waiting for other in others]
+        self.assertEqual(reported, [60] * len(others))
         ages = [
             self.clock.monotonic() - other.replica(7).report.at
             for other in others
         ]
         self.assertEqual(set(ages), {SECOND})
 
-    async def test_an_older_count_never_replaces_a_newer_one(self):
-        """A count goes round in the data centre while its replica empties.
-        The instance that saw it empty would send its callers elsewhere.
+    async def test_an_older_report_never_replaces_a_newer_one(self):
+        """A report circulates while the replica's queue empties. The instance
+        that knows of the empty queue must not return to the older report.
         """
         first, second, *_ = self.instances
         first.receive_report(7, waiting=60)
@@ -133,15 +133,15 @@
         for instance in self.instances:
             self.assertEqual(instance.replica(7).report.waiting, 0)
 
-    async def test_a_count_that_has_become_old_is_told_no_more(self):
+    async def test_an_old_report_is_not_sent(self):
         first, *others = self.instances
         first.receive_report(7, waiting=60)
         await self.clock.advance(load_gossip.MAX_REPORT_AGE * 1.1)
         await self.rounds(3)
         self.assertIsNone(others[0].replica(7).report)
 
-    async def test_what_it_costs_a_second_is_bounded(self):
-        """Every replica's load is heard by every instance all the time."""
+    async def test_the_traffic_is_bounded(self):
+        """Every instance keeps getting reports from every replica."""
         for _ in range(4):
             for instance in self.instances:
                 for number in range(REPLICAS):
@@ -150,11 +150,11 @@
         sent = max(i.socket.sent_bytes for i in self.instances)
         self.assertLess(sent, 3_000)
 
-    async def test_counts_of_unknown_replicas_and_wrong_numbers_do_nothing(
+    async def test_reports_of_unknown_replicas_and_invalid_numbers_are_ignored(
         self,
     ):
-        """A peer knows a replica that is not listed here yet, and a faulty one
-        sends numbers that no count or age can be.
+        """A peer reports a replica that is not listed here yet, and a faulty
+        one sends negative counts and ages.
         """
         first = self.instances[0]
         replica = first.replica(1)
@@ -168,7 +168,7 @@
         )
         self.assertIsNone(replica.report)
 
-    async def test_a_replica_that_ended_is_told_of_no_more(self):
+    async def test_reports_of_a_removed_replica_are_not_sent(self):
         first, *others = self.instances
         first.receive_report(7, waiting=60)
         first.directory.remove("r7")
--- a/tests/cover/test_load_replicas.py
+++ b/tests/cover/test_load_replicas.py
@@ -1,4 +1,4 @@
-"""Which replica a prompt goes to under heavy loads, against baselines."""
+"""The choice of a replica under heavy load, compared with baselines."""
 
 import datetime
 import unittest
@@ -11,7 +11,7 @@
 
 
 class ComparesAll(choice_module.ReplicaChooser):
-    """The baseline: the emptiest of all replicas by the backlogs known."""
+    """Baseline: the lowest cost among all replicas."""
 
     def _prefix_owners(self, criteria, accepts):
         return list(
@@ -20,7 +20,7 @@
 
 
 class ByCounts(choice_module.ReplicaChooser):
-    """The baseline: by what replicas told of their running and waiting."""
+    """Baseline: by the replicas' load reports."""
 
     def forecast(self, criteria):
         now = self._clock.monotonic()
@@ -32,16 +32,16 @@
 
 
 class OwnDelayOnly(choice_module.ReplicaChooser):
-    """The baseline: what a reading holds up of others counts nothing."""
+    """Baseline: without the cost of a prefill to running requests."""
 
     def _blocking_cost(self, forecast, now):
         return datetime.timedelta()
 
 
 class LoadReplicasTest(unittest.TestCase):
-    def test_instances_do_not_run_after_the_emptiest_replica(self):
-        """All instances know the same backlogs, a fifth of a second old.
-        Comparing all replicas they send everything to the same few ones.
+    def test_instances_do_not_all_choose_the_emptiest_replica(self):
+        """All instances know the same backlogs, a fifth of a second old. If
+        they compare all replicas, they all send to the same few.
         """
         self.assertLess(
             self.longer_wait_s(load_scene.whole_load()),
@@ -50,11 +50,10 @@
             ),
         )
 
-    def test_backlogs_bring_more_in_time_than_replicas_counts(self):
-        """Nine instances of four data centres send long prompts to five
-        replicas, one each in a second: each hears a replica's count about as
-        seldom. By counts it sends a prompt to one that has just been given a
-        long one by somebody else.
+    def test_backlogs_give_more_utility_than_load_reports(self):
+        """Nine instances in four data centres each send about one long prompt
+        a second to five replicas, so each gets load reports as seldom. By them
+        it chooses a replica that has just got a long prompt from a peer.
         """
         pattern = load_scene.small_fleet_load()
         by_counts = load_scene.worth(
@@ -64,10 +63,11 @@
             load_scene.worth(load_scene.play(pattern)), by_counts + 0.005
         )
 
-    def test_long_readings_are_kept_off_replicas_with_many_streams(self):
-        """An engine that reads a long prompt generates nothing meanwhile.
-        Where only the own first event counts, long readings stop streams on
-        all replicas; those of small models go on as slowly as the largest's.
+    def test_long_prefills_avoid_replicas_with_many_streams(self):
+        """An engine generates no tokens during a prefill. If only the
+        request's own time to first token counts, long prefills stall streams
+        on all replicas, and small models' streams become as slow as the
+        largest model's.
         """
         together = load_scene.play(load_scene.small_fleet_load())
         alone = load_scene.play(
@@ -81,9 +81,9 @@
             load_scene.worth(together), load_scene.worth(alone) - 0.01
         )
 
-    def test_told_loads_shorten_the_waits_when_replicas_are_gone(self):
+    def test_gossiped_loads_shorten_waits_after_replicas_crash(self):
         """A quarter of the replicas crashes, and the others' queues grow.
-        Each instance alone hears a replica every nine seconds.
+        Without gossip an instance gets a replica's report every nine seconds.
         """
         pattern = load_scene.whole_load(
             replicas_at=lambda at_s: 27 if at_s > 3 else 36
@@ -94,7 +94,7 @@
         )
 
     def longer_wait_s(self, pattern: emulated_fleet.Load, **parts) -> float:
-        """Returns the wait that nine in ten first events stay under."""
+        """Returns the 90th percentile of the time to first event."""
         outcome = fleet_emulator.FleetEmulator(
             load=pattern, seed=1, models=model_choice.FixedThreshold(), **parts
         ).run()
--- a/tests/cover/test_replica_directory.py
+++ b/tests/cover/test_replica_directory.py
@@ -1,4 +1,4 @@
-"""The replicas known: other writers' rows, starts under an old id, indexes."""
+"""The replica directory: invalid rows, restarts under an id, indexes."""
 
 import datetime
 import unittest
@@ -32,7 +32,7 @@
 
 
 class DirectoryCase(unittest.TestCase):
-    """Feeds rows into a directory as the store's list brings them."""
+    """Feeds rows into a directory as the replicated table does."""
 
     def setUp(self):
         self.clock = clock_module.FakeClock()
@@ -43,11 +43,11 @@
         self.rows = tables.ReplicaRows(directory=self.directory)
 
     def put(self, replica_id: str = "r1", **changes) -> None:
-        """Takes in a row; names are those of the wire."""
+        """Feeds a row; field names are those of the stored row."""
         self.put_bytes(replica_id, platform_rows.replica_row(**changes))
 
     def put_bytes(self, replica_id: str, value: bytes) -> None:
-        """Takes in a row of any bytes."""
+        """Feeds a row of any bytes."""
         self.rows.change((_row(replica_id, value),))
 
     def known(self, service: str = SERVICE) -> dict:
@@ -58,7 +58,7 @@
         }
 
     def affinity_order(self, service: str, data_centre: str) -> list[str]:
-        """Returns the ids on a data centre's ring."""
+        """Returns the ids in a data centre's affinity order."""
         return [
             replica.entry.replica_id
             for replica in self.directory.affinity_order(
@@ -69,9 +69,9 @@
 
 class OtherWritersTest(DirectoryCase):
     @given(strategies.dictionaries(strategies.text(max_size=8), JSON_VALUES))
-    def test_no_row_costs_another(self, fields):
-        """Someone else writes rows of any content beside a good one.
-        Whether the list is read whole or a change comes, the good one stays.
+    def test_no_row_affects_another(self, fields):
+        """Another writer adds rows of any content beside a valid one. The valid
+        replica stays, after a full read of the list and after a change.
         """
         strange = msgspec.json.encode(fields)
         self._good_one_survives(strange)
@@ -80,12 +80,12 @@
         strategies.sampled_from(sorted(platform_rows.REPLICA_FIELDS)),
         JSON_VALUES,
     )
-    def test_one_strange_field_costs_no_other_row(self, name, value):
+    def test_one_invalid_field_affects_no_other_row(self, name, value):
         strange = platform_rows.REPLICA_FIELDS | {name: value}
         self._good_one_survives(msgspec.json.encode(strange))
 
     @given(strategies.binary(max_size=80))
-    def test_bytes_that_cannot_be_read_cost_no_other_row(self, value):
+    def test_undecodable_bytes_affect_no_other_row(self, value):
         self._good_one_survives(value)
 
     def _good_one_survives(self, strange: bytes) -> None:
@@ -98,8 +98,8 @@
         for replica in self.known().values():
             self.assertGreaterEqual(replica.entry.slots, 1)
 
-    def test_a_row_that_was_overwritten_names_no_replica(self):
-        """Another writer overwrites a replica's row with something else.
+    def test_an_overwritten_row_removes_its_replica(self):
+        """Another writer overwrites a replica's row with something invalid.
         The replica is not used until it has written its own row again.
         """
         for strange in (b"", b"{}", b"\xff\xfe", b"null", b"[" * 2000):
@@ -109,10 +109,9 @@
             self.put()
             self.assertEqual(list(self.known()), ["r1"])
 
-    def test_a_row_that_was_overwritten_is_dropped_from_a_whole_list(self):
-        """The store was away, and on its return the whole list is read.
-        Missing rows are waited for; one that is there and names no replica
-        is not.
+    def test_an_overwritten_row_in_a_full_list_removes_its_replica(self):
+        """After an outage of the store the whole list is read. Replicas whose
+        rows are missing stay for a while, but not one whose row is invalid.
         """
         self.put()
         self.directory.hold_deletions(datetime.timedelta(seconds=2))
@@ -121,12 +120,11 @@
 
 
 class RestartTest(DirectoryCase):
-    """A replica crashes and starts again under the id that it had."""
+    """A replica crashes and restarts under the same id."""
 
-    def test_what_was_known_of_the_former_start_is_gone(self):
-        """The former start was full and failing, and then crashed.
-        The new one is empty and sound: it gets work at once, on connections
-        of its own.
+    def test_a_restart_discards_the_state_of_the_former_start(self):
+        """The former start was overloaded and ejected, and then crashed. The
+        new one is idle and must get work at once, on new connections.
         """
         self.put(born=BORN_MS)
         former = self.known()["r1"]
@@ -140,7 +138,7 @@
         self.assertEqual(self.closed, ["10.0.0.1:80"])
         self.assertEqual(self.affinity_order(SERVICE, HERE), ["r1"])
 
-    def test_the_former_start_s_late_answer_says_nothing_of_the_new_one(self):
+    def test_a_late_answer_of_the_former_start_is_ignored(self):
         self.put(born=BORN_MS)
         former = self.known()["r1"]
         self.put(born=BORN_MS + 1)
@@ -148,10 +146,10 @@
         self.assertIsNone(self.known()["r1"].report)
         self.assertEqual(self._reported(), [])
 
-    def test_a_peer_s_word_of_the_former_start_says_nothing_of_the_new_one(
+    def test_a_peer_s_report_of_the_former_start_is_ignored(
         self,
     ):
-        """A peer has not heard of the restart and tells what it knows."""
+        """A peer that does not know of the restart sends its last report."""
         self.put(born=BORN_MS)
         former = self.known()["r1"]
         self.put(born=BORN_MS + 1)
@@ -163,9 +161,9 @@
         )
         self.assertIsNone(self.known()["r1"].report)
 
-    def test_the_former_start_s_late_row_changes_nothing(self):
-        """The former start's last row, that it is leaving, comes late.
-        The new start goes on to get work, now and after a whole list.
+    def test_a_late_row_of_the_former_start_changes_nothing(self):
+        """The former start's last row, which says that it is leaving, arrives
+        late. The new start keeps getting work, also after a full read.
         """
         self.put(born=BORN_MS + 1)
         now = self.known()["r1"]
@@ -176,7 +174,7 @@
         self.assertIs(self.known()["r1"], now)
         self.assertFalse(now.entry.leaving)
 
-    def test_a_late_row_does_not_bring_back_a_replica_that_is_gone(self):
+    def test_a_late_row_does_not_restore_a_removed_replica(self):
         self.put(born=BORN_MS + 1)
         self.directory.remove("r1")
         self.put(born=BORN_MS)
@@ -184,12 +182,12 @@
         self.put(born=BORN_MS + 1)
         self.assertEqual(list(self.known()), ["r1"])
 
-    def test_a_row_that_lost_its_start_comes_from_another_writer(self):
+    def test_a_row_without_a_known_start_time_removes_its_replica(self):
         self.put(born=BORN_MS)
         self.put()
         self.assertEqual(self.known(), {})
 
-    def test_a_row_of_the_same_start_keeps_what_is_known(self):
+    def test_a_row_of_the_same_start_keeps_the_state(self):
         self.put(born=BORN_MS)
         known = self.known()["r1"]
         self.directory.note_load(known, running=3, waiting=0)
@@ -205,17 +203,17 @@
 
 
 class SuccessorTest(DirectoryCase):
-    """Several entries name one address; one process at most is there."""
+    """Several entries share an address; at most one process runs there."""
 
     def rows_at(self, address: str, *ids: str) -> list[source.FollowedRow]:
-        """Returns rows of one address, the later ones newer."""
+        """Returns rows with one address, with increasing versions."""
         value = platform_rows.replica_row(address=address)
         return [_row(i, value, version) for version, i in enumerate(ids, 5)]
 
-    def test_the_newest_at_an_address_takes_the_place_of_the_others(self):
+    def test_the_newest_entry_at_an_address_replaces_the_others(self):
         """A data centre loses power and its replicas return under new ids. The
-        old entries stay for seconds; what was sent by them was refused, and
-        the retry budget was spent on it.
+        old entries stay for seconds; requests sent by them would be refused
+        and use up the retry budget.
         """
         old, new = self.rows_at("10.0.0.9:80", "old", "new")
         self.rows.change((old,))
@@ -223,7 +221,7 @@
         self.assertEqual(set(self.known()), {"new"})
         self.assertEqual(self.closed, ["10.0.0.9:80"])
 
-    def test_a_whole_read_brings_no_former_one_back(self):
+    def test_a_full_read_restores_no_replaced_replica(self):
         old, new = self.rows_at("10.0.0.9:80", "old", "new")
         for listed in ((old, new), (new, old)):
             self.rows.replace(listed, 9)
@@ -239,7 +237,7 @@
         self.assertEqual(self.known(), {})
         self.assertEqual(set(self.known("other")), {"new"})
 
-    def test_the_former_one_s_removal_leaves_the_successor(self):
+    def test_removing_the_replaced_entry_keeps_the_successor(self):
         old, new = self.rows_at("10.0.0.9:80", "old", "new")
         self.rows.change((old, new))
         self.rows.change(
@@ -249,10 +247,10 @@
 
 
 class IndexTest(DirectoryCase):
-    def test_a_replica_that_changes_leaves_nothing_behind(self):
-        """A row of a known id names another service, data centre, address or
-        version. Whatever listed it under the former one no longer does: a
-        request of the former service must not be sent there.
+    def test_a_changed_entry_leaves_all_former_indexes(self):
+        """A row of a known id has another service, data centre, address or
+        version. No index keeps it under the former value: requests of the
+        former service must not be sent there.
         """
         changes = {
             "service": "other",
--- a/tests/load_scene.py
+++ b/tests/load_scene.py
@@ -1,10 +1,10 @@
-"""Loads that are played in virtual time, and what callers got of them.
+"""Load patterns simulated in virtual time, and the callers' outcomes.
 
-Each pattern is played in virtual time against the decision and its baseline.
-Rates and speeds are those of the users' grown fleets: 73 instances, 36
-replicas, 216 generations a second of 5,000 prompt tokens, a smallest model that
-reads 273,000 tokens a second and a largest one that reads 27,300. Where it
-makes no difference, a third of them is played.
+Each pattern runs against the decision under test and its baseline. Rates and
+speeds are those of the users' grown fleets: 73 instances, 36 replicas, 216
+generations a second of 5,000 prompt tokens, and a prefill rate of 273,000
+tokens a second for the smallest model and 27,300 for the largest. Where it
+makes no difference, a third of the load is simulated.
 """
 
 from nutmeghook.experiment import emulated_fleet
@@ -13,12 +13,12 @@
 from nutmeghook.internal.relay import model_choice
 
 SEEDS = (1, 2, 3)
-# Of 12 engines this keeps some 7 busy if half of the answers are asked again.
+# Keeps some 7 of 12 engines busy if half of the answers are asked again.
 BASE_PER_S = 72.0
 
 
 def load(**changes) -> emulated_fleet.Load:
-    """Returns a steady load, changed."""
+    """Returns a steady load with some fields changed."""
     fields = {
         "per_s": lambda at_s: BASE_PER_S,
         "replicas_at": lambda at_s: 12,
@@ -28,7 +28,7 @@
 
 
 def whole_load(**changes) -> emulated_fleet.Load:
-    """Returns the load of a whole grown fleet, changed."""
+    """Returns the load of a whole grown fleet with some fields changed."""
     fields = {
         "per_s": lambda at_s: 3 * BASE_PER_S,
         "replicas_at": lambda at_s: 36,
@@ -40,7 +40,7 @@
 
 
 def small_fleet_load() -> emulated_fleet.Load:
-    """Returns the load of few instances with long prompts."""
+    """Returns the load of a few instances with long prompts."""
     return load(
         per_s=lambda at_s: 8.0,
         replicas_at=lambda at_s: 5,
@@ -56,7 +56,7 @@
 def play(
     pattern: emulated_fleet.Load, **parts
 ) -> list[emulated_outcome.Outcome]:
-    """Returns what callers got, for each seed."""
+    """Returns the outcome for each seed."""
     parts = {"models": model_choice.WeighedWorth()} | parts
     return [
         fleet_emulator.FleetEmulator(load=pattern, seed=seed, **parts).run()
@@ -65,11 +65,11 @@
 
 
 def worth(outcomes: list[emulated_outcome.Outcome]) -> float:
-    """Returns the mean share of the worth that callers got."""
+    """Returns the mean share of the maximum utility."""
     return sum(o.worth_share for o in outcomes) / len(outcomes)
 
 
 def mean_generation_s(outcomes: list[emulated_outcome.Outcome]) -> float:
-    """Returns how long answers go on after their first event, on average."""
+    """Returns the mean duration of answers after their first event."""
     times_s = [t for outcome in outcomes for t in outcome.generations_s]
     return sum(times_s) / len(times_s)
