--- a/src/nutmeghook/internal/suspects/gossip.py
+++ b/src/nutmeghook/internal/suspects/gossip.py
@@ -1,10 +1,10 @@
-"""Tells all instances under which requests replicas have ended.
+"""Gossips to all instances under which requests replicas have crashed.
 
-Copies of a request come to any instance within milliseconds, and each sees
-some of the ends, so what counts is what all have seen. News goes to many peers
-at once, by everyone whom it reaches. A datagram may be lost, and an instance
-may have been started, frozen or cut off meanwhile; so the gravest suspicions
-are told again for as long as they last.
+Copies of a request come to any instance within milliseconds, and each instance
+notices some of the crashes, so the evidence of all counts. Each instance sends
+an update to many peers at once and forwards what it receives. A datagram may be
+lost, and an instance may have been started, suspended or partitioned meanwhile;
+so the most suspect requests are sent again for as long as they are suspects.
 """
 
 from collections.abc import Callable
@@ -18,27 +18,27 @@
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.suspects import registry as registry_module
 
-# Each instance reminds two others as often as this, so that one that comes back
-# hears some four reminders in a second.
+# Each instance sends reminders to two others in this period, so an instance
+# that comes back gets some four of them in a second.
 REMINDER_PERIOD = datetime.timedelta(milliseconds=500)
 LOCAL_FANOUT = 8
 REMOTE_FANOUT = 1.0
 LOCAL_REMINDER_FANOUT = 1
 REMOTE_REMINDER_FANOUT = 1.0
-# One takes 30 to 120 bytes, and a datagram should fit into one packet.
+# A suspicion takes 30 to 120 bytes, and a datagram should fit into one packet.
 MAX_SUSPICIONS_SENT = 9
-# What one replica has ended under is the less worth telling the older it is:
-# its caller has long tried again.
+# Older suspicions with a single crash are not sent in reminders: their callers
+# have retried since.
 _SINGLE_CRASH_MAX_AGE = datetime.timedelta(seconds=10)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 class SuspectGossip(gossip_senders.GossipSender):
-    """Sends and takes in suspicions.
+    """Sends and receives suspicions.
 
     Args:
-        audience: Returns where some peers listen: many near ones, and on
-            average so many others.
+        sample_peers: Returns the addresses of some peers: `local` ones in the
+            own data centre and on average `remote` others.
     """
 
     __slots__ = ("_clock", "_messages", "_random", "_registry", "_sample_peers")
@@ -60,7 +60,7 @@
         messages.register(ttypes.CrashSuspects, self._receive)
 
     async def run(self) -> None:
-        """Tells news at once and reminds from time to time until cancelled."""
+        """Sends updates at once and reminders periodically until cancelled."""
         while True:
             pause = REMINDER_PERIOD * self._random.uniform(0.75, 1.25)
             try:
@@ -71,12 +71,12 @@
                 self.send_updates()
 
     def send_updates(self) -> None:
-        """Tells many peers what has just been learnt."""
+        """Sends the pending updates to many peers."""
         while updates := self._registry.take_updates(MAX_SUSPICIONS_SENT):
             self._send(updates, local=LOCAL_FANOUT, remote=REMOTE_FANOUT)
 
     def send_reminder(self) -> None:
-        """Tells a peer or two of the gravest suspicions again."""
+        """Sends the most suspect requests to one or two peers again."""
         most_suspect = self._registry.most_suspect(
             MAX_SUSPICIONS_SENT, age=_SINGLE_CRASH_MAX_AGE
         )
--- a/src/nutmeghook/internal/suspects/registry.py
+++ b/src/nutmeghook/internal/suspects/registry.py
@@ -1,14 +1,14 @@
-"""Requests under which replicas have ended, and which of them to stop.
+"""Finds and quarantines requests that crash replicas.
 
-A request that ends each replica that runs it comes again, at any instance,
-under another id each time, and takes with it what those replicas ran for
+A request that crashes each replica that runs it comes again, at any instance,
+with another id each time, and each crash also ends what the replica ran for
 others.
 
-So the end of a replica is held against the requests that it had. All of them
-are suspects, and beside the one that did it are many that only were there. An
-innocent one is answered at its next replica, which clears it; one that ends
-replica after replica is quarantined, and sent to none for a while. Should it
-have been beside others that do it each time, one trial clears it.
+So when a replica crashes, all requests that it had become suspects, the cause
+and the innocent ones beside it. An innocent request is answered by its next
+replica, which clears it. One under which replica after replica crashes is
+quarantined: it is sent to no replica for a while. If it only was beside others
+that cause the crashes, a single probe clears it.
 """
 
 import asyncio
@@ -20,23 +20,24 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import logs
 
-# A replica that had begun to answer was at work on the request. One that had
-# not may have had it in its queue, as it had others' in a time of need.
+# A replica that had begun to answer was running the request. One that had not
+# may only have had it in its queue, as under overload it has many.
 _WEIGHT_BEGUN = 2
 _WEIGHT_QUEUED = 1
-# Three replicas that were at work on it, or six that may have been.
+# Three replicas that were running it, or six that may have been.
 _QUARANTINE_WEIGHT = 6
-# Since the last replica that ended. Copies come for as long as somebody tries
-# again; a fault that is mended should not keep its requests out for a day.
+# Time for which a crash counts. Copies come for as long as callers retry, but
+# after a fault is fixed its requests should not be refused for a day.
 SUSPICION_LIFETIME = datetime.timedelta(hours=1)
-# Since the last one, until one copy is sent to see if it was innocent. One
-# more replica may end, so there is one trial, which all instances know of.
+# Time since the last crash until one copy is sent as a probe, to see whether
+# the request is innocent. As it may crash one more replica, there is only one
+# probe, which all instances know of.
 PROBE_DELAY = datetime.timedelta(minutes=1)
-# What was answered a moment ago ends no replicas, also where many of them had a
-# copy of it when they ended together.
+# Crashes before this time after an answer don't count: a request that was just
+# answered crashes no replicas, even if many with a copy of it crash together.
 ANSWER_GRACE = datetime.timedelta(seconds=30)
-# Bounds of memory. One end of a replica brings as many suspects as it had
-# requests; those that were there once, long ago, are dropped first.
+# Memory limits. One crash adds as many suspects as the replica had requests;
+# those with the least weight and the oldest crashes are dropped first.
 MAX_SUSPECTS = 1000
 _SUSPECTS_AFTER_TRIM = 800
 MAX_ANSWERED = 4096
@@ -45,12 +46,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ReplicaCrash:
-    """A replica ended that had a request.
+    """The crash of a replica that had a request.
 
     Attributes:
-        replica_hash: Names the start of the replica.
+        replica_hash: Identifies the start of the replica.
         begun: Its answer to the request had begun.
-        at: Monotonic time at which it was noticed.
+        at: Monotonic time at which the crash was noticed.
     """
 
     replica_hash: int
@@ -59,18 +60,19 @@
 
     @property
     def weight(self) -> int:
-        """How much it says against the request."""
+        """Weight of the crash as evidence against the request."""
         return _WEIGHT_BEGUN if self.begun else _WEIGHT_QUEUED
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Suspicion:
-    """What is held against a request.
+    """The evidence against a request; times are monotonic.
 
     Attributes:
+        identity: Equal for all copies of the request.
         crashes: Of different replicas.
-        cleared_at: When a replica answered it; no end before that counts.
-        probed_at: When it was sent on trial.
+        cleared_at: When a replica answered it; earlier crashes don't count.
+        probed_at: When it was sent as a probe.
     """
 
     identity: bytes
@@ -80,19 +82,19 @@
 
     @property
     def weight(self) -> int:
-        """How much there is against the request."""
+        """Total weight of the evidence."""
         return sum(crash.weight for crash in self.crashes)
 
     @property
     def last_update_at(self) -> datetime.timedelta:
-        """When something was last learnt of it."""
+        """Time of the latest crash or answer."""
         times = [crash.at for crash in self.crashes]
         if self.cleared_at is not None:
             times.append(self.cleared_at)
         return max(times, default=datetime.timedelta())
 
     def since(self, moment: datetime.timedelta) -> "Suspicion":
-        """Returns it without what is older; a trial is of the ends before."""
+        """Returns it without older crashes; without any, also without probe."""
         crashes = tuple(crash for crash in self.crashes if crash.at > moment)
         return dataclasses.replace(
             self, crashes=crashes, probed_at=self.probed_at if crashes else None
@@ -100,12 +102,12 @@
 
 
 class SuspectRegistry:
-    """Suspects known to this instance, by what they are.
+    """Suspects known to this instance, by the identity of the request.
 
     Attributes:
-        updates: Set while there is something that peers were not told.
-        unwritten: Set while a quarantine was begun, tried or ended here and
-            the store does not know.
+        updates: Set while there are changes not sent to peers.
+        unwritten: Set while a quarantine was begun, probed or ended here and
+            the store does not have it yet.
     """
 
     __slots__ = (
@@ -122,11 +124,11 @@
     def __init__(self, *, clock: clock_module.Clock):
         self._clock = clock
         self._suspects: dict[bytes, Suspicion] = {}
-        # When each was answered here, the latest last.
+        # When requests were last answered here, the latest at the end.
         self._answered: collections.OrderedDict[bytes, datetime.timedelta] = (
             collections.OrderedDict()
         )
-        # Under which a replica of this instance's ended.
+        # Requests with a crash that this instance noticed itself.
         self._seen_here: set[bytes] = set()
         self._unsent: dict[bytes, None] = {}
         self._unwritten: dict[bytes, None] = {}
@@ -136,7 +138,7 @@
     def note_crash(
         self, identity: bytes, *, replica_hash: int, begun: bool
     ) -> None:
-        """Takes in that a replica of this instance's ended under a request."""
+        """Records that a replica crashed that had a request from here."""
         crash = ReplicaCrash(
             replica_hash=replica_hash, begun=begun, at=self._clock.monotonic()
         )
@@ -146,7 +148,7 @@
             self.write_later(identity)
 
     def note_answered(self, identity: bytes) -> None:
-        """Takes in that a replica ran a request to its end."""
+        """Records that a replica ran a request to its end."""
         now = self._clock.monotonic()
         self._answered[identity] = now
         self._answered.move_to_end(identity)
@@ -159,12 +161,11 @@
             self._clear(known, now)
 
     def merge(self, received: Suspicion) -> None:
-        """Takes in what was seen of a request, here or by a peer.
+        """Merges evidence about a request, from here or from a peer.
 
-        Whatever order it comes in, and however often, the outcome is the
-        same: the ends are a set, and the latest answer clears those before.
-        A peer that holds an end against a request that was answered hears of
-        the answer.
+        The merge is commutative and idempotent: crashes are a set, and the
+        latest answer clears earlier ones. A peer that sent a crash that an
+        answer has cleared is sent the answer.
         """
         identity = received.identity
         known = self._suspects.get(identity, Suspicion(identity=identity))
@@ -192,13 +193,13 @@
                 identity=identity.hex(),
                 replicas=[crash.replica_hash for crash in merged.crashes],
             )
-            # Each end may have been seen by another instance, so that none
-            # has come to this by itself.
+            # Every crash may have been noticed by another instance, so that
+            # none reaches the quarantine in `note_crash`.
             if identity in self._seen_here:
                 self.write_later(identity)
 
     def suspicion(self, identity: bytes) -> Suspicion:
-        """Returns what counts against a request now."""
+        """Returns the evidence against a request that counts now."""
         known = self._suspects.get(identity)
         if known is None:
             return Suspicion(identity=identity)
@@ -206,28 +207,28 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tells whether nothing is held against any request."""
+        """Whether there is no evidence against any request."""
         return not self._suspects
 
     def is_suspect(self, identity: bytes) -> bool:
-        """Tells whether a replica has ended under a request."""
+        """Returns whether a replica has crashed under a request."""
         return bool(self.suspicion(identity).crashes)
 
     def is_quarantined(self, identity: bytes) -> bool:
-        """Tells whether a request is to be sent to no replica."""
+        """Returns whether a request must not be sent to any replica."""
         return self.suspicion(identity).weight >= _QUARANTINE_WEIGHT
 
     def is_probe_due(self, identity: bytes) -> bool:
-        """Tells whether a quarantined request may be sent once."""
+        """Returns whether a quarantined request may be sent as a probe."""
         suspicion = self.suspicion(identity)
         if suspicion.probed_at is not None or not suspicion.crashes:
             return False
         return self._clock.monotonic() >= suspicion.last_update_at + PROBE_DELAY
 
     def try_probe(self, identity: bytes) -> bool:
-        """Takes leave to send a quarantined request once, if it is time.
+        """Claims the one probe of a quarantined request if it is due.
 
-        Taken as it is about to be sent: there is only one.
+        To be called immediately before the send.
         """
         if not self.is_probe_due(identity):
             return False
@@ -240,7 +241,7 @@
         return True
 
     def refused_for(self, identity: bytes) -> datetime.timedelta:
-        """Returns how long a quarantined request is sent nowhere from now."""
+        """Returns for how much longer a quarantined request is refused."""
         suspicion = self.suspicion(identity)
         if not suspicion.crashes:
             return datetime.timedelta()
@@ -259,7 +260,7 @@
         ]
 
     def take_updates(self, most: int) -> list[Suspicion]:
-        """Returns some of what peers were not told; it counts as told now."""
+        """Returns some changes not sent to peers, and marks them as sent."""
         taken = list(self._unsent)[:most]
         for identity in taken:
             del self._unsent[identity]
@@ -268,16 +269,16 @@
         return [self._suspects[i] for i in taken if i in self._suspects]
 
     def write_later(self, identity: bytes) -> None:
-        """Has the store be told of a request's quarantine."""
+        """Schedules a write of a request's quarantine to the store."""
         self._unwritten[identity] = None
         self.unwritten.set()
 
     def unwritten_identities(self) -> list[bytes]:
-        """Returns the requests whose quarantine the store does not know."""
+        """Returns the requests whose quarantine has to be written."""
         return list(self._unwritten)
 
     def note_written(self, identity: bytes) -> None:
-        """Takes in that the store knows of a request's quarantine."""
+        """Records that a request's quarantine was written to the store."""
         self._unwritten.pop(identity, None)
         if not self._unwritten:
             self.unwritten.clear()
@@ -285,11 +286,11 @@
     def most_suspect(
         self, most: int, *, age: datetime.timedelta
     ) -> list[Suspicion]:
-        """Returns what peers should know, the most suspect first.
+        """Returns suspicions to send to peers, the most suspect first.
 
         Args:
-            most: The most to return.
-            age: Leave out what one replica has ended under if it is older.
+            most: Maximum number to return.
+            age: Maximum age of suspicions with a single crash.
         """
         now = self._clock.monotonic()
         selected = [
@@ -304,7 +305,7 @@
     def _counted_from(
         self, cleared_at: datetime.timedelta | None
     ) -> datetime.timedelta:
-        """Returns the moment up to which ends of replicas don't count."""
+        """Returns the time up to which crashes don't count."""
         oldest = self._clock.monotonic() - SUSPICION_LIFETIME
         if cleared_at is None:
             return oldest
@@ -338,10 +339,10 @@
 
 
 def _is_update(merged: Suspicion, known: Suspicion) -> bool:
-    """Tells whether something was learnt that peers have to know.
+    """Returns whether a merge changed something that peers need.
 
-    A later time alone is no news: two instances that tell each other of one
-    answer would never stop.
+    A later time alone does not count: two instances that send each other the
+    same answer would never stop.
     """
     return (
         merged.crashes != known.crashes
@@ -359,9 +360,9 @@
 def _merged_crashes(
     crashes: Iterable[ReplicaCrash], received: Iterable[ReplicaCrash]
 ) -> tuple[ReplicaCrash, ...]:
-    """Returns ends of different replicas; the first to be noticed first.
+    """Returns the crashes of different replicas, the earliest first.
 
-    An end that several requests or instances noticed is one.
+    A crash that several requests or instances noticed counts once.
     """
     merged = {crash.replica_hash: crash for crash in crashes}
     for crash in received:
--- a/src/nutmeghook/internal/suspects/rows.py
+++ b/src/nutmeghook/internal/suspects/rows.py
@@ -1,8 +1,8 @@
-"""Quarantines in the platform's store, which outlives all instances.
+"""Persists quarantines in the platform's store.
 
-What instances know is lost when all of them end at once. So whoever puts a
-request into quarantine writes a row, and each instance reads the rows once, as
-it starts; from then on its peers tell it.
+The instances' own state is lost when all of them end at once. So an instance
+that quarantines a request writes a row, and each instance reads the rows once
+when it starts; later changes reach it by gossip.
 """
 
 import datetime
@@ -18,8 +18,8 @@
 
 TABLE = "quarantine"
 _PREFIX = f"{TABLE}/"
-# After a failed call. Peers tell what the store can't, so there is no hurry,
-# and all instances of a large fleet may be without it at once.
+# Delay after a failed call. Gossip works without the store, so it may be long,
+# and all instances of a large fleet may retry at the same time.
 _RETRY_DELAY = datetime.timedelta(seconds=4)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
@@ -28,9 +28,9 @@
     """A quarantine.
 
     Attributes:
-        replica_hashes: The replicas that ended.
-        ended_ms: Unix time of the last end.
-        tried_ms: Unix time of the trial; None if there was none.
+        replica_hashes: Hashes of the replicas that crashed.
+        ended_ms: Unix time of the last crash.
+        tried_ms: Unix time of the probe; None if there was none.
     """
 
     replica_hashes: tuple[int, ...]
@@ -39,7 +39,7 @@
 
 
 class QuarantineRows:
-    """Reads all rows once, and writes those of this instance's doing."""
+    """Reads all rows once and writes the changes made by this instance."""
 
     __slots__ = ("_clock", "_random", "_registry", "_table")
 
@@ -57,7 +57,7 @@
         self._random = random_source
 
     async def run(self) -> None:
-        """Reads, and then writes whatever changes here, until cancelled."""
+        """Reads the rows, then writes each change until cancelled."""
         while not await self._try(self.read):
             pass
         while True:
@@ -65,7 +65,7 @@
             await self._try(self.write)
 
     async def read(self) -> None:
-        """Takes all rows into the book, and deletes those that are over.
+        """Merges all rows into the registry and deletes expired ones.
 
         Raises:
             failures.PlatformError: The store did not answer.
@@ -83,11 +83,11 @@
             )
 
     async def write(self) -> None:
-        """Writes what changed by this instance's doing.
+        """Writes the changes made by this instance.
 
         Raises:
-            failures.PlatformError: The store did not take it, or may not
-                have; it does no harm to write it again.
+            failures.PlatformError: The store refused the write, or its outcome
+                is unknown; a repeated write does no harm.
         """
         for identity in self._registry.unwritten_identities():
             key = _PREFIX + identity.hex()
@@ -97,7 +97,7 @@
                 transaction = table_module.Transaction(puts=(put,))
             else:
                 transaction = table_module.Transaction(deletes=(key,))
-            # What changes while the store is asked is to be written again.
+            # A change during the commit has to be written again.
             self._registry.note_written(identity)
             try:
                 await self._table.commit(transaction)
@@ -131,7 +131,7 @@
     def _suspicion(
         self, row: table_module.Row
     ) -> registry_module.Suspicion | None:
-        """Returns what a row says; None of one that is over or unreadable."""
+        """Returns a row's suspicion; None if it is expired or malformed."""
         try:
             found = msgspec.json.decode(row.value, type=_Row)
             identity = bytes.fromhex(row.key.removeprefix(_PREFIX))
@@ -157,9 +157,9 @@
         return round(at.timestamp() * 1000)
 
     def _moment(self, unix_ms: int) -> datetime.timedelta:
-        """Returns a row's time on this clock; not in the future.
+        """Converts a row's time to monotonic time, at the latest now.
 
-        The time of day may differ between instances, and jump.
+        Wall clocks may differ between instances, and jump.
         """
         now_ms = self._clock.now().timestamp() * 1000
         return self._clock.monotonic() - max(0, now_ms - unix_ms) * _MILLISECOND
--- a/tests/cover/test_crashing_requests.py
+++ b/tests/cover/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends each replica that begins to run it, and its copies."""
+"""Requests that crash each replica that runs them, and their copies."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 INNOCENT = b"this is nothing to them"
 EVENTS = (0, 1)
 SECOND = relay_fixture.SECOND
-# What the users' rule allows once three replicas have ended under a request.
+# Retries that the users' rule allows after a request crashed three replicas.
 RETRIES_AFTER_THREE = 3
 
 
@@ -32,7 +32,7 @@
     def decide_by(
         self, decide: Callable[[users_replica.SeenRequest], Reply]
     ) -> None:
-        """Lets all replicas answer by a function of the request."""
+        """Makes all replicas answer by a function of the request."""
         for replica in self.replicas:
             replica.decide_by(decide)
 
@@ -45,7 +45,7 @@
         return Reply(events=events)
 
     async def bring_back(self) -> None:
-        """Lists each replica that has ended as another start of it."""
+        """Restarts each crashed replica under a new id."""
         for replica in self.replicas:
             if not replica.crashed.is_set():
                 continue
@@ -55,17 +55,15 @@
             self.directory.put(self.entry(replica))
 
     def arrivals(self, body: bytes = CRASHING) -> int:
-        """Returns how often a request has reached a replica."""
+        """Returns how often a request has reached replicas."""
         return sum(seen.body == body for seen in self.seen())
 
 
 class CopiesAtOneInstanceTest(CrashingRequestCase):
-    async def test_copies_of_a_request_that_ended_three_replicas(self):
-        """A caller's request ends each replica that begins to run it, and
-        everybody else's work there with it. The caller gets a failure and
-        sends the same again, under another id. Each copy was new to the
-        instance and ended three more replicas: nothing was known of a request
-        beyond one attempt of its caller.
+    async def test_copies_of_a_request_that_crashed_three_replicas(self):
+        """A caller's request crashes each replica that runs it. The caller gets
+        a failure and sends a copy with another id. If the instance knew
+        requests by their ids only, each copy would crash three more replicas.
         """
         await self.ask(STREAM, body=CRASHING)
         after_three = self.arrivals()
@@ -75,7 +73,7 @@
             await self.ask(STREAM, request_id=f"copy-{number}", body=CRASHING)
         self.assertLessEqual(self.arrivals() - after_three, RETRIES_AFTER_THREE)
 
-    async def test_a_copy_is_refused_at_once_and_truly_not_run(self):
+    async def test_a_copy_is_refused_at_once_and_not_run(self):
         await self.ask(STREAM, body=CRASHING)
         await self.bring_back()
         before = self.arrivals()
@@ -84,11 +82,10 @@
         self.assertIn(b"Retry-After: ", answer)
         self.assertEqual(self.arrivals(), before)
 
-    async def test_a_replica_s_own_failure_clears_nobody(self):
-        """Some replicas fail part of what they get, before they run it. One of
-        them failed a copy of the request: that was taken for an answer, which
-        cleared it and protected it for half a minute, and further copies ended
-        replica after replica.
+    async def test_an_error_response_clears_no_request(self):
+        """Some replicas fail a share of requests before they run them. If such
+        a failure counted as an answer, it would clear a crashing request and
+        protect it for half a minute, while copies crash further replicas.
         """
         ends = Reply(events=EVENTS, send_bytes=0, crash=True)
         replies = [ends, ends, Reply(status=500)]
@@ -98,7 +95,7 @@
             await self.bring_back()
         self.assertLessEqual(self.arrivals(), 3 + RETRIES_AFTER_THREE)
 
-    async def test_two_at_once_are_each_stopped(self):
+    async def test_two_crashing_requests_are_each_stopped(self):
         bodies = (CRASHING, ALSO_CRASHING)
         for number in range(6):
             await asyncio.gather(
@@ -111,7 +108,7 @@
         for body in bodies:
             self.assertLessEqual(self.arrivals(body), 3 + RETRIES_AFTER_THREE)
 
-    async def test_one_to_a_plain_service_is_stopped_too(self):
+    async def test_a_crashing_request_to_a_plain_service_is_stopped(self):
         for number in range(6):
             await self.ask(
                 IDEMPOTENT, request_id=f"copy-{number}", body=CRASHING
@@ -121,9 +118,9 @@
 
 
 class InnocentRequestsTest(CrashingRequestCase):
-    async def test_one_beside_it_is_answered_and_cleared(self):
-        """A stream is under way at a replica that ends under another request.
-        It is a suspect as well, goes on at the next replica, and is answered.
+    async def test_an_innocent_request_is_answered_and_cleared(self):
+        """A stream runs at a replica that crashes under another request. It
+        becomes a suspect, continues at the next replica and is answered.
         """
         begun = [Reply(events=EVENTS, stall_after=1)]
 
@@ -139,9 +136,9 @@
         self.assertTrue(relay_fixture.is_complete(answer))
         self.assertEqual(self.suspects.most_suspect(10, age=10 * SECOND), [])
 
-    async def test_resets_condemn_nobody(self):
-        """Links reset connections all day, of one request as of others. No
-        replica ends, and each copy is sent as often as the first one was.
+    async def test_connection_resets_quarantine_no_request(self):
+        """The network resets connections, but no replica crashes. Each copy is
+        attempted as often as the first one.
         """
         self.decide_by(lambda _: Reply(events=EVENTS, send_bytes=0, reset=True))
         for number in range(5):
@@ -156,12 +153,12 @@
         return await self.answer_of(asking)
 
     async def crash_three(self) -> None:
-        """Has three replicas end and come back, and time pass."""
+        """Crashes and restarts three replicas, and waits for the probe."""
         await self.answer_to_copy()
         await self.bring_back()
         await self.clock.advance(registry_module.PROBE_DELAY + SECOND)
 
-    async def test_a_trial_ends_one_replica_at_most(self):
+    async def test_a_probe_crashes_one_replica_at_most(self):
         await self.crash_three()
         await self.answer_to_copy()
         self.assertEqual(self.arrivals(), 4)
@@ -171,18 +168,17 @@
         self.assertEqual(relay_fixture.status_of(answer), 503)
         self.assertEqual(self.arrivals(), 4)
 
-    async def test_one_that_is_answered_on_trial_is_free(self):
-        """What ended the replicas was mended, or was another request."""
+    async def test_an_answered_probe_ends_the_quarantine(self):
+        """The fault was fixed, or another request caused the crashes."""
         await self.crash_three()
         self.decide_by(lambda _: Reply(events=EVENTS))
         for _ in range(3):
             answer = await self.answer_to_copy()
             self.assertTrue(relay_fixture.is_complete(answer))
 
-    async def test_a_trial_waits_for_a_replica_that_can_take_it(self):
-        """The minute is over, and no replica is there just then. The copy that
-        came was refused for that, and the one trial was taken all the same:
-        an innocent request stayed out for an hour.
+    async def test_a_probe_waits_for_an_available_replica(self):
+        """The probe is due, but no replica is available. If the refused copy
+        used up the one probe, an innocent request would be refused for an hour.
         """
         await self.crash_three()
         for replica in self.replicas:
--- a/tests/cover/test_quarantine_rows.py
+++ b/tests/cover/test_quarantine_rows.py
@@ -1,4 +1,4 @@
-"""Quarantines that outlive all instances, by rows in the store."""
+"""Quarantines persisted as rows in the store."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
     @contextlib.asynccontextmanager
     async def instance(self):
-        """Runs an instance's rows; gives its book."""
+        """Runs an instance's rows; yields its registry."""
         registry = registry_module.SuspectRegistry(clock=self.clock)
         rows = rows_module.QuarantineRows(
             registry=registry,
@@ -41,20 +41,20 @@
             await asyncio.wait({running})
 
     async def quarantine(self) -> None:
-        """Has an instance put the request into quarantine, and end."""
+        """Runs an instance that quarantines the request and ends."""
         async with self.instance() as registry:
             for replica in range(3):
                 registry.note_crash(REQUEST, replica_hash=replica, begun=True)
 
-    async def test_it_is_known_after_all_instances_were_lost(self):
+    async def test_a_quarantine_survives_the_loss_of_all_instances(self):
         await self.quarantine()
         async with self.instance() as registry:
             self.assertTrue(registry.is_quarantined(REQUEST))
 
-    async def test_it_is_written_though_nobody_saw_all_of_it(self):
-        """Three instances see one replica's end each, in the same moment, and
-        know of the others by their peers only. None of them had put the
-        request into quarantine itself, and no row was written.
+    async def test_a_quarantine_learnt_by_gossip_is_written(self):
+        """Three instances notice one crash each at the same time and learn of
+        the others by gossip only. If only the crashes noticed by itself make an
+        instance write, no row is written.
         """
         async with contextlib.AsyncExitStack() as fleet:
             registries = [
@@ -64,15 +64,15 @@
             for replica, registry in enumerate(registries):
                 registry.note_crash(REQUEST, replica_hash=replica, begun=True)
             for registry in registries:
-                for told in registry.take_updates(1):
+                for received in registry.take_updates(1):
                     for other in registries:
-                        other.merge(told)
+                        other.merge(received)
         async with self.instance() as registry:
             self.assertTrue(registry.is_quarantined(REQUEST))
 
-    async def test_its_trial_is_known_as_well(self):
-        """All instances are lost again and again. Each time the fleet would
-        send the request on trial once more, and a replica would end.
+    async def test_a_probe_is_persisted(self):
+        """All instances are lost again and again. Without the stored probe,
+        each time one more probe would crash one more replica.
         """
         await self.quarantine()
         await self.clock.advance(registry_module.PROBE_DELAY)
@@ -81,14 +81,14 @@
         async with self.instance() as registry:
             self.assertFalse(registry.try_probe(REQUEST))
 
-    async def test_one_that_was_answered_stays_free(self):
+    async def test_an_answered_request_stays_cleared(self):
         await self.quarantine()
         async with self.instance() as registry:
             registry.note_answered(REQUEST)
         async with self.instance() as registry:
             self.assertFalse(registry.is_suspect(REQUEST))
 
-    async def test_it_ends_and_leaves_no_row(self):
+    async def test_an_expired_row_is_deleted(self):
         await self.quarantine()
         await self.clock.advance(registry_module.SUSPICION_LIFETIME)
         async with self.instance() as registry:
@@ -96,14 +96,14 @@
         rows = await self.table.scan(prefix=rows_module.TABLE)
         self.assertEqual(rows, [])
 
-    async def test_a_store_that_is_away_gets_it_on_its_return(self):
+    async def test_a_quarantine_is_written_after_an_outage_of_the_store(self):
         commit = self.table.commit
 
-        async def away(_):
+        async def unreachable(_):
             raise failures.NotDoneError("away")
 
         async with self.instance() as registry:
-            self.table.commit = away
+            self.table.commit = unreachable
             for replica in range(3):
                 registry.note_crash(REQUEST, replica_hash=replica, begun=True)
             await self.clock.advance(20 * SECOND)
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -1,4 +1,4 @@
-"""Instances that tell each other under which requests replicas have ended."""
+"""Gossip among instances about requests that crash replicas."""
 
 import datetime
 import random
@@ -16,12 +16,12 @@
 REQUEST = b"r" * 16
 SECOND = datetime.timedelta(seconds=1)
 SMALL, LARGE = 7, 420
-# Within this an instance that comes back has to know.
+# Time within which an instance that comes back has to learn of a quarantine.
 LEARNT_WITHIN_S = 3.0
 
 
 class Instance:
-    """One instance's book and gossip."""
+    """One instance's registry and gossip."""
 
     def __init__(self, *, number: int, fleet: "Fleet"):
         self._fleet = fleet
@@ -50,7 +50,7 @@
 
 
 class Fleet:
-    """Instances that reach each other."""
+    """Instances that can reach each other."""
 
     def __init__(self, *, size: int):
         self.clock = clock_module.FakeClock()
@@ -66,7 +66,7 @@
         return instance
 
     def gossip_until_quiet(self) -> int:
-        """Lets news spread; returns in how many rounds it did."""
+        """Runs gossip until no update is pending; returns the rounds."""
         rounds = 0
         while any(i.registry.updates.is_set() for i in self.instances):
             rounds += 1
@@ -75,35 +75,35 @@
         return rounds
 
     def count_quarantining(self) -> int:
-        """Returns how many instances send the request nowhere."""
+        """Returns how many instances have the request in quarantine."""
         return sum(i.registry.is_quarantined(REQUEST) for i in self.instances)
 
 
 class SuspectGossipTest(unittest.IsolatedAsyncioTestCase):
     def crash_at_three(self, fleet: Fleet) -> None:
-        """Has three instances see one replica's end each."""
+        """Lets three instances notice one crash each."""
         for number, instance in enumerate(fleet.instances[:3]):
             instance.registry.note_crash(
                 REQUEST, replica_hash=number, begun=True
             )
 
-    async def test_what_three_saw_a_third_of_all_know(self):
-        """Copies of a request come to three instances, and end a replica at
-        each. None has seen more than one end, and the next copy comes to a
-        fourth.
+    async def test_crashes_seen_by_three_instances_are_known_to_all(self):
+        """Copies of a request come to three instances and crash one replica
+        each. No instance has noticed more than one crash, and the next copy
+        comes to a fourth.
         """
         fleet = Fleet(size=SMALL)
         self.crash_at_three(fleet)
         fleet.gossip_until_quiet()
         self.assertEqual(fleet.count_quarantining(), SMALL)
 
-    async def test_news_reaches_a_large_fleet_and_stops(self):
+    async def test_updates_reach_a_large_fleet_and_stop(self):
         fleet = Fleet(size=LARGE)
         self.crash_at_three(fleet)
         self.assertLess(fleet.gossip_until_quiet(), 10)
         self.assertGreaterEqual(fleet.count_quarantining(), 0.99 * LARGE)
 
-    async def test_one_that_starts_later_is_reminded(self):
+    async def test_an_instance_that_starts_later_gets_reminders(self):
         fleet = Fleet(size=SMALL)
         self.crash_at_three(fleet)
         fleet.gossip_until_quiet()
@@ -115,7 +115,7 @@
             passed_s += gossip_module.REMINDER_PERIOD.total_seconds()
         self.assertLessEqual(passed_s, LEARNT_WITHIN_S)
 
-    async def test_one_whose_word_was_lost_is_heard_later(self):
+    async def test_reminders_repair_lost_updates(self):
         fleet = Fleet(size=SMALL)
         silent = fleet.instances[0]
         silent.post.loses = True
@@ -128,9 +128,9 @@
             fleet.gossip_until_quiet()
 
     async def test_an_answer_anywhere_clears_it_everywhere(self):
-        """A request was beside others under which replicas ended, and is then
-        answered at another instance. One that missed the word of that still
-        holds the ends against it, and must not bring them back to the rest.
+        """A request was beside others that crashed replicas, and is then
+        answered at another instance. An instance that missed the answer still
+        has the crashes, and must not spread them again.
         """
         fleet = Fleet(size=SMALL)
         self.crash_at_three(fleet)
@@ -146,7 +146,7 @@
         fleet.gossip_until_quiet()
         self.assertEqual(fleet.count_quarantining(), 0)
 
-    async def test_a_trial_at_one_is_known_to_all(self):
+    async def test_a_probe_by_one_instance_is_known_to_all(self):
         fleet = Fleet(size=SMALL)
         self.crash_at_three(fleet)
         fleet.gossip_until_quiet()
--- a/tests/cover/test_suspect_registry.py
+++ b/tests/cover/test_suspect_registry.py
@@ -1,4 +1,4 @@
-"""Who is held to have ended replicas, and who is not."""
+"""Which requests are quarantined for crashing replicas."""
 
 import datetime
 import unittest
@@ -14,7 +14,7 @@
 OTHER = b"o" * 16
 SECOND = datetime.timedelta(seconds=1)
 AGES_S = strategies.integers(min_value=0, max_value=200)
-# A replica ends once, so all that notice it do so at the same time.
+# A replica crashes once, so all instances record the same time for it.
 CRASHES = strategies.builds(
     lambda replica_hash, begun: registry_module.ReplicaCrash(
         replica_hash=replica_hash, begun=begun, at=-20 * replica_hash * SECOND
@@ -41,7 +41,7 @@
         self.registry = registry_module.SuspectRegistry(clock=self.clock)
 
     def crash(self, *replicas: int, identity: bytes = REQUEST, begun=True):
-        """Has replicas end under a request."""
+        """Crashes replicas under a request."""
         for replica in replicas:
             self.registry.note_crash(
                 identity, replica_hash=replica, begun=begun
@@ -49,13 +49,13 @@
 
 
 class QuarantineTest(RegistryCase):
-    async def test_a_third_replica_that_ends_quarantines(self):
+    async def test_a_third_crash_quarantines(self):
         self.crash(1, 2, 2, 1)
         self.assertFalse(self.registry.is_quarantined(REQUEST))
         self.crash(3)
         self.assertTrue(self.registry.is_quarantined(REQUEST))
 
-    async def test_having_waited_for_a_replica_counts_half(self):
+    async def test_a_crash_before_the_answer_began_counts_half(self):
         self.crash(1, 2, 3, 4, 5, begun=False)
         self.assertFalse(self.registry.is_quarantined(REQUEST))
         self.crash(5, begun=True)
@@ -66,17 +66,17 @@
         self.registry.note_answered(REQUEST)
         self.assertFalse(self.registry.is_suspect(REQUEST))
 
-    async def test_what_was_answered_a_moment_ago_is_no_suspect(self):
-        """Everybody asks for the same, and a rack loses power with a copy at
-        each of its replicas. Nobody was answered between the three ends, and
-        the most usual request of all would have been refused for an hour.
+    async def test_a_recently_answered_request_is_no_suspect(self):
+        """A rack loses power, and each of its replicas had a copy of a very
+        common request. Without the grace time after an answer, this request
+        would be refused for an hour.
         """
         self.registry.note_answered(REQUEST)
         self.crash(1, 2, 3)
         self.assertFalse(self.registry.is_quarantined(REQUEST))
 
-    async def test_an_answer_of_long_ago_protects_from_nothing(self):
-        """A request was answered by an older version, and ends each replica
+    async def test_an_old_answer_gives_no_grace(self):
+        """A request was answered by an older version and crashes each replica
         of the newer one.
         """
         self.registry.note_answered(REQUEST)
@@ -84,12 +84,12 @@
         self.crash(1, 2, 3)
         self.assertTrue(self.registry.is_quarantined(REQUEST))
 
-    async def test_it_ends(self):
+    async def test_a_quarantine_expires(self):
         self.crash(1, 2, 3)
         await self.clock.advance(registry_module.SUSPICION_LIFETIME)
         self.assertFalse(self.registry.is_quarantined(REQUEST))
 
-    async def test_the_gravest_are_kept_in_bounded_memory(self):
+    async def test_the_most_suspect_are_kept_in_bounded_memory(self):
         self.crash(1, 2, 3)
         for number in range(2 * registry_module.MAX_SUSPECTS):
             self.crash(1, identity=b"%016d" % number)
@@ -99,10 +99,10 @@
 
 
 class ProbeTest(RegistryCase):
-    async def test_a_trial_comes_after_a_while_and_once(self):
-        """An innocent request was beside others that ended three replicas,
-        and is asked every minute. Without a trial it is refused for an hour;
-        with one each minute, a guilty one ends sixty replicas more.
+    async def test_there_is_one_probe_after_a_delay(self):
+        """An innocent request was beside others that crashed three replicas.
+        Without a probe it is refused for an hour; with one each minute, a
+        request that does crash replicas ends sixty more.
         """
         self.crash(1, 2, 3)
         self.assertFalse(self.registry.try_probe(REQUEST))
@@ -114,7 +114,7 @@
         self.assertFalse(self.registry.try_probe(REQUEST))
         self.assertTrue(self.registry.is_quarantined(REQUEST))
 
-    async def test_an_answer_on_trial_clears(self):
+    async def test_an_answered_probe_clears(self):
         self.crash(1, 2, 3)
         await self.clock.advance(registry_module.PROBE_DELAY)
         self.assertTrue(self.registry.try_probe(REQUEST))
@@ -127,7 +127,7 @@
         received=strategies.lists(SUSPICIONS, max_size=6),
         order=strategies.randoms(use_true_random=False),
     )
-    def test_the_order_of_what_is_heard_does_not_matter(self, received, order):
+    def test_the_order_of_messages_does_not_matter(self, received, order):
         registries = []
         for _ in range(2):
             registry = registry_module.SuspectRegistry(
@@ -152,7 +152,7 @@
         self.assertEqual(*replicas)
 
     @hypothesis.given(received=strategies.lists(SUSPICIONS, max_size=6))
-    def test_two_that_know_the_same_have_nothing_to_tell(self, received):
+    def test_instances_with_equal_state_send_no_updates(self, received):
         one, other = (
             registry_module.SuspectRegistry(clock=clock_module.FakeClock())
             for _ in range(2)
@@ -167,45 +167,45 @@
 
 
 class HistoriesTest(unittest.TestCase):
-    """Whole days of a pool, some of whose requests end replicas."""
+    """Simulated days of a pool, some of whose requests crash replicas."""
 
     DAYS = 6
 
     def played(self, **day) -> list[crashing_requests.Outcome]:
-        """Plays days that are alike but for their seed."""
+        """Simulates days that differ by their seed only."""
         shape = crashing_requests.Day(length_s=20.0, **day)
         return [
             crashing_requests.Pool(day=shape, seed=seed).play()
             for seed in range(self.DAYS)
         ]
 
-    def test_one_crashing_request_ends_three_and_few_are_condemned(self):
-        """A request ends a replica beside some twenty others, which go on to
-        other replicas, as it does. Of all others that day at most one in
-        five hundred may be taken for it.
+    def test_one_crashing_request_ends_three_replicas(self):
+        """A request crashes a replica beside some twenty others, which are all
+        retried at other replicas. Of all innocent requests of the day at most
+        one in five hundred may be quarantined.
         """
         outcomes = self.played(crashing=1, copies=1)
         for outcome in outcomes:
             self.assertEqual(outcome.ended, 3)
         self.assert_few_quarantined(outcomes)
 
-    def test_several_at_once_are_each_stopped(self):
+    def test_several_crashing_requests_are_each_stopped(self):
         for outcome in self.played(crashing=3, copies=2):
             self.assertLessEqual(outcome.late, 3)
 
-    def test_replicas_that_end_by_themselves_condemn_next_to_nobody(self):
-        """Half of the replicas lose power at a time, three times, and no
-        request has anything to do with it.
+    def test_outages_quarantine_few_requests(self):
+        """Half of the replicas lose power, three times, and no request is the
+        cause.
         """
         self.assert_few_quarantined(self.played(crashing=0, outages=3))
 
     def assert_few_quarantined(
         self, outcomes: list[crashing_requests.Outcome]
     ) -> None:
-        """Checks the chance of an innocent request, over all days."""
-        condemned = sum(outcome.condemned for outcome in outcomes)
+        """Checks the share of innocent requests quarantined over all days."""
+        quarantined = sum(outcome.condemned for outcome in outcomes)
         others = sum(outcome.others for outcome in outcomes)
-        self.assertLessEqual(condemned, others / 500)
+        self.assertLessEqual(quarantined, others / 500)
 
 
 if __name__ == "__main__":
