--- a/src/nutmeghook/internal/routes/in_force.py
+++ b/src/nutmeghook/internal/routes/in_force.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process; it never goes back."""
+"""The configuration in force in this process."""
 
 from collections.abc import Callable
 
@@ -7,12 +7,12 @@
 
 
 class ConfigurationInForce:
-    """Holds the newest configuration heard of from anyone.
+    """Holds the newest configuration received; versions never decrease.
 
     Attributes:
-        current: None until the first one is heard of.
-        newer_exists: Tells whether a peer was heard to know a newer one that
-            has not come here yet.
+        current: None until the first one is received.
+        newer_exists: Returns whether a peer reported a newer version that has
+            not been received here yet.
     """
 
     __slots__ = ("current", "newer_exists")
@@ -22,10 +22,13 @@
         self.newer_exists: Callable[[], bool] = _nobody_knows_more
 
     def offer(self, configuration: model.Configuration, *, source: str) -> bool:
-        """Puts a configuration in force if it is newer.
+        """Puts a configuration in force if it is newer than the current one.
 
-        The failure: a follower that reads all again, or a peer that lags,
-        offers an older one. Taken, a removed key would work again.
+        A full read of the table or a lagging peer may offer an older one, with
+        which a removed API key would work again.
+
+        Returns:
+            Whether it was put in force.
         """
         current = self.current
         if current is not None and configuration.version <= current.version:
--- a/src/nutmeghook/internal/routes/model.py
+++ b/src/nutmeghook/internal/routes/model.py
@@ -1,4 +1,4 @@
-"""What a configuration says: routes, services, teams and limits."""
+"""Contents of a configuration: routes, services, teams and limits."""
 
 import dataclasses
 import datetime
@@ -6,7 +6,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What a request of a route is, and so whether it may be repeated."""
+    """Kind of a route's requests, which decides whether they may be retried."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ServiceShare:
-    """A service that takes part of a route's requests."""
+    """A service that gets a share of a route's requests."""
 
     service: str
     weight: float
@@ -23,19 +23,19 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Route:
-    """Requests of one host below one path prefix.
+    """Requests to one host below one path prefix.
 
     Attributes:
-        shares: The services that take the requests, by weight.
-        time_limit: The longest that the operator lets a request wait.
-        target: An answer within it has its full worth.
-        attempts: The most replicas that one request may be sent to.
+        shares: The services that get the requests, by weight.
+        time_limit: Longest time that a request may take.
+        target: An answer within this time has its full utility.
+        attempts: Maximum number of replicas that one request is sent to.
         priority: 0 is the most urgent.
-        resumable: A cut stream may go on at another replica.
-        longest_pause: Pauses between events beyond it make a stream late.
+        resumable: An interrupted stream may continue at another replica.
+        longest_pause: A stream with a longer pause between events is late.
         models: The models to choose from, smallest first; empty if callers
             name the model themselves.
-        needs_key: Only teams' keys are let in.
+        needs_key: Only requests with a team's API key are allowed.
         home_regions: Where its requests may run; empty for anywhere.
     """
 
@@ -56,7 +56,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tells whether a request may run more than once."""
+        """Whether a request may run more than once."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -64,13 +64,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Service:
-    """Replicas that serve alike.
+    """A group of interchangeable replicas.
 
     Attributes:
-        max_connections: What one replica accepts from all callers together.
+        max_connections: Connections that one replica accepts in total.
         model_costs: Price of each model for 1,000 generated tokens.
-        cold_time: For how long a replica is cold after it has started.
-        cold_per_s: Requests that a cold replica bears; 0 for any number.
+        cold_time: For how long a replica is cold after its start.
+        cold_per_s: Requests a second that a cold replica can handle; 0 for no
+            limit.
     """
 
     name: str
@@ -83,9 +84,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Team:
-    """A team and its rank; the rank goes before the route's.
+    """A team.
 
     Attributes:
+        priority: Takes precedence over the route's; None for the route's.
         home_regions: Where its requests may run; empty for anywhere.
     """
 
@@ -96,7 +98,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -105,7 +107,7 @@
 
 
 class Configuration:
-    """One version of the configuration, with its look-ups.
+    """One version of the configuration, with its indexes.
 
     Attributes:
         version: Grows with each change.
@@ -134,7 +136,7 @@
             host_routes.sort(key=lambda route: -len(route.prefix))
 
     def admits_key(self, route: Route, key: str | None) -> bool:
-        """Tells whether a key, or none, may use a route."""
+        """Returns whether a request with this key, or none, may use a route."""
         if not route.needs_key or not self.teams_by_key:
             return True
         return (key or "") in self.teams_by_key
