--- a/src/nutmeghook/internal/routing/cascade_tables.py
+++ b/src/nutmeghook/internal/routing/cascade_tables.py
@@ -1,4 +1,4 @@
-"""How good each stage's answers were, by kind of request and score."""
+"""Rating statistics of each stage, by kind of request and score."""
 
 import math
 
@@ -7,15 +7,15 @@
 from nutmeghook.internal.routing import cascade_labels
 from nutmeghook.internal.routing import cascade_scorer
 
-# Older ratings fade, so that the tables follow models and requests that
-# change: a cell never weighs more than this many ratings.
-_MOST_RATINGS_PER_CELL = 2_000.0
+# Older ratings decay, so that the tables follow models and requests that
+# change: a bin never weighs more than this many ratings.
+_MAX_RATINGS_PER_BIN = 2_000.0
 
 
-class Cell(msgspec.Struct, kw_only=True, array_like=True):
-    """Count, mean and spread of some ratings; the spread is a sum of squares.
+class RatingStats(msgspec.Struct, kw_only=True, array_like=True):
+    """Count, mean and sum of squared deviations of some ratings.
 
-    It is changed in place: a table takes in hundreds of ratings a second.
+    It is changed in place: a table receives hundreds of ratings a second.
     """
 
     count: float = 0.0
@@ -23,9 +23,9 @@
     squares: float = 0.0
 
     def add(self, quality: float) -> None:
-        """Takes in a rating."""
-        if self.count >= _MOST_RATINGS_PER_CELL:
-            fading = 1.0 - 1.0 / _MOST_RATINGS_PER_CELL
+        """Adds a rating."""
+        if self.count >= _MAX_RATINGS_PER_BIN:
+            fading = 1.0 - 1.0 / _MAX_RATINGS_PER_BIN
             self.count *= fading
             self.squares *= fading
         self.count += 1.0
@@ -34,9 +34,9 @@
         self.squares += difference * (quality - self.mean)
 
     def variance(self) -> float:
-        """Returns the spread of single ratings."""
+        """Returns the variance of single ratings."""
         if self.count < 2.0:
-            return _SPREAD_OF_UNKNOWN
+            return _UNKNOWN_VARIANCE
         return self.squares / (self.count - 1.0)
 
 
@@ -49,18 +49,22 @@
         after: The next stage's answers, by the score of this one's.
     """
 
-    direct: Cell = msgspec.field(default_factory=Cell)
-    held: list[Cell] = msgspec.field(default_factory=lambda: _cells())
-    after: list[Cell] = msgspec.field(default_factory=lambda: _cells())
+    direct: RatingStats = msgspec.field(default_factory=RatingStats)
+    held: list[RatingStats] = msgspec.field(
+        default_factory=lambda: _empty_bins()
+    )
+    after: list[RatingStats] = msgspec.field(
+        default_factory=lambda: _empty_bins()
+    )
 
 
 class TemplateTable(msgspec.Struct, kw_only=True, array_like=True):
-    """All that is known for one template.
+    """All rating statistics of one template.
 
     Attributes:
         kinds: For each kind of request, a table for each stage.
-        ratings: Taken in so far.
-        requests: Rated requests of each kind, faded.
+        ratings: Number added so far.
+        requests: Rated requests of each kind, decayed.
         last_rating_at_s: Wall time of the newest rating's arrival.
     """
 
@@ -79,7 +83,7 @@
         quality: float,
         now_s: float,
     ) -> None:
-        """Takes in a rating; one of a stage that is no more is left out."""
+        """Adds a rating; ignores one of a stage that no longer exists."""
         tables = self.kinds[label.kind]
         if stage_index >= len(tables):
             return
@@ -97,12 +101,12 @@
 
     def _count_request(self, kind: int) -> None:
         self.requests[kind] += 1.0
-        if sum(self.requests) > _MOST_RATINGS_PER_CELL:
+        if sum(self.requests) > _MAX_RATINGS_PER_BIN:
             self.requests = [count / 2.0 for count in self.requests]
 
 
 def empty_table(stages: int) -> TemplateTable:
-    """Returns the table of a template that nothing is known of."""
+    """Returns the table of a template without ratings."""
     return TemplateTable(
         kinds=[
             [StageTable() for _ in range(stages)]
@@ -111,14 +115,14 @@
     )
 
 
-def standard_error(cell: Cell) -> float:
-    """Returns how far a cell's mean may be off."""
-    return math.sqrt(cell.variance() / max(1.0, cell.count))
+def standard_error(stats: RatingStats) -> float:
+    """Returns the standard error of a bin's mean."""
+    return math.sqrt(stats.variance() / max(1.0, stats.count))
 
 
-def _cells() -> list[Cell]:
-    return [Cell() for _ in range(cascade_scorer.SCORE_BINS)]
+def _empty_bins() -> list[RatingStats]:
+    return [RatingStats() for _ in range(cascade_scorer.SCORE_BINS)]
 
 
-# Qualities lie between 0 and 1; nothing spreads more than this.
-_SPREAD_OF_UNKNOWN = 0.25
+# The largest possible variance of qualities, which lie between 0 and 1.
+_UNKNOWN_VARIANCE = 0.25
--- a/src/nutmeghook/internal/routing/ejection.py
+++ b/src/nutmeghook/internal/routing/ejection.py
@@ -1,7 +1,6 @@
-"""Ejection of backend servers whose attempts fail, for a while.
+"""Outlier detection: temporary ejection of failing or slow backend servers.
 
-What one instance sees of a backend server stays with that instance. To
-share it was weighed and left out: an instance with a broken network would
+Outcomes are not shared between instances: one with a broken network would
 eject healthy backend servers for all the others.
 """
 
@@ -19,17 +18,17 @@
 
 FIRST_EJECTION = datetime.timedelta(seconds=1)
 LONGEST_EJECTION = datetime.timedelta(seconds=60)
-# Good behaviour for this long wipes out the record of earlier ejections.
-FORGIVEN_AFTER = datetime.timedelta(minutes=3)
-# A pool that fails as a whole (a bad network, a bad version, all slow) is
-# better used than given up: at most this share of a service is ejected.
+# An answer this long after the end of the last ejection resets the back-off.
+EJECTIONS_RESET_AFTER = datetime.timedelta(minutes=3)
+# At most this share of a service is ejected: if all of it fails (a bad
+# network, a bad version, all slow), it is better used than given up.
 LARGEST_EJECTED_SHARE = 0.5
 
 FAILURES_IN_A_ROW = 3
-# A refused connection says more than a failed attempt.
+# A refused connection is stronger evidence than a failed attempt.
 UNREACHABLE_IN_A_ROW = 2
-# Ejected as slow: this many times the service's typical duration, over this
-# many attempts. Answers differ in length, hence the width.
+# Ejected as slow: above this multiple of the service's typical duration, after
+# at least this many attempts. Answers differ in length, hence the large factor.
 SLOW_FACTOR = 4.0
 SLOW_ATTEMPTS = 20
 _DURATION_WEIGHT = 0.1
@@ -40,9 +39,10 @@
     """What this instance remembers of a backend server.
 
     Attributes:
-        log_duration: Moving mean of the logarithm of the durations.
-        ejections: How many there were, one after the other.
-        awaits_report: It was unreachable: a report comes before a trial.
+        log_duration: Moving average of the logarithm of durations in seconds.
+        ejections: Number of consecutive ejections.
+        awaits_report: It was unreachable, so its restoration waits for a load
+            report.
     """
 
     failures: int = 0
@@ -56,8 +56,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
-class _Return:
-    """The end of an ejection."""
+class _Restoration:
+    """The scheduled end of an ejection."""
 
     at: datetime.timedelta
     order: int
@@ -65,7 +65,7 @@
 
 
 class OutlierEjector:
-    """Counts outcomes, ejects, and lets the ejected back on trial."""
+    """Counts outcomes, ejects, and restores the ejected on probation."""
 
     __slots__ = (
         "_clock",
@@ -74,7 +74,7 @@
         "_events",
         "_order",
         "_records",
-        "_returns",
+        "_restorations",
         "_service_log_duration",
     )
 
@@ -89,7 +89,7 @@
         self._clock = clock
         self._events = events
         self._records: dict[str, _Record] = {}
-        self._returns: list[_Return] = []
+        self._restorations: list[_Restoration] = []
         self._order = itertools.count()
         self._ejected: collections.Counter[str] = collections.Counter()
         self._service_log_duration: dict[str, float] = {}
@@ -102,7 +102,7 @@
         outcome: backends.AttemptOutcome,
         duration: datetime.timedelta,
     ) -> None:
-        """Takes in how an attempt ended."""
+        """Records how an attempt ended."""
         record = self._records.setdefault(backend.address, _Record())
         if outcome is backends.AttemptOutcome.ANSWERED:
             self._note_answer(backend, record, duration)
@@ -110,17 +110,17 @@
             record.failures += 1
         elif outcome is backends.AttemptOutcome.UNREACHABLE:
             record.unreachable += 1
-        reason = self._fault_of(backend, record)
+        reason = self._ejection_reason(backend, record)
         if reason and not backend.ejected:
             self._eject(backend, record, reason)
 
     def restore_due(self) -> None:
-        """Lets those back whose time is over; cheap while there are none."""
-        if not self._returns:
+        """Restores those whose ejection is over; cheap if there are none."""
+        if not self._restorations:
             return
         now = self._clock.monotonic()
-        while self._returns and self._returns[0].at <= now:
-            due = heapq.heappop(self._returns)
+        while self._restorations and self._restorations[0].at <= now:
+            due = heapq.heappop(self._restorations)
             self._restore(due.address, now)
 
     def _forget(self, backend: backends.Backend) -> None:
@@ -131,11 +131,11 @@
     def _is_silent(
         self, backend: backends.Backend, now: datetime.timedelta
     ) -> bool:
-        """Tells whether an engine gave no sign of life since its ejection.
+        """Tells whether an engine sent no load report since its ejection.
 
-        Trials of a dead engine would each cost a caller a retry, for as long
-        as the list shows it. Its reports are polled anyway. Should the fault
-        be with the reports, it gets its trial after the longest ejection.
+        Each attempt on a dead engine would cost a caller a retry, for as long
+        as the list shows it. Its reports are polled anyway. In case that only
+        the reports fail, it is restored after the longest ejection.
         """
         record = self._records[backend.address]
         return (
@@ -150,11 +150,11 @@
         record: _Record,
         duration: datetime.timedelta,
     ) -> None:
-        backend.on_trial = False
+        backend.on_probation = False
         record.failures = 0
         record.unreachable = 0
-        good_for = self._clock.monotonic() - record.restored_at
-        if record.ejections and good_for > FORGIVEN_AFTER:
+        healthy_for = self._clock.monotonic() - record.restored_at
+        if record.ejections and healthy_for > EJECTIONS_RESET_AFTER:
             record.ejections = 0
         log_duration = math.log(max(duration.total_seconds(), 1e-3))
         service = self._service_log_duration.setdefault(
@@ -170,8 +170,10 @@
             log_duration - record.log_duration
         )
 
-    def _fault_of(self, backend: backends.Backend, record: _Record) -> str:
-        if backend.on_trial and record.failures + record.unreachable:
+    def _ejection_reason(
+        self, backend: backends.Backend, record: _Record
+    ) -> str:
+        if backend.on_probation and record.failures + record.unreachable:
             return "failed on trial"
         if record.unreachable >= UNREACHABLE_IN_A_ROW:
             return "unreachable"
@@ -193,7 +195,7 @@
         duration = min(FIRST_EJECTION * 2**record.ejections, LONGEST_EJECTION)
         self._ejected[backend.service] = ejected
         self._directory.eject(backend)
-        self._return_after(duration, backend.address)
+        self._restore_after(duration, backend.address)
         self._records[backend.address] = _Record(
             ejections=min(record.ejections + 1, 16),
             ejected_at=self._clock.monotonic(),
@@ -206,10 +208,12 @@
             seconds=str(duration.total_seconds()),
         )
 
-    def _return_after(self, duration: datetime.timedelta, address: str) -> None:
+    def _restore_after(
+        self, duration: datetime.timedelta, address: str
+    ) -> None:
         heapq.heappush(
-            self._returns,
-            _Return(
+            self._restorations,
+            _Restoration(
                 at=self._clock.monotonic() + duration,
                 order=next(self._order),
                 address=address,
@@ -221,10 +225,10 @@
         if backend is None or not backend.ejected:
             return
         if self._is_silent(backend, now):
-            self._return_after(FIRST_EJECTION, address)
+            self._restore_after(FIRST_EJECTION, address)
             return
         self._ejected[backend.service] -= 1
         self._records[address].restored_at = now
-        backend.on_trial = True
+        backend.on_probation = True
         self._directory.restore(backend)
         self._events.record(events_module.EventKind.BACKEND_RESTORED, address)
--- a/src/nutmeghook/internal/version_plans/news.py
+++ b/src/nutmeghook/internal/version_plans/gossip.py
@@ -1,8 +1,8 @@
-"""Tells peers at once what an instance learns in the course of an order.
+"""Gossips what an instance learns during an order.
 
-Two things can't wait for the store, or do without it: which sessions were
-under way when the roll-out began, and bad answers. While the store is
-away, each instance alone may know of too few to withdraw the version.
+Two things are sent to peers directly: which sessions were under way when the
+roll-out began, which can't wait for the store, and bad answers, of which each
+instance alone may know too few to withdraw the version during a store outage.
 """
 
 from collections.abc import Callable
@@ -21,39 +21,41 @@
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 
-# Sessions may move 1.5 s after a roll-out's start; a word of one that may not
-# is sent twice before, in case a datagram is lost.
-TELL_EVERY = datetime.timedelta(milliseconds=250)
-TIMES_TOLD = 2
+# Sessions may move 1.5 s after a roll-out's start. Before that a pinned session
+# is sent twice, in case a datagram is lost.
+GOSSIP_PERIOD = datetime.timedelta(milliseconds=250)
+SENDS_PER_SESSION = 2
 # A digest takes up to 10 bytes, and a datagram should fit into one packet.
-MOST_SESSIONS = 100
-# Bad answers are also written to the store, so of a large fleet a part is
-# told; sessions are told to all.
-PEERS_TOLD_EVIDENCE = 24
-# In bad answers. A slow one is about as much, and a datagram costs little.
-_WORTH_TELLING = 0.5
+MAX_SESSIONS_PER_DATAGRAM = 100
+# Number of peers that evidence is sent to. It is also written to the store, so
+# a part of a large fleet suffices; sessions are sent to all peers.
+EVIDENCE_FANOUT = 24
+# Evidence is sent once its weight has grown by this, in bad answers. A slow
+# answer weighs about as much, and a datagram costs little.
+_MIN_WEIGHT_GAIN = 0.5
 
 
-class _Told:
-    """What peers were told of one order.
+class _SentState:
+    """What was sent to peers about one order.
 
     Attributes:
-        positions: In the list of held sessions, after each of the last ticks.
-        size: Of the evidence.
-        weight: Of the evidence.
+        positions: In the list of pinned sessions, after each of the last
+            updates.
+        size: Of the evidence last sent.
+        weight: Of the evidence last sent.
     """
 
     __slots__ = ("order_id", "positions", "size", "weight")
 
     def __init__(self, *, order_id: int):
         self.order_id = order_id
-        self.positions = [0] * TIMES_TOLD
+        self.positions = [0] * SENDS_PER_SESSION
         self.weight = 0.0
         self.size = 0
 
 
-class RollOutNews(gossip_senders.PeriodicGossipSender):
-    """Sends and takes in news of open orders."""
+class RollOutGossip(gossip_senders.PeriodicGossipSender):
+    """Sends and receives updates of open orders."""
 
     __slots__ = (
         "_addresses",
@@ -61,7 +63,7 @@
         "_messages",
         "_orders",
         "_rollouts",
-        "_told",
+        "_sent",
     )
 
     def __init__(
@@ -69,87 +71,87 @@
         *,
         instance_id: str,
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
+        orders: orders_module.OrderRegistry,
         messages: sealed_messages.SealedMessages,
         addresses: Callable[[], list[str]],
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
         super().__init__(
-            period=TELL_EVERY, clock=clock, random_source=random_source
+            period=GOSSIP_PERIOD, clock=clock, random_source=random_source
         )
         self._instance_id = instance_id
         self._rollouts = rollouts
         self._orders = orders
         self._messages = messages
         self._addresses = addresses
-        self._told: dict[str, _Told] = {}
+        self._sent: dict[str, _SentState] = {}
         messages.register(ttypes.RollOutNews, self._receive)
 
     def send_update(self) -> None:
-        """Tells peers what is new of each open order."""
+        """Sends peers what is new about each open order."""
         for order in self._orders.all():
             plan = self._rollouts.plan_of(order)
             if plan is not None and plan.is_open:
-                self._tell_of(order, plan)
+                self._send_order_updates(order, plan)
 
-    def _tell_of(
+    def _send_order_updates(
         self, order: orders_module.RollOutOrder, plan: plan_module.PlanRow
     ) -> None:
-        told = self._told.get(order.service)
-        if told is None or told.order_id != order.order_id:
-            told = _Told(order_id=order.order_id)
-            self._told[order.service] = told
-        self._tell_sessions(order, told)
+        sent = self._sent.get(order.service)
+        if sent is None or sent.order_id != order.order_id:
+            sent = _SentState(order_id=order.order_id)
+            self._sent[order.service] = sent
+        self._send_sessions(order, sent)
         own = self._rollouts.evidence_of(order).own
-        if self._is_news(own, told, plan):
-            self._tell_evidence(order, own, told)
+        if self._is_evidence_due(own, sent, plan):
+            self._send_evidence(order, own, sent)
 
-    def _tell_sessions(
-        self, order: orders_module.RollOutOrder, told: _Told
+    def _send_sessions(
+        self, order: orders_module.RollOutOrder, sent: _SentState
     ) -> None:
-        held = self._rollouts.held_sessions(order)
-        first = told.positions.pop(0)
-        sessions = held.own_since(first)
-        told.positions.append(first + len(sessions))
-        for start in range(0, len(sessions), MOST_SESSIONS):
-            part = sessions[start : start + MOST_SESSIONS]
+        pinned = self._rollouts.pinned_sessions(order)
+        first = sent.positions.pop(0)
+        sessions = pinned.own_since(first)
+        sent.positions.append(first + len(sessions))
+        for start in range(0, len(sessions), MAX_SESSIONS_PER_DATAGRAM):
+            batch = sessions[start : start + MAX_SESSIONS_PER_DATAGRAM]
             self._messages.send(
-                self._addresses(), self._news(order, sessions=part)
+                self._addresses(), self._message(order, sessions=batch)
             )
 
-    def _is_news(
+    def _is_evidence_due(
         self,
         own: evidence_module.EvidenceRow,
-        told: _Told,
+        sent: _SentState,
         plan: plan_module.PlanRow,
     ) -> bool:
-        """Tells whether peers are to hear now what was seen here.
+        """Tells whether this instance's evidence is to be sent now.
 
-        Before the last stretch that is all of it, good answers too: an
-        instance without the store can't write its final report, and those
-        that decide would count none of what it saw.
+        When the final report is due, good answers are sent too: an instance
+        that can't reach the store can't write the report, and the instances
+        that decide would miss all its answers.
         """
-        if own.weight >= told.weight + _WORTH_TELLING:
+        if own.weight >= sent.weight + _MIN_WEIGHT_GAIN:
             return True
         is_due = self._rollouts.progress.is_final_report_due(plan)
-        return is_due and own.size > told.size
+        return is_due and own.size > sent.size
 
-    def _tell_evidence(
+    def _send_evidence(
         self,
         order: orders_module.RollOutOrder,
         own: evidence_module.EvidenceRow,
-        told: _Told,
+        sent: _SentState,
     ) -> None:
-        told.weight = own.weight
-        told.size = own.size
+        sent.weight = own.weight
+        sent.size = own.size
         known = self._addresses()
-        peers = self._random.sample(known, min(PEERS_TOLD_EVIDENCE, len(known)))
+        peers = self._random.sample(known, min(EVIDENCE_FANOUT, len(known)))
         self._messages.send(
-            peers, self._news(order, evidence=msgspec.json.encode(own))
+            peers, self._message(order, evidence=msgspec.json.encode(own))
         )
 
-    def _news(
+    def _message(
         self,
         order: orders_module.RollOutOrder,
         *,
@@ -165,15 +167,15 @@
         )
 
     def _receive(self, message: ttypes.RollOutNews) -> None:
-        """Takes in a peer's news.
+        """Applies a peer's update.
 
-        News may come before this instance has heard of the order; the peer's
-        second message, or the store's row, makes up for what is dropped.
+        An update that arrives before this instance knows the order is dropped;
+        the peer's second message, or the store's row, makes up for it.
         """
         order = self._orders.of_service(message.service_name)
         if order is None or order.order_id != message.order_id:
             return
-        self._rollouts.held_sessions(order).hear(message.held_sessions)
+        self._rollouts.pinned_sessions(order).receive(message.held_sessions)
         if message.evidence is None:
             return
         try:
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -33,7 +33,7 @@
         self.registry = evacuations.EvacuationRegistry(
             on_restored=self.restored.append
         )
-        self.orders = orders.OrderBook()
+        self.orders = orders.OrderRegistry()
         self.rows = tables.OperatorRows(
             configuration=in_force.ConfigurationInForce(),
             orders=self.orders,
@@ -181,8 +181,8 @@
         self.registry.evacuate("far")
         acquire = self.pool.acquire
 
-        async def slow_acquire(address, *, longest_idle_s):
-            connection = await acquire(address, longest_idle_s=longest_idle_s)
+        async def slow_acquire(address, *, max_idle_s):
+            connection = await acquire(address, max_idle_s=max_idle_s)
             if address == self.local.address:
                 self.registry.evacuate("here")
                 self.registry.restore("far")
--- a/tests/version_fixture.py
+++ b/tests/version_fixture.py
@@ -11,12 +11,12 @@
 from nutmeghook.internal.replicas import entries
 from nutmeghook.internal.replicas import send_gate
 from nutmeghook.internal.table_replication import follower
-from nutmeghook.internal.version_plans import news
+from nutmeghook.internal.version_plans import baseline as baseline_module
+from nutmeghook.internal.version_plans import gossip
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import plan as plan_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 from nutmeghook.internal.version_plans import schedule as schedule_module
-from nutmeghook.internal.version_plans import usual as usual_module
 from tests import lossy_datagrams
 
 SERVICE = "service"
@@ -42,9 +42,9 @@
 
 def seen(
     *, failed: bool = False, duration_s: float = 0.1, route: str = "route"
-) -> usual_module.AnswerSeen:
+) -> baseline_module.ObservedAnswer:
     """Returns an answer."""
-    return usual_module.AnswerSeen(
+    return baseline_module.ObservedAnswer(
         route=route,
         model="small",
         failed=failed,
@@ -58,7 +58,7 @@
 
     def __init__(self, *, clock, orders=None):
         self.clock = clock
-        self.orders = orders or orders_module.OrderBook()
+        self.orders = orders or orders_module.OrderRegistry()
         self.store_monitor = follower.StoreMonitor(clock=clock)
         self.directory = directory_module.ReplicaDirectory(clock=clock)
         for number in (1, 2, 3):
@@ -75,12 +75,12 @@
         )
 
     def begin(self, *, started: datetime.timedelta | None = None) -> None:
-        """Places the order and its plan, as of now or of a given time."""
+        """Adds the order and its plan, started now or at a given time."""
         if started is None:
             started = self.clock.monotonic()
         self.orders.place(ORDER)
         self.store_monitor.record_response(self.clock.monotonic())
-        self.rollouts.take_plan(
+        self.rollouts.apply_plan(
             plan_module.PlanRow(
                 order_id=ORDER.order_id,
                 service=SERVICE,
@@ -109,7 +109,7 @@
         return accepted[0].version
 
     def answer(self, version: str, *, number=1, failed=False, times=1) -> None:
-        """Takes in answers of a replica."""
+        """Records answers of a replica."""
         for _ in range(times):
             self.rollouts.note_answer(
                 entry(number, version), seen(failed=failed)
@@ -117,7 +117,7 @@
 
 
 def fleet(count: int, *, clock) -> list[Instance]:
-    """Returns instances that tell each other news of roll-outs."""
+    """Returns instances that gossip about roll-outs."""
     receivers: dict = {}
     instances = []
     for number in range(count):
@@ -126,7 +126,7 @@
         instance.post = lossy_datagrams.LossyDatagrams(
             receivers=receivers, own=name
         )
-        instance.news = news.RollOutNews(
+        instance.gossip = gossip.RollOutGossip(
             instance_id=name,
             rollouts=instance.rollouts,
             orders=instance.orders,
@@ -150,12 +150,12 @@
         self.instance = Instance(clock=self.clock)
 
     async def advance(self, part: float) -> None:
-        """Moves to a part of the order's time; the store answers readers."""
+        """Moves to a fraction of the order's time; the store answers."""
         await self.advance_in_silence(part)
         self.instance.store_monitor.record_contact(self.clock.monotonic())
 
     async def advance_in_silence(self, part: float) -> None:
-        """Moves to a part of the order's time, with no word of the store."""
+        """Moves to a fraction of the order's time; the store is silent."""
         wanted = datetime.timedelta(seconds=part * WITHIN_S)
         await self.clock.advance(wanted - self.clock.monotonic())
 
--- a/tests/version_absences.py
+++ b/tests/version_outages.py
@@ -16,16 +16,16 @@
 
 _TICK = datetime.timedelta(milliseconds=50)
 _PREFIX = f"{driver_module.TABLE}/"
-# An order that is not concluded by then, in parts of its time, is left open.
+# Orders without a verdict after this multiple of their time are left open.
 _LAST_PART = 3.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Absence:
-    """An instance's time without the store.
+class Outage:
+    """An interval in which an instance can't reach the store.
 
     Attributes:
-        instance: Its number.
+        instance: The instance's number.
     """
 
     instance: int
@@ -35,17 +35,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Scene:
-    """What happens in the course of an order.
+    """Conditions during an order.
 
     Attributes:
-        per_s: Requests of the service in the whole fleet.
-        bad_share: Of the new version's answers.
+        per_s: Requests a second of the service in the whole fleet.
+        bad_share: Share of bad answers of the new version.
     """
 
     instances: int
     per_s: float
     bad_share: float
-    absences: tuple[Absence, ...]
+    outages: tuple[Outage, ...]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -53,9 +53,9 @@
     """How an order ended.
 
     Attributes:
-        verdict: Open where nothing was decided.
-        at_s: From the order's start.
-        answers: Of the new version, until then.
+        verdict: Open if there is none.
+        at_s: Seconds from the order's start to the end.
+        answers: Answers of the new version until then.
     """
 
     verdict: plan_module.Verdict = plan_module.Verdict.OPEN
@@ -70,7 +70,7 @@
 
 
 class VersionFleet:
-    """Instances with drivers and news, on one store and a fake clock."""
+    """Instances with drivers and gossip, on one store and a fake clock."""
 
     def __init__(self, *, scene: Scene, seed: int):
         self._scene = scene
@@ -83,22 +83,22 @@
         self._ending = Ending()
         self._drivers = []
         self._readers = []
-        self._heard = [-1] * scene.instances
+        self._read_versions = [-1] * scene.instances
         self._step_at = []
-        self._tell_at = []
+        self._gossip_at = []
         for number, instance in enumerate(self._instances):
             instance.answer("v1", times=60)
             instance.orders.place(version_fixture.ORDER)
             self._drivers.append(self._driver(instance, f"instance-{number}"))
             self._readers.append(
-                driver_module.PlanRows(
+                driver_module.PlanRowReader(
                     rollouts=instance.rollouts,
                     orders=instance.orders,
                     instance_id=f"instance-{number}",
                 )
             )
             self._step_at.append(self._draw.uniform(0.1, 0.4))
-            self._tell_at.append(self._draw.uniform(0.0, 0.3))
+            self._gossip_at.append(self._draw.uniform(0.0, 0.3))
 
     def _driver(self, instance, name: str) -> driver_module.RollOutDriver:
         return driver_module.RollOutDriver(
@@ -143,13 +143,13 @@
     async def _tick(self) -> None:
         rows = await self._rows()
         for number, instance in enumerate(self._instances):
-            self._hear_of_the_store(number, rows)
+            self._read_store(number, rows)
             if self._now_s() >= self._step_at[number]:
                 self._step_at[number] += self._draw.uniform(0.1, 0.4)
                 await self._drivers[number].step_all()
-            if self._now_s() >= self._tell_at[number]:
-                self._tell_at[number] += self._draw.uniform(0.19, 0.31)
-                instance.news.send_update()
+            if self._now_s() >= self._gossip_at[number]:
+                self._gossip_at[number] += self._draw.uniform(0.19, 0.31)
+                instance.gossip.send_update()
         expected = self._scene.per_s * _TICK.total_seconds()
         while self._draw.random() < expected:
             expected -= 1.0
@@ -165,7 +165,7 @@
             for row in await self._store.scan(prefix=_PREFIX)
         )
 
-    def _hear_of_the_store(
+    def _read_store(
         self, number: int, rows: tuple[source.FollowedRow, ...]
     ) -> None:
         instance = self._instances[number]
@@ -173,17 +173,19 @@
             instance.store_monitor.record_failure(ValueError("no answer"))
             return
         instance.store_monitor.record_response(self.clock.monotonic())
-        heard = self._heard[number]
+        last_read = self._read_versions[number]
         self._readers[number].change(
-            tuple(row for row in rows if row.version > heard)
+            tuple(row for row in rows if row.version > last_read)
+        )
+        self._read_versions[number] = max(
+            (row.version for row in rows), default=last_read
         )
-        self._heard[number] = max((row.version for row in rows), default=heard)
 
     def _is_away(self, number: int) -> bool:
         return any(
-            absence.instance == number
-            and absence.from_s <= self._now_s() < absence.to_s
-            for absence in self._scene.absences
+            outage.instance == number
+            and outage.from_s <= self._now_s() < outage.to_s
+            for outage in self._scene.outages
         )
 
     def _request(self) -> None:
