--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -345,7 +345,7 @@
             messages=peer_messages.PeerMessages(
                 caller=self._inner.caller, handlers=self._inner.handlers
             ),
-            audience=self._some_members,
+            sample_peers=self._some_members,
             clock=self._clock,
             random_source=self._random,
         )
