--- a/src/nutmeghook/internal/upstream/sender.py
+++ b/src/nutmeghook/internal/upstream/sender.py
@@ -37,7 +37,7 @@
         target: Path and query exactly as the caller sent them.
         repeatable: It may run more than once.
         reading: Prefill of its prompt; None for a request without one.
-        slot: Slot in a send window; None if the replica's slots are not counted.
+        slot: Slot in a send window; None if its slots are not counted.
     """
 
     request_id: str
--- a/tests/cover/test_load_patterns.py
+++ b/tests/cover/test_load_patterns.py
@@ -1,4 +1,4 @@
-"""Which model answers under heavy loads, against fixed thresholds."""
+"""The choice of models under heavy loads, compared with fixed thresholds."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 class LoadPatternsTest(unittest.TestCase):
     def test_a_usual_load_is_answered_as_by_the_best_fixed_threshold(self):
-        """Nobody waits long, so there is no reason to keep poor answers."""
+        """Queues are short, so there is no reason to keep poor answers."""
         weighed = load_scene.worth(load_scene.play(load_scene.load()))
         fixed = load_scene.worth(
             load_scene.play(
@@ -18,10 +18,9 @@
         self.assertGreater(weighed, fixed - 0.01)
 
     def test_with_a_third_of_the_replicas_gone_answers_come_in_time(self):
-        """Four or five of twelve replicas crash under a usual load.
-        With every weak answer asked again the rest can just read all prompts
-        where four are gone. Where five are, they can't: queues grow and nearly
-        everything comes late.
+        """Four or five of twelve replicas crash under a usual load. If every
+        weak answer is replaced, the rest can just prefill all prompts with four
+        gone. With five gone queues grow, and nearly everything is late.
         """
         four_gone = load_scene.load(
             replicas_at=lambda at_s: 8 if at_s > 4 else 12
@@ -42,8 +41,8 @@
         self.assertGreater(weighed, fixed + 0.05)
 
     def test_a_burst_is_answered_with_smaller_models(self):
-        """Twice as many callers come for eight seconds.
-        The queues of those seconds make everybody late for long after.
+        """Twice as many requests come for eight seconds. Their queues would
+        make later requests late for long after.
         """
         pattern = load_scene.load(
             per_s=lambda at_s: (
--- a/tests/cover/test_model_choice.py
+++ b/tests/cover/test_model_choice.py
@@ -1,4 +1,4 @@
-"""When a larger model is asked, from what is known at that moment."""
+"""When a larger model is asked, by what is known at that moment."""
 
 import datetime
 import random
@@ -29,7 +29,7 @@
 
 
 def context(**changes) -> model_choice.EscalationContext:
-    """Returns a weak answer in a quiet moment, changed."""
+    """Returns a weak answer at a low load, with changes."""
     fields = {
         "confidence": 20,
         "elapsed": 120 * MS,
@@ -56,7 +56,7 @@
         self.assertEqual(self.choice.larger(ROUTE, 0), 2)
         self.assertIsNone(self.choice.larger(ROUTE, 2))
 
-    def test_in_a_quiet_moment_weak_answers_are_replaced_and_sure_ones_kept(
+    def test_at_low_load_weak_answers_are_replaced_and_sure_ones_kept(
         self,
     ):
         for confidence in range(0, 50):
@@ -68,14 +68,14 @@
         self.assertFalse(self.is_replaced(confidence=None))
 
     def test_a_weak_answer_is_kept_if_the_larger_one_would_come_late(self):
-        """The queues are long and the target has all but passed.
-        Half of such answers are good; replaced, all of them would be late.
+        """The queues are long and the target has almost passed. Half of such
+        answers are good; if replaced, all of them would be late.
         """
         self.assertFalse(self.is_replaced(confidence=40, first_event=2500 * MS))
 
     def test_a_weak_answer_is_kept_if_the_larger_one_would_not_end(self):
-        """Engines that read prompts generate 30 tokens a second.
-        An answer of 500 tokens would be cut by its deadline.
+        """Engines that prefill prompts generate 30 tokens a second, so an
+        answer of 500 tokens would be cut by its deadline.
         """
         self.assertFalse(self.is_replaced(confidence=5, generation=16_000 * MS))
 
@@ -83,10 +83,10 @@
         self.assertTrue(self.is_replaced(waiting=6, confidence=5))
         self.assertFalse(self.is_replaced(waiting=6, confidence=45))
 
-    def test_long_prompts_are_not_given_up_before_short_ones(self):
-        """A long prompt holds up more of the others, but it is worth more.
-        By reading time alone all long prompts kept their poor answers, on a
-        day on which there was room for them.
+    def test_long_prompts_are_not_kept_before_short_ones(self):
+        """A long prompt delays other requests more, but has a larger utility.
+        With a cost by prefill time alone, all long prompts would keep their
+        poor answers, even where there is capacity for them.
         """
         for waiting in range(12):
             if self.is_replaced(waiting=waiting, relative_size=0.3):
@@ -120,7 +120,7 @@
         strategies.floats(min_value=0, max_value=1e9),
     )
     def test_any_times_give_a_decision(self, confidence, first_ms, elapsed_ms):
-        """A clock that jumped or a model that was never heard of."""
+        """A clock that jumped, or a model that was never observed."""
         self.is_replaced(
             confidence=confidence,
             first_event=first_ms * MS,
@@ -130,8 +130,8 @@
 
 class GenerationTimesTest(unittest.TestCase):
     def test_it_learns_what_an_engine_takes(self):
-        """Engines of another deployment read four times faster.
-        Within some minutes of answers the expected times are theirs.
+        """Engines of another deployment prefill four times faster. After some
+        minutes of answers the expected times match theirs.
         """
         drawn = random.Random(1)
         times = generation_times.GenerationTimes()
--- a/tests/cover/test_relay_callers.py
+++ b/tests/cover/test_relay_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send too much, too slowly, or what is not theirs to send."""
+"""Callers that send too much, too slowly, or what they may not send."""
 
 import asyncio
 import datetime
@@ -27,8 +27,8 @@
         )
 
     async def test_without_a_configuration_nothing_is_denied(self):
-        """An instance has just started and the store is away.
-        It can't know what is allowed, so it says "not run", never 404.
+        """An instance has just started and the store is down. It can't know
+        what is allowed, so it answers that the request was not run, never 404.
         """
         self.configuration.current = None
         self.listener._limits = model.CallerLimits
@@ -50,9 +50,9 @@
         self.assertEqual(self.seen(), [])
 
     async def test_an_instance_that_knows_it_is_behind_denies_nothing(self):
-        """A team gets a route and calls it at once. The change has not come to
-        this instance, but a peer has told that there is one. 404 would be
-        final; "not run, come back" is true.
+        """A team gets a route and calls it at once. This instance has not
+        received the change but knows from a peer that there is one. 404 would
+        be final, so it answers that the request was not run and may be retried.
         """
         self.configuration.newer_exists = lambda: True
         for options in ({"target": "/nowhere/x"}, {"extra": ()}):
@@ -62,11 +62,11 @@
                 self.assertIn(b"Retry-After", answer)
         self.assertEqual(self.seen(), [])
 
-    async def test_a_key_that_is_taken_away_is_refused_on_a_kept_connection(
+    async def test_a_revoked_key_is_refused_on_a_kept_connection(
         self,
     ):
-        """A caller's connection stays open while its key is taken away.
-        The next request on it is refused; the connection proves nothing.
+        """A caller's connection stays open while its key is revoked. The next
+        request on it is refused: an open connection authorizes nothing.
         """
         host, _, port = self.listener.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -91,8 +91,8 @@
         self.assertEqual(relay_fixture.status_of(second), 401)
 
     async def test_what_only_the_router_may_set_is_dropped(self):
-        """A caller sends headers that reserve memory or name a team.
-        Passed on, it would act in the router's or in another team's name.
+        """A caller sends headers that reserve memory or name a team. If they
+        were forwarded, it would act as the router or as another team.
         """
         forged = (
             "X-Kv-Hold",
@@ -120,8 +120,8 @@
             self.assertNotIn(name.lower(), seen.headers)
 
     async def test_a_target_passes_as_it_came(self):
-        """The path holds what a library would normalise.
-        The replica must see the caller's own bytes, or another resource runs.
+        """The path holds what a library would normalise. The replica must get
+        the caller's own bytes, or another resource runs.
         """
         target = "/idempotent/a%2fb/../c//d?x=%41&x=1+2"
         await self.ask(IDEMPOTENT, target=target)
@@ -143,8 +143,8 @@
             self.assertNotIn(name, seen.headers)
 
     async def test_length_and_chunks_together_are_refused(self):
-        """A message has two ends, to hide a second one behind the first.
-        It is refused; nothing of it reaches a replica.
+        """A message has both a length and chunks, to hide a second message
+        behind it. It is refused, and nothing of it reaches a replica.
         """
         answer = await self.ask(
             ONCE,
@@ -172,9 +172,9 @@
         self.assertIn(b"soon", relay_fixture.body_of(answer))
 
     async def test_half_a_head_is_not_waited_for(self):
-        """A caller sends half a head and nothing more.
-        After the limit its connection is closed; some hundred of these would
-        use up all descriptors.
+        """A caller sends half a head and nothing more. After the time limit its
+        connection is closed; a few hundred of them would use up all file
+        descriptors.
         """
         self.limit(
             header_time=datetime.timedelta(milliseconds=50),
@@ -189,9 +189,9 @@
         self.assertEqual(answer, b"")
 
     async def test_a_body_that_comes_after_its_head_is_not_a_late_head(self):
-        """A caller's body comes in a packet of its own, before the handler
-        of its request has begun. It was taken for the beginning of another
-        head, and the time limit for heads cut the answer in the middle.
+        """A caller's body arrives in a packet of its own, before its request's
+        handler has begun. If it counted as the beginning of another head, the
+        time limit for heads would cut the answer in the middle.
         """
         self.limit(header_time=datetime.timedelta(milliseconds=50))
         self.reply_with(users_replica.Reply(events=(0, 1), pause_s=0.1))
@@ -207,9 +207,10 @@
         connection.connection_lost(None)
 
     async def test_a_request_whose_handler_has_not_begun_is_under_way(self):
-        """A request is read in the moment in which the door is closed.
-        Its handler has not begun, so no handler is counted; a stop that goes
-        by that count ends the process under it.
+        """A request is read in the moment in which the listener stops
+        accepting. Its handler has not begun, so a count of handlers misses it,
+        and a stop that relies on that count ends the process during the
+        request.
         """
         connection = self.fake_connection()
         await asyncio.sleep(0)
@@ -226,7 +227,7 @@
         connection.connection_lost(None)
 
     def fake_connection(self) -> listener_module.CallerConnection:
-        """Returns a connection whose packets the test makes."""
+        """Returns a connection whose packets are made by the test."""
         connection = listener_module.CallerConnection(
             server=self.listener._server,
             loop=asyncio.get_running_loop(),
@@ -247,9 +248,9 @@
         self.assertTrue(0 < left_ms <= 800)
 
     async def test_requests_under_way_end_after_the_listener_stops(self):
-        """The instance stops while a stream is under way and a kept
-        connection is idle. The idle one is closed, the stream comes whole,
-        and its connection is closed after it.
+        """The instance stops while a stream is under way and a kept connection
+        is idle. The idle one is closed; the stream comes whole, and its
+        connection is closed after it.
         """
         self.reply_with(
             users_replica.Reply(events=(0, 1, 2), pause_s=0.05),
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -1,4 +1,4 @@
-"""Leave for the way back: that it is kept, paid for, and used where it may."""
+"""The fallback replica: its retry stays reserved, is paid for, and is used."""
 
 import asyncio
 import unittest
@@ -27,7 +27,7 @@
     def answer_in_turn(self, *acts) -> None:
         """Lets all replicas together answer by these functions, in turn.
 
-        Each gets the replica that was asked; the last is repeated.
+        Each gets the replica that received the request; the last is repeated.
         """
         left = list(acts)
 
@@ -42,7 +42,7 @@
             replica.decide_by(decide_at(replica))
 
     def limit(self, *, attempts: int = 3, **changes) -> None:
-        """Puts routes in force whose requests end before long."""
+        """Puts routes with a time limit of a minute in force."""
         limits = {"time_limit": 60 * SECOND, "attempts": attempts}
         self.put_in_force(
             *(
@@ -56,10 +56,10 @@
     replica_count = 8
 
     async def test_the_fallback_outlasts_an_unreachable_replica(self):
-        """A begun stream's replica pauses, and the next one goes dark. It is
-        left for a third, which refuses with the budget spent. The way back to
-        the first was paid for, and forgotten as the dark one was left: the
-        stream was cut.
+        """A begun stream moves from a paused replica to one that becomes
+        unreachable, and on to a third, which refuses with the budget spent. The
+        retry reserved for the first replica must not be lost on the second
+        move, or the stream is cut.
         """
         asking = await self.begun()
         (first,) = [r for r in self.replicas if r.seen]
@@ -78,10 +78,10 @@
         self.assertEqual(len(self.seen()), 4)
 
     async def test_a_reserved_attempt_counts_for_the_next_move(self):
-        """A begun stream is left for a replica that then says nothing. There
-        is leave for one more attempt, and the leave for the way back is in
-        hand. Both together are leave for two, but the stream was held at the
-        silent replica until others' attempts were out of the window.
+        """A begun stream moves to a replica that stays silent. One retry is
+        left and one is reserved for the fallback, enough for another move. If
+        the reservation were not counted, the stream would wait until other
+        attempts leave the window.
         """
         self.limit()
         asking = await self.begun()
@@ -104,9 +104,9 @@
         self.assertLess(left_at - silent_from, 5 * SECOND)
 
     async def test_no_fallback_to_a_withdrawn_version(self):
-        """A begun stream is left, and its replica's version is withdrawn. The
-        next replica refuses with the budget spent. The answers of the version
-        are bad: nothing more is sent to it, even if the stream is cut.
+        """A begun stream's replica is abandoned and its version withdrawn; the
+        next replica refuses with the budget spent. Nothing more may be sent to
+        the withdrawn version, even if the stream is cut.
         """
         withdrawn = set()
 
@@ -132,10 +132,9 @@
         self.assertEqual(len(first.seen), 1)
 
     async def test_a_reservation_serves_elsewhere_if_the_fallback_leaves(self):
-        """A begun stream is left, and its replica then says that it leaves,
-        as all do at a roll-out's end. The next one refuses with the budget
-        spent. There is no way back any more, but leave for one attempt is in
-        hand, and others would go on. The stream was cut.
+        """A begun stream's replica is abandoned and then starts leaving, as at
+        a roll-out's end. The next one refuses with the budget spent. The stream
+        is cut unless the reserved retry may be used at another replica.
         """
         asking = await self.begun()
         (first,) = [r for r in self.replicas if r.seen]
@@ -153,10 +152,10 @@
         self.assertLess(self.budgets.budget_for("service").left(), 1)
 
     async def test_the_fallback_is_used_if_no_other_replica_is_listed(self):
-        """A begun stream is left. The replica that is to go on refuses, and it
-        and all others are then gone from the list; the first one's version is
-        in use, but no new request is given to it. The way back was there, and
-        the stream was cut for want of a replica.
+        """A begun stream is moved, the next replica refuses, and all but the
+        first disappear from the list. The first one's version gets no new
+        requests but is in full use. The stream is cut unless it falls back to
+        it.
         """
         asking = await self.begun()
         (first,) = [r for r in self.replicas if r.seen]
@@ -182,12 +181,12 @@
 
 
 class FallbackReleaseTest(driven_relay.BegunStreamCase, FallbackCase):
-    """Leave that is held counts without end, so each end gives it back."""
+    """A reservation never expires, so each end of a request releases it."""
 
     replica_count = 8
 
     async def moved(self) -> float:
-        """Has a begun stream left for a replica that then says nothing.
+        """Has a begun stream moved to a replica that then stays silent.
 
         Returns:
             What is left of the budget with the one attempt paid for.
@@ -219,7 +218,7 @@
         )
 
     async def test_when_the_caller_leaves(self):
-        """The caller hangs up while the second replica is silent."""
+        """The caller disconnects while the second replica is silent."""
         after_one_attempt = await self.moved()
         (silent,) = [
             replica
@@ -238,11 +237,11 @@
 
 
 class FallbackTest(FallbackCase):
-    """Other work that is given up, and an attempt that is then refused."""
+    """Other abandoned work, followed by an attempt that is refused."""
 
     async def test_a_slow_whole_answer_is_asked_for_again(self):
         """A replica takes too long, and the next one refuses with the budget
-        spent. The caller gets the first one's answer after all, not 502.
+        spent. The caller gets the first one's answer, not 502.
         """
         self.spend_all(but=2)
         self.reply_with(
@@ -256,9 +255,9 @@
         self.assertEqual(first, back)
 
     async def test_a_weak_answer_is_asked_for_again(self):
-        """The small model's answer is dropped for the large model's, whose
-        replica refuses with the budget spent. The caller gets the weak answer
-        after all: the small model is asked once more, not the large one.
+        """A small model's answer is dropped for the large model's, whose
+        replica refuses with the budget spent. The small model is asked once
+        more, not the large one, and the caller gets its answer.
         """
         self.put_in_force(
             relay_fixture.route(
@@ -284,9 +283,9 @@
 
 class FallbackAfterFailureTest(FallbackCase):
     async def test_a_failure_does_not_replace_a_slow_answer(self):
-        """A replica takes too long, and the next one fails the request with
-        the budget spent. The way back was paid for, but only a refusal led
-        to it: the caller got the failure.
+        """A replica takes too long, and the next one fails the request with the
+        budget spent. A failure must lead to the fallback as a refusal does, or
+        the caller gets the failure.
         """
         self.spend_all(but=2)
         self.reply_with(
@@ -300,9 +299,9 @@
         self.assertEqual(first, back)
 
     async def test_a_weak_answer_outlasts_an_unreachable_replica(self):
-        """The small model's answer is dropped, and the large model's replica
-        goes dark. The next one refuses with the budget spent. The small model
-        is asked once more; the caller got nothing.
+        """A small model's answer is dropped, the large model's replica becomes
+        unreachable, and the next one refuses with the budget spent. The small
+        model is asked once more; otherwise the caller gets nothing.
         """
         self.limit(models=driven_relay.MODELS)
         self.spend_all(but=3)
@@ -334,9 +333,9 @@
         )
 
     async def test_a_fallback_is_forecast_for_the_model_that_it_runs(self):
-        """The small model is asked once more, after the large one's replica
-        refused. What the attempt was expected to take was reckoned for the
-        large model, and told of the replica's pace and reading by that.
+        """The small model is asked once more after the large one's replica
+        refused. A forecast for the large model would distort what is recorded
+        of the replica's speed and its cached prompt prefixes.
         """
         self.limit(models=driven_relay.MODELS)
         self.spend_all(but=2)
--- a/tests/cover/test_relay_further_attempts.py
+++ b/tests/cover/test_relay_further_attempts.py
@@ -1,4 +1,4 @@
-"""Work in hand and further attempts: what else may end one too soon."""
+"""Attempts under way and further attempts: what may end them too early."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -25,7 +25,7 @@
 
 
 class BusyClock(clock_module.FakeClock):
-    """Lets a wait's time run out in the turn in which its result comes.
+    """Lets a wait time out in the same turn in which its result arrives.
 
     Attributes:
         late_waits: How many of the next waits end so.
@@ -52,10 +52,10 @@
     def build_clock(self) -> clock_module.Clock:
         return BusyClock()
 
-    async def test_a_slow_replica_that_nobody_gives_up_is_not_ejected(self):
-        """A request that may run only once takes far longer than usual.
-        Nobody gives it up and its answer comes. The relay counted a failure
-        for each stretch of its patience, and left a sound replica alone.
+    async def test_a_slow_replica_that_is_not_abandoned_is_not_ejected(self):
+        """A request that may run only once takes far longer than usual, is not
+        abandoned, and is answered. Counting a failure for each timeout that
+        passed would eject a healthy replica.
         """
         self.reply_with(Reply(body=b"at last", pause_s=0.3))
         asking = asyncio.create_task(self.ask(ONCE))
@@ -70,9 +70,9 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_an_answer_that_comes_with_the_timeout_is_passed_on(self):
-        """The process is busy for a while, and the answer and the end of the
-        relay's patience come up in one turn of its loop. The whole answer was
-        dropped, and another replica asked for it.
+        """The process is busy, so the answer and the timeout arrive in one turn
+        of the event loop. The answer must be forwarded, not dropped and
+        requested from another replica.
         """
         self.clock.late_waits = 1
         self.reply_with(Reply(body=b"in hand"), Reply(body=b"another"))
@@ -81,7 +81,7 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_nor_is_one_that_comes_as_the_time_limit_ends(self):
-        """The same at the time limit: the answer is there."""
+        """The same at the request's time limit."""
         self.put_in_force(relay_fixture.route(IDEMPOTENT, time_limit=SECOND))
         self.clock.late_waits = 1
         self.reply_with(Reply(body=b"in hand"))
@@ -89,8 +89,8 @@
         self.assertEqual(relay_fixture.body_of(answer), b"in hand")
 
     async def test_a_caller_that_leaves_ends_a_slow_answer(self):
-        """A caller leaves after its request was waited for beyond patience.
-        Its replica must not work on for nobody.
+        """A caller disconnects after the timeout for another attempt has
+        passed. Its replica must stop the work.
         """
         self.spend_all()
         self.reply_with(Reply(silent=True))
@@ -109,8 +109,8 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_own_failures_count_among_all_attempts(self):
-        """Replicas refuse a request, and then all fail it. There is one bound
-        on the attempts of a request, however each of them ended.
+        """Replicas refuse a request, and then all fail it. One limit applies to
+        all attempts of a request, however each of them ended.
         """
         self.put_in_force(
             relay_fixture.route(IDEMPOTENT, time_limit=LONG, attempts=5)
@@ -126,16 +126,15 @@
 
 class SilentStreamsTest(driven_relay.BudgetedRelayCase):
     def probe_with(self, probe) -> None:
-        """Replaces the question how a replica meets a connection."""
+        """Replaces the probe of a replica by a new connection."""
         replaced = mock.patch.object(pool_module.ConnectionPool, "probe", probe)
         replaced.start()
         self.addCleanup(replaced.stop)
 
     async def test_an_event_that_comes_during_the_probe_keeps_its_replica(self):
-        """A replica is silent for a moment. While it is asked whether it still
-        accepts connections its events come, and the question itself gets no
-        answer, as where a first packet is lost. The stream is at work, and
-        was left for another replica.
+        """A silent replica's events arrive while it is probed, and the probe
+        times out, as after a lost packet. The stream is at work and must not
+        move to another replica.
         """
 
         async def lost(_, address: str) -> pool_module.Reachability:
@@ -152,8 +151,8 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_no_attempt_begins_after_the_time_limit(self):
-        """A dark replica is found out as the request's time ends. Another
-        attempt could answer nobody any more.
+        """A replica is found unreachable as the request's time ends. Another
+        attempt could not answer the caller in time.
         """
 
         async def slow(_, address: str) -> pool_module.Reachability:
@@ -168,9 +167,9 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_a_failure_and_a_cut_are_not_joined(self):
-        """A replica fails a stream, and the next one breaks it off after it
-        has begun. No attempt is left: the caller's stream is cut, and the
-        first replica's failure is not put behind it.
+        """A replica fails a stream, and the next one breaks it off after it has
+        begun, with no attempt left. The caller's stream is cut, and the first
+        replica's failure is not appended to it.
         """
         self.put_in_force(
             relay_fixture.route(STREAM, time_limit=LONG, attempts=2)
@@ -185,8 +184,8 @@
         self.assertFalse(relay_fixture.is_complete(answer))
 
     async def test_a_weak_stream_that_may_run_once_is_kept(self):
-        """The small model's answer to a stream that may not be resumed, and
-        so may run only once, is weak. Asking a larger model is a second run.
+        """The small model's answer is weak, but the stream may not be resumed
+        and so may run only once. Asking a larger model would be a second run.
         """
         self.put_in_force(
             relay_fixture.route(
@@ -210,9 +209,9 @@
     replica_count = retry_permission.MAX_TRIES + 2
 
     async def test_a_refused_further_attempt_cuts_no_stream(self):
-        """A begun stream's replica falls silent, and another one is asked to
-        go on, with the last of the retry budget. That one refuses. The first
-        replica is as sound as before, and the stream goes back to it.
+        """A begun stream moves from a silent replica to one that refuses, with
+        the last of the retry budget. The first replica is still healthy, and
+        the stream falls back to it.
         """
         asking = await self.begun()
         self.spend_all(but=2)
@@ -224,9 +223,9 @@
         self.assertEqual(first, back)
 
     async def test_the_last_retry_is_not_spent_on_leaving_a_replica(self):
-        """A begun stream's replica pauses, and there is leave for one further
-        attempt only. If that one were refused there would be no way back, so
-        the stream is left where it is, and comes whole.
+        """A begun stream's replica pauses, and the budget allows one attempt
+        only. If that were refused, there would be no retry left for falling
+        back, so the stream stays and comes whole.
         """
         self.reply_with(Reply(events=EVENTS, pause_s=0.2))
         asking = asyncio.create_task(self.ask(STREAM))
@@ -238,8 +237,8 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_a_reservation_is_released_once_a_stream_goes_on(self):
-        """A stream is left and goes on elsewhere. The leave that was taken to
-        come back serves others: one attempt was made, and one is paid for.
+        """A stream moves and goes on elsewhere. The retry reserved for falling
+        back is released: one attempt was made, and one is paid for.
         """
         asking = await self.begun()
         before = self.budgets.budget_for("service").left()
@@ -248,9 +247,9 @@
         self.assertEqual(self.budgets.budget_for("service").left(), before - 1)
 
     async def test_nor_does_one_that_can_not_be_sent(self):
-        """A begun stream's replica falls silent, and those that are asked to
-        go on have stopped, as at a roll-out's end. The relay tries them one
-        after the other, as often as it may, and never goes back to the first.
+        """A begun stream's replica falls silent, and all others have stopped,
+        as at a roll-out's end. The relay must fall back to the first instead of
+        using up all attempts on them.
         """
         asking = await self.begun()
         for replica in self.replicas:
@@ -271,7 +270,7 @@
         self.directory.put(self.entry(self.other, service="other"))
 
     def move(self, *_) -> Reply:
-        """Moves the route as its request arrives, and fails the request."""
+        """Moves the route as its request arrives, and replies."""
         self.put_in_force(
             relay_fixture.route(
                 IDEMPOTENT,
@@ -287,9 +286,9 @@
         return await self.answer_of(asyncio.create_task(self.ask(IDEMPOTENT)))
 
     async def test_a_repeat_takes_from_the_budget_of_its_service(self):
-        """A route moves to another service while its request is under way,
-        and the replica at work crashes. The next attempt goes to the other
-        service, whose retry budget is spent: it must not be sent.
+        """A route moves to another service while its request is under way, and
+        the replica at work crashes. The next attempt would go to the other
+        service, whose retry budget is spent, so it must not be sent.
         """
         self.first_reply = Reply(send_bytes=0, reset=True)
         self.spend_all("other")
@@ -304,7 +303,7 @@
         self.assertEqual(relay_fixture.body_of(answer), b"from the other")
 
     async def test_a_replica_s_failure_likewise(self):
-        """The same, after a failure of the replica's own."""
+        """The same, after a replica's own failure."""
         self.first_reply = Reply(status=500, body=b"out of order")
         self.spend_all("other")
         answer = await self.asked()
@@ -314,10 +313,10 @@
 
 class BehindInstanceTest(driven_relay.BudgetedRelayCase):
     async def test_a_refused_request_is_not_denied_by_an_instance_behind(self):
-        """A replica refuses a request. Meanwhile its key was taken away, and
-        this instance has heard of a newer configuration that it has not got.
-        On arrival such a request is told to come back, since the newer one
-        may let it in; 401 would be the end of it.
+        """A replica refuses a request whose key has been revoked, and this
+        instance knows of a newer configuration that it has not received. The
+        newer one may admit the request, so it is told to retry; 401 would be
+        final.
         """
 
         def act(_) -> Reply:
--- a/tests/cover/test_relay_leaving_replicas.py
+++ b/tests/cover/test_relay_leaving_replicas.py
@@ -1,13 +1,9 @@
-"""Streams of replicas that leave: they work on, and take no new connection.
+"""Streams of leaving replicas, which work on and accept no connections.
 
-Seen on a large deployment as a roll-out completed: 48 attempts on streams were
-given up within three seconds, by the bound for dark replicas, and some of the
-answers were cut. A replica that leaves closes its listener and finishes what
-it runs. The relay tried to connect to see whether a silent replica is dark,
-was refused at once, and took that for darkness. What proved it: of 14 attempts
-whose replica was still known, all were at one that was leaving, and ten ended
-0.56 to 0.64 s after their answer began, which leaves no room for the 0.35 s
-that an attempt to connect waits when nobody answers.
+A leaving replica closes its listener and finishes its requests. The probe of a
+silent replica is then refused at once. If that counted as unreachable, its
+streams would be abandoned 0.6 s into a pause, and some of them cut: 48 attempts
+within three seconds at the end of one roll-out.
 """
 
 import asyncio
@@ -23,7 +19,7 @@
 Reply = users_replica.Reply
 EVENTS = (0, 1, 2)
 WHOLE = [users_replica.event(number) for number in EVENTS]
-# Doubtful, but less than a stream of the fixture's routes may pause.
+# Long enough for a probe, but less than a PATIENT stream may pause.
 LONGER_THAN_PROBE_DELAY = datetime.timedelta(milliseconds=700)
 PATIENT = relay_fixture.route(
     STREAM,
@@ -38,7 +34,7 @@
         return clock_module.FakeClock()
 
     async def paused(self) -> tuple[asyncio.Task[bytes], object]:
-        """Asks for a stream that pauses; returns it and its replica."""
+        """Requests a stream that pauses; returns it and its replica."""
         self.configuration.offer(
             relay_fixture.configuration(PATIENT, version=2), source="test"
         )
@@ -49,9 +45,9 @@
         return asking, replica
 
     async def test_a_stream_of_a_leaving_replica_is_not_abandoned(self):
-        """A replica refuses connections, since it leaves, and pauses between
-        two events. It runs what it has to its end, so the caller gets the
-        stream from it whole and no other replica reads the prompt again.
+        """A leaving replica refuses connections and pauses between two events.
+        The caller gets the whole stream from it, and no other replica prefills
+        the prompt again.
         """
         asking, leaving = await self.paused()
         leaving.refuse_connections()
@@ -63,8 +59,8 @@
     async def test_a_replica_that_refuses_connections_gets_no_new_requests(
         self,
     ):
-        """What a refused connection tells of a replica is that new requests
-        have no place there; the next ones go to the other replica.
+        """A replica that refuses connections takes no new requests; the next
+        ones go to the other replica.
         """
         asking, leaving = await self.paused()
         leaving.refuse_connections()
--- a/tests/cover/test_relay_lost_replicas.py
+++ b/tests/cover/test_relay_lost_replicas.py
@@ -1,4 +1,4 @@
-"""What the log tells of a connection that was lost in the middle."""
+"""What the log says of a connection that was lost during an answer."""
 
 import asyncio
 
@@ -32,10 +32,10 @@
         return [m for m in self.messages if m["message_type"] == message_type]
 
     async def lost_to(self, reply: Reply) -> dict[str, object]:
-        """Breaks one stream off so; returns what is logged of it."""
+        """Breaks off one stream by this reply; returns its log entry."""
         self.reply_with(reply, Reply(events=(0, 1)))
         await self.ask(STREAM, body=b"prompt")
-        # The replica is asked beside the request's further way.
+        # The replica is probed while the request goes on.
         await self.noticed.wait()
         (lost,) = self.logged("attempt:lost")
         self.assertTrue(lost["begun"])
@@ -50,8 +50,8 @@
         self.assertEqual(lost["replica_now"], "accepts")
 
     async def test_copies_of_a_request_have_one_identity(self):
-        """A request comes again with another id of its caller's attempt, on
-        another connection. Nothing in the log told that it was the same one.
+        """A caller retries a request with another id, on another connection.
+        The log must show that it is the same request.
         """
         self.reply_with(Reply(events=(0, 1)))
         for request_id, body in (("1", b"a"), ("2", b"a"), ("3", b"b")):
--- a/tests/cover/test_relay_observed.py
+++ b/tests/cover/test_relay_observed.py
@@ -1,4 +1,4 @@
-"""What logs and metrics tell of a relayed request that ended badly."""
+"""What logs and metrics say of a relayed request that ended badly."""
 
 import unittest
 from unittest import mock
@@ -14,13 +14,13 @@
 
 STREAM = model.RouteKind.STREAM
 Reply = users_replica.Reply
-# What one collector keeps of a page.
+# How much of a page one collector keeps.
 KEPT_BYTES = 4000
 
 
 class LoggedEndCase(relay_fixture.RelayCase):
     async def logged_end(self) -> dict[str, object]:
-        """Asks for a stream and returns what was logged of its end."""
+        """Requests a stream and returns the log entry of its end."""
         self.messages = []
         logs.start_with(self.messages.append)
         self.addCleanup(eliot.remove_destination, self.messages.append)
@@ -41,9 +41,9 @@
             self.assertFalse(ended["cut"], ended)
 
     async def test_a_cut_answer_is_counted_and_logged_with_its_reason(self):
-        """Each replica breaks off every run of a stream.
-        The caller's stream is cut; whoever looks for it later has only what
-        was collected, so the reason is in a counter as well as in the log.
+        """Each replica breaks off every run of a stream, so the caller's stream
+        is cut. The reason is in a counter as well as in the log, since whoever
+        looks for it later has only the collected metrics.
         """
         self.reply_with(Reply(events=tuple(range(10)), send_bytes=30))
         ended = await self.logged_end()
@@ -59,9 +59,8 @@
 
 class FaultsTest(LoggedEndCase):
     async def test_the_trace_of_a_fault_names_its_request(self):
-        """A fault of the program ends a request. Its trace was logged without
-        the request's id: of several that ended in one second, nobody could
-        tell whose it was.
+        """An internal error ends a request. Without the request's id, its trace
+        can't be told from those of other requests that end in the same second.
         """
         self.reply_with(Reply(events=(0, 1)))
         with mock.patch.object(
@@ -76,9 +75,9 @@
 
 class MetricsPageTest(unittest.TestCase):
     def test_counts_of_ended_requests_come_first_on_the_page(self):
-        """A collector keeps the first 4,000 bytes of a page.
-        Metrics without a value and the buckets of histograms filled them; the
-        counts of what became of requests came later and were lost.
+        """A collector keeps the first 4,000 bytes of a page. Metrics without a
+        value and histogram buckets must not push the counts of ended requests
+        beyond them.
         """
         metrics = metrics_module.Metrics()
         for number in range(8):
--- a/tests/cover/test_relay_parts.py
+++ b/tests/cover/test_relay_parts.py
@@ -30,7 +30,7 @@
         strategies.lists(strategies.integers(1, 30)),
     )
     def test_any_cut_gives_the_same_events(self, numbers, cuts):
-        """Packets end anywhere; events come out whole, in order, unchanged."""
+        """Packets end anywhere; events come complete, in order, unchanged."""
         whole = [b"id: %d\ndata: x\n\n" % number for number in numbers]
         data = b"".join(whole)
         splitter = events.EventSplitter()
@@ -52,9 +52,9 @@
 
 class WindowBudgetTest(unittest.IsolatedAsyncioTestCase):
     async def test_repeats_stay_under_the_ratio_in_every_window(self):
-        """Callers come steadily and every request wants two repeats.
-        In no span of the window's length are more repeats allowed than the
-        ratio of its requests and the burst.
+        """Requests come steadily and each asks for two retries. No span as long
+        as the window may have more retries than the ratio of its requests plus
+        the burst.
         """
         clock = clock_module.FakeClock()
         budget = window_budget.WindowRetryBudget(
@@ -71,7 +71,7 @@
             within = [s for s in spent if start <= s < start + 100]
             self.assertLessEqual(len(within), 0.5 * 100 + 2 + 1)
 
-    async def test_what_was_saved_in_a_busy_time_is_not_kept(self):
+    async def test_an_unused_budget_expires_with_its_window(self):
         clock = clock_module.FakeClock()
         budget = window_budget.WindowRetryBudget(
             ratio=1.0, window=10 * _SECOND, burst=0, clock=clock
@@ -119,8 +119,8 @@
         )
         return chosen.replica.entry.replica_id if chosen else None
 
-    def hear(self, replica_id: str, waiting: int) -> None:
-        """Has a replica say that so many wait there and none runs."""
+    def receive_report(self, replica_id: str, waiting: int) -> None:
+        """Receives a report that so many wait at a replica and none runs."""
         self.directory.note_load(
             self.replica(replica_id), running=0, waiting=waiting
         )
@@ -142,11 +142,11 @@
         self.replica("r1").in_flight = 8
         self.assertEqual(self.choose(), "r2")
 
-    def test_a_replica_that_failed_is_not_left_out_for_long(self):
-        """Four of six replicas lost answers for some seconds.
-        They are chosen less, so they have few attempts to show that they are
-        well again; by attempts alone the other two carried everything for
-        half a minute and answered late.
+    def test_a_replica_s_failure_rate_decays_with_time(self):
+        """Four of six replicas failed for some seconds. They are chosen less
+        and so have few attempts to show that they have recovered. If the
+        failure rate did not also decay with time, the other two would carry the
+        whole load for half a minute.
         """
         for number in (1, 2):
             self.directory.put(entry(number))
@@ -159,16 +159,16 @@
         self.clock._elapsed += 10 * _SECOND
         self.assertEqual(self.choose(), "r1")
 
-    def test_an_old_report_fades_to_the_usual_load(self):
-        """A replica reported itself full some seconds ago, another empty.
-        Neither is believed any more: both are taken to be as full as usual,
-        instead of sending everything to the one heard of least.
+    def test_a_stale_load_report_fades_to_the_baseline(self):
+        """One replica reported itself full some seconds ago, another empty.
+        Both reports are stale, so both replicas count as loaded as usual,
+        instead of everything going to the one reported empty.
         """
         for number in (1, 2, 3):
             self.directory.put(entry(number, slots=64))
-            self.hear(f"r{number}", 20)
-        self.hear("r1", 60)
-        self.hear("r2", 0)
+            self.receive_report(f"r{number}", 20)
+        self.receive_report("r1", 60)
+        self.receive_report("r2", 0)
         now = self.clock.monotonic()
         full, empty = self.replica("r1"), self.replica("r2")
         self.assertGreater(
@@ -192,23 +192,23 @@
         self.assertNotEqual(self.choose(key="prompt"), first)
 
     def test_instances_do_not_all_choose_the_emptiest_replica(self):
-        """Every instance knows the same counts, half a second old.
-        Were all replicas compared, two hundred requests would go to the one
-        that was emptiest before any of them shows in a count.
+        """Every instance knows the same load reports, half a second old. If all
+        replicas were compared, two hundred requests would go to the emptiest
+        one before any of them shows in a report.
         """
         for number in range(36):
             self.directory.put(entry(number, slots=32))
-            self.hear(f"r{number}", 20)
-        self.hear("r7", 0)
+            self.receive_report(f"r{number}", 20)
+        self.receive_report("r7", 0)
         chosen = [self.choose(key=f"request {n}") for n in range(200)]
         self.assertLess(chosen.count("r7"), 40)
         self.assertGreater(chosen.count("r7"), 5)
         self.assertGreater(len(set(chosen)), 30)
 
     def test_the_only_replica_that_may_run_it_is_found_among_many(self):
-        """A version has one replica among hundreds of the other one.
-        Only the first replicas of a key are looked at; it is none of them,
-        and the request would be refused though it can be served.
+        """A version has one replica among hundreds of the other version. It is
+        not among the first replicas of the key, and a request must not be
+        refused though that replica can serve it.
         """
         for number in range(400):
             centre = "here" if number % 3 else "there"
@@ -227,7 +227,7 @@
         self.assertEqual(chosen, {"r123"})
 
     def test_the_same_key_has_the_same_replicas_on_every_instance(self):
-        """Instances hear of replicas in any order, and some come and go."""
+        """Instances learn of replicas in any order, and some come and go."""
         other = directory_module.ReplicaDirectory(clock=self.clock)
         for number in range(40):
             self.directory.put(entry(number))
@@ -242,15 +242,15 @@
             ]
             self.assertEqual(orders[0][:5], orders[1][:5])
 
-    def test_an_unreachable_replica_is_left_alone_for_a_while(self):
+    def test_an_unreachable_replica_is_ejected(self):
         self.directory.put(entry(1))
         self.directory.put(entry(2))
         self.replica("r1").health.note_unreachable(self.clock.monotonic())
         self.assertEqual(self.choose(), "r2")
 
     def test_a_service_that_fails_as_a_whole_is_still_tried(self):
-        """All replicas of a service were left alone for their failures.
-        Refusing all of its requests would be worse than trying one.
+        """All replicas of a service are ejected. Refusing all of its requests
+        would be worse than trying one.
         """
         self.directory.put(entry(1))
         self.replica("r1").health.note_unreachable(self.clock.monotonic())
@@ -270,7 +270,7 @@
 class ConfigurationInForceTest(unittest.TestCase):
     @given(strategies.lists(strategies.integers(0, 50), min_size=1))
     def test_versions_only_grow(self, versions):
-        """Peers and feeds offer versions in any order, old ones again."""
+        """Peers and feeds offer versions in any order, and old ones again."""
         held = in_force.ConfigurationInForce()
         newest = -1
         for version in versions:
@@ -294,9 +294,9 @@
         os.close(self.writer_end)
 
     async def test_a_reader_that_stops_reading_blocks_nothing(self):
-        """Whoever reads the output stops reading.
-        Lines are counted and left out instead of stopping all requests, and
-        the first line after the gap says how many were lost.
+        """The reader of the log output stops reading. Lines are counted and
+        dropped instead of blocking all requests, and the first line after the
+        gap says how many were dropped.
         """
         line = {"message_type": "x", "text": "y" * 1000}
         for _ in range(3000):
--- a/tests/cover/test_relay_revoked_access.py
+++ b/tests/cover/test_relay_revoked_access.py
@@ -1,13 +1,9 @@
-"""Requests under way whose key or route the operator takes away.
-
-Seen on a large deployment: two streams that had begun were cut in the middle,
-three seconds after a key was taken away, though both replicas were at work. A
-stream's replica paused for longer than the relay waits. The relay made sure
-of another replica and of the retry budget, left the one at work, and only
-then looked up route and key once more. Both streams had come with the key that
-was gone: the further attempt was refused, and there was nobody to go back to.
-Shown by the reason logged for requests that ended so; the first test here
-brings it about.
+"""Requests under way whose key is revoked or whose route is removed.
+
+The fault guarded against: a begun stream's replica pauses, the relay reserves
+another replica and a retry, abandons the one at work, and only then checks
+route and key again. With the key revoked, the further attempt is denied, and
+the stream is cut in the middle though its replica was at work.
 """
 
 import asyncio
@@ -28,18 +24,17 @@
 
 class BegunStreamsTest(driven_relay.BegunStreamCase):
     async def test_a_begun_stream_is_not_cut_when_its_key_is_revoked(self):
-        """The caller has two events when its key is taken away.
-        Its replica then stays silent for longer than the relay waits, and
-        another one is asked to go on. The stream was let in with a key that
-        was good, so it goes on to its end.
+        """The caller has two events when its key is revoked. Its replica then
+        falls silent, and another one is asked to resume. The stream was
+        admitted with a valid key, so it goes on to its end.
         """
         asking = await self.begun()
         self.revoke_key()
         await self.assert_goes_on(asking)
 
     async def test_nor_when_its_replica_becomes_unreachable(self):
-        """The same, but the replica answers no attempt to connect, and is left
-        long before the silence itself is too much.
+        """The same, but the replica answers no attempt to connect, and is
+        abandoned long before the limit for silence.
         """
         asking = await self.begun()
         (unreachable,) = [r for r in self.replicas if r.seen]
@@ -48,7 +43,9 @@
         await self.assert_goes_on(asking)
 
     async def test_nor_when_its_replica_breaks_off(self):
-        """The same, but the replica crashes: nobody chose to leave it."""
+        """The same, but the replica crashes, so the relay does not choose to
+        move.
+        """
         asking = await self.begun()
         self.revoke_key()
         (crashed,) = [r for r in self.replicas if r.seen]
@@ -64,7 +61,7 @@
         await self.assert_goes_on(asking)
 
     async def test_a_new_request_with_a_revoked_key_is_denied(self):
-        """What was let in before goes on; what comes after is refused."""
+        """Requests admitted before go on; those that come after are refused."""
         asking = await self.begun()
         self.revoke_key()
         denied = await self.ask(STREAM, request_id="request-2")
@@ -82,8 +79,8 @@
 
     async def test_a_begun_stream_stays_with_its_service(self):
         """The operator moves a stream's route to another service while its
-        replica is silent. Two services' texts must not be joined, so the
-        stream goes on at another replica of its own.
+        replica is silent. Texts of two services must not be joined, so the
+        stream resumes at another replica of its own service.
         """
         asking = await self.begun()
         self.put_in_force(
@@ -114,9 +111,9 @@
         return asyncio.create_task(self.ask(kind, **options))
 
     async def test_a_weak_answer_is_not_dropped_for_a_refusal(self):
-        """The small model's answer is weak, and the key was taken away while
-        it was made. The weak answer is dropped only if the larger model is
-        really asked; the caller is not left with neither.
+        """The small model's answer is weak, and its key is revoked meanwhile.
+        The answer is dropped only if the larger model is really asked;
+        otherwise the caller would get neither.
         """
         self.put_in_force(
             relay_fixture.route(
@@ -136,8 +133,8 @@
         self.assertTrue(relay_fixture.is_complete(answer))
 
     async def test_a_whole_answer_is_not_lost_with_its_key(self):
-        """A replica is silent beyond the relay's patience, and the key was
-        taken away meanwhile. Another replica's answer comes, not a failure.
+        """A replica is silent beyond the timeout, and the key is revoked
+        meanwhile. Another replica's answer comes, not a failure.
         """
         self.on_arrival(
             self.revoke_key, Reply(silent=True), Reply(body=b"from another")
@@ -148,9 +145,9 @@
     async def test_a_slow_answer_is_awaited_when_the_retry_budget_is_spent(
         self,
     ):
-        """A replica takes longer than the relay's patience and works on.
-        The retry budget is spent, so nobody else may be asked: the caller
-        waits and gets the answer that is being made.
+        """A replica takes longer than the timeout, but the retry budget is
+        spent, so no other replica may be asked. The caller waits and gets the
+        answer.
         """
         while self.budgets.budget_for("service").try_spend():
             pass
@@ -164,8 +161,8 @@
 
     async def test_a_replicas_own_failure_is_not_replaced_by_a_refusal(self):
         """A replica fails a stream before its first event, and all others
-        refuse it. The caller gets the failure as the replica gave it: it
-        says more than that nobody could take it.
+        refuse it. The caller gets the replica's failure, which says more than a
+        rejection for want of a replica.
         """
         self.reply_with(
             Reply(status=500, body=b"out of order"),
@@ -176,9 +173,9 @@
         self.assertEqual(relay_fixture.body_of(answer), b"out of order")
 
     async def test_a_request_that_has_not_run_is_authorized_again(self):
-        """A replica refuses a request, which has waited in its queue, and
-        the key was taken away meanwhile. Nothing has run: the caller hears
-        that its key is unknown, and no other replica is asked.
+        """A replica refuses a request after it waited in its queue, and the key
+        is revoked meanwhile. Nothing has run: the caller gets 401, and no other
+        replica is asked.
         """
         self.on_arrival(
             self.revoke_key, Reply(status=503, not_run=True), Reply()
--- a/tests/cover/test_relay_streams.py
+++ b/tests/cover/test_relay_streams.py
@@ -28,10 +28,9 @@
         self.assertTrue(relay_fixture.is_complete(answer))
 
     async def test_a_cut_stream_goes_on_after_its_last_whole_event(self):
-        """A replica breaks off inside its third event.
-        The caller gets the first two whole; another replica is asked to go
-        on after them, and each event comes once, in order, under the first
-        replica's seal.
+        """A replica breaks off inside its third event. The caller gets the
+        first two, another replica resumes after them, and each event comes
+        once, in order, under the first replica's seal.
         """
         inside = len(WHOLE[0]) * 2 + 5
         self.reply_with(
@@ -48,8 +47,8 @@
         self.assertEqual(set(resumed), {None, "1"})
 
     async def test_a_replica_s_word_on_the_request_is_passed_on_at_once(self):
-        """A replica finds the request itself wrong.
-        Others would find the same; the caller gets the answer as it came.
+        """A replica finds the request itself invalid. Others would find the
+        same, so the caller gets the answer unchanged.
         """
         self.reply_with(Reply(status=422, body=b"no such prompt"))
         answer = await self.ask_stream()
@@ -63,8 +62,8 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
 
     async def test_a_stream_that_may_not_be_resumed_is_cut(self):
-        """A replica breaks off a stream that may run only once.
-        What came is not ended as complete, and no other replica is asked.
+        """A replica breaks off a stream that may run only once. The stream is
+        not ended as complete, and no other replica is asked.
         """
         self.configuration.offer(
             relay_fixture.configuration(
@@ -78,9 +77,9 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_a_stream_without_an_answer_left_is_cut(self):
-        """All replicas break off every run of a stream.
-        After as many runs as the route allows, the caller's stream is cut,
-        never ended as if it were whole.
+        """All replicas break off every run of a stream. After as many runs as
+        the route allows the caller's stream is cut, not ended as if it were
+        whole.
         """
         self.reply_with(Reply(events=EVENTS, send_bytes=30))
         answer = await self.ask_stream()
@@ -88,8 +87,8 @@
         self.assertLessEqual(len(self.seen()), 3)
 
     async def test_a_stream_that_ends_inside_an_event_is_not_whole(self):
-        """A replica ends its stream properly, but inside an event.
-        The rest is asked for at another replica.
+        """A replica ends its stream properly, but inside an event. Another
+        replica resumes it.
         """
         self.reply_with(Reply(events=(0, 1), extra=b""), Reply(events=EVENTS))
         half = users_replica.Reply(body=WHOLE[0] + b"id: 1\ndata:")
@@ -98,9 +97,8 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
 
     async def test_a_silent_stream_is_resumed_elsewhere(self):
-        """A replica goes dark after two events.
-        Longer than any pause that counts as on time, the relay leaves it and
-        resumes at another replica.
+        """A replica falls silent after two events, for longer than any pause
+        that counts as on time. The stream resumes at another replica.
         """
         await self.silence_is_short()
         self.reply_with(
@@ -110,7 +108,7 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
 
     async def silence_is_short(self) -> None:
-        """Puts a route in force on which 0.1 s of silence is too much."""
+        """Puts a route in force that tolerates 0.1 s of silence."""
         self.configuration.offer(
             relay_fixture.configuration(
                 relay_fixture.route(
@@ -125,9 +123,9 @@
         )
 
     async def test_silence_cuts_no_stream_when_the_retry_budget_is_spent(self):
-        """A replica pauses in the middle of a stream, then works on.
-        The fleet's retry budget is spent, so nobody else may take over. The
-        caller waits and gets the whole stream; it is not cut for a silence.
+        """A replica pauses in the middle of a stream, and the retry budget is
+        spent, so no other replica may take over. The caller waits and gets the
+        whole stream.
         """
         await self.silence_is_short()
         while self.budgets.budget_for("service").try_spend():
@@ -139,8 +137,8 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_silence_cuts_no_stream_when_no_other_replica_is_known(self):
-        """The only replica of a service pauses in the middle of a stream.
-        There is no other to go on with; the caller waits for this one.
+        """The only replica of a service pauses in the middle of a stream. There
+        is no other to resume at; the caller waits for this one.
         """
         await self.silence_is_short()
         self.directory.remove(self.replicas[1].replica_id)
@@ -150,9 +148,9 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_a_stream_goes_back_to_the_replica_that_it_left(self):
-        """A replica falls silent after two events, and another one is asked.
-        That one refuses, and there is no third. The first one is well, so
-        the stream goes on there instead of being cut.
+        """A replica falls silent after two events, and the only other one
+        refuses. The first one is healthy, so the stream falls back to it
+        instead of being cut.
         """
         await self.silence_is_short()
         self.reply_with(
@@ -166,9 +164,9 @@
         self.assertEqual(len(self.seen()), 3)
 
     async def test_an_unreachable_replica_s_stream_is_resumed_at_once(self):
-        """A replica goes dark: its connections stay open and silent, and it
-        answers no attempt to connect. Long before the silence itself would be
-        too much, the stream goes on at another replica.
+        """A replica's connections stay open and silent, and it answers no
+        attempt to connect. The stream resumes at another replica long before
+        the limit for silence.
         """
         self.configuration.offer(
             relay_fixture.configuration(
@@ -190,21 +188,24 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
 
     async def test_a_caller_that_leaves_frees_the_replica(self):
-        """The caller closes its connection in the middle of a stream.
-        The replica's connection is dropped, so that it stops working.
+        """The caller disconnects in the middle of a stream. The replica's
+        connection is dropped, so that it stops the work.
         """
         self.reply_with(Reply(events=tuple(range(1000)), pause_s=0.01))
         await self.leave_after(b"data: part 1")
 
     async def test_a_caller_that_leaves_a_silent_stream_frees_it_too(self):
-        """The replica is silent when the caller goes, so nothing is written
-        that could fail: only the caller's close itself tells.
+        """The replica is silent when the caller disconnects, so no write fails:
+        only the caller's close itself shows it.
         """
         self.reply_with(Reply(silent=True))
         await self.leave_after(b"")
 
     async def leave_after(self, expected: bytes) -> None:
-        """Asks, reads up to some bytes, leaves; the replica must notice."""
+        """Requests a stream, reads up to some bytes and disconnects.
+
+        The replica must notice.
+        """
         host, _, port = self.listener.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(
@@ -248,9 +249,9 @@
         self.assertEqual(self.models_asked(), ["small"])
 
     async def test_no_byte_of_a_dropped_answer_reaches_the_caller(self):
-        """The small model answers and is not sure.
-        Its answer is dropped before the caller has a byte, and the largest
-        model's comes whole, under its own seal.
+        """The small model's answer has a low confidence. It is dropped before
+        the caller has a byte, and the largest model's comes whole, under its
+        own seal.
         """
         self.reply_with(
             Reply(events=(7, 8, 9), confidence=10),
@@ -261,8 +262,8 @@
         self.assertEqual(self.models_asked(), ["large", "small"])
 
     async def test_a_weak_answer_is_kept_when_no_time_is_left(self):
-        """The small model is not sure and the caller waits half a second
-        more. The large one could not answer by then: the weak answer is
+        """The small model's confidence is low, and the caller waits half a
+        second more. The large one could not answer by then: the weak answer is
         better than none.
         """
         self.reply_with(Reply(events=EVENTS, confidence=10), Reply(silent=True))
@@ -273,9 +274,9 @@
         self.assertEqual(self.models_asked(), ["small"])
 
     async def test_a_resumed_stream_stays_with_its_model(self):
-        """The large model's stream is cut after two events.
-        Two models' texts must not be joined: it is resumed with the large
-        one, though the small one answers sooner.
+        """The large model's stream is cut after two events. Texts of two models
+        must not be joined, so it resumes with the large one, though the small
+        one would answer sooner.
         """
         two_events = len(WHOLE[0]) * 2
         self.reply_with(
--- a/tests/cover/test_relay_whole_answers.py
+++ b/tests/cover/test_relay_whole_answers.py
@@ -22,10 +22,10 @@
         self.assertEqual(seen.body, b"question")
 
     async def test_a_kept_connection_that_breaks_sends_a_call_once(self):
-        """A GET stands on a route whose calls may run only once.
-        The replica resets the kept connection after it has read the call.
-        A client library would send the GET again by itself, and the call
-        would run twice; the caller is told that it may have run.
+        """A replica resets a kept connection after it has read a GET on a route
+        whose calls may run only once. A client library would retry the GET by
+        itself, and the call would run twice; the caller is told that it may
+        have run.
         """
         self.configuration.offer(
             relay_fixture.configuration(relay_fixture.route(ONCE), version=2),
@@ -41,9 +41,9 @@
         self.assertEqual(ids.count("second"), 1)
 
     async def test_a_reset_does_not_complete_a_body_without_length(self):
-        """A replica sends half an answer without length and resets.
-        Both arrive in one moment, so the event loop may report a plain end.
-        Passed on, half a finding would be filed as a whole one.
+        """A replica sends half an answer without length and resets. Both arrive
+        together, so the event loop may report a plain end of file, and the half
+        would be forwarded as the whole answer.
         """
         self.reply_with(
             Reply(body=b"half of it", framed=False, send_bytes=4, reset=True)
@@ -57,9 +57,9 @@
         self.assertEqual(relay_fixture.body_of(answer), b"all of it")
 
     async def test_a_second_answer_is_nobodys(self):
-        """A replica sends a second answer behind a whole one.
-        The connection is kept, so it would be read as the answer to the
-        next request, which is another caller's.
+        """A replica sends a second answer behind a whole one on a connection
+        that is kept. It would be read as the answer to the next request, of
+        another caller.
         """
         second = (
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n"
@@ -71,25 +71,24 @@
         self.assertEqual(relay_fixture.body_of(answer), b"right")
 
     async def test_an_answer_to_another_request_is_not_passed_on(self):
-        """A late answer arrives where this request's is due.
-        Only the echoed id tells; a call that may run once may have run.
+        """A late answer arrives in place of this request's. Only the echoed id
+        tells them apart; a call that may run once may have run.
         """
         self.reply_with(Reply(answer_id="another"))
         answer = await self.ask(ONCE)
         self.assertEqual(relay_fixture.status_of(answer), 502)
 
     async def test_an_answer_without_seal_is_tried_elsewhere(self):
-        """A replica's process is up and something else answers for it.
-        A request that may be repeated gets another replica's answer.
+        """Something else answers at a replica's address, without the replica's
+        seal. A repeatable request gets another replica's answer.
         """
         self.reply_with(Reply(sealed=False, body=b"?"), Reply(body=b"sealed"))
         answer = await self.ask(IDEMPOTENT)
         self.assertEqual(relay_fixture.body_of(answer), b"sealed")
 
     async def test_a_refusal_of_every_replica_says_not_run(self):
-        """Both replicas refuse as full before running.
-        The caller is told 503 at once, which promises that nothing ran, and
-        when to come back.
+        """Both replicas refuse as full before running. The caller gets 503 at
+        once, which promises that nothing ran, with the time to retry.
         """
         self.reply_with(Reply(status=503, not_run=True))
         answer = await self.ask(ONCE)
@@ -98,8 +97,8 @@
         self.assertNotIn(b"X-Replica-Seal", answer)
 
     async def test_a_call_that_may_have_run_is_never_called_refused(self):
-        """The replica closes the connection after it has read the call.
-        A 503 would promise that it did not run; it is 502, sent once.
+        """The replica closes the connection after it has read the call. A 503
+        would promise that it did not run; it is 502, and sent once.
         """
         self.reply_with(Reply(send_bytes=0))
         answer = await self.ask(ONCE)
@@ -107,16 +106,16 @@
         self.assertEqual(len(self.seen()), 1)
 
     async def test_a_refusal_then_an_unknown_end_is_unknown(self):
-        """One replica refuses, the next breaks off after reading the call.
-        What was refused did not run, but what was sent next may have.
+        """One replica refuses, the next breaks off after reading the call. The
+        refused attempt did not run, but the second one may have.
         """
         self.reply_with(Reply(status=503, not_run=True), Reply(send_bytes=0))
         answer = await self.ask(ONCE)
         self.assertEqual(relay_fixture.status_of(answer), 502)
 
     async def test_a_replicas_own_failure_is_passed_on_unchanged(self):
-        """A service fails a call by itself, on every replica.
-        The caller gets that failure with its seal, not one of ours.
+        """A service fails a call on every replica. The caller gets that failure
+        with its seal, not a rejection by the relay.
         """
         self.reply_with(Reply(status=500, body=b"no such file"))
         answer = await self.ask(IDEMPOTENT)
@@ -130,9 +129,8 @@
         self.assertLessEqual(len(self.seen()), 3)
 
     async def test_a_dead_replica_costs_no_answer(self):
-        """A replica has crashed and the list still shows it.
-        Nothing was written to it, so even a call that may run once goes on
-        to the other replica.
+        """A crashed replica is still in the list. Nothing was written to it, so
+        even a call that may run once goes to the other replica.
         """
         for position in (0, 1):
             await self.replicas[position].stop()
@@ -144,9 +142,9 @@
                 self.assertEqual(relay_fixture.status_of(answer), 503)
 
     async def test_a_silent_replica_is_left_for_another(self):
-        """A replica accepts and never answers a request that may be repeated.
-        After a few times its target another replica is asked; the first one's
-        connection is dropped, so it stops working for nobody.
+        """A replica accepts and never answers a repeatable request. After a few
+        times its target another replica is asked, and the first one's
+        connection is dropped, so that it stops the work.
         """
         self.configuration.offer(
             relay_fixture.configuration(
@@ -164,8 +162,8 @@
         self.assertEqual(left, ["request-1"])
 
     async def test_the_route_s_time_limit_is_an_answer(self):
-        """The replica never answers a call that may run only once.
-        At the route's limit the caller gets 504: it may have run.
+        """The replica never answers a call that may run only once. At the
+        route's time limit the caller gets 504: it may have run.
         """
         self.configuration.offer(
             relay_fixture.configuration(
--- a/tests/cover/test_replica_connection.py
+++ b/tests/cover/test_replica_connection.py
@@ -27,7 +27,7 @@
         self.connection.connection_made(self.transport)
 
     async def answer(self, data: bytes) -> connection_module.AnswerHead:
-        """Sends a request, lets an answer arrive and returns its head."""
+        """Sends a request, delivers an answer and returns its head."""
         sending = asyncio.ensure_future(
             self.connection.exchange(REQUEST, has_body=True)
         )
@@ -36,9 +36,9 @@
         return await sending
 
     async def test_a_reset_that_is_reported_as_an_end_is_still_a_reset(self):
-        """Half an answer without length and a reset arrive in one moment.
-        The event loop reads the half and reports an end of file; only the
-        socket still knows of the reset. The half must not pass for all.
+        """Half an answer without length and a reset arrive together. The event
+        loop reads the half and reports an end of file; only the socket still
+        has the error. The half must not count as the whole answer.
         """
         head = await self.answer(WITHOUT_LENGTH)
         self.socket.getsockopt.return_value = errno.ECONNRESET
@@ -56,8 +56,8 @@
         self.assertEqual(await head.read(), b"")
 
     async def test_bytes_on_an_idle_connection_end_it(self):
-        """A late answer arrives while the connection waits in the pool.
-        Kept, it would be read as the answer to the next request.
+        """A late answer arrives while the connection is idle in the pool. If
+        kept, it would be read as the answer to the next request.
         """
         head = await self.answer(WHOLE)
         self.assertEqual(await head.read(), b"whole")
@@ -67,14 +67,14 @@
         self.assertFalse(self.connection.reusable)
 
     async def test_a_second_answer_behind_the_first_ends_the_connection(self):
-        """Both arrive in one packet, before the first was read."""
+        """Both arrive in one packet, before the first is read."""
         head = await self.answer(WHOLE + WHOLE)
         self.assertEqual(await head.read(), b"whole")
         self.assertFalse(self.connection.finish_exchange())
 
     async def test_an_answer_before_the_request_was_taken_ends_it_too(self):
-        """A replica answers early and reads the rest of the body later.
-        Another request written now would be read as that rest.
+        """A replica answers early and reads the rest of the body later. The
+        next request on this connection would be read as that rest.
         """
         head = await self.answer(WHOLE)
         await head.read()
--- a/tests/cover/test_replica_probing.py
+++ b/tests/cover/test_replica_probing.py
@@ -1,4 +1,4 @@
-"""What an attempt to connect tells of a replica that is silent."""
+"""What a probe by a new connection shows of a silent replica."""
 
 import asyncio
 import datetime
@@ -17,7 +17,9 @@
 
 class ConnectionsTest(relay_fixture.RelayCase):
     async def unreachable_by(self, error: OSError) -> tuple[bool, bool]:
-        """Tells whether a replica is taken for dark, and whether ejected."""
+        """Tells whether a replica counts as unreachable, and whether as
+        ejected.
+        """
         (replica, *_) = self.directory.of_service("service")
         sender = sender_module.Sender(
             gate=send_gate.OpenGate(),
@@ -33,24 +35,24 @@
         return is_unreachable, replica.health.is_ejected(now)
 
     async def test_a_local_shortage_says_nothing_of_a_replica(self):
-        """This process has no file or port left for a connection. All silent
-        streams' replicas were taken for dark at once, and left for others,
-        though none had been asked.
+        """This process has no file descriptor or port left for a connection, so
+        no replica was probed. They must not count as unreachable, or all silent
+        streams would move to other replicas at once.
         """
         for number in (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL):
             answer = await self.unreachable_by(OSError(number, "shortage"))
             self.assertEqual(answer, (False, False), number)
 
     async def test_no_route_to_a_machine_makes_it_unreachable(self):
-        """The network says that there is no way to a replica's machine."""
+        """The network reports that there is no route to a replica's machine."""
         for number in (errno.EHOSTUNREACH, errno.ENETUNREACH):
             answer = await self.unreachable_by(OSError(number, "no way"))
             self.assertEqual(answer, (True, True), number)
 
     async def test_a_connection_that_nobody_acknowledges_breaks(self):
-        """A replica's machine is gone and another one has its address, which
-        refuses connections. That no longer tells of darkness, so only the
-        system's own checks end a stream that has begun: within 4 s.
+        """A replica's machine is gone, and another one at its address refuses
+        connections, so the probe does not find it unreachable. Only the
+        system's keep-alive and timeout end a stream that has begun: within 4 s.
         """
         connection = await self.pool.acquire(
             self.replicas[0].address, max_idle_s=0.0
--- a/tests/driven_relay.py
+++ b/tests/driven_relay.py
@@ -1,4 +1,4 @@
-"""A relay whose clock the test drives, and requests that are under way."""
+"""A relay whose clock the test advances, and requests under way."""
 
 import asyncio
 import datetime
@@ -14,13 +14,13 @@
 WHOLE = [users_replica.event(number) for number in EVENTS]
 MODELS = ("small", "middle", "large")
 ANY_MODEL = (relay_fixture.AUTHORIZATION, ("X-Model", "*"))
-# Far beyond all silences, so that none of these requests ends by its limit.
+# Far above all limits for silence, so that no request ends by its time limit.
 LONG = 100_000 * relay_fixture.SECOND
 STEP = datetime.timedelta(milliseconds=20)
 
 
 class DrivenRelayCase(relay_fixture.RelayCase):
-    """Gives each test a relay whose clock the test drives."""
+    """Gives each test a relay whose clock the test advances."""
 
     def build_clock(self) -> clock_module.Clock:
         return clock_module.FakeClock()
@@ -31,7 +31,7 @@
         self.put_in_force()
 
     def put_in_force(self, *routes: model.Route, **changes) -> None:
-        """Puts a configuration in force, with patient routes by default."""
+        """Puts a configuration in force, by default with long time limits."""
         self.version += 1
         routes = routes or tuple(
             relay_fixture.route(kind, time_limit=LONG)
@@ -45,26 +45,26 @@
         )
 
     def revoke_key(self) -> None:
-        """Takes the callers' key away; another team keeps its own."""
+        """Revokes the callers' key; another team keeps its own."""
         others = {"another-key": model.Team(name="another-team")}
         self.put_in_force(teams_by_key=others)
 
     async def answer_of(self, asking: asyncio.Task[bytes]) -> bytes:
-        """Lets time pass until a request has its final answer."""
+        """Advances the clock until a request has its final answer."""
         while not asking.done():
             await self.clock.advance(STEP)
-            # Sockets are real: what is on the way must get its turn.
+            # Sockets are real: data in transit must be delivered.
             await asyncio.sleep(0.001)
         return await asking
 
     def seen_after(self, event_id: str) -> list[users_replica.SeenRequest]:
-        """Returns the requests that went on after an event."""
+        """Returns the requests that resumed after an event."""
         name = headers.LAST_EVENT.lower()
         return [s for s in self.seen() if s.headers.get(name) == event_id]
 
 
 class BegunStreamCase(DrivenRelayCase):
-    """Has streams that have begun and stall."""
+    """Provides streams that have begun and then stall."""
 
     async def begun(self) -> asyncio.Task[bytes]:
         """Asks for a stream whose replica stalls after two events.
@@ -92,7 +92,7 @@
         return asyncio.create_task(rest())
 
     async def assert_goes_on(self, asking: asyncio.Task[bytes]) -> None:
-        """Checks that the answer comes whole, by a second replica."""
+        """Checks that a second replica completes the answer."""
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertTrue(relay_fixture.is_complete(answer))
@@ -100,23 +100,23 @@
 
 
 class BudgetedRelayCase(DrivenRelayCase):
-    """Lets a test spend retry budgets and follow where requests went."""
+    """Lets a test spend retry budgets and see where requests went."""
 
     def spend_all(self, service: str = "service", *, but: int = 0) -> None:
-        """Spends a service's retry budget but for a few attempts."""
+        """Spends a service's retry budget except for a few attempts."""
         budget = self.budgets.budget_for(service)
         while budget.left() >= 1 + but:
             budget.try_spend()
 
     def in_order_of_arrival(self) -> list[str]:
-        """Returns the ids of the replicas that requests reached."""
+        """Returns the ids of the replicas that received requests."""
         seen = [
             (s.arrived_s, r.replica_id) for r in self.replicas for s in r.seen
         ]
         return [replica_id for _, replica_id in sorted(seen)]
 
     def used_replica(self):
-        """Returns the relay's knowledge of the replica that was asked."""
+        """Returns the relay's state of the replica that was asked."""
         (asked,) = {r.replica_id for r in self.replicas if r.seen}
         (found,) = [
             replica
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -1,4 +1,4 @@
-"""A whole relay on loopback: callers, the path, stand-in replicas."""
+"""A whole relay on loopback: callers, the relay, stand-in replicas."""
 
 import asyncio
 import datetime
@@ -100,7 +100,7 @@
             await replica.stop()
 
     def entry(self, replica, **changes) -> entries.ReplicaEntry:
-        """Returns the list's entry of a stand-in."""
+        """Returns a stand-in's entry in the list of replicas."""
         fields = {
             "replica_id": replica.replica_id,
             "service": "service",
@@ -146,14 +146,14 @@
         )
 
     def build_gate(self) -> send_gate.SendGate:
-        """Returns what keeps requests from replicas."""
+        """Returns the gate that decides which replicas may be sent to."""
         return send_gate.OpenGate()
 
     def reply_with(self, *replies: users_replica.Reply) -> None:
         """Lets all replicas together give these replies, one after another.
 
-        The last is repeated. Which replica is chosen first is the relay's
-        affair, so the order may not depend on it.
+        The last is repeated. The relay decides which replica is chosen first,
+        so the order must not depend on it.
         """
         shared = list(replies)
         for replica in self.replicas:
@@ -172,10 +172,10 @@
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
 
     async def raw(self, message: bytes) -> bytes:
-        """Sends bytes on a connection of their own; returns the answer.
+        """Sends bytes on a new connection and returns the answer.
 
-        Reads until the relay closes, so give `Connection: close` or a
-        request that the relay closes after.
+        Reads until the relay closes, so give `Connection: close` or a request
+        after which the relay closes.
         """
         host, _, port = self.listener.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
