--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -109,7 +109,7 @@
     stand_s = facts.value("footprint.cascades_step_stand_ms") / 1000
     busy_percent = facts.value("footprint.cascades_step_ms") / 10 / step_s
     all_plans_bytes = cascade_rows.BUCKETS * plans.bucket_bytes(facts)
-    readings = all_plans_bytes / cascade_reader.READING_BYTES
+    readings = all_plans_bytes / cascade_reader.MAX_READ_BYTES
     return [
         row(
             "cascades: rows of what was learned",
@@ -169,7 +169,7 @@
             questions * leave_bytes,
             "B/s",
             "25 a second and version x 10 roll-outs",
-            "rollout/leave",
+            "rollout/allowance",
             ("footprint",),
             missed=questions * leave_bytes > budget,
         ),
@@ -178,7 +178,7 @@
             questions * inner_us / 2 * _US_PERCENT,
             "% of a core",
             "half an inner call each",
-            "rollout/leave",
+            "rollout/allowance",
             ("footprint",),
         ),
         row(
--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -22,7 +22,6 @@
 from nutmeghook.internal.entry import drain as drain_module
 from nutmeghook.internal.entry import listener as listener_module
 from nutmeghook.internal.entry import shutdown
-from nutmeghook.internal.following import audience
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import identifiers
 from nutmeghook.internal.inner import peer_messages
@@ -45,9 +44,10 @@
 from nutmeghook.internal.routing import service as routing_service
 from nutmeghook.internal.routing import version_choice
 from nutmeghook.internal.settings import loading
-from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.suspects import rows
+from nutmeghook.internal.table_replication import peer_sampling
 
 # One read of the platform's list serves all parts; these take one this old.
 _MEMBERSHIP_LIST_AGE = datetime.timedelta(seconds=3)
@@ -94,7 +94,7 @@
             clock=clock, capacity_events=settings.count("event_ring_events")
         )
         self.metrics = metrics_module.Metrics()
-        self.suspects = book_module.SuspectBook(clock=clock)
+        self.suspects = registry_module.SuspectRegistry(clock=clock)
         self._clients = platform_clients.open_clients(settings)
         self._instances = shared_instances.SharedInstanceList(
             instance_list=self._clients.instance_list, clock=clock
@@ -341,7 +341,7 @@
 
     def _suspect_gossip(self) -> suspect_gossip.SuspectGossip:
         return suspect_gossip.SuspectGossip(
-            book=self.suspects,
+            registry=self.suspects,
             messages=peer_messages.PeerMessages(
                 caller=self._inner.caller, handlers=self._inner.handlers
             ),
@@ -350,23 +350,23 @@
             random_source=self._random,
         )
 
-    def _some_members(self, *, near: int, far: float) -> list[str]:
+    def _some_members(self, *, local: int, remote: float) -> list[str]:
         """Returns where some other instances listen."""
         others = [m for m in self.members.members() if m != self.members.myself]
-        told = audience.Audience(
+        told = peer_sampling.PeerSampler(
             data_centre=self._settings.text("data_centre"),
             random_source=self._random,
         )
         return told.choose(
             {m.incarnation: m.inner_address for m in others},
             {m.incarnation: m.data_centre for m in others},
-            near=near,
-            far=far,
+            local=local,
+            remote=remote,
         )
 
     def _quarantine_rows(self) -> rows.QuarantineRows:
         return rows.QuarantineRows(
-            book=self.suspects,
+            registry=self.suspects,
             table=self._ledger.table,
             clock=self._clock,
             random_source=self._random,
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -13,9 +13,6 @@
 from nutmeghook.internal.assembly import relay_path
 from nutmeghook.internal.assembly import router_peers
 from nutmeghook.internal.assembly import send_limits as send_limits_module
-from nutmeghook.internal.following import copies
-from nutmeghook.internal.following import follower
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import logs
@@ -25,8 +22,11 @@
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.routes import in_force as in_force_module
 from nutmeghook.internal.routes import model
-from nutmeghook.internal.suspects import book as book_module
+from nutmeghook.internal.suspects import registry as registry_module
 from nutmeghook.internal.suspects import rows
+from nutmeghook.internal.table_replication import follower
+from nutmeghook.internal.table_replication import shared_table
+from nutmeghook.internal.table_replication import table_copy
 from nutmeghook.internal.upstream import pool as pool_module
 from nutmeghook.internal.version_plans import driver
 from nutmeghook.internal.version_plans import orders as orders_module
@@ -72,8 +72,8 @@
         "_session",
         "_settings",
         "_store",
+        "_store_monitor",
         "_was_ready",
-        "_watch",
         "_wire_format",
         "budgets",
         "configuration",
@@ -104,11 +104,11 @@
         self._store = store.StoreClient(
             session=self._session, address=settings.store_address
         )
-        self._watch = follower.StoreWatch(
+        self._store_monitor = follower.StoreMonitor(
             clock=clock, on_return=self._distrust_list
         )
         self.configuration = in_force_module.ConfigurationInForce()
-        self.orders = orders_module.OrderBook()
+        self.orders = orders_module.OrderRegistry()
         self._pool = pool_module.ConnectionPool(loop=loop)
         self.directory = directory_module.ReplicaDirectory(
             clock=clock, on_gone=self._pool.forget
@@ -123,7 +123,7 @@
             orders=self.orders,
             directory=self.directory,
             gate=self.send_limits.gate,
-            watch=self._watch,
+            store_monitor=self._store_monitor,
             schedule=_schedule(settings),
             session_time=settings.session_time,
             clock=clock,
@@ -134,7 +134,7 @@
             burst=_RETRY_BURST,
             clock=clock,
         )
-        self.suspects = book_module.SuspectBook(clock=clock)
+        self.suspects = registry_module.SuspectRegistry(clock=clock)
         self.metrics = metrics_module.Metrics()
         self.metrics_address = ""
         self.leaving = False
@@ -302,7 +302,7 @@
                 self.budgets.budget_for(service).requests_per_s()
                 * peers.fleet_size
             ),
-            watch=self._watch,
+            store_monitor=self._store_monitor,
             clock=self._clock,
             random_source=self._random,
             instance_id=self._settings.instance_id,
@@ -310,7 +310,7 @@
 
     def _quarantine_rows(self) -> rows.QuarantineRows:
         return rows.QuarantineRows(
-            book=self.suspects,
+            registry=self.suspects,
             table=store.StoreRows(client=self._store),
             clock=self._clock,
             random_source=self._random,
@@ -318,20 +318,20 @@
 
     def _distrust_list(self) -> None:
         """Holds deletions back after a store outage; entries lapse in it."""
-        self.directory.distrust_deletions(
+        self.directory.hold_deletions(
             self._clock.monotonic() + directory_module.LAPSE_GRACE
         )
 
     def _shared(
-        self, table: str, reader: follower.TableReader
+        self, table: str, listener: follower.TableListener
     ) -> shared_table.SharedTable:
-        copy = copies.TableCopy(reader=reader)
+        copy = table_copy.TableCopy(listener=listener)
         return shared_table.SharedTable(
             copy=copy,
             table_follower=follower.TableFollower(
                 table=store.PlatformTable(client=self._store, name=table),
-                reader=copy,
-                watch=self._watch,
+                listener=copy,
+                store_monitor=self._store_monitor,
                 clock=self._clock,
                 random_source=self._random,
             ),
--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -6,27 +6,27 @@
 
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.dependencies import table as table_module
-from nutmeghook.internal.following import gossip as gossip_module
-from nutmeghook.internal.following import link_allowance
-from nutmeghook.internal.following import registration
-from nutmeghook.internal.following import shared_table
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import addresses
 from nutmeghook.internal.inner import datagrams
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner import peers
 from nutmeghook.internal.inner import sealed_messages
 from nutmeghook.internal.inner import tcp_client
 from nutmeghook.internal.inner import tcp_server
-from nutmeghook.internal.inner import telling
 from nutmeghook.internal.inner import traffic
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.replicas import backlog_gossip
 from nutmeghook.internal.replicas import cold_senders as cold_senders_module
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import load_gossip
-from nutmeghook.internal.suspects import book as book_module
 from nutmeghook.internal.suspects import gossip as suspect_gossip
-from nutmeghook.internal.version_plans import news
+from nutmeghook.internal.suspects import registry as registry_module
+from nutmeghook.internal.table_replication import bandwidth_limiter
+from nutmeghook.internal.table_replication import gossip as gossip_module
+from nutmeghook.internal.table_replication import registration
+from nutmeghook.internal.table_replication import shared_table
+from nutmeghook.internal.version_plans import gossip as rollout_gossip
 from nutmeghook.internal.version_plans import orders as orders_module
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 
@@ -78,8 +78,8 @@
         directory: directory_module.ReplicaDirectory,
         cold_senders: cold_senders_module.ColdSenders,
         rollouts: rollouts_module.RollOuts,
-        orders: orders_module.OrderBook,
-        suspects: book_module.SuspectBook,
+        orders: orders_module.OrderRegistry,
+        suspects: registry_module.SuspectRegistry,
         clock: clock_module.Clock,
         random_source: random.Random,
     ):
@@ -105,15 +105,15 @@
         """How many instances were heard of lately, this one included."""
         if self._gossip is None:
             return 1
-        return len(self._gossip.living_addresses()) + 1
+        return len(self._gossip.live_addresses()) + 1
 
     def is_behind(self, name: str) -> bool:
         """Tells whether a peer was heard lately to know more of a table."""
         return self._gossip is not None and self._gossip.is_behind(name)
 
-    async def follow(self, name: str) -> None:
+    async def follow_once(self, name: str) -> None:
         """Reads a table once, or waits a little if peers read it."""
-        await gossip_module.follow(
+        await gossip_module.follow_once(
             self._tables[name], self._gossip, self._clock
         )
 
@@ -151,7 +151,7 @@
             caller=caller,
             handlers=handlers,
             deletion_grace=self._directory,
-            allowance=link_allowance.LinkAllowance(
+            limiter=bandwidth_limiter.BandwidthLimiter(
                 link_mbit_per_s=self._link_mbit_per_s, clock=self._clock
             ),
             change_time=self._change_time,
@@ -159,7 +159,9 @@
             random_source=self._random,
         )
         self._gossip.peers.update(registered.peers)
-        self._cold_senders.register(registered.peers, self._gossip.heard_within)
+        self._cold_senders.register(
+            registered.peers, self._gossip.peers_seen_within
+        )
         logs.note("peer:registered", peers=sorted(registered.peers))
         try:
             async with asyncio.TaskGroup() as tasks:
@@ -188,7 +190,7 @@
         self,
         messages: sealed_messages.SealedMessages,
         gossip: gossip_module.TableGossip,
-    ) -> tuple[telling.Teller, ...]:
+    ) -> tuple[gossip_senders.GossipSender, ...]:
         """Returns what tells peers of things that are not in tables."""
         common = {
             "messages": messages,
@@ -198,18 +200,19 @@
         return (
             load_gossip.ReplicaLoadGossip(
                 directory=self._directory,
-                near_addresses=gossip.near_addresses,
+                local_addresses=gossip.local_addresses,
                 **common,
             ),
             backlog_gossip.BacklogGossip(
                 instance_id=self._instance_id,
                 directory=self._directory,
-                audience=lambda: gossip.some_living(
-                    near=backlog_gossip.NEAR_TOLD, far=backlog_gossip.FAR_TOLD
+                sample_peers=lambda: gossip.sample_live_addresses(
+                    local=backlog_gossip.LOCAL_FANOUT,
+                    remote=backlog_gossip.REMOTE_FANOUT,
                 ),
                 **common,
             ),
-            news.RollOutNews(
+            rollout_gossip.RollOutGossip(
                 instance_id=self._instance_id,
                 rollouts=self._rollouts,
                 orders=self._orders,
@@ -217,7 +220,9 @@
                 **common,
             ),
             suspect_gossip.SuspectGossip(
-                book=self._suspects, audience=gossip.some_living, **common
+                registry=self._suspects,
+                sample_peers=gossip.sample_live_addresses,
+                **common,
             ),
         )
 
--- a/src/nutmeghook/internal/inner/telling.py
+++ b/src/nutmeghook/internal/inner/gossip_senders.py
@@ -10,11 +10,11 @@
 
 # Around the period, so that instances which started together do not send
 # together.
-_SHORTEST_PART = 0.75
-_LONGEST_PART = 1.25
+_MIN_JITTER = 0.75
+_MAX_JITTER = 1.25
 
 
-class Teller(abc.ABC):
+class GossipSender(abc.ABC):
     """Tells peers something."""
 
     __slots__ = ()
@@ -24,7 +24,7 @@
         """Tells peers until cancelled."""
 
 
-class PeriodicTeller(Teller):
+class PeriodicGossipSender(GossipSender):
     """Tells peers until cancelled, over and over.
 
     Args:
@@ -45,18 +45,18 @@
         self._random = random_source
 
     @abc.abstractmethod
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Tells peers what there is to tell now."""
 
     async def run(self) -> None:
         """Tells peers until cancelled."""
         while True:
-            part = self._random.uniform(_SHORTEST_PART, _LONGEST_PART)
-            await self._clock.sleep(part * self._period)
-            self.tell()
+            jitter = self._random.uniform(_MIN_JITTER, _MAX_JITTER)
+            await self._clock.sleep(jitter * self._period)
+            self.send_update()
 
 
-class MessageTeller(PeriodicTeller):
+class MessageGossipSender(PeriodicGossipSender):
     """Tells peers by messages of one kind, and takes in theirs.
 
     Args:
--- a/src/nutmeghook/internal/relay/retry_permission.py
+++ b/src/nutmeghook/internal/relay/retry_permission.py
@@ -96,7 +96,7 @@
         """
         if not self._crashes.is_quarantined(job):
             return
-        if self._crashes.is_trial_due(job):
+        if self._crashes.is_probe_due(job):
             return
         reason = "replicas end under this request"
         if job.possibly_run:
--- a/src/nutmeghook/internal/replicas/load_gossip.py
+++ b/src/nutmeghook/internal/replicas/load_gossip.py
@@ -12,58 +12,62 @@
 from collections.abc import Callable
 import datetime
 
-from nutmeghook.internal.inner import telling
+from nutmeghook.internal.inner import gossip_senders
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.replicas import directory as directory_module
 from nutmeghook.internal.replicas import replica as replica_module
 
 # A count passes through a data centre in three such steps, within the time in
 # which a replica's queue changes.
-TELL_EVERY = datetime.timedelta(milliseconds=250)
-PEERS_TOLD = 3
-MOST_COUNTS = 16
+GOSSIP_PERIOD = datetime.timedelta(milliseconds=250)
+FANOUT = 3
+MAX_REPORTS = 16
 # Older counts say nothing of a replica's load now.
-OLDEST_TOLD = datetime.timedelta(seconds=2)
+MAX_REPORT_AGE = datetime.timedelta(seconds=2)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class ReplicaLoadGossip(telling.MessageTeller):
+class ReplicaLoadGossip(gossip_senders.MessageGossipSender):
     """Sends and takes in counts of replicas' requests."""
 
     __slots__ = (
         "_directory",
-        "_near_addresses",
+        "_local_addresses",
     )
 
     def __init__(
         self,
         *,
         directory: directory_module.ReplicaDirectory,
-        near_addresses: Callable[[], list[str]],
-        **telling_parts,
+        local_addresses: Callable[[], list[str]],
+        **sender_arguments,
     ):
         super().__init__(
-            period=TELL_EVERY,
+            period=GOSSIP_PERIOD,
             message_type=ttypes.ReplicaLoads,
-            **telling_parts,
+            **sender_arguments,
         )
         self._directory = directory
-        self._near_addresses = near_addresses
+        self._local_addresses = local_addresses
 
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Tells a few peers the counts that were learnt last."""
-        near = self._near_addresses()
-        told = self._directory.last_reported(MOST_COUNTS, age=OLDEST_TOLD)
-        if not near or not told:
+        local = self._local_addresses()
+        reported = self._directory.recently_reported(
+            MAX_REPORTS, age=MAX_REPORT_AGE
+        )
+        if not local or not reported:
             return
         now = self._clock.monotonic()
         message = ttypes.ReplicaLoads(
-            replica_hashes=[r.short_id for r in told],
-            running=[r.report.running for r in told],
-            waiting=[r.report.waiting for r in told],
-            ages_ms=[round((now - r.report.at) / _MILLISECOND) for r in told],
+            replica_hashes=[r.short_id for r in reported],
+            running=[r.report.running for r in reported],
+            waiting=[r.report.waiting for r in reported],
+            ages_ms=[
+                round((now - r.report.at) / _MILLISECOND) for r in reported
+            ],
         )
-        chosen = self._random.sample(near, min(PEERS_TOLD, len(near)))
+        chosen = self._random.sample(local, min(FANOUT, len(local)))
         self._messages.send(chosen, message)
 
     def _receive(self, message: ttypes.ReplicaLoads) -> None:
@@ -77,7 +81,7 @@
         ):
             if min(running, waiting, age_ms) < 0:
                 continue
-            self._directory.note_load_heard(
+            self._directory.note_peer_report(
                 short_id,
                 replica_module.LoadReport(
                     running=running,
--- a/src/nutmeghook/internal/routing/directory.py
+++ b/src/nutmeghook/internal/routing/directory.py
@@ -1,8 +1,8 @@
 """Which backend servers exist, and which of them may take which work.
 
-Fed by the platform's instance list and by load reports; read on every
-request. All work that grows with the number of backend servers is done when
-they change, none of it when a request is routed.
+Updated from the platform's instance list and load reports; read on every
+request. Work that grows with the number of backend servers is done when they
+change, not when a request is routed.
 """
 
 import collections
@@ -14,20 +14,20 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.routing import backends
-from nutmeghook.internal.routing import load_book
+from nutmeghook.internal.routing import load_tracker
 from nutmeghook.internal.routing import pools
 
-# More live rows than this share gone from one list to the next is taken for
-# a fault of the list. A rack or one data centre of three is less.
-SUDDEN_LOSS_SHARE = 0.4
+# If more than this share of the live rows is gone from one list to the next,
+# the list is taken to be faulty. A rack or one data centre of three is less.
+LIST_FAULT_SHARE = 0.4
 
 
-# A plain service sends no reports. When the list still calls an instance
-# live this long after it refused as leaving, it must have changed its mind.
-LEAVING_BELIEVED = datetime.timedelta(seconds=30)
-# The same for an engine, whose reports show it sooner. Reports measured
-# before it began to leave arrive for a few seconds more.
-LATE_REPORTS = datetime.timedelta(seconds=10)
+# A plain service sends no reports. If the list still shows an instance as live
+# this long after it refused work as leaving, it is used again.
+LEAVING_TTL = datetime.timedelta(seconds=30)
+# The same for an engine whose reports no longer show it as leaving. Those
+# measured before it began to leave arrive for a few seconds more.
+MAX_REPORT_DELAY = datetime.timedelta(seconds=10)
 
 PoolKey = engine.ModelVersion | str
 
@@ -42,13 +42,13 @@
 
     __slots__ = (
         "_backends",
-        "_book",
         "_clock",
         "_events",
         "_fault",
         "_forget_callbacks",
         "_pools",
         "_service_sizes",
+        "_tracker",
         "generation",
     )
 
@@ -57,11 +57,11 @@
         *,
         clock: clock_module.Clock,
         events: events_module.EventRing,
-        book: load_book.LoadBook,
+        tracker: load_tracker.LoadTracker,
     ):
         self._clock = clock
         self._events = events
-        self._book = book
+        self._tracker = tracker
         self._backends: dict[str, backends.Backend] = {}
         self._pools: dict[PoolKey, pools.BackendPool] = {}
         self._service_sizes: collections.Counter[str] = collections.Counter()
@@ -70,7 +70,7 @@
         self.generation = 0
 
     def on_forget(self, callback: Callable[[backends.Backend], None]) -> None:
-        """Has a callback run for each backend server that is dropped."""
+        """Registers a callback to run for each dropped backend server."""
         self._forget_callbacks.append(callback)
 
     def known(self) -> list[backends.Backend]:
@@ -85,14 +85,16 @@
         """Returns how many backend servers of a service are known."""
         return self._service_sizes[service]
 
-    def pool(self, need: backends.BackendNeed) -> pools.BackendPool | None:
-        """Returns those that may take this kind of work now."""
-        if need.model_version is not None:
-            return self._pools.get(need.model_version)
-        return self._pools.get(need.service)
+    def pool(
+        self, criteria: backends.BackendCriteria
+    ) -> pools.BackendPool | None:
+        """Returns the backend servers that may take this work now."""
+        if criteria.model_version is not None:
+            return self._pools.get(criteria.model_version)
+        return self._pools.get(criteria.service)
 
     def apply_list(self, rows: list[instances.ListedInstance]) -> None:
-        """Takes in a new instance list."""
+        """Applies a new instance list."""
         listed = {
             row.address: row
             for row in rows
@@ -103,7 +105,7 @@
         missing = [
             b for b in self._backends.values() if b.address not in listed
         ]
-        for backend in self._surely_gone(missing):
+        for backend in self._removable(missing):
             self._forget(backend)
 
     def note_report(
@@ -113,60 +115,60 @@
         *,
         measured_at: datetime.timedelta,
     ) -> None:
-        """Takes in a load report, unless a newer one is known."""
+        """Applies a load report, unless a newer one is known."""
         if backend.report is not None and measured_at <= backend.reported_at:
             return
-        before = _served(backend)
+        before = _pool_keys(backend)
         backend.report = report
         backend.reported_at = measured_at
-        self._book.note_total(
+        self._tracker.note_total(
             backend,
             total=report.running + report.waiting,
             measured_at=measured_at,
         )
-        if _served(backend) != before:
+        if _pool_keys(backend) != before:
             self.generation += 1
             self._unindex(backend, before)
         if report.leaving:
             self.note_leaving(backend)
-        elif measured_at > backend.leaving_since + LATE_REPORTS:
-            self._note_staying(backend)
+        elif measured_at > backend.leaving_since + MAX_REPORT_DELAY:
+            self._note_not_leaving(backend)
         self._index(backend)
 
     def note_leaving(self, backend: backends.Backend) -> None:
-        """Gives a backend server no new work from now on."""
+        """Stops new work to a backend server that is leaving."""
         if backend.leaving:
             return
         backend.leaving = True
         backend.leaving_since = self._clock.monotonic()
-        self._unindex(backend, _served(backend))
+        self._unindex(backend, _pool_keys(backend))
         self._events.record(
             events_module.EventKind.BACKEND_LEAVING, backend.address
         )
 
     def eject(self, backend: backends.Backend) -> None:
-        """Takes a backend server out until `restore`."""
+        """Stops new work to a backend server until `restore`."""
         backend.ejected = True
-        self._unindex(backend, _served(backend))
+        self._unindex(backend, _pool_keys(backend))
 
     def restore(self, backend: backends.Backend) -> None:
         """Lets an ejected backend server take work again."""
         backend.ejected = False
         self._index(backend)
 
-    def set_nearness(
-        self, backend: backends.Backend, nearness: backends.Nearness
+    def set_locality(
+        self, backend: backends.Backend, locality: backends.Locality
     ) -> None:
         """Moves a backend server to another tier of its pools."""
-        if backend.nearness is nearness:
+        if backend.locality is locality:
             return
-        self._unindex(backend, _served(backend))
-        backend.nearness = nearness
+        self._unindex(backend, _pool_keys(backend))
+        backend.locality = locality
         self._index(backend)
 
     def _apply_row(self, row: instances.ListedInstance) -> None:
         backend = self._backends.get(row.address)
-        if backend is not None and _is_another(backend, row):
+        if backend is not None and _is_replacement(backend, row):
             self._forget(backend)
             backend = None
         if backend is None:
@@ -176,8 +178,8 @@
             self.note_leaving(backend)
         elif backend.plain:
             since = self._clock.monotonic() - backend.leaving_since
-            if since > LEAVING_BELIEVED:
-                self._note_staying(backend)
+            if since > LEAVING_TTL:
+                self._note_not_leaving(backend)
 
     def _add(self, row: instances.ListedInstance) -> backends.Backend:
         backend = backends.Backend(
@@ -193,22 +195,21 @@
         self._index(backend)
         return backend
 
-    def _note_staying(self, backend: backends.Backend) -> None:
+    def _note_not_leaving(self, backend: backends.Backend) -> None:
         if backend.leaving and not backend.listed_leaving:
             backend.leaving = False
             self._index(backend)
 
-    def _surely_gone(
+    def _removable(
         self, missing: list[backends.Backend]
     ) -> list[backends.Backend]:
-        """Returns those of the missing that the list may be believed on.
-
-        A list that empties, or loses a large part at once, tells of a fault
-        of the list: believing it would stop all work although every backend
-        server is well. So the missing are kept, and only those are dropped
-        of which this instance knows better: they said that they leave, or
-        attempts on them failed. A dead one that is kept is soon ejected by
-        the attempts that it fails, so that keeping it costs little.
+        """Returns those of the missing that are to be dropped.
+
+        A list that is emptied, or loses a large part at once, is faulty:
+        applying it would stop all work although every backend server is
+        healthy. So the missing are kept, except for those that this instance
+        knows to be leaving or has ejected. Keeping a dead one costs little,
+        since its failed attempts soon eject it.
         """
         unexplained = [b for b in missing if not (b.leaving or b.ejected)]
         live = [b for b in self._backends.values() if not b.leaving]
@@ -226,18 +227,18 @@
         return missing
 
     def _forget(self, backend: backends.Backend) -> None:
-        self._unindex(backend, _served(backend))
+        self._unindex(backend, _pool_keys(backend))
         del self._backends[backend.address]
         self._service_sizes[backend.service] -= 1
         self.generation += 1
-        self._book.forget(backend)
+        self._tracker.forget(backend)
         for callback in self._forget_callbacks:
             callback(backend)
 
     def _index(self, backend: backends.Backend) -> None:
         if backend.leaving or backend.ejected:
             return
-        for key in _served(backend):
+        for key in _pool_keys(backend):
             pool = self._pools.get(key)
             if pool is None:
                 pool = self._pools[key] = pools.BackendPool()
@@ -254,7 +255,7 @@
                     del self._pools[key]
 
 
-def _served(backend: backends.Backend) -> tuple[PoolKey, ...]:
+def _pool_keys(backend: backends.Backend) -> tuple[PoolKey, ...]:
     if backend.plain:
         return (backend.service,)
     if backend.report is None:
@@ -262,10 +263,10 @@
     return backend.report.loaded
 
 
-def _is_another(
+def _is_replacement(
     backend: backends.Backend, row: instances.ListedInstance
 ) -> bool:
-    """Tells whether the row is of a successor at the same address."""
+    """Tells whether the row is of another server at the same address."""
     returned = (
         backend.listed_leaving and row.state is instances.InstanceState.LIVE
     )
@@ -279,8 +280,8 @@
 def _is_sudden_loss(
     unexplained: list[backends.Backend], live: list[backends.Backend]
 ) -> bool:
-    """Tells whether too many went at once, in all or of one service."""
-    if len(unexplained) > max(1, SUDDEN_LOSS_SHARE * len(live)):
+    """Tells whether too many are gone at once, in total or of one service."""
+    if len(unexplained) > max(1, LIST_FAULT_SHARE * len(live)):
         return True
     lost = collections.Counter(b.service for b in unexplained)
     known = collections.Counter(b.service for b in live)
--- a/src/nutmeghook/internal/upstream/sender.py
+++ b/src/nutmeghook/internal/upstream/sender.py
@@ -36,8 +36,8 @@
     Attributes:
         target: Path and query exactly as the caller sent them.
         repeatable: It may run more than once.
-        reading: Prefill of its prompt; None for a request without one.
-        slot: Slot in a send window; None if its slots are not counted.
+        prefill: Prefill of its prompt; None for a request without one.
+        send_slot: Slot in a send window; None if its slots are not counted.
     """
 
     request_id: str
@@ -47,8 +47,8 @@
     headers: wire.Headers
     body: bytes
     repeatable: bool
-    reading: backlog_module.Reading | None = None
-    slot: send_window.Place | None = None
+    prefill: backlog_module.Prefill | None = None
+    send_slot: send_window.SendSlot | None = None
 
     def encoded(self) -> bytes:
         """Returns the whole message."""
@@ -137,7 +137,7 @@
         answer = None
         replica.in_flight += 1
         try:
-            with self._reading(replica, outgoing.reading):
+            with self._prefill(replica, outgoing.prefill):
                 connection = await self._connect(replica, outgoing)
                 answer = await self._exchange(connection, replica, outgoing)
             yield answer
@@ -150,23 +150,23 @@
                 self._release(address, connection, answer)
 
     @contextlib.contextmanager
-    def _reading(
+    def _prefill(
         self,
         replica: replica_module.Replica,
-        reading: backlog_module.Reading | None,
+        prefill: backlog_module.Prefill | None,
     ) -> Iterator[None]:
         """Counts a prompt in the prefill backlog until its answer's head.
 
         An answer's head comes with its first event, so the prefill is done.
         """
-        if reading is None:
+        if prefill is None:
             yield
             return
-        self._directory.begin_reading(replica, reading)
+        self._directory.begin_prefill(replica, prefill)
         try:
             yield
         finally:
-            self._directory.end_reading(replica, reading)
+            self._directory.end_prefill(replica, prefill)
 
     async def is_unreachable(self, replica: replica_module.Replica) -> bool:
         """Tells whether attempts to connect to a replica go unanswered.
@@ -198,7 +198,7 @@
         replica: replica_module.Replica,
         outgoing: Outgoing,
     ) -> Answer:
-        if not self._gate.may_write(replica, outgoing.slot):
+        if not self._gate.may_write(replica, outgoing.send_slot):
             raise outcomes.NotSentError(
                 f"{replica.entry.replica_id} may not be sent to any more"
             )
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -113,7 +113,7 @@
         def accepts(*_, **__):
             return lambda entry: entry.version not in withdrawn
 
-        for method in ("accepts", "in_full_use"):
+        for method in ("accepts", "accepts_stable"):
             patched = mock.patch.object(view.AnyVersion, method, accepts)
             patched.start()
             self.addCleanup(patched.stop)
@@ -347,9 +347,9 @@
         keys = []
         choose = choice_module.ReplicaChooser.choose
 
-        def noted(chooser, need: choice_module.Need):
-            keys.append(need.key)
-            return choose(chooser, need)
+        def noted(chooser, criteria: choice_module.ReplicaCriteria):
+            keys.append(criteria.key)
+            return choose(chooser, criteria)
 
         with mock.patch.object(choice_module.ReplicaChooser, "choose", noted):
             await self.answer_of(
