--- a/src/nutmeghook/internal/relay/attempt_facts.py
+++ b/src/nutmeghook/internal/relay/attempt_facts.py
@@ -89,8 +89,9 @@
     Short work goes first. A replica prefills prompts one after the other, and
     the largest model takes ten times as long as the smallest: behind a few of
     its prompts, answers of the smallest wait for most of their target. Put
-    first, they cost the larger model's requests a tenth of its work. On a quiet
-    day of 73 instances, 0.91 of the utility then comes in time instead of 0.88.
+    first, they delay the larger model's requests by a tenth of its work. On a
+    quiet day of 73 instances, 0.91 of the utility then comes in time instead of
+    0.88.
     Within one size the route's priority decides, or the team's.
     """
     if job.incoming.facts.prompt is None:
--- a/src/nutmeghook/internal/relay/home_regions.py
+++ b/src/nutmeghook/internal/relay/home_regions.py
@@ -21,7 +21,7 @@
         self._region_of = region_of
 
     def restrict(self, job: job_module.Job, accepts: _Test) -> _Test:
-        """Returns the test, failed by replicas outside the home regions."""
+        """Returns the test, restricted to replicas in the home regions."""
         homes = homes_of(job)
         if homes is None:
             return accepts
--- a/src/nutmeghook/internal/relay/retry_permission.py
+++ b/src/nutmeghook/internal/relay/retry_permission.py
@@ -29,7 +29,7 @@
 
 
 class RetryPermission:
-    """Permits further attempts by the retry budget, quarantine and replicas."""
+    """Decides whether a request may make a further attempt."""
 
     __slots__ = (
         "_budgets",
--- a/src/nutmeghook/internal/upstream/sender.py
+++ b/src/nutmeghook/internal/upstream/sender.py
@@ -172,8 +172,9 @@
         """Tells whether attempts to connect to a replica go unanswered.
 
         A replica that refuses connections is alive: it is leaving, or has
-        reached its connection limit, and finishes the work that it has. In both
-        cases it is ejected, so that it gets no new requests.
+        reached its connection limit, and finishes the work that it has.
+        Refusing and unreachable replicas are both ejected, so that they get no
+        new requests.
         """
         reachability = await self._pool.probe(replica.entry.address)
         if reachability in _NOT_ACCEPTING:
