--- a/tests/cover/test_guarantees_send.py
+++ b/tests/cover/test_guarantees_send.py
@@ -1,4 +1,4 @@
-"""What is decided before a request is sent still holds as its bytes leave."""
+"""A request's version and backend server are checked as its bytes leave."""
 
 import asyncio
 import contextlib
@@ -38,22 +38,22 @@
 PAUSE = datetime.timedelta(seconds=5)
 
 
-class HeldConnector(aiohttp.TCPConnector):
-    """Makes connections when the test lets it."""
+class DelayedConnector(aiohttp.TCPConnector):
+    """Delays connections until the test releases them."""
 
     def __init__(self):
         super().__init__(limit=0)
         self.asked = asyncio.Event()
-        self.let_go = asyncio.Event()
+        self.released = asyncio.Event()
 
     async def connect(self, *arguments, **parameters):
         self.asked.set()
-        await self.let_go.wait()
+        await self.released.wait()
         return await super().connect(*arguments, **parameters)
 
 
 class PauseBeforeTheWriteTest(unittest.IsolatedAsyncioTestCase):
-    """One instance with its real choice, watch and adapter of engines."""
+    """One instance with its real chooser, stall detector and engine adapter."""
 
     async def asyncSetUp(self):
         self.ran: list[engine.ModelVersion] = []
@@ -63,8 +63,8 @@
         self.listener = listener_module.Listener(application=application)
         await self.listener.start(host="127.0.0.1", port=0)
         self.addAsyncCleanup(self.listener.stop)
-        self.held = HeldConnector()
-        session = aiohttp.ClientSession(connector=self.held)
+        self.delayed_connector = DelayedConnector()
+        session = aiohttp.ClientSession(connector=self.delayed_connector)
         self.addAsyncCleanup(session.close)
         stage = documents.Stage(
             model=fakes.SMALL.model,
@@ -74,7 +74,7 @@
             ),
         )
         self.fixture = fakes.Fixture(stages=(stage,))
-        # What never left is no repeat, so it needs no leave of the budget.
+        # An attempt that was never sent needs no retry permission.
         self.fixture.budget.leave = 0
         self.sink = fakes.RecordingSink()
         self.network = local.LocalNetwork(clock=self.fixture.clock)
@@ -147,14 +147,14 @@
         del request
         return web.json_response({})
 
-    async def asked(self) -> asyncio.Task:
-        """Sends a request up to the connection that it needs."""
+    async def start_request(self) -> asyncio.Task:
+        """Starts a request and waits until it needs its connection."""
         work = asyncio.ensure_future(
             self.fixture.dispatcher().generate(
                 fakes.generation_request(self.fixture), self.sink
             )
         )
-        await self.held.asked.wait()
+        await self.delayed_connector.asked.wait()
         return work
 
     async def ended(self, work: asyncio.Task):
@@ -165,20 +165,18 @@
         return await work
 
     async def test_a_request_chosen_before_a_pause_is_not_sent_after_it(self):
-        """The caller hears "not run", and no backend server gets the work.
+        """Otherwise work runs on a withdrawn version after the bound.
 
-        Version and backend server were chosen; the connection is still being
-        made when the process is stopped, and made when it goes on 5 s later.
-        By then the version may be withdrawn and the server have left, which
-        this instance can't know yet. Sending by the choice would run work on
-        a withdrawn version after the bound.
+        The process is stopped for 5 s after the choice, while the connection
+        is being made. Meanwhile the version may be withdrawn and the server
+        leave, unknown to this instance. The caller gets "not run".
         """
         ticking = asyncio.create_task(self.detector.run())
-        work = await self.asked()
+        work = await self.start_request()
         self.network.freeze(MYSELF)
         await self.fixture.clock.advance(PAUSE)
         self.network.thaw(MYSELF)
-        self.held.let_go.set()
+        self.delayed_connector.released.set()
         with self.assertRaises(errors.CodedError) as raised:
             await self.ended(work)
         self.assertIs(raised.exception.run_state, codes.RunState.NOT_RUN)
@@ -189,9 +187,9 @@
             await ticking
 
     async def test_without_a_pause_it_is_sent(self):
-        """The same connection, made at once: the caller has its answer."""
-        work = await self.asked()
-        self.held.let_go.set()
+        """The connection is made at once, and the caller gets its answer."""
+        work = await self.start_request()
+        self.delayed_connector.released.set()
         await self.ended(work)
         self.assertEqual(self.sink.text, "It does.")
         self.assertEqual(self.ran, [fakes.SMALL])
@@ -199,30 +197,30 @@
     async def test_a_version_withdrawn_meanwhile_gets_no_work(self):
         """The caller gets the other version's answer, from the same server.
 
-        The instance hears of the withdrawal while the request's connection is
-        made, which may take a second. News may come just before the bound, so
-        the work would begin after it.
+        The instance receives the withdrawal while the request's connection is
+        made, which may take a second. It may arrive just before the bound, so
+        that the work would begin after it.
         """
-        work = await self.asked()
+        work = await self.start_request()
         self.fixture.versions.withdrawn.add(fakes.SMALL)
-        self.held.let_go.set()
+        self.delayed_connector.released.set()
         await self.ended(work)
         self.assertEqual(self.sink.text, "It does.")
         self.assertEqual(self.ran, [NEXT])
 
     async def test_a_server_that_left_meanwhile_gets_no_work(self):
-        """The caller hears "not run": there is no other server here."""
-        work = await self.asked()
+        """The caller gets "not run", since there is no other server here."""
+        work = await self.start_request()
         self.list_engine(instances.InstanceState.LEAVING)
-        self.held.let_go.set()
+        self.delayed_connector.released.set()
         with self.assertRaises(errors.CodedError) as raised:
             await self.ended(work)
         self.assertIs(raised.exception.run_state, codes.RunState.NOT_RUN)
         self.assertEqual(self.ran, [])
 
-    async def test_what_is_withheld_each_time_ends(self):
-        """Versions are withdrawn one after the other: "not run" in the end."""
-        work = await self.asked()
+    async def test_repeated_withholding_ends(self):
+        """Versions are withdrawn in turn; the caller finally gets "not run"."""
+        work = await self.start_request()
         check = self.fixture.versions.check_dispatch
         asked = []
 
@@ -233,7 +231,7 @@
                 raise errors.CodedError(code=codes.Code.NO_CANDIDATE)
 
         self.fixture.versions.check_dispatch = refuse_each_second_time
-        self.held.let_go.set()
+        self.delayed_connector.released.set()
         with self.assertRaises(errors.CodedError) as raised:
             await self.ended(work)
         self.assertIs(raised.exception.run_state, codes.RunState.NOT_RUN)
@@ -241,10 +239,10 @@
 
 
 class CheckedBodyTest(unittest.TestCase):
-    """A body on a connection of the event loop that all processes run on."""
+    """A body on a connection of uvloop, which all processes use."""
 
     def sent_in_one_step(self, check_send: engine.SendCheck) -> bytes:
-        """Returns what has left before the event loop has its next turn."""
+        """Returns what was sent before the event loop's next iteration."""
         return uvloop.run(self.write(check_send))
 
     async def write(self, check_send: engine.SendCheck) -> bytes:
@@ -267,18 +265,18 @@
             except BlockingIOError:
                 return b""
 
-    def test_nothing_leaves_before_the_check_and_all_in_the_same_step(self):
-        """A process that is stopped after the check has sent it already.
+    def test_nothing_is_sent_before_the_check_and_all_in_one_step(self):
+        """A process that is stopped after the check has sent all already.
 
-        Otherwise the request goes out when the process goes on, seconds
-        later: after the bound of a withdrawal that it has not heard of.
+        Otherwise the request would be sent when the process continues seconds
+        later, after the bound of a withdrawal unknown to it.
         """
         sent = self.sent_in_one_step(lambda: None)
         self.assertTrue(sent.startswith(b"POST /"), sent)
         self.assertTrue(sent.endswith(b"content"), sent)
 
-    def test_what_is_withheld_has_not_left_in_part(self):
-        """Its caller hears "not run", so not even its head may be out."""
+    def test_a_withheld_request_is_not_sent_in_part(self):
+        """Its caller gets "not run", so not even its header may be sent."""
 
         def refuse() -> None:
             raise failures.WithheldError("it was withdrawn")
--- a/tests/cover/test_guarantees_stall.py
+++ b/tests/cover/test_guarantees_stall.py
@@ -1,4 +1,4 @@
-"""An instance that was paused sends nothing by what it knew before."""
+"""An instance that was paused sends nothing by its stale knowledge."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 class StallTest(unittest.TestCase):
-    """The watch of one instance that is frozen and thawed."""
+    """The stall detector of one instance that is frozen and thawed."""
 
     @hypothesis.given(
         ran_ms=strategies.integers(0, 5_000),
@@ -27,14 +27,14 @@
     )
     @hypothesis.example(ran_ms=0, pause_ms=10_000, asked_first=True)
     @hypothesis.example(ran_ms=10, pause_ms=10_000, asked_first=False)
-    def test_a_long_pause_holds_new_work_back(
+    def test_a_long_pause_holds_back_new_work(
         self, ran_ms, pause_ms, asked_first
     ):
-        """Callers of an instance that wakes hear "not run" for a while.
+        """After a pause of 2 s or more, work would be sent by old knowledge.
 
-        It is paused for longer than 2 s. Whether a request or its own timer
-        is served first after that, no work goes out by the old knowledge.
-        After a pause that is too short for that it goes on at once.
+        Whether a request or the detector's own timer is served first, new
+        work is held back until `CATCH_UP` is over. After a shorter pause it
+        is sent at once.
         """
         asyncio.run(self.pause(ran_ms * MS, pause_ms * MS, asked_first))
 
--- a/tests/cover/test_guarantees_withdrawal.py
+++ b/tests/cover/test_guarantees_withdrawal.py
@@ -1,4 +1,4 @@
-"""A withdrawal and an instance that is cut off, from accept to dispatch."""
+"""A withdrawal and a partitioned instance, from acceptance to dispatch."""
 
 import asyncio
 import unittest
@@ -24,7 +24,7 @@
 
 
 class PinnedToBad(pins_module.SessionPins):
-    """Every session began on the bad version."""
+    """Every session is pinned to the bad version."""
 
     async def pin(self, key, *, proposed, unusable, revision, timeout):
         return pins_module.Pinned(
@@ -32,8 +32,8 @@
         )
 
 
-class AnyLeave(exposure.ExposureGate):
-    """Roll-outs are not what is tested."""
+class UnlimitedExposure(exposure.ExposureGate):
+    """An unlimited exposure allowance: roll-outs are not tested here."""
 
     def try_take(self, *, template, model_version):
         return True
@@ -56,7 +56,7 @@
     return config_fleet.template(stages=(stage,), freshness=freshness)
 
 
-class CutOffTest(unittest.IsolatedAsyncioTestCase):
+class PartitionTest(unittest.IsolatedAsyncioTestCase):
     """One of three instances reaches neither its peers nor the store."""
 
     async def begin(self, freshness: Policy) -> str:
@@ -78,7 +78,7 @@
         record = await self.fleet.accept(self.fleet.addresses[0], operation)
         self.assertEqual(record.code_number, 0, record.detail)
 
-    async def cut_off_and_withdraw(self, cut: str) -> None:
+    async def partition_and_withdraw(self, cut: str) -> None:
         for address in self.fleet.addresses:
             if address != cut:
                 self.fleet.network.cut(cut, address)
@@ -98,11 +98,13 @@
             )
         )
 
-    async def gets(self, address: str) -> engine.ModelVersion | codes.Code:
+    async def served_version(
+        self, address: str
+    ) -> engine.ModelVersion | codes.Code:
         """Returns what a session on the bad version would run on now."""
         view = self.fleet.parts[address].replica
         chooser = version_choice.ConfiguredVersionChooser(
-            view=view, pins=PinnedToBad(), gate=AnyLeave()
+            view=view, pins=PinnedToBad(), gate=UnlimitedExposure()
         )
         template = view.snapshot.template(
             config_fleet.TEAM, config_fleet.TEMPLATE
@@ -117,38 +119,41 @@
         return choice.model_version
 
     async def test_no_new_work_beyond_the_templates_limit(self):
-        """Callers of the cut instance hear `STALE_CONFIG`, which is not run.
+        """A partitioned instance would go on serving a withdrawn version.
 
-        The version is withdrawn elsewhere. The cut instance can't hear of it,
-        but it sees its own configuration age, and the template says that new
-        work stops then. The others serve the session on another version; so
-        does the cut one, within the bound after the heal.
+        It can't learn of the withdrawal, but it knows the age of its own
+        configuration, and the template stops new work then: its callers get
+        `STALE_CONFIG`, not run. The others serve the session on another
+        version; so does it, within the bound after the heal.
         """
         cut = await self.begin(Policy.STOP_NEW_WORK)
-        self.assertEqual(await self.gets(cut), BAD)
-        await self.cut_off_and_withdraw(cut)
+        self.assertEqual(await self.served_version(cut), BAD)
+        await self.partition_and_withdraw(cut)
         for _ in range(12):
             await self.fleet.clock.advance(BOUND)
-            self.assertEqual(await self.gets(cut), codes.Code.STALE_CONFIG)
+            self.assertEqual(
+                await self.served_version(cut), codes.Code.STALE_CONFIG
+            )
             for other in self.fleet.addresses[:-1]:
-                self.assertEqual(await self.gets(other), config_fleet.GOOD)
+                self.assertEqual(
+                    await self.served_version(other), config_fleet.GOOD
+                )
         self.fleet.network.heal_all()
         self.fleet.parts[cut].store._table = self.reachable
         await self.fleet.clock.advance(BOUND)
-        self.assertEqual(await self.gets(cut), config_fleet.GOOD)
+        self.assertEqual(await self.served_version(cut), config_fleet.GOOD)
 
-    async def test_what_other_policies_give_up(self):
-        """A team that puts latency first is served, on the withdrawn version.
+    async def test_other_policies_serve_until_the_heal(self):
+        """A partitioned instance serves the withdrawn version until the heal.
 
         `KEEP_SERVING` and, for a version that was not rolling out,
-        `STOP_ROLL_OUTS` say so. It ends with the cut, not before; this test
-        keeps the pages honest that say it.
+        `STOP_ROLL_OUTS` do so for teams that put latency first.
         """
         for policy in (Policy.KEEP_SERVING, Policy.STOP_ROLL_OUTS):
             cut = await self.begin(policy)
-            await self.cut_off_and_withdraw(cut)
+            await self.partition_and_withdraw(cut)
             await self.fleet.clock.advance(3 * BOUND)
-            self.assertEqual(await self.gets(cut), BAD)
+            self.assertEqual(await self.served_version(cut), BAD)
             self.fleet.network.heal_all()
             await self.fleet.clock.advance(BOUND)
-            self.assertEqual(await self.gets(cut), config_fleet.GOOD)
+            self.assertEqual(await self.served_version(cut), config_fleet.GOOD)
--- a/tests/cover/test_versions.py
+++ b/tests/cover/test_versions.py
@@ -1,4 +1,4 @@
-"""Version choice: what forbids a version, and what a session keeps."""
+"""Version choice: precedence of rules, and pinned sessions."""
 
 import datetime
 import itertools
@@ -21,15 +21,15 @@
 
 
 class PrecedenceTest(unittest.TestCase):
-    """Every combination of what may forbid a version."""
+    """Every combination of the rules that may forbid a version."""
 
     def test_the_first_rule_that_forbids_wins_over_everything_after(self):
         """Every mix of permission, withdrawal, age and pin is tried.
 
-        The caller's session is pinned to the new version. Whatever else is
-        set, a model that the team isn't allowed gives NOT_ALLOWED; else a
-        withdrawn version is never returned, pinned or not; else a version
-        that the freshness policy stops is refused and the pin is kept.
+        The session is pinned to the new version. A model that the team isn't
+        allowed gives NOT_ALLOWED; else a withdrawn version is never returned,
+        pinned or not; else a version that the freshness policy stops is
+        refused and the pin is kept.
         """
         for allowed, state, everywhere, policy, old in itertools.product(
             ((), ("small",)),
@@ -94,10 +94,10 @@
             self.assertEqual(fleet.pins.moves, 0)
 
     def test_a_request_queued_across_a_change_is_checked_against_the_new(self):
-        """The caller's request is chosen for, then waits in a queue.
+        """A version may be withdrawn while a request for it is queued.
 
-        Meanwhile the version is withdrawn, or the template loses it, or the
-        team loses the model. Just before sending, the check reads the newest
+        The same for a version that the template loses, or a model that the
+        team loses. Just before sending, the check reads the newest
         configuration, not the request's copy, and refuses as not run.
         """
         before = versions_fleet.snapshot()
@@ -118,7 +118,7 @@
 
 
 class SessionTest(unittest.TestCase):
-    """A session keeps its version, and moves once when it must."""
+    """A session keeps its version, and changes it once if it must."""
 
     @hypothesis.given(
         strategies.lists(strategies.floats(0, 100), min_size=1, max_size=5),
@@ -135,11 +135,10 @@
             self.assertEqual(again, first)
 
     def test_a_withdrawal_moves_a_session_once(self):
-        """The caller's session runs on the version being rolled out.
+        """The version in roll-out that a session runs on is withdrawn.
 
-        It is withdrawn: the session's next answer is the old version's. The
-        version then comes back at a full share; the session stays where it
-        is, because a second change would be one more break for the caller.
+        The session's next answer is the old version's. When the new version
+        comes back at a full share, the session must not change a second time.
         """
         fleet = versions_fleet.Fleet(
             versions_fleet.FixedView(versions_fleet.snapshot(new_percent=100.0))
@@ -158,13 +157,11 @@
         self.assertEqual(fleet.pins.moves, 2)
 
     def test_an_instance_that_is_behind_moves_no_session(self):
-        """A version is added and an instance that knows it pins a session.
+        """An instance whose configuration is a revision older lacks a version.
 
-        The session's next request meets an instance whose configuration is
-        one change older and does not list the version. Taken for a version
-        that was removed, the caller's session went to the old version there
-        and came back on the next request (seen in 4 of 18 trials). So the
-        request hears "not run, come back", and the pin stays.
+        A session pinned to that version reaches it. If the version were taken
+        for removed, the session would change to the old version and back on
+        the next request. So the caller gets a retryable "not run".
         """
         ahead = versions_fleet.Fleet(
             versions_fleet.FixedView(
@@ -189,9 +186,10 @@
         )
 
     def test_a_version_that_a_newer_template_lacks_is_left(self):
-        """A session runs on a version that its team then takes out of the
-        template. Every instance that has heard of it gives the session the
-        version that is left.
+        """A team removes a version from the template that a session runs on.
+
+        Every instance with the new configuration gives the session the
+        remaining version.
         """
         fleet = versions_fleet.Fleet(
             versions_fleet.FixedView(
@@ -208,12 +206,12 @@
     def test_without_the_store_no_session_s_version_is_guessed(
         self, number, pinned_before
     ):
-        """The store is out, so nobody can look up or keep a session's pin.
+        """The store is out, so no pin can be read or written.
 
-        While a version rolls out, a session may be on either. A caller given
-        the serving one by a guess got the other as soon as the store was
-        back (seen in the demo). So it hears "not run, come back", and no
-        leave is used up. Afterwards the session is where it was before.
+        During a roll-out a session may be on either version, and a guess
+        would change its version once the store is back. So the caller gets a
+        retryable "not run" and no allowance is used. Afterwards the session
+        is on the version that it had.
         """
         fleet = versions_fleet.Fleet(
             versions_fleet.FixedView(versions_fleet.snapshot(new_percent=60.0))
@@ -238,9 +236,10 @@
         )
 
     def test_an_only_version_serves_without_the_store_and_is_pinned_later(self):
-        """The store is out and the template has one version. New sessions are
-        answered by it. When the store is back and another version begins to
-        roll out, those sessions must stay where they began.
+        """The store is out and the template has one version, which answers.
+
+        When the store is back and another version begins to roll out, the
+        sessions that began meanwhile must keep the first one.
         """
         fleet = versions_fleet.Fleet(
             versions_fleet.FixedView(
--- a/tests/cover/test_versions_shares.py
+++ b/tests/cover/test_versions_shares.py
@@ -1,4 +1,4 @@
-"""Version choice: shares of new work, and the leave that goes with them."""
+"""Version choice: shares of new work and their exposure allowance."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class ShareTest(unittest.TestCase):
-    """Shares of new work, and the leave that goes with them."""
+    """Shares of new work and the exposure allowance that they use."""
 
     @hypothesis.settings(max_examples=25)
     @hypothesis.given(strategies.floats(0, 100), strategies.floats(0, 100))
@@ -48,39 +48,39 @@
         self.assertAlmostEqual(taken / 2000, 0.2, delta=0.03)
 
     @hypothesis.given(strategies.integers(0, 20))
-    def test_answers_of_a_roll_out_never_exceed_the_leave(self, leave):
-        """Callers' new sessions would all fall to the version in roll-out.
+    def test_new_sessions_never_exceed_the_allowance(self, allowance):
+        """Otherwise all new sessions would get the version in roll-out.
 
-        Once the leave is used up, each gets the serving version. A session
-        that has the version already keeps it, and its answers are counted;
-        leave taken for a session that turns out to be elsewhere goes back.
+        Once the allowance is used up, each gets the serving version. A
+        session pinned to the new version keeps it, and its answers count;
+        allowance taken for a session pinned to the old version is returned.
         """
         fleet = versions_fleet.Fleet(
             versions_fleet.FixedView(
                 versions_fleet.snapshot(new_percent=100.0)
             ),
-            gate=versions_fleet.CountingGate(leave),
+            gate=versions_fleet.CountingGate(allowance),
         )
         sessions = [f"s{number}" for number in range(30)]
         first = [fleet.choose(session=s) for s in sessions]
-        self.assertEqual(sum(c.rolling_out for c in first), leave)
+        self.assertEqual(sum(c.rolling_out for c in first), allowance)
         again = [fleet.choose(session=s) for s in sessions]
         self.assertEqual(again, first)
-        self.assertEqual(fleet.gate.used, 2 * leave)
-        fleet.gate.leave = 1_000
+        self.assertEqual(fleet.gate.used, 2 * allowance)
+        fleet.gate.allowance = 1_000
         elsewhere = [fleet.choose(session=s) for s in sessions]
         self.assertEqual(elsewhere, first)
-        self.assertEqual(fleet.gate.used, 3 * leave)
+        self.assertEqual(fleet.gate.used, 3 * allowance)
         template = fleet.view.current.templates["agency/lookup"]
         for choice in elsewhere:
             fleet.chooser().release(template=template, choice=choice)
-        self.assertEqual(fleet.gate.used, 2 * leave)
+        self.assertEqual(fleet.gate.used, 2 * allowance)
 
     def test_an_only_roll_out_s_answers_count_without_the_store_too(self):
-        """The store is out; callers get the only version, which rolls out.
+        """The store is out and callers get the only version, in roll-out.
 
-        Its answers go unrated for now and must count under the cap; and the
-        leave that a failed one gives back must be leave that it had.
+        Its answers, unrated for now, must count against the cap, and a failed
+        one must return only the allowance that it took.
         """
         config = versions_fleet.snapshot(
             old_state=State.WITHDRAWN, new_percent=100.0
@@ -94,12 +94,11 @@
         fleet.chooser().release(template=template, choice=choice)
         self.assertEqual(fleet.gate.used, 0)
 
-    def test_a_choice_that_fails_keeps_no_leave(self):
-        """The roll-out goes on; the caller hears of its deadline or the fault.
+    def test_a_choice_that_fails_returns_its_allowance(self):
+        """Allowance kept for a request that is never sent stalls the roll-out.
 
-        Leave is taken, then the pin is looked up. Meanwhile the request is
-        cancelled, or the store of pins fails in another way than by being
-        out. Nothing will be sent, so nothing would ever be rated.
+        After it is taken, while the pin is looked up, the request is
+        cancelled or the store of pins fails other than by being unavailable.
         """
         fleet = versions_fleet.Fleet(
             versions_fleet.FixedView(versions_fleet.snapshot(new_percent=100.0))
--- a/tests/cover/versions_fleet.py
+++ b/tests/cover/versions_fleet.py
@@ -96,14 +96,14 @@
 
 
 class CountingGate(exposure.ExposureGate):
-    """A gate with a fixed amount of leave."""
+    """A gate with a fixed exposure allowance."""
 
-    def __init__(self, leave=1_000_000):
-        self.leave = leave
+    def __init__(self, allowance=1_000_000):
+        self.allowance = allowance
         self.used = 0
 
     def try_take(self, *, template, model_version):
-        if self.used >= self.leave:
+        if self.used >= self.allowance:
             return False
         self.used += 1
         return True
@@ -132,7 +132,7 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """Instances that share the store's pins and the exposure's leave."""
+    """Instances that share the store's pins and the exposure allowance."""
 
     view: FixedView
     pins: MemoryPins = dataclasses.field(default_factory=MemoryPins)
--- a/tests/recording_servers.py
+++ b/tests/recording_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in backend servers that note what reaches them, and when."""
+"""Stand-in backend servers that record what they receive, and when."""
 
 import dataclasses
 import datetime
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ReceivedRequest:
-    """Something that reached a backend server.
+    """A request that a backend server received.
 
     Attributes:
-        needs_right: It needs what the team loses.
+        needs_permission: It needs the permission that the team loses.
     """
 
     request_id: str
@@ -24,10 +24,10 @@
 
 
 class RecordingEngine(memory_engine.MemoryEngine):
-    """An engine that notes each generation as it is sent there.
+    """An engine that records each generation that it receives.
 
     Args:
-        right: The version that a team has to have the right for.
+        restricted: The version that a team needs permission for.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
 
 
 class RecordingService(plain.PlainServiceConnector):
-    """A plain service that notes each call, and takes its time for it."""
+    """A plain service that records each call and answers after a delay."""
 
     def __init__(
         self,
