--- /dev/null
+++ b/src/nutmeghook/internal/relay/crash_detector.py
@@ -0,0 +1,150 @@
+"""Finds requests that crash replicas, and tells which to stop."""
+
+import asyncio
+import datetime
+
+from nutmeghook.internal.observe import logs
+from nutmeghook.internal.observe import metrics as metrics_module
+from nutmeghook.internal.relay import job as job_module
+from nutmeghook.internal.relay import prepared as prepared_module
+from nutmeghook.internal.replicas import replica as replica_module
+from nutmeghook.internal.routes import model
+from nutmeghook.internal.suspects import registry as registry_module
+from nutmeghook.internal.upstream import outcomes
+from nutmeghook.internal.upstream import pool as pool_module
+
+
+class CrashDetector:
+    """Counts a replica's crash against the requests that it had.
+
+    A lost connection alone is no evidence: a reset on the way, a garbled answer
+    and a crash look alike. A crashed process also refuses new connections,
+    until it has restarted seconds later. So the replica is probed, once for all
+    requests that lost it.
+    """
+
+    __slots__ = ("_metrics", "_pool", "_probes", "_registry")
+
+    def __init__(
+        self,
+        *,
+        registry: registry_module.SuspectRegistry,
+        pool: pool_module.ConnectionPool,
+        metrics: metrics_module.Metrics,
+    ):
+        self._registry = registry
+        self._pool = pool
+        self._metrics = metrics
+        self._probes: dict[str, asyncio.Task[pool_module.Reachability]] = {}
+
+    def is_quarantined(self, job: job_module.Job) -> bool:
+        """Tells whether a request is quarantined."""
+        return self._registry.is_quarantined(job.identity)
+
+    def is_probe_due(self, job: job_module.Job) -> bool:
+        """Tells whether a quarantined request may be sent once, as a probe."""
+        return not job.tries and self._registry.is_probe_due(job.identity)
+
+    def note_sent(self, job: job_module.Job) -> None:
+        """Records that a request is sent: as a probe, if it is quarantined."""
+        if self.is_quarantined(job):
+            self._registry.try_probe(job.identity)
+
+    def refused_for(self, job: job_module.Job) -> datetime.timedelta:
+        """Returns for how long a quarantined request is sent to no replica."""
+        return self._registry.refused_for(job.identity)
+
+    def note_stream_ended(self, job: job_module.Job) -> None:
+        """Records that a replica has run a stream to its end."""
+        self._registry.note_answered(job.identity)
+
+    def note_answer(
+        self, job: job_module.Job, answer: job_module.WholeAnswer
+    ) -> None:
+        """Records a replica's whole answer.
+
+        Only a success shows that the replica survived the request: it may fail
+        a request before running it.
+        """
+        if answer.succeeded:
+            self._registry.note_answered(job.identity)
+
+    async def note_lost(
+        self,
+        job: job_module.Job,
+        prepared: prepared_module.PreparedAttempt,
+        error: outcomes.AttemptError,
+    ) -> None:
+        """Records an attempt that gave no answer.
+
+        Returns at once for a request that has crashed no replica yet. For a
+        suspect one, waits until it is known whether this replica crashed too.
+        """
+        if not isinstance(error, outcomes.ConnectionLostError):
+            return
+        probing = self._probe(prepared.replica)
+        begun = _had_begun(job)
+        attempt = job.tries
+
+        def conclude(_: asyncio.Task[pool_module.Reachability]) -> None:
+            if not probing.cancelled():
+                reachability = probing.result()
+                self._conclude(
+                    job, attempt, prepared.replica, reachability, begun=begun
+                )
+
+        probing.add_done_callback(conclude)
+        if self._registry.is_suspect(job.identity):
+            await asyncio.wait({probing})
+
+    def _probe(
+        self, replica: replica_module.Replica
+    ) -> asyncio.Task[pool_module.Reachability]:
+        replica_id = replica.entry.replica_id
+        probing = self._probes.get(replica_id)
+        if probing is None:
+            probing = asyncio.ensure_future(
+                self._pool.probe(replica.entry.address)
+            )
+            self._probes[replica_id] = probing
+            probing.add_done_callback(lambda _: self._probes.pop(replica_id))
+        return probing
+
+    def _conclude(
+        self,
+        job: job_module.Job,
+        attempt: int,
+        replica: replica_module.Replica,
+        reachability: pool_module.Reachability,
+        *,
+        begun: bool,
+    ) -> None:
+        """Records how a lost replica meets a new connection.
+
+        The end of a replica that was leaving is no crash.
+        """
+        self._metrics.add("connections_lost_total", replica=reachability.value)
+        logs.note(
+            "attempt:lost",
+            request=job.log_id,
+            identity=job.identity.hex(),
+            attempt=attempt,
+            replica=replica.entry.replica_id,
+            begun=begun,
+            replica_now=reachability.value,
+        )
+        has_ended = reachability is pool_module.Reachability.REFUSES
+        if has_ended and not replica.entry.leaving:
+            self._registry.note_crash(
+                job.identity, replica_hash=replica.short_id, begun=begun
+            )
+
+
+def _had_begun(job: job_module.Job) -> bool:
+    """Tells whether a replica had begun to run a request.
+
+    An engine sends an answer's head with its first event, so a request that
+    still waits in its queue has none. A plain service sends its whole answer at
+    the end, so its requests always count as begun.
+    """
+    return job.route.kind is not model.RouteKind.STREAM or job.is_answered
--- a/src/nutmeghook/internal/upstream/connection.py
+++ b/src/nutmeghook/internal/upstream/connection.py
@@ -1,10 +1,10 @@
 """One connection to a replica, which carries one exchange at a time.
 
-Parsing is aiohttp's; what the library's own client would decide is decided
-here. The client repeats a GET by itself after a broken connection, takes a
-reset for the end of a body without length, and hands bytes that arrive on an
-idle connection to the next request. Each of these can give a caller an answer
-that is not its own, or run a request twice.
+Only aiohttp's parser is used, not its client. The client retries a GET by
+itself after a broken connection, takes a reset for the end of a body without
+length, and hands bytes that arrive on an idle connection to the next request.
+Each of these can give a caller an answer that is not its own, or run a request
+twice.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 
 from nutmeghook.internal.upstream import outcomes
 
-# Above this many unread bytes of an answer the socket is read no further: the
-# caller is slower than the replica, and memory is bounded by this.
+# Above this many unread bytes of an answer the socket is read no further. This
+# bounds memory where the caller is slower than the replica.
 READ_BUFFER_BYTES = 64 * 1024
 # Longest header line and field of an answer. Replicas send a few hundred
-# bytes; this only bounds what a faulty one can make us keep.
+# bytes; this only bounds the memory that a faulty one can use.
 MAX_HEADER_FIELD_BYTES = 16 * 1024
 
 
@@ -48,8 +48,8 @@
     async def read(self) -> bytes:
         """Returns the next bytes of the body; none at its end.
 
-        What came before a failure is given out first: whole events of a
-        stream that breaks off still reach the caller.
+        Bytes received before a failure are returned first, so that complete
+        events of a broken stream still reach the caller.
 
         Raises:
             outcomes.UnknownOutcomeError: The body broke off here.
@@ -71,10 +71,10 @@
 
 
 class ReplicaConnection(base_protocol.BaseProtocol):
-    """A connection and what is known of its exchange.
+    """A connection and the state of its exchange.
 
     Attributes:
-        sound: It may carry another exchange once this one is complete.
+        reusable: It may carry another exchange once this one is complete.
         idle_since_s: Loop time since which it has been idle.
         idle_limit_s: How long the replica keeps it open when idle.
         failure: Why the present answer's body broke off.
@@ -88,7 +88,7 @@
         "failure",
         "idle_limit_s",
         "idle_since_s",
-        "sound",
+        "reusable",
     )
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop):
@@ -98,18 +98,18 @@
         self._reset: OSError | None = None
         self._answers = 0
         self.failure: outcomes.UnknownOutcomeError | None = None
-        self.sound = True
+        self.reusable = True
         self.idle_since_s = 0.0
         self.idle_limit_s = 0.0
 
     @property
     def is_open(self) -> bool:
-        """Tells whether both sides hold the connection."""
+        """Tells whether both sides keep the connection open."""
         return self.transport is not None and not self.transport.is_closing()
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of the request that the system has not taken yet."""
+        """Bytes of the request that the system has not accepted yet."""
         if self.transport is None:
             return 0
         return self.transport.get_write_buffer_size()
@@ -125,7 +125,7 @@
             outcomes.NotSentError: The connection was closed before.
             outcomes.UnknownOutcomeError: It broke afterwards.
         """
-        if not self.is_open or not self.sound:
+        if not self.is_open or not self.reusable:
             raise outcomes.NotSentError("the connection is closed")
         self._parser = http_parser.HttpResponseParser(
             self,
@@ -149,7 +149,7 @@
 
         A replica may answer before it has read the whole request, and would
         take what is written next for the rest of its body. So the connection is
-        kept only if the system has taken every byte of the request.
+        kept only if the system has accepted every byte of the request.
         """
         payload = self._payload
         complete = payload is not None and payload.is_eof()
@@ -158,7 +158,7 @@
         self._head = None
         self._payload = None
         self._parser = None
-        if not complete or not self.sound or self.unsent_bytes:
+        if not complete or not self.reusable or self.unsent_bytes:
             self.abort()
             return False
         self.idle_since_s = self._loop.time()
@@ -166,15 +166,15 @@
 
     def abort(self) -> None:
         """Drops the connection at once, with whatever is under way."""
-        self.sound = False
+        self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what belongs to the exchange; anything else ends it all.
+        """Parses the answer; bytes outside an exchange end the connection.
 
-        Bytes beyond the end of an answer belong to no request. Kept, they would
-        be read as the answer to the next one.
+        Bytes beyond the end of an answer belong to no request. If kept, they
+        would be read as the answer to the next one.
         """
         if self._parser is None:
             self.abort()
@@ -188,12 +188,12 @@
             self._fail(outcomes.UnknownOutcomeError(f"bad answer: {error}"))
             return
         if upgraded or tail:
-            self.sound = False
+            self.reusable = False
         for message, payload in messages:
-            self._take(message, payload)
+            self._receive_answer(message, payload)
 
     def eof_received(self) -> None:
-        """Lets the transport close, and notes if it was a reset in truth.
+        """Lets the transport close, and records whether it was a reset.
 
         Where data and a reset arrive together, the event loop reports an end of
         file, and an answer without length would look complete. The socket still
@@ -208,10 +208,10 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         """Ends the exchange; only a clean close can complete a body.
 
-        The library's parser would end a body without length as complete after a
-        reset too.
+        aiohttp's parser would also take a reset for the end of a body without
+        length.
         """
-        self.sound = False
+        self.reusable = False
         exc = exc or self._reset
         if exc is None and self._parser is not None:
             try:
@@ -223,7 +223,7 @@
         self._parser = None
         super().connection_lost(exc)
 
-    def _take(
+    def _receive_answer(
         self,
         message: http_parser.RawResponseMessage,
         payload: streams.StreamReader,
@@ -232,11 +232,11 @@
             return
         self._answers += 1
         if self._answers > 1 or self._head is None:
-            self.sound = False
+            self.reusable = False
             return
         self._payload = payload
         if message.should_close:
-            self.sound = False
+            self.reusable = False
         if not self._head.done():
             self._head.set_result(
                 AnswerHead(
@@ -251,10 +251,10 @@
             )
 
     def _fail(self, error: outcomes.UnknownOutcomeError) -> None:
-        self.sound = False
+        self.reusable = False
         if self._head is not None and not self._head.done():
             self._head.set_exception(error)
-            # Nobody may be waiting any more: the caller has gone.
+            # Marks it as retrieved: nobody waits if the caller has gone.
             self._head.exception()
         payload = self._payload
         if payload is not None and not payload.is_eof():
