--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -187,7 +187,7 @@
             "part of the instance list gone at once",
             100 / planned.DATA_CENTRES,
             "%",
-            "believed; over 40% (SUDDEN_LOSS_SHARE) would not be",
+            "believed; over 40% (LIST_FAULT_SHARE) would not be",
             "routing/directory",
         ),
         figures.row(
