--- a/src/nutmeghook/internal/routing/cascade.py
+++ b/src/nutmeghook/internal/routing/cascade.py
@@ -74,8 +74,9 @@
     ) -> str:
         """Returns the id under which to submit an answer for rating.
 
-        The rating service returns nothing else of the answer, so the id must
-        carry whatever the policy needs to know besides the quality.
+        The rating service returns only the id, the team, the template, the
+        stage and the quality, so the id must carry all else that the policy
+        needs to know of the answer.
         """
         return question.request_id
 
