--- a/src/nutmeghook/internal/routing/cascade.py
+++ b/src/nutmeghook/internal/routing/cascade.py
@@ -74,9 +74,9 @@
     ) -> str:
         """Returns the id under which to submit an answer for rating.
 
-        The rating service returns only the id, the team, the template, the
-        stage and the quality, so the id must carry all else that the policy
-        needs to know of the answer.
+        Beside the quality, the rating service returns only the id, team,
+        template, version and stage, so the id must carry all else that the
+        policy needs to know of the answer.
         """
         return question.request_id
 
