--- a/src/nutmeghook/internal/dispatch/answers.py
+++ b/src/nutmeghook/internal/dispatch/answers.py
@@ -1,4 +1,4 @@
-"""A generated answer, and where its text goes while it comes."""
+"""A generated answer, and the sink that its text is streamed to."""
 
 import abc
 import dataclasses
@@ -25,8 +25,8 @@
 class AnswerSink(abc.ABC):
     """The caller's side of an answer.
 
-    The dispatcher hands over text as it comes; the end of the answer is the
-    return of `Dispatcher.generate`, which comes only after the bill.
+    The dispatcher passes text on as it arrives. The answer is complete when
+    `Dispatcher.generate` returns, which is after the bill is recorded.
     """
 
     @abc.abstractmethod
@@ -35,8 +35,8 @@
 
     @abc.abstractmethod
     def detach(self) -> None:
-        """The caller is gone: from now on `take` does nothing."""
+        """Makes `take` do nothing from now on: the caller is gone."""
 
     @abc.abstractmethod
     def encode_whole(self, answer: GeneratedAnswer) -> ledger.KeptAnswer:
-        """Returns the answer in the form that is kept for retries."""
+        """Returns the answer in the form that is stored for retries."""
--- a/src/nutmeghook/internal/dispatch/attempt_costs.py
+++ b/src/nutmeghook/internal/dispatch/attempt_costs.py
@@ -1,4 +1,4 @@
-"""What an attempt that has ended adds to its request's account."""
+"""Adds the cost of an ended attempt to its request."""
 
 from nutmeghook.internal.config import view as view_module
 from nutmeghook.internal.dispatch import attempts as attempts_module
@@ -14,7 +14,7 @@
     *,
     ran: bool,
 ) -> None:
-    """Counts an attempt; once, however often it was resumed."""
+    """Counts an attempt once, however often it was resumed."""
     progress = call.progress
     if not ran:
         progress.attempt_not_run()
--- a/src/nutmeghook/internal/dispatch/attempts.py
+++ b/src/nutmeghook/internal/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt on one engine: its chunks checked, its cuts resumed."""
+"""Runs one attempt on one engine, and resumes its stream when it is cut."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,9 +20,10 @@
 from nutmeghook.internal.routing import backends as backends_module
 
 MAX_RESUMES_WITHOUT_PROGRESS = 3
-# Where nothing may follow: 3 to 6 s, so that the last one still finds what
-# engines keep for about 10 s after a cut, and a caller whose engine is gone
-# does not wait for its deadline.
+# Used when no other attempt is permitted. The delays add up to 3 to 6 s, so
+# that the last resume still finds the run, which engines keep for about 10 s
+# after a cut, and a caller whose engine is gone does not wait until its
+# deadline.
 MAX_RESUMES_WITHOUT_PERMISSION = 7
 FIRST_RESUME_DELAY = datetime.timedelta(milliseconds=50)
 CANCEL_TIMEOUT = datetime.timedelta(seconds=2)
@@ -30,13 +31,13 @@
 
 
 class AttemptError(Exception):
-    """An attempt that gave no whole answer.
+    """An attempt ended without a complete answer.
 
     Attributes:
         ran: False only if it provably did not run.
-        withheld: This instance did not send it after all.
-        refusal: How it refused, if it did.
-        retry_after: When the engine asked to be called again, if it did.
+        withheld: This instance decided not to send it.
+        refusal: Why it was refused, if it did not run.
+        retry_after: The engine's Retry-After, if it gave one.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
 
 
 class _CutError(Exception):
-    """The stream ended, or jumped, before its last chunk."""
+    """The stream ended, or skipped tokens, before its last chunk."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -65,15 +66,15 @@
     """One attempt under way.
 
     Attributes:
-        try_leave: Takes leave for another attempt to follow this one; asked
-            before a begun answer is given up.
-        check_send: Asked as the first byte is about to leave.
+        try_permit: Permits another attempt to replace this one; called before
+            an answer that has begun is abandoned.
+        check_send: Called just before the first byte is sent.
         next_token: Index of the first token not yet received.
-        resumes: Resumes since the last token that came.
+        resumes: Resumes since the last token received.
         started_at: Monotonic time of its first send.
-        is_left: Another attempt is to follow it; until that has begun this
-            one may be run again, which resumes it, or is dropped.
-        last: The last chunk, once it came.
+        is_abandoned: Another attempt replaces it. Until that one has begun,
+            this one may be resumed by running it again, or dropped.
+        last: The last chunk, once it was received.
     """
 
     backend: backends_module.Backend
@@ -89,7 +90,7 @@
 
 
 class AttemptRunner:
-    """Runs attempts, and passes on what they tell about backend servers."""
+    """Runs attempts, and reports their outcomes to routing and admission."""
 
     __slots__ = (
         "_admission",
@@ -123,14 +124,14 @@
     async def run(
         self, attempt: Attempt, consumer: consumers.Consumer
     ) -> engine_module.Chunk:
-        """Runs an attempt to its last chunk, which is returned.
+        """Runs an attempt until its last chunk, and returns that chunk.
 
-        One that was left is resumed. An engine runs an attempt id once at
-        most, and refuses what it has forgotten; so this is never a second run.
+        An abandoned attempt is resumed. This is never a second run: an engine
+        runs an attempt id at most once, and refuses ids that it has forgotten.
 
         Raises:
-            AttemptError: It gave no whole answer.
-            consumers.TextMismatchError: The consumer won't have its text.
+            AttemptError: It gave no complete answer.
+            consumers.TextMismatchError: The consumer rejects its text.
         """
         if attempt.started_at is None:
             attempt.started_at = self._clock.monotonic()
@@ -140,10 +141,10 @@
         self._backends.started(attempt.backend)
         outcome = backends_module.AttemptOutcome.CANCELLED
         try:
-            # A task of its own: each token wakes the innermost of the waiting
-            # coroutines through all those around it. From inside the whole
-            # path that was some 18 deep; from here it is 6, which takes a
-            # tenth off a token's cost (see bench/relay.py).
+            # A separate task, because each token resumes the innermost
+            # coroutine through all those that await it. That is 6 levels from
+            # here instead of about 18 from the request's task, which saves a
+            # tenth of the cost per token.
             attempt.last = await asyncio.create_task(
                 self._receive(attempt, consumer)
             )
@@ -156,7 +157,7 @@
             self._ended(attempt, outcome)
 
     def drop(self, attempt: Attempt) -> None:
-        """Cancels an attempt that was left: it won't be resumed."""
+        """Cancels an abandoned attempt that will not be resumed."""
         self._background.start(self._cancel(attempt))
 
     def _ended(
@@ -182,8 +183,8 @@
 
     async def _cancel(self, attempt: Attempt) -> None:
         engine = self._connector.connect(attempt.backend.address)
-        # An engine that can't be told stops at the attempt's own deadline,
-        # which it was given; nobody listens to its chunks any more.
+        # An engine that cannot be reached stops at the attempt's deadline,
+        # which was sent with it; its chunks are no longer read.
         with contextlib.suppress(failures.PlatformError, TimeoutError):
             await self._clock.wait_for(
                 engine.cancel(attempt.generation.attempt_id), CANCEL_TIMEOUT
@@ -219,9 +220,9 @@
         attempt: Attempt,
         consumer: consumers.Consumer,
     ) -> engine_module.Chunk:
-        """Reads one connection's chunks; this loop is the hot path."""
+        """Reads the chunks of one connection; this loop is the hot path."""
         generation = self._generation_from_here(attempt)
-        # Resuming is no new work: the engine has it, or refuses.
+        # A resume starts no new work: the engine has the run, or refuses.
         check_send = None if attempt.next_token else attempt.check_send
         async with contextlib.aclosing(
             engine.generate_batches(generation, check_send=check_send)
@@ -241,7 +242,7 @@
                     return _checked_last(received.last)
                 if received.has_gap:
                     break
-        raise _CutError(f"token {attempt.next_token} did not come")
+        raise _CutError(f"token {attempt.next_token} was not received")
 
     def _generation_from_here(
         self, attempt: Attempt
@@ -259,11 +260,11 @@
 
 
 def _try_abandon(attempt: Attempt) -> bool:
-    """Tells whether to leave an engine after its resumes in vain.
+    """Tells whether to give up on an engine whose resumes failed.
 
-    Leave for the attempt that follows is taken on the way, if need be. Before
-    the first token there is nothing in hand: asking the same engine again
-    could start the work a second time, which is a repeat like any other.
+    If another attempt can replace this one, it is permitted here. Before the
+    first token an attempt is not resumed: the engine could start the work a
+    second time, which is a retry like any other.
     """
     if (
         not attempt.next_token
@@ -280,7 +281,7 @@
     if chunk.finish in _COMPLETE_REASONS:
         return chunk
     raise AttemptError(
-        f"the engine ended the generation: {chunk.finish}", ran=True
+        f"the engine ended the generation early: {chunk.finish}", ran=True
     )
 
 
@@ -305,7 +306,7 @@
 def refusal_outcome(
     error: failures.NotDoneError,
 ) -> backends_module.AttemptOutcome:
-    """Returns what a refusal tells of the backend server."""
+    """Returns the outcome to report for a refusal by a backend server."""
     if isinstance(error, failures.WithheldError):
         return backends_module.AttemptOutcome.WITHHELD
     if error.leaving:
--- a/src/nutmeghook/internal/dispatch/billing.py
+++ b/src/nutmeghook/internal/dispatch/billing.py
@@ -1,4 +1,4 @@
-"""Prices, from the fleet's catalogue of models."""
+"""Prices of generations, from the fleet's catalogue of models."""
 
 from nutmeghook.internal.config import view as view_module
 from nutmeghook.internal.dependencies import engine
@@ -13,8 +13,8 @@
 ) -> int:
     """Returns the price of a generation in millionths of a euro.
 
-    A model that left the catalogue while its request ran costs nothing: there
-    is no price to name any more.
+    A model that was removed from the catalogue while its request ran costs
+    nothing, since its price is no longer known.
     """
     for model in config.snapshot.fleet.models:
         if model.name == model_version.model:
--- a/src/nutmeghook/internal/dispatch/bills.py
+++ b/src/nutmeghook/internal/dispatch/bills.py
@@ -1,4 +1,4 @@
-"""Bills of answers, and of the parts that callers took and left."""
+"""Bills for answers, and for parts that callers received and left."""
 
 import datetime
 
@@ -13,13 +13,13 @@
 from nutmeghook.internal.ledger import ledger as ledger_module
 from nutmeghook.internal.observe import events as events_module
 
-# An answer that is whole just before its deadline still gets this long for
-# its bill: to throw it away would cost more than the little delay.
+# An answer that completes just before its deadline still gets this long for
+# its bill: discarding it would cost more than the delay.
 MIN_BILL_TIMEOUT = datetime.timedelta(seconds=1)
 
 
 class Bills:
-    """Makes bills durable; each request has at most one."""
+    """Records bills durably; each request has at most one."""
 
     __slots__ = ("_clock", "_config", "_events", "_ledger", "_meter")
 
@@ -45,10 +45,10 @@
         progress: progress_module.Progress,
         kept: ledger_module.KeptAnswer | None,
     ) -> None:
-        """Bills a whole answer.
+        """Bills a complete answer.
 
         Raises:
-            errors.CodedError: `BILL_UNSETTLED`; it may not be given.
+            errors.CodedError: `BILL_UNSETTLED`; the answer must not be given.
         """
         await self._bill_generation(
             request,
@@ -66,10 +66,10 @@
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
     ) -> None:
-        """Bills what a caller took before it hung up.
+        """Bills what a caller received before it disconnected.
 
-        Without this, hanging up before the last byte would make answers free.
-        An answer that this side cut short is not billed.
+        Without this, answers would be free to callers that disconnect before
+        the last byte. An answer cut short by this instance is not billed.
         """
         if progress.delivered is not None:
             await self._bill_generation(
@@ -79,10 +79,10 @@
     async def bill_plain(
         self, request: requests.PlainRequest, answer: plain.PlainAnswer
     ) -> None:
-        """Bills a plain service's answer, which has no price of its own.
+        """Bills a plain service's answer, at a price of zero.
 
         Raises:
-            errors.CodedError: `BILL_UNSETTLED`; it may not be given.
+            errors.CodedError: `BILL_UNSETTLED`; the answer must not be given.
         """
         bill = ledger_module.Bill(
             identity=request.identity,
--- a/src/nutmeghook/internal/dispatch/callers.py
+++ b/src/nutmeghook/internal/dispatch/callers.py
@@ -1,4 +1,4 @@
-"""Whether a request that has not run yet would still be let in."""
+"""Checks that a request that has not run yet would still be accepted."""
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.config import view as view_module
@@ -13,15 +13,15 @@
     request: requests.GenerationRequest | requests.PlainRequest,
     progress: progress_module.Progress,
 ) -> None:
-    """Checks just before sending that the caller's token is still there.
+    """Checks just before sending that the caller's token is still valid.
 
-    The failure: a request waited for a place, or for a server that takes it,
-    while its token was taken away, and was run minutes later. Once it may have
-    run it stays let in: another attempt is no new request, and the caller is
-    owed the answer to what was accepted (docs/design/admission-holds.md).
+    A request can wait minutes for a slot, or for a backend server that accepts
+    it, and its token may be revoked meanwhile. Once the request may have run,
+    it stays accepted: another attempt is no new request, and the caller is
+    owed the answer (docs/design/admission-holds.md).
 
     Raises:
-        errors.CodedError: Nothing has run, and the token is gone.
+        errors.CodedError: Nothing has run, and the token was revoked.
     """
     if progress.possibly_run:
         return
@@ -34,5 +34,5 @@
         return
     raise errors.CodedError(
         code=codes.Code.BAD_TOKEN,
-        detail="the token was taken away before the request ran",
+        detail="the token was revoked before the request ran",
     )
--- a/src/nutmeghook/internal/dispatch/chunks.py
+++ b/src/nutmeghook/internal/dispatch/chunks.py
@@ -1,4 +1,4 @@
-"""Which of the chunks that come are the next ones of an attempt."""
+"""Selects the chunks that continue an attempt's text."""
 
 import msgspec
 
@@ -6,14 +6,14 @@
 
 
 class Received(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """What a batch of chunks brought.
+    """What was accepted from a batch of chunks.
 
     Attributes:
-        text: The text of the chunks taken.
+        text: The text of the accepted chunks.
         next_token: Index of the first token still missing.
-        dropped: Chunks that were not taken.
+        dropped: Number of chunks that were not accepted.
         last: The attempt's last chunk, if it was among them.
-        has_gap: A chunk skipped tokens; nothing behind it was taken.
+        has_gap: A chunk skipped tokens; nothing after it was accepted.
     """
 
     text: str
@@ -26,13 +26,12 @@
 def receive(
     batch: list[engine.Chunk], *, attempt_id: str, next_token: int
 ) -> Received:
-    """Takes those chunks that follow on what was taken before.
+    """Accepts the chunks that continue what was received before.
 
-    The failures: a chunk of another attempt on a connection used again (the
-    caller would read another's answer), a chunk sent twice after a resume
-    (doubled text), a chunk that skips tokens (missing text). The first two
-    are dropped; the last ends the batch, so that the missing token can be
-    asked for again. This loop is the hot path.
+    Chunks of another attempt on a reused connection (another caller's answer)
+    and chunks sent again after a resume (doubled text) are dropped. A chunk
+    that skips tokens (missing text) ends the batch, so that the missing token
+    can be requested again. This loop is the hot path.
     """
     pieces = []
     dropped = 0
--- a/src/nutmeghook/internal/dispatch/claims.py
+++ b/src/nutmeghook/internal/dispatch/claims.py
@@ -1,4 +1,4 @@
-"""What each state of a claim means for the request that asked."""
+"""Claims idempotency keys, and turns claim states into outcomes."""
 
 import datetime
 
@@ -11,17 +11,17 @@
 RETRY_UNBILLABLE = datetime.timedelta(seconds=1)
 RETRY_WHILE_RUNNING = datetime.timedelta(seconds=1)
 # A claim whose commit is in doubt can be settled only once the store answers
-# again. Without a bound of its own, callers with long deadlines sat through a
-# 10 s outage (seen in the demo) instead of hearing when to come back. A claim
-# given up on is voided by the ledger, so that "not run" stays true.
+# again. Without this bound, callers with long deadlines would wait through a
+# 10 s outage instead of being told when to retry. The ledger voids a claim
+# that timed out, so that "not run" stays true.
 CLAIM_TIMEOUT = datetime.timedelta(seconds=1)
 
 
 class Claims:
-    """Claims requests that may come again, and settles those that failed.
+    """Claims requests that may be retried, and settles those that failed.
 
-    Only a key given by the caller is claimed: an id minted here cannot
-    arrive a second time anywhere.
+    Only a key given by the caller is claimed: an id generated here cannot
+    arrive a second time.
     """
 
     __slots__ = ("_events", "_ledger")
@@ -45,15 +45,14 @@
         """Returns the first try's answer, or None if this try is to run.
 
         Raises:
-            errors.CodedError: Neither; the code says why.
+            errors.CodedError: Neither holds; the code says why.
         """
         if not self._ledger.accepting_work():
-            # Work that ran could not be billed, and its answer would be held
-            # back to the deadline; so it is not run, and the caller hears so
-            # at once.
+            # The work could not be billed, so its answer would be withheld
+            # until the deadline. The request is refused at once instead.
             raise errors.CodedError(
                 code=codes.Code.STORE_OUT,
-                detail="no bill could be recorded now; come back",
+                detail="no bill can be recorded at present; retry later",
                 retry_after=RETRY_UNBILLABLE,
             )
         if not identity.given_by_caller:
@@ -81,11 +80,10 @@
         request_id: str,
         progress: progress_module.Progress,
     ) -> None:
-        """Gives a claim back, or records that its outcome is unknown.
+        """Releases a claim, or records that its outcome is unknown.
 
-        An unsettled claim is no fault towards the caller, who gets the error
-        that is already on its way; the ledger takes a claim whose holder is
-        gone for unknown.
+        A failure to settle does not change the error that the caller gets: the
+        ledger treats a claim whose holder is gone as unknown.
         """
         if not identity.given_by_caller:
             return
--- a/src/nutmeghook/internal/dispatch/consumers.py
+++ b/src/nutmeghook/internal/dispatch/consumers.py
@@ -1,4 +1,4 @@
-"""Where an attempt's text goes: held for judgement, or relayed at once."""
+"""Consumers of an attempt's text: buffered until judged, or relayed."""
 
 import abc
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 
 
 class TextMismatchError(Exception):
-    """A repeated attempt's text is not the one that the caller has part of."""
+    """A retry's text does not match what the caller has received."""
 
 
 class Consumer(abc.ABC):
-    """Takes an attempt's text, checked to be complete and in order."""
+    """Takes an attempt's text, which is complete and in order."""
 
     @abc.abstractmethod
     async def take(self, text: str) -> None:
@@ -25,20 +25,20 @@
 
     @abc.abstractmethod
     def has_begun(self) -> bool:
-        """Tells whether an attempt that gave its text here is the answer's."""
+        """Tells whether the answer's text so far is from this attempt."""
 
     @abc.abstractmethod
     def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
-        """Returns the consumer for an attempt that starts from the front.
+        """Returns the consumer for an attempt that starts over.
 
         Args:
-            on_begun: Called once, before the first text that such an attempt
-                adds to the answer; from then on the answer is its own.
+            on_begun: Called once, before the first text that this attempt adds
+                to the answer; from then on the answer is this attempt's.
         """
 
 
 class BufferingConsumer(Consumer):
-    """Holds a stage's text back: the answer may yet be judged too weak."""
+    """Buffers a stage's text until its answer has been judged."""
 
     __slots__ = ("_on_begun", "_pieces")
 
@@ -47,7 +47,7 @@
         self._pieces: list[str] = []
 
     async def take(self, text: str) -> None:
-        """Keeps the piece."""
+        """Buffers the piece."""
         if not self._pieces and self._on_begun is not None:
             self._on_begun()
         self._pieces.append(text)
@@ -57,16 +57,16 @@
         return "".join(self._pieces)
 
     def has_begun(self) -> bool:
-        """Tells whether it holds any text."""
+        """Tells whether any text is buffered."""
         return bool(self._pieces)
 
     def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
-        """Returns an empty holder: nobody saw the earlier text."""
+        """Returns an empty buffer: nobody saw the earlier text."""
         return BufferingConsumer(on_begun=on_begun)
 
 
 class RelayingConsumer(Consumer):
-    """Passes text on to the caller as it comes."""
+    """Passes text on to the caller as it arrives."""
 
     __slots__ = ("_model_version", "_on_first", "_pieces", "_progress", "_sink")
 
@@ -101,20 +101,19 @@
         return bool(self._pieces)
 
     def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
-        """Returns a consumer that goes on where the caller's text ends."""
+        """Returns a consumer that continues where the caller's text ends."""
         if not self._pieces:
             return self
         return PrefixCheckingConsumer(relay=self, on_begun=on_begun)
 
 
 class PrefixCheckingConsumer(Consumer):
-    """Lets a repeated attempt go on only if it repeats the text so far.
+    """Lets a retry continue only if it reproduces the text so far.
 
-    The failure: the engine is gone with half an answer given. A second
-    engine, though of the same version, may word it otherwise; going on from
-    the middle would splice two answers into one that neither gave. So the
-    repeat's text is held until it covers what the caller has, and is passed
-    on only if it begins with exactly that.
+    When an engine is lost in mid-answer, another engine of the same version
+    may word the answer differently, and continuing with its text would splice
+    two answers. So the retry's text is buffered until it covers what the
+    caller has, and is passed on only if it begins with exactly that.
     """
 
     __slots__ = ("_buffered", "_caught_up", "_expected", "_on_begun", "_relay")
@@ -151,18 +150,18 @@
         """Returns all of the caller's text so far.
 
         Raises:
-            TextMismatchError: The repeat ended short of the text given.
+            TextMismatchError: The retry ended before it covered that text.
         """
         if not self._caught_up:
             raise TextMismatchError
         return self._relay.text()
 
     def has_begun(self) -> bool:
-        """Tells whether the repeat covers what the caller had."""
+        """Tells whether the retry covers what the caller had."""
         return self._caught_up
 
     def for_retry(self, on_begun: Callable[[], None]) -> Consumer:
-        """Returns a fresh check against all that the caller has by now."""
+        """Returns a new check against all that the caller has by now."""
         return self._relay.for_retry(on_begun)
 
     def _matches(self) -> bool:
--- a/src/nutmeghook/internal/dispatch/dispatcher.py
+++ b/src/nutmeghook/internal/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""One request's way: claim, answer, bill, and only then the last byte."""
+"""Claims, answers and bills a request, then completes its answer."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -44,11 +44,11 @@
 
 
 class Dispatcher:
-    """Takes checked requests and gives each one its outcome.
+    """Takes validated requests and determines the outcome of each.
 
-    Every request ends in exactly one of: its whole answer, billed; or a
-    `CodedError` whose run state is true. The same rules stand here once for
-    generations and for calls of plain services.
+    Every request ends in exactly one of: its complete answer, billed; or a
+    `CodedError` whose run state is correct. Generations and calls of plain
+    services follow the same rules.
     """
 
     __slots__ = (
@@ -82,10 +82,10 @@
         meter: meter_module.Meter,
         random_source: random.Random,
     ):
-        """Builds both paths on the same claims and bills.
+        """Builds the paths of generations and calls on shared claims and bills.
 
-        `admission` holds the places of generations, `plain_admission` those
-        of calls: calls that hang in a slow service must not keep engines idle.
+        `admission` holds the slots of generations, `plain_admission` those
+        of calls: calls that hang in a slow service must not idle the engines.
         """
         self._clock = clock
         self._events = events
@@ -155,11 +155,11 @@
             sink: Takes the text meanwhile.
 
         Returns:
-            The whole answer, or the kept one of the request's first try
-            (then the sink got nothing).
+            The complete answer, or the stored one of the request's first try
+            (then the sink gets nothing).
 
         Raises:
-            errors.CodedError: There is no answer, or it may not be given.
+            errors.CodedError: There is no answer, or it must not be given.
         """
         progress = progress_module.Progress()
 
@@ -199,10 +199,10 @@
     async def call_plain(
         self, request: requests.PlainRequest
     ) -> plain.PlainAnswer | ledger_module.KeptAnswer:
-        """Has a plain service's call made; returns once it is billed.
+        """Has a plain service called; returns once the call is billed.
 
         Raises:
-            errors.CodedError: There is no answer, or it may not be given.
+            errors.CodedError: There is no answer, or it must not be given.
         """
         progress = progress_module.Progress()
 
@@ -226,7 +226,7 @@
         )
 
     async def settled(self) -> None:
-        """Waits until no request runs on behind a caller that is gone."""
+        """Waits until no request runs on after its caller has gone."""
         await self._background.settled()
 
     async def _run_shielded(
@@ -237,13 +237,13 @@
         *,
         on_detach: Callable[[], None],
     ) -> _Answer:
-        """Runs the work in a task that the caller's going need not end.
+        """Runs the work in a task that can outlive the caller.
 
-        A caller that goes cancels this coroutine. Work whose claim a retry
-        will find goes on, so that the retry gets the answer instead of an
-        `unknown`; so does a call that may not be repeated, which no
-        cancelling would undo, and a bill that is being recorded. Anything
-        else is cancelled down to the engine.
+        A caller that disconnects cancels this coroutine. Work whose claim a
+        retry will find goes on, so that the retry gets the answer instead of
+        `unknown`; so does a call that may not be repeated, which cancelling
+        would not undo, and a bill that is being recorded. Anything else is
+        cancelled, down to the engine.
         """
         task = self._background.start(work)
         try:
@@ -321,11 +321,11 @@
     def _settle_failed(
         self, request: _Request, progress: progress_module.Progress
     ) -> None:
-        """Settles claim and bill of a request that has no whole answer.
+        """Settles claim and bill of a request without a complete answer.
 
-        In the background: the store may be slow, and the caller's final
-        answer is not to wait for it. A retry that comes before the claim is
-        settled is told `ALREADY_RUNNING`, and to come again.
+        This runs in the background, so that the caller's error does not wait
+        for a slow store. A retry that arrives before the claim is settled gets
+        `ALREADY_RUNNING` with a Retry-After.
         """
         self._background.start(
             self._claims.settle_failed(
--- a/src/nutmeghook/internal/dispatch/engine_crashes.py
+++ b/src/nutmeghook/internal/dispatch/engine_crashes.py
@@ -1,4 +1,4 @@
-"""Under which generations engines end, and which of them to stop."""
+"""Detects generations that crash engines, and quarantines them."""
 
 import datetime
 
@@ -16,15 +16,16 @@
 from nutmeghook.internal.foundation import identities
 from nutmeghook.internal.suspects import registry as registry_module
 
-# An engine that lives answers this within a few milliseconds.
+# A live engine answers within a few milliseconds.
 _PROBE_TIMEOUT = datetime.timedelta(milliseconds=350)
-# Engines don't tell their starts apart, and need longer to start. So all ends
-# of one address within this are one end, whichever instance notices it.
+# Engines do not report an incarnation, and take longer than this to start. So
+# all crashes at one address within this time count as one, whichever instance
+# notices them.
 _SAME_CRASH_S = 10
 
 
 class EngineCrashDetector:
-    """Holds the end of an engine against the generations that it had."""
+    """Attributes the crash of an engine to the generations that it ran."""
 
     __slots__ = ("_clock", "_connector", "_registry")
 
@@ -40,15 +41,16 @@
         self._clock = clock
 
     def is_suspect(self, request: requests.GenerationRequest) -> bool:
-        """Tells whether an engine has ended under a request."""
+        """Tells whether an engine has crashed while it ran a request."""
         return not self._registry.is_empty and self._registry.is_suspect(
             _identity(request)
         )
 
     def is_quarantined(self, request: requests.GenerationRequest) -> bool:
-        """Tells whether a request is to be sent to no engine.
+        """Tells whether a request must not be sent to any engine.
 
-        Its identity takes its whole prompt, and there is seldom a suspect.
+        The registry is rarely other than empty, and computing an identity
+        hashes the whole prompt, so that is done only if there is a suspect.
         """
         return not self._registry.is_empty and self._registry.is_quarantined(
             _identity(request)
@@ -61,9 +63,9 @@
     ) -> None:
         """Checks that a request may be sent to an engine.
 
-        The failure: each of its attempts ends another engine, with all that
-        it generates for others. It gets none, but for the one of a copy that
-        is sent on trial.
+        Each attempt of a quarantined request could crash another engine, with
+        all that it generates for others. So it gets no attempt, except for one
+        copy that is sent as a probe.
 
         Raises:
             errors.CodedError: It is quarantined.
@@ -73,7 +75,7 @@
         identity = _identity(request)
         if not progress.attempts and self._registry.is_probe_due(identity):
             return
-        detail = "backend servers end under this request"
+        detail = "backend servers crash while running this request"
         if progress.possibly_run:
             raise errors.CodedError(
                 code=codes.Code.BACKEND_FAILED, detail=detail
@@ -85,12 +87,12 @@
         )
 
     def note_sent(self, request: requests.GenerationRequest) -> None:
-        """Takes in that a request is sent: on trial, if it is quarantined."""
+        """Records that a request is sent: as a probe, if it is quarantined."""
         if self.is_quarantined(request):
             self._registry.try_probe(_identity(request))
 
     def note_answered(self, request: requests.GenerationRequest) -> None:
-        """Takes in that an engine ran a request to its end."""
+        """Records that an engine completed a request."""
         self._registry.note_answered(_identity(request))
 
     async def note_failed(
@@ -99,9 +101,9 @@
         attempt: attempts_module.Attempt,
         error: attempts_module.AttemptError,
     ) -> None:
-        """Takes in how an attempt ended that gave no whole answer.
+        """Records an attempt that ended without a complete answer.
 
-        A lost connection alone says little, so the engine is asked.
+        A lost connection does not prove a crash, so the engine is probed.
         """
         if not error.ran:
             return
--- a/src/nutmeghook/internal/dispatch/generations.py
+++ b/src/nutmeghook/internal/dispatch/generations.py
@@ -1,4 +1,4 @@
-"""A generation's way through admission and the stages of its cascade."""
+"""Takes a generation through admission and its cascade's stages."""
 
 import functools
 
@@ -22,7 +22,7 @@
 
 
 class GenerationPath:
-    """Produces a request's answer; claims and bills are the caller's."""
+    """Produces a request's answer; the dispatcher claims and bills it."""
 
     __slots__ = (
         "_admission",
@@ -62,7 +62,7 @@
         progress: progress_module.Progress,
         sink: answers.AnswerSink,
     ) -> answers.GeneratedAnswer:
-        """Returns the whole answer, whose text the sink has by then.
+        """Returns the complete answer, after the sink has got its text.
 
         Raises:
             errors.CodedError: There is none.
@@ -78,8 +78,8 @@
             try:
                 return await self._cascade_stages(request, progress, sink)
             finally:
-                # Whatever the outcome, and before the place is given to the
-                # next one: who is next depends on what teams have used.
+                # Whatever the outcome, and before the slot is released: which
+                # request is next depends on what the teams have used.
                 self._admission.reconcile(
                     asked, used_tokens=progress.used_tokens
                 )
@@ -91,22 +91,23 @@
         sink: answers.AnswerSink,
         error: errors.CodedError,
     ) -> answers.GeneratedAnswer | None:
-        """Gives an earlier stage's answer, for want of a better one.
+        """Gives an earlier stage's answer after a later stage failed.
 
-        The failure: a cheap answer was judged weak and dropped; then the next
-        stage had no backend server, or nothing to say by the deadline. The
-        caller heard an error, though there was a whole answer for it. So the
-        answer is kept until the next stage's text begins to go out; from then
-        on it can't be given, since one text must not follow another.
+        An answer that was judged too weak is held, because the next stage may
+        have no backend server or miss the deadline, and the caller would then
+        get an error although a complete answer exists. Once the next stage's
+        text has begun to go out, the held answer can no longer be given, since
+        it would follow another answer's text.
 
         Args:
-            request: What was asked.
-            progress: Has the answer, if there is one.
+            request: The request.
+            progress: Has the held answer, if there is one.
             sink: Takes its text.
-            error: Why there is no better one; told on the time line.
+            error: Why there is no better answer; recorded in the event.
 
         Returns:
-            The answer, whose text the sink has; None if there is none to give.
+            The held answer, after the sink has got its text; None if there is
+            none to give.
         """
         if progress.held is None or progress.relayed:
             return None
@@ -167,11 +168,10 @@
     ) -> answers.GeneratedAnswer | None:
         """Runs a stage that is not the last; None if the next is to run.
 
-        An answer that was judged too weak stays in `progress.held`.
-
-        The caller must not see a cheap answer that is then replaced: so not
-        a byte is sent before the judgement. A stage that can't run at all is
-        passed over, for the next one is no worse.
+        Nothing is sent to the caller before the answer is accepted, since the
+        next stage's answer may replace it. An answer judged too weak is put in
+        `progress.held`. A stage that cannot run is skipped, because the next
+        one is at least as good.
         """
         call = stage_calls.StageCall(
             request=request,
@@ -202,7 +202,7 @@
         stage_index: int,
         sink: answers.AnswerSink,
     ) -> answers.GeneratedAnswer:
-        """Runs the last stage, whose text goes to the caller as it comes."""
+        """Runs the last stage, whose text is streamed to the caller."""
         call = stage_calls.StageCall(
             request=request,
             progress=progress,
@@ -246,8 +246,8 @@
         answer: answers.GeneratedAnswer,
         call: stage_calls.StageCall,
     ) -> None:
-        # Each answer of a rolling-out version is handed in: its exposure is
-        # counted as unrated until the rating comes.
+        # Every answer of a version being rolled out is submitted: its exposure
+        # counts as unrated until the rating arrives.
         if not call.choice.rolling_out and not self._cascade.wants_rating(
             question, stage_index=stage_index
         ):
--- a/src/nutmeghook/internal/dispatch/hedge.py
+++ b/src/nutmeghook/internal/dispatch/hedge.py
@@ -1,4 +1,4 @@
-"""A race of two attempts at one answer: the first token wins."""
+"""Hedging: two attempts race, and the first to give a token wins."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 
 
 class LostRaceError(Exception):
-    """The other attempt's first token came earlier."""
+    """Another attempt's first token came earlier."""
 
 
 class Race:
-    """Which of several attempts may give its text to the caller."""
+    """Decides which of several attempts may send text to the caller."""
 
     __slots__ = ("_consumer", "decided", "winner")
 
@@ -35,7 +35,7 @@
         return Racer(race=self, consumer=self._consumer)
 
     def decide(self, racer: "Racer") -> None:
-        """Makes a lane the winner, or raises if another one is."""
+        """Makes an attempt the winner, or raises if there already is one."""
         if self.winner is not None:
             raise LostRaceError
         self.winner = racer
@@ -44,10 +44,10 @@
 
 
 class Racer(consumers.Consumer):
-    """One attempt's way to the shared consumer.
+    """The consumer of one racing attempt, in front of the shared one.
 
-    The check on each piece is what keeps the loser's late tokens out of the
-    answer; cancelling it only saves the engine's work.
+    The check on each piece keeps the loser's late tokens out of the answer;
+    cancelling the loser only saves the engine's work.
     """
 
     __slots__ = ("_consumer", "_race")
@@ -57,10 +57,10 @@
         self._consumer = consumer
 
     async def take(self, text: str) -> None:
-        """Passes the piece on if this lane has won or wins now.
+        """Passes the piece on if this attempt has won or wins now.
 
         Raises:
-            LostRaceError: Another lane has won.
+            LostRaceError: Another attempt has won.
         """
         if self._race.winner is not self:
             self._race.decide(self)
@@ -71,11 +71,11 @@
         return self._consumer.text()
 
     def has_begun(self) -> bool:
-        """Tells whether the answer so far is this lane's."""
+        """Tells whether the answer so far is from this attempt."""
         return self._race.winner is self and self._consumer.has_begun()
 
     def for_retry(self, on_begun: Callable[[], None]) -> consumers.Consumer:
-        """Returns the shared consumer's own."""
+        """Returns the shared consumer's consumer for a retry."""
         return self._consumer.for_retry(on_begun)
 
 
@@ -87,20 +87,20 @@
     first: Callable[[consumers.Consumer], AttemptWork],
     second: Callable[[consumers.Consumer], AttemptWork | None],
 ) -> engine.Chunk:
-    """Runs an attempt, and a second one if no token came in time.
+    """Runs an attempt, and a second one if no token arrives in time.
 
     Args:
         clock: Measures `hedge_after`.
         hedge_after: How long the first attempt has for its first token.
         consumer: Takes the winner's text.
         first: Starts the first attempt.
-        second: Starts the other one, or returns None if there may be none.
+        second: Starts the second attempt, or returns None if none is permitted.
 
     Returns:
         The winner's last chunk.
 
     Raises:
-        attempts.AttemptError: The winner failed, or all did without a token.
+        attempts.AttemptError: The winner failed, or all failed before a token.
     """
     race = Race(consumer=consumer)
     racer = race.add_racer()
@@ -171,5 +171,5 @@
 
 
 def _worst(faults: list[attempts.AttemptError]) -> attempts.AttemptError:
-    """Returns a fault of an attempt that may have run, if there is one."""
+    """Returns the error of an attempt that may have run, if there is one."""
     return max(faults, key=lambda fault: fault.ran)
--- a/src/nutmeghook/internal/dispatch/meter.py
+++ b/src/nutmeghook/internal/dispatch/meter.py
@@ -1,4 +1,4 @@
-"""What the request path counts, as an interface for the metrics."""
+"""Metrics of the request path, as an interface."""
 
 import abc
 import datetime
@@ -8,7 +8,7 @@
 
 
 class Meter(abc.ABC):
-    """Takes in figures; called on the hot path, so it must be cheap."""
+    """Records measurements; called on the hot path, so it must be cheap."""
 
     @abc.abstractmethod
     def request_finished(
@@ -19,19 +19,19 @@
         code: codes.Code,
         duration: datetime.timedelta,
     ) -> None:
-        """Counts a request's end; `target` is the template or service."""
+        """Counts a finished request; `target` is the template or service."""
 
     @abc.abstractmethod
     def first_token(
         self, *, team: str, template: str, duration: datetime.timedelta
     ) -> None:
-        """Notes the time from a request's arrival to its first token."""
+        """Records the time from a request's arrival to its first token."""
 
     @abc.abstractmethod
     def answer_billed(
         self, *, output_tokens: int, cost_micros: int, spent_micros: int
     ) -> None:
-        """Adds up tokens and cost of a billed answer."""
+        """Adds tokens and cost of a billed answer."""
 
     @abc.abstractmethod
     def attempt_finished(self, outcome: backends.AttemptOutcome) -> None:
@@ -43,15 +43,15 @@
 
     @abc.abstractmethod
     def stream_resumed(self) -> None:
-        """Counts a cut stream that was taken up again."""
+        """Counts a cut stream that was resumed."""
 
     @abc.abstractmethod
     def chunk_dropped(self) -> None:
-        """Counts a late, crossed or duplicated chunk."""
+        """Counts a late or duplicate chunk, or one of another attempt."""
 
     @abc.abstractmethod
     def rating_dropped(self) -> None:
-        """Counts an answer that could not be handed in for rating."""
+        """Counts an answer that could not be submitted for rating."""
 
 
 class NullMeter(Meter):
--- a/src/nutmeghook/internal/dispatch/plain_calls.py
+++ b/src/nutmeghook/internal/dispatch/plain_calls.py
@@ -1,4 +1,4 @@
-"""A plain service's call: at most one send, unless it may be repeated."""
+"""Calls of plain services: sent at most once, unless repeatable."""
 
 import datetime
 import random
@@ -22,11 +22,11 @@
 FIRST_RETRY_DELAY = datetime.timedelta(milliseconds=10)
 RETRY_WITHOUT_BACKEND = datetime.timedelta(seconds=1)
 _SERVICE_ERROR_STATUS = 500
-# A call has no tokens; among calls each counts the same.
+# A call has no tokens, so every call costs the same.
 _EQUAL_COST_TOKENS = 1
-# Places come back only where service is noted, else each refusal for overload
-# would take some for good. But services differ in pace by their nature, and a
-# change of their mix is no overload: so all are noted as equally quick.
+# The concurrency limit, which refusals for overload cut, grows again only on
+# reported durations. Services differ in speed, and a change of their mix is no
+# overload, so all calls are reported with the same duration.
 _EQUAL_DURATION = datetime.timedelta(seconds=1)
 _SERVICE_OUTCOMES = (
     backends_module.AttemptOutcome.ANSWERED,
@@ -112,8 +112,8 @@
             except failures.NotDoneError as error:
                 await self._allow_retry(request, progress, error)
             except failures.OutcomeUnknownError as error:
-                # The failure: the connection broke after the call was
-                # written. A second send could book the same crew twice.
+                # The connection broke after the call was written: a second
+                # send could book the same crew twice.
                 if not repeatable:
                     raise errors.CodedError(
                         code=codes.Code.BACKEND_FAILED, detail=str(error)
@@ -135,14 +135,15 @@
     ) -> bool:
         """Checks just before sending that the call may be made now.
 
-        The route is looked up anew: a change of its time limit is no loss of
-        it. That it may be repeated must hold then and now.
+        The route is looked up again by path, so that a changed time limit does
+        not count as a removed route. The call is repeatable only if its route
+        was when it was accepted and is now.
 
         Returns:
-            Whether the call may be sent again should its outcome be lost.
+            Whether the call may be sent again if its outcome is lost.
 
         Raises:
-            errors.CodedError: The team may not send the call (any more).
+            errors.CodedError: The team may not, or no longer, make the call.
         """
         callers.check_token(self._config, request, progress)
         team = self._config.snapshot.teams.get(request.team.name)
@@ -152,14 +153,14 @@
             raise errors.CodedError(
                 code=codes.Code.NOT_ALLOWED,
                 detail=f"the team's route to {request.route.service!r} was"
-                " taken away meanwhile",
+                " removed",
             )
         repeatable = request.route.repeatable and route.repeatable
         if progress.possibly_run and not repeatable:
             raise errors.CodedError(
                 code=codes.Code.BACKEND_FAILED,
-                detail="the call may have run, and its route's calls may no"
-                " longer be repeated",
+                detail="the call may have run, and its route is no longer"
+                " repeatable",
             )
         return repeatable
 
@@ -223,10 +224,10 @@
         progress: progress_module.Progress,
         error: failures.PlatformError,
     ) -> None:
-        """Waits a little before the next send, or gives up.
+        """Permits another send, after a back-off with jitter.
 
         Raises:
-            errors.CodedError: No further send is allowed.
+            errors.CodedError: No further send is permitted.
         """
         if (
             progress.attempts >= MAX_SENDS
--- a/src/nutmeghook/internal/dispatch/progress.py
+++ b/src/nutmeghook/internal/dispatch/progress.py
@@ -1,4 +1,4 @@
-"""What a request's attempts have done so far, and what may be claimed."""
+"""Tracks a request's attempts, and the run state that they allow."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Delivered:
-    """The part of an answer that the caller has taken."""
+    """The part of an answer that the caller has received."""
 
     model_version: engine.ModelVersion
     prompt_tokens: int
@@ -19,20 +19,19 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Progress:
-    """Bookkeeping of one request.
+    """The state of one request.
 
     Attributes:
-        attempts: Attempts started, whatever became of them.
+        attempts: Attempts started, whatever their outcome.
         possibly_run: Attempts that ran or may have run.
-        spent_micros: Cost of all of them.
-        used_tokens: Tokens of prompt and output of all of them, as far as
-            they are known.
-        relayed: Some text of the answer is on its way to the caller.
-        delivered: How much, as of the attempts that have ended.
-        must_finish: Work that no cancelling would undo is under way.
-        held: The latest whole answer that was judged too weak; given if
-            nothing better begins.
-        caller_left: The request was cancelled because nobody waits for it.
+        spent_micros: Cost of all of them, in millionths of a euro.
+        used_tokens: Known prompt and output tokens of all of them.
+        relayed: Some text of the answer was sent to the caller.
+        delivered: How much was sent, as of the attempts that have ended.
+        must_finish: Work that cancelling would not undo is under way.
+        held: The latest complete answer that was judged too weak; given if no
+            later stage's answer begins.
+        caller_gone: The request was cancelled because its caller disconnected.
     """
 
     attempts: int = 0
@@ -48,30 +47,30 @@
     def start_attempt(self, request_id: str) -> str:
         """Counts an attempt as possibly run and returns its id.
 
-        It is counted before it is sent: should anything go wrong in between,
-        the caller hears `unknown` rather than a false `not_run`.
+        It is counted before it is sent, so that a failure in between is
+        reported as `unknown` rather than as a false `not_run`.
         """
         self.attempts += 1
         self.possibly_run += 1
         return f"{request_id}/{self.attempts}"
 
     def attempt_not_run(self) -> None:
-        """Takes back an attempt that provably did not run."""
+        """Uncounts an attempt that provably did not run."""
         self.possibly_run -= 1
 
     def final_error(
         self, error: errors.CodedError, *, may_be_sent_again: bool
     ) -> errors.CodedError:
-        """Returns the error as it is true of the whole request.
+        """Returns the error that is correct for the whole request.
 
-        The raiser of an error sees one step; a refusal at a later step (a
-        retry that finds no backend server) must not say `not_run` when an
-        earlier attempt may have run.
+        An error describes only the step that raised it: a refusal at a later
+        step, such as a retry without a backend server, must not say `not_run`
+        if an earlier attempt may have run.
 
         Args:
-            error: What the last step said.
+            error: The error of the last step.
             may_be_sent_again: Whether the caller may repeat what may have
-                run; if not, it is not told when to come again.
+                run; if not, the error has no Retry-After.
         """
         if not self.possibly_run:
             return error
@@ -89,13 +88,12 @@
 
 
 def _code_once_sent(code: codes.Code) -> codes.Code:
-    """Returns what a refusal is called once something may have run.
+    """Returns the code of a refusal once an attempt may have run.
 
-    The failure: a repeat is refused because the team lost its route. The body
-    said `unknown`, but the status, 403, and the time line said "refused", and
-    callers that go by the status took the call for not run. A further step is
-    taken only after a backend server failed, so that is what they are told,
-    whatever refused the step.
+    A refused retry must not keep the refusal's code, such as 403 for a route
+    that was removed: callers that go by the status would take the call for not
+    run, though the body says `unknown`. A retry is only made after a backend
+    server failed, so that is reported, whatever refused the retry.
     """
     if code is codes.Code.DEADLINE_BEFORE_RUN:
         return codes.Code.DEADLINE_DURING_RUN
--- a/src/nutmeghook/internal/dispatch/ratings.py
+++ b/src/nutmeghook/internal/dispatch/ratings.py
@@ -1,4 +1,4 @@
-"""Hands sampled answers in for rating, beside the request path."""
+"""Submits sampled answers for rating, outside the request path."""
 
 import asyncio
 import datetime
@@ -14,11 +14,11 @@
 
 
 class RatingQueue:
-    """A bounded queue before the rating service.
+    """A bounded queue in front of the rating service.
 
-    A service that is out must cost the callers nothing: answers that find
-    the queue full are dropped and counted. What that means for a roll-out
-    (its growth stops) is the roll-out's affair, which sees ratings missing.
+    An outage of the service must not affect callers: answers that find the
+    queue full are dropped and counted. A roll-out that misses ratings stops
+    growing.
     """
 
     __slots__ = ("_clock", "_meter", "_queue", "_service")
@@ -50,7 +50,7 @@
             self._meter.rating_dropped()
 
     async def run(self) -> None:
-        """Hands in what is queued, until cancelled."""
+        """Submits what is queued, until cancelled."""
         while True:
             batch = [await self._queue.get()]
             while len(batch) < BATCH_TASKS and not self._queue.empty():
@@ -58,10 +58,10 @@
             await self._submit(batch)
 
     async def _submit(self, batch: list[ratings_module.RatingTask]) -> None:
-        """Hands in a batch; a failed one is tried once more.
+        """Submits a batch; a failed submission is retried once.
 
-        The service rates a request and stage once, so a batch whose first
-        submission did take effect does no harm.
+        The service rates each request and stage once, so a batch that is
+        submitted twice does no harm.
         """
         for _ in range(2):
             try:
--- a/src/nutmeghook/internal/dispatch/request_outcomes.py
+++ b/src/nutmeghook/internal/dispatch/request_outcomes.py
@@ -1,4 +1,4 @@
-"""How a request's end is told: to its caller, and on the time line."""
+"""Reports a request's outcome: to its caller, and as an event."""
 
 import eliot
 
@@ -14,7 +14,7 @@
     progress: progress_module.Progress,
     error: Exception,
 ) -> errors.CodedError:
-    """Returns what to tell the caller of a fault on its request's way."""
+    """Returns the error to report to the caller of a failed request."""
     if isinstance(error, errors.CodedError):
         return progress.final_error(
             error, may_be_sent_again=request.may_be_sent_again
@@ -22,7 +22,7 @@
     eliot.write_traceback()
     return errors.CodedError(
         code=codes.Code.INTERNAL,
-        detail=f"a fault of this instance: {type(error).__name__}",
+        detail=f"internal error of this instance: {type(error).__name__}",
         run_state=codes.RunState.UNKNOWN
         if progress.possibly_run
         else codes.RunState.NOT_RUN,
@@ -30,7 +30,7 @@
 
 
 def event_kind(code: codes.Code) -> events_module.EventKind:
-    """Returns the event that shows an outcome on the time line."""
+    """Returns the event that records an outcome on the time line."""
     if code is codes.Code.OK:
         return events_module.EventKind.REQUEST_ANSWERED
     if code.run_state is codes.RunState.NOT_RUN:
--- a/src/nutmeghook/internal/dispatch/requests.py
+++ b/src/nutmeghook/internal/dispatch/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request as the dispatcher takes it: checked and complete."""
+"""A caller's request as the dispatcher takes it: validated and complete."""
 
 import dataclasses
 import datetime
@@ -14,9 +14,9 @@
     """A request for a model's answer.
 
     Attributes:
-        identity: What a retry of it would have in common with it.
-        team: The token's team, as the configuration had it at entry.
-        token_sha256: The token that it came with, as the team's entry has it.
+        identity: What it has in common with its retries.
+        team: The token's team, as configured on arrival.
+        token_sha256: Digest of its token, as in the team's entry.
         session: The caller's session id; empty for none.
         priority: 0 to 9, never above the template's.
         arrived: Monotonic time of arrival.
@@ -45,14 +45,14 @@
     def may_be_sent_again(self) -> bool:
         """Whether a caller may repeat it after its outcome was lost.
 
-        A generation has no effect but its answer. Under a key, though, a
-        repeat is only told that the first try's outcome is unknown.
+        A generation has no effect but its answer. With an idempotency key,
+        though, a repeat is only told that the first try's outcome is unknown.
         """
         return not self.identity.given_by_caller
 
     @property
     def prompt_tokens_estimate(self) -> int:
-        """A guess, for attempts whose engine never said the size."""
+        """An estimate, for attempts whose engine did not report the size."""
         return self.prompt_chars // _CHARS_PER_TOKEN + 1
 
 
@@ -61,7 +61,7 @@
     """A request for a plain service's answer.
 
     Attributes:
-        token_sha256: The token that it came with, as the team's entry has it.
+        token_sha256: Digest of its token, as in the team's entry.
         arrived: Monotonic time of arrival.
         deadline: Monotonic time at which the answer is useless.
     """
@@ -77,7 +77,7 @@
 
     @property
     def request_id(self) -> str:
-        """The id minted at entry."""
+        """The id generated on arrival."""
         return self.call.request_id
 
     @property
@@ -91,5 +91,5 @@
         return self.route.repeatable and not self.identity.given_by_caller
 
 
-# The usual rule of thumb for Latin scripts.
+# A rule of thumb for Latin scripts.
 _CHARS_PER_TOKEN = 4
--- a/src/nutmeghook/internal/dispatch/retry_permission.py
+++ b/src/nutmeghook/internal/dispatch/retry_permission.py
@@ -1,4 +1,4 @@
-"""What a stage's further attempt needs, asked in one place."""
+"""Permits further attempts: whether, and where, another one is made."""
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.config import view as view_module
@@ -15,7 +15,7 @@
 
 
 class RetryPermission:
-    """Asks configuration, backend servers and retry budget for an attempt."""
+    """Permits attempts by configuration, backend servers and retry budget."""
 
     __slots__ = (
         "_backends",
@@ -41,7 +41,7 @@
         self._retry_budgets = retry_budgets
 
     def template_now(self, call: stage_calls.StageCall) -> documents.Template:
-        """Returns the request's template as it is in force.
+        """Returns the request's template as it is configured now.
 
         Raises:
             errors.CodedError: It was removed.
@@ -51,15 +51,15 @@
         if template is None:
             raise errors.CodedError(
                 code=codes.Code.UNKNOWN_TEMPLATE,
-                detail=f"template {asked.name!r} was removed meanwhile",
+                detail=f"template {asked.name!r} was removed",
             )
         return template
 
     def check_version(self, call: stage_calls.StageCall) -> None:
-        """Checks that the version chosen may be sent to right now.
+        """Checks that requests may be sent to the chosen version now.
 
         Raises:
-            errors.CodedError: It may not.
+            errors.CodedError: They may not.
         """
         self._versions.check_dispatch(
             template=self.template_now(call), choice=call.choice
@@ -71,15 +71,14 @@
         choice: versions_module.VersionChoice,
         backend: backends_module.Backend,
     ) -> None:
-        """Checks as an attempt's first byte is about to leave.
+        """Checks version and backend server just before the first byte is sent.
 
-        The failure: version and backend server were chosen, then a connection
-        had to be made, or the process was stopped for seconds. Meanwhile the
-        version was withdrawn or the server left, and it got the work after
-        the bound all the same.
+        Between the choice and the send, a connection has to be made and the
+        process can be stopped for seconds. Meanwhile the version may have been
+        withdrawn, or the backend server may have left.
 
         Raises:
-            failures.WithheldError: It may not leave; choose anew.
+            failures.WithheldError: It must not be sent; choose again.
         """
         try:
             self._versions.check_dispatch(
@@ -89,13 +88,13 @@
             raise failures.WithheldError(str(error)) from error
         if not self._backends.may_send(backend):
             raise failures.WithheldError(
-                f"{backend.address} left, or this instance stood still"
+                f"{backend.address} left, or this instance was stalled"
             )
 
     def budget(
         self, call: stage_calls.StageCall
     ) -> admission_module.RetryBudget:
-        """Returns the retry budget of the model chosen."""
+        """Returns the retry budget of the chosen model."""
         return self._retry_budgets.budget_for(
             f"model {call.choice.model_version.model}"
         )
@@ -103,10 +102,13 @@
     def try_permit_elsewhere(
         self, call: stage_calls.StageCall, at_work: backends_module.Backend
     ) -> backends_module.Backend | None:
-        """Takes leave for one more attempt while one is at work.
+        """Permits one more attempt while one is at work.
 
-        The budget is asked last: leave that is taken for nothing would be
+        The budget is spent last, since a retry spent for nothing would be
         missing where a request needs it.
+
+        Returns:
+            The backend server to send it to; None if it is not permitted.
         """
         if self._crashes.is_quarantined(call.request):
             return None
@@ -124,14 +126,12 @@
     def try_grant(
         self, call: stage_calls.StageCall, at_work: backends_module.Backend
     ) -> bool:
-        """Takes leave to go on elsewhere than at the engine at work.
-
-        The failure: an engine couldn't be reached for half a second. It was
-        left after three resumes in vain, and only then version, budget and
-        backend servers were asked. One of them refused, and the caller's
-        answer was cut, though the engine still had it. So the attempt that
-        follows is granted whole, backend server included, before the one at
-        work is given up; it is sent at once, and nothing is asked again.
+        """Permits continuing at another engine than the one at work.
+
+        An engine that is unreachable for half a second still has the answer,
+        so it must not be abandoned for an attempt that is then refused. The
+        next attempt is permitted, backend server included, before the one at
+        work is abandoned; it is sent at once, and nothing is checked again.
         """
         if call.failed_attempts + 1 >= MAX_ATTEMPTS_PER_STAGE:
             return False
--- a/src/nutmeghook/internal/dispatch/stage_calls.py
+++ b/src/nutmeghook/internal/dispatch/stage_calls.py
@@ -1,4 +1,4 @@
-"""One stage of one request, and what is made of it for its attempts."""
+"""One stage of one request, and what its attempts are made from."""
 
 from collections.abc import Callable
 import dataclasses
@@ -12,14 +12,14 @@
 from nutmeghook.internal.routing import backends as backends_module
 from nutmeghook.internal.routing import versions as versions_module
 
-# Long enough for a system prompt's start to tell templates of text apart,
+# Long enough for the start of a system prompt to tell prompt templates apart,
 # short enough to be cheap to hash.
 _PREFIX_CHARS = 256
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class FallbackAttempt:
-    """An attempt that was left, and the consumer that has its text."""
+    """An abandoned attempt, and the consumer that has its text."""
 
     attempt: attempts_module.Attempt
     consumer: consumers.Consumer
@@ -32,13 +32,13 @@
     Attributes:
         consumer_for: Makes the consumer for a version's text.
         choice: The version chosen last.
-        consumer: The consumer of the attempt to come.
+        consumer: The consumer of the next attempt.
         tried: Addresses that failed.
         failed_attempts: Attempts that gave no answer.
-        granted: Where the next attempt goes, if leave for it was taken while
-            the one before was at work.
-        way_back: To the attempt whose text the answer has so far, from when
-            it is left until another one has begun.
+        granted: Where the next attempt goes, if it was permitted while the
+            previous one was at work.
+        fallback: The attempt that gave the answer's text so far, from when it
+            is abandoned until another one has begun.
     """
 
     request: requests.GenerationRequest
@@ -56,7 +56,7 @@
 def backend_criteria(
     call: StageCall, exclude: str = ""
 ) -> backends_module.BackendCriteria:
-    """Returns what the next attempt needs of its backend server."""
+    """Returns what the next attempt requires of its backend server."""
     request = call.request
     excluded = call.tried | {exclude} if exclude else call.tried
     return backends_module.BackendCriteria(
@@ -68,7 +68,7 @@
 
 
 def _affinity_key(request: requests.GenerationRequest) -> str:
-    """Returns what requests with a common cached prefix have in common."""
+    """Returns a key shared by requests that share a cached prefix."""
     if request.session:
         return f"{request.team.name}/{request.session}"
     opening = request.messages[0].content[:_PREFIX_CHARS]
@@ -84,7 +84,7 @@
         messages=request.messages,
         max_tokens=request.max_tokens,
         priority=request.priority,
-        # Two teams' sessions of one name must not share a cached prefix.
+        # Sessions of the same name of two teams must not share a cached prefix.
         session=f"{request.team.name}/{request.session}"
         if request.session
         else "",
@@ -92,7 +92,7 @@
 
 
 def answer(call: StageCall, last: engine.Chunk) -> answers.GeneratedAnswer:
-    """Returns the whole answer whose last chunk has come."""
+    """Returns the complete answer, given its last chunk."""
     return answers.GeneratedAnswer(
         text=call.consumer.text(),
         model_version=call.choice.model_version,
--- a/src/nutmeghook/internal/dispatch/stages.py
+++ b/src/nutmeghook/internal/dispatch/stages.py
@@ -1,4 +1,4 @@
-"""One stage of a request: version, backend server, attempts until one ends."""
+"""Runs a request's stage: chooses version and backend server, retries."""
 
 import datetime
 import functools
@@ -30,7 +30,7 @@
 
 
 class StageRunner:
-    """Runs stages, retrying and hedging within bounds."""
+    """Runs stages, with bounded retries and hedging."""
 
     __slots__ = (
         "_attempts",
@@ -77,10 +77,10 @@
         self._random = random_source
 
     async def run(self, call: stage_calls.StageCall) -> answers.GeneratedAnswer:
-        """Returns the stage's whole answer.
+        """Returns the stage's complete answer.
 
         Raises:
-            errors.CodedError: There is none, and no more attempts are left.
+            errors.CodedError: There is none, and no attempt is permitted.
         """
         try:
             return await self._until_answered(call)
@@ -111,8 +111,8 @@
             except consumers.TextMismatchError as error:
                 raise errors.CodedError(
                     code=codes.Code.BACKEND_FAILED,
-                    detail="the backend server was lost in mid-answer and"
-                    " another one's answer is worded otherwise",
+                    detail="the backend server was lost in mid-answer, and"
+                    " another one's answer is worded differently",
                 ) from error
             if not withheld:
                 call.tried.add(backend.address)
@@ -123,15 +123,14 @@
     async def _answer_from(
         self, call: stage_calls.StageCall, backend: backends_module.Backend
     ) -> answers.GeneratedAnswer:
-        """Returns the answer of a backend server, or of the one left for it.
+        """Returns the answer of a backend server, or of the fallback attempt.
 
-        The failure: an engine couldn't be reached for a moment, and was left
-        for another one with the last of the retry budget. That one refused,
-        and the caller's answer was cut, though the first was back and had it.
-        So the attempt that was left is kept until the other one has begun,
-        and is resumed if that never does. A resume is no further run, so it
-        needs no leave. After an answer that is worded otherwise it is the
-        last resort: yet another engine's would hardly fit.
+        An engine that is unreachable for a moment may be abandoned with the
+        last of the retry budget for one that then refuses. So the abandoned
+        attempt is kept until the next one has begun, and is resumed if that
+        never happens. A resume is no further run, so it needs no permission.
+        After an answer that is worded differently no other engine is tried:
+        its answer would hardly match either.
         """
         try:
             last = await self._send(call, backend)
@@ -146,7 +145,7 @@
             self._events.record(
                 events_module.EventKind.REQUEST_RETRIED,
                 call.request.request_id,
-                reason=str(error) or "worded otherwise",
+                reason=str(error) or "worded differently",
             )
             if isinstance(error, consumers.TextMismatchError):
                 call.failed_attempts = retry_permission.MAX_ATTEMPTS_PER_STAGE
@@ -159,12 +158,12 @@
     async def _next_backend(
         self, call: stage_calls.StageCall
     ) -> backends_module.Backend:
-        """Returns where an attempt goes that was not granted before."""
+        """Returns where the next attempt goes, if it was not granted before."""
         await self._settle_choice(call)
         callers.check_token(self._config, call.request, call.progress)
         self._crashes.check(call.request, call.progress)
         if not call.failed_attempts:
-            # Of each stage: it is one more first attempt at its model.
+            # Counted in every stage, since each is a first attempt at a model.
             self._permission.budget(call).note_request()
         backend = self._choose_backend(call)
         if not call.progress.attempts:
@@ -172,12 +171,12 @@
         return backend
 
     async def _settle_choice(self, call: stage_calls.StageCall) -> None:
-        """Leaves a version in the call that may be sent to right now.
+        """Makes sure that the call's version may be sent to now.
 
-        A request can wait (for admission, a backend server, a retry) while
-        its version is withdrawn. So the choice is checked against the newest
-        configuration just before each send, and made anew where it failed;
-        but not once the caller has text: another version's may not follow.
+        A version can be withdrawn while a request waits for admission, a
+        backend server or a retry. So the choice is checked against the newest
+        configuration just before each send, and made again if it fails; but
+        not once the caller has text, which another version must not continue.
         """
         for _ in range(MAX_CHOICES_PER_SEND):
             template = self._permission.template_now(call)
@@ -198,17 +197,17 @@
                 self._release_choice(call)
         raise errors.CodedError(
             code=codes.Code.NO_CANDIDATE,
-            detail="each version chosen was withdrawn before it was sent to",
+            detail="every version chosen was withdrawn before the send",
             retry_after=RETRY_WITHOUT_BACKEND,
         )
 
     def _release_choice(self, call: stage_calls.StageCall) -> None:
-        """Takes back a choice of which no text has left this instance.
+        """Releases a version choice of which the caller got no text.
 
-        The failure: leave for an answer that nobody got is never rated, so
-        it counts as unrated until it is written off, and the roll-out waits.
-        A choice is one answer's leave, however many attempts and hedges it
-        takes; so it goes back once, when none of them gave the answer.
+        A choice takes one answer's exposure allowance, however many attempts
+        and hedges are made. An answer that nobody got is never rated: it would
+        count as unrated until it is written off, and delay the roll-out. So
+        the choice is released once, when no attempt gave the answer.
         """
         if call.choice is not None:
             self._versions.release(
@@ -221,7 +220,7 @@
     ) -> backends_module.Backend:
         backend = self._backends.choose(stage_calls.backend_criteria(call))
         if backend is None and call.tried:
-            # In a small pool all may have refused once; a refusal passes.
+            # In a small pool all may have refused once; that is temporary.
             call.tried.clear()
             backend = self._backends.choose(stage_calls.backend_criteria(call))
         if backend is None:
@@ -253,9 +252,9 @@
         first: backends_module.Backend,
         consumer: consumers.Consumer,
     ) -> hedge.AttemptWork | None:
-        """Starts a hedge on another backend server, if that may be.
+        """Starts a hedge on another backend server, if permitted.
 
-        What an engine has ended under is not given to two at a time.
+        A request that has crashed an engine is not sent to two at a time.
         """
         if self._crashes.is_suspect(call.request):
             return None
@@ -313,7 +312,7 @@
                 self._settle_attempt(call, attempt, ran=ran)
 
     def _release_fallback(self, call: stage_calls.StageCall) -> None:
-        """Gives up the attempt that was left: another one has begun."""
+        """Drops the fallback attempt, as another one has begun."""
         fallback, call.fallback = call.fallback, None
         if fallback is not None:
             self._settle_attempt(call, fallback.attempt, ran=True)
@@ -325,7 +324,7 @@
         *,
         ran: bool,
     ) -> None:
-        """Counts an attempt that won't be resumed any more."""
+        """Counts an attempt that will not be resumed."""
         if attempt.is_abandoned:
             self._attempts.drop(attempt)
         attempt_costs.record(self._config, call, attempt, ran=ran)
@@ -335,12 +334,12 @@
         call: stage_calls.StageCall,
         error: attempts_module.AttemptError,
     ) -> None:
-        """Waits a little before the next attempt, or gives up.
+        """Permits another attempt, after a back-off with jitter.
 
         Raises:
-            errors.CodedError: No further attempt is allowed.
+            errors.CodedError: No further attempt is permitted.
         """
-        # What never left loads nobody, so the budget has no say.
+        # A withheld attempt was not sent and adds no load, so it is free.
         if (
             call.failed_attempts >= retry_permission.MAX_ATTEMPTS_PER_STAGE
             or not (error.withheld or self._permission.budget(call).try_spend())
