--- a/src/nutmeghook/internal/limits/adaptive_limit.py
+++ b/src/nutmeghook/internal/limits/adaptive_limit.py
@@ -1,4 +1,4 @@
-"""A concurrency limit that follows measured service."""
+"""A concurrency limit that adapts to measured service."""
 
 import datetime
 import math
@@ -8,7 +8,7 @@
 _SECOND = datetime.timedelta(seconds=1)
 _WINDOW_SHARE = 0.5
 _MIN_WINDOW = 10
-# Batches make each token slower, by up to half when full; that is no overload.
+# A full batch slows each token by up to half, which is no overload.
 _TOLERANCE = 1.6
 _MIN_CUT_FACTOR = 0.5
 _OVERLOAD_FACTOR = 0.8
@@ -19,11 +19,12 @@
 
 
 def capacity_share(*, capacity: int, members: int) -> int:
-    """Returns how many places one instance may use at most.
+    """Returns the most slots that one instance may use.
 
-    The balancer spreads evenly, but not perfectly: beside its share of the
-    backend servers' capacity, an instance gets half the spread of a random
-    split. That is 10% of a share of 27, and 4% of one of 167.
+    The load balancer does not split requests exactly evenly, so an instance
+    gets its share of the backend servers' capacity plus half the standard
+    deviation of a random split. That is 10% of a share of 27, and 4% of one of
+    167.
 
     Args:
         capacity: Generations that all backend servers hold at once.
@@ -34,13 +35,12 @@
 
 
 class AdaptiveLimit(concurrency_limit.ConcurrencyLimit):
-    """Cuts the places when service slows down or refuses, else grows them.
+    """Cuts the slots when service slows down or refuses, else adds some.
 
-    Two signals, with unlike reach. A refusal for overload is certain, and may
-    bring the places down to one. Slow service is ambiguous: engines that are
-    slow for reasons of their own don't become faster with fewer requests, and
-    cutting further would waste what they can still do. So slowness alone
-    cuts to half of the ceiling and no further.
+    A refusal for overload is unambiguous, and may cut the slots down to one.
+    Slow service is ambiguous: engines that are slow for another reason do not
+    become faster with fewer requests, and cutting further would waste their
+    remaining capacity. So slowness alone cuts to half of the ceiling at most.
     """
 
     __slots__ = (
@@ -66,11 +66,11 @@
         return max(1, int(self._slots))
 
     def set_ceiling(self, ceiling: int) -> None:
-        """Sets the most places, as the backend servers or members change."""
+        """Sets the most slots, as the backend servers or members change."""
         before = self._ceiling
         self._ceiling = concurrency_limit.checked_slots(ceiling)
-        # The places keep their part of the ceiling, so that lost replicas
-        # are felt at once and new ones are used without a slow climb.
+        # The slots keep their share of the ceiling, so that the loss of
+        # replicas takes effect at once and new ones are used without a ramp.
         self._slots = max(1.0, self._slots * ceiling / before)
 
     def note(
@@ -81,15 +81,16 @@
         work_tokens: int,
         running: int,
     ) -> None:
-        """Takes in one finished attempt."""
+        """Records one finished attempt."""
         self._samples += 1
         if overloaded:
             self._cut_for_overload()
         else:
             self._duration_s += duration / _SECOND
             self._work_tokens += max(1, work_tokens)
-        # Of the whole places: of 1.3, no number that runs is four fifths, and
-        # an instance cut to one place would never get a second one.
+        # Compared with whole slots: one running request is less than four
+        # fifths of 1.3 slots, so an instance cut to one slot would never get a
+        # second one.
         if running >= _USED_SHARE * self.slots:
             self._used = True
         window = max(_MIN_WINDOW, _WINDOW_SHARE * self._slots)
@@ -104,7 +105,7 @@
         self._cut_in_window = False
 
     def _cut_for_overload(self) -> None:
-        """Cuts once a window: refusals of one moment are one signal."""
+        """Cuts once per window: refusals at the same time are one signal."""
         if not self._cut_in_window:
             self._slots = max(1.0, self._slots * _OVERLOAD_FACTOR)
             self._cut_in_window = True
@@ -115,14 +116,14 @@
         self._start_window()
 
     def _adapt_to_pace(self, pace_s: float) -> None:
-        # The baseline creeps up, so that a lasting change (longer prompts,
-        # another mix of models) is not taken for overload for ever.
+        # The baseline drifts upwards, so that a lasting change (longer
+        # prompts, another mix of models) stops counting as overload.
         self._baseline = min(self._baseline * _BASELINE_DRIFT, pace_s)
         gradient = min(1.0, _TOLERANCE * self._baseline / max(pace_s, 1e-9))
         slots = self._slots * max(_MIN_CUT_FACTOR, gradient)
         if gradient < 1.0:
             floor = self._ceiling * _LATENCY_FLOOR_SHARE
-            # Never up to the floor from below it: refusals brought it there.
+            # Slots below the floor, where refusals brought them, stay there.
             self._slots = max(slots, min(floor, self._slots), 1.0)
         elif self._used:
             step = max(_GROWTH_SHARE * self._ceiling, math.sqrt(slots))
--- a/src/nutmeghook/internal/limits/admission.py
+++ b/src/nutmeghook/internal/limits/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests under load, as an interface."""
+"""Admission control, as an interface."""
 
 import abc
 from collections.abc import AsyncIterator
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class AdmissionRequest:
-    """What admission needs to know of a request.
+    """What admission control needs to know of a request.
 
     Attributes:
         weight: The team's share relative to other teams.
         priority: 0 to 9; higher goes first.
-        deadline: Monotonic time at which its answer is useless.
+        deadline: Monotonic time at which its answer becomes useless.
         cost_tokens: Estimate of the work.
         tokens_per_minute: The template's budget; 0 for none.
     """
@@ -34,7 +34,7 @@
 def checked(request: AdmissionRequest) -> AdmissionRequest:
     """Returns the request, or raises ValueError for a wrong field.
 
-    One negative cost or weight would spoil the queue's sums for everybody.
+    A single negative cost or weight would corrupt the sums of the queue.
     """
     if request.weight <= 0:
         raise ValueError(f"weight is {request.weight}; give a number over 0")
@@ -48,17 +48,17 @@
 
 
 class Admission(abc.ABC):
-    """Lets requests in, queues them, or turns them away at once."""
+    """Admits requests, queues them, or rejects them at once."""
 
     @abc.abstractmethod
     def admitted(
         self, request: AdmissionRequest
     ) -> contextlib.AbstractAsyncContextManager[None]:
-        """Holds a place while the request runs.
+        """Holds a slot while the request runs.
 
         Raises (on entering):
             errors.CodedError: `OVERLOADED`, `OVER_BUDGET` or
-                `DEADLINE_BEFORE_RUN`, as soon as that is clear, with
+                `DEADLINE_BEFORE_RUN`, as soon as that is certain, with
                 `retry_after`.
         """
 
@@ -70,21 +70,21 @@
         overloaded: bool,
         work_tokens: int = 1,
     ) -> None:
-        """Takes in how long an attempt ran, or that it met overload.
+        """Records how long an attempt ran, or that it was refused for overload.
 
         Args:
             duration: How long it ran.
-            overloaded: It met overload; the duration is ignored then.
-            work_tokens: Tokens it generated. Durations are compared by the
-                token, so give this always or never.
+            overloaded: It was refused for overload; the duration is ignored.
+            work_tokens: Tokens it generated. Durations are compared per token,
+                so pass this always or never.
         """
 
     def reconcile(self, request: AdmissionRequest, *, used_tokens: int) -> None:
-        """Replaces the estimate of an admitted request by what it used.
+        """Replaces the estimated cost of an admitted request by what it used.
 
-        Estimates count the longest answer allowed. Without this, budgets and
-        fair shares are charged for tokens that were never generated. An
-        admission that charges nothing has nothing to replace.
+        Estimates assume the longest answer allowed. Without this, budgets and
+        fair shares would be charged for tokens that were never generated. The
+        default is for implementations that charge nothing.
         """
         del request, used_tokens
 
@@ -98,7 +98,7 @@
 
     @abc.abstractmethod
     def try_spend(self) -> bool:
-        """Takes leave for one more retry or hedge."""
+        """Spends one retry or hedge; False if the budget does not permit it."""
 
 
 class RetryBudgets(abc.ABC):
@@ -110,13 +110,13 @@
 
 
 class OpenAdmission(Admission):
-    """Lets everything in; for tests and as a baseline."""
+    """Admits everything; for tests and as a baseline."""
 
     __slots__ = ()
 
     @contextlib.asynccontextmanager
     async def admitted(self, request: AdmissionRequest) -> AsyncIterator[None]:
-        """Holds no place."""
+        """Holds no slot."""
         yield
 
     def note_service(
--- a/src/nutmeghook/internal/limits/ceiling.py
+++ b/src/nutmeghook/internal/limits/ceiling.py
@@ -12,11 +12,11 @@
 
 
 class CeilingUpdater:
-    """Follows the engines' capacity and the number of entry instances.
+    """Updates the ceiling by engine capacity and number of entry instances.
 
     Args:
         known: Returns all known backend servers.
-        most_places: Bounds the memory of the instance, whatever its share.
+        max_slots: Bounds the memory of the instance, whatever its share.
     """
 
     __slots__ = ("_clock", "_known", "_limit", "_max_slots", "_members")
@@ -37,17 +37,17 @@
         self._max_slots = max_slots
 
     async def run(self) -> None:
-        """Updates the ceiling each second until cancelled."""
+        """Updates the ceiling every second until cancelled."""
         while True:
             self.update()
             await self._clock.sleep(PERIOD)
 
     def update(self) -> None:
-        """Sets the ceiling from what is known now.
+        """Sets the ceiling from the load reports known now.
 
-        An instance of many reads only a part of the reports; engines that it
-        has none of count with the mean of the others. Without any report the
-        ceiling stays: no reports are a fault of reporting, not of engines.
+        One of many instances reads only some of the reports; engines without
+        one count with the mean capacity of the others. Without any report the
+        ceiling stays, since that is a fault of reporting and not of engines.
         """
         engines = [b for b in self._known() if not (b.plain or b.leaving)]
         reported = [b.report.capacity for b in engines if b.report is not None]
--- a/src/nutmeghook/internal/limits/concurrency_limit.py
+++ b/src/nutmeghook/internal/limits/concurrency_limit.py
@@ -1,11 +1,11 @@
-"""How many requests an instance lets run at once."""
+"""Limits on the requests that an instance runs at once."""
 
 import abc
 import datetime
 
 
 class ConcurrencyLimit(abc.ABC):
-    """A number of places, which may follow measured service."""
+    """A number of slots, which may adapt to measured service."""
 
     @property
     @abc.abstractmethod
@@ -21,18 +21,18 @@
         work_tokens: int,
         running: int,
     ) -> None:
-        """Takes in one finished attempt.
+        """Records one finished attempt.
 
         Args:
             duration: How long the attempt ran.
-            overloaded: It met overload; `duration` is meaningless then.
-            work_tokens: The attempt's size, which durations are compared by.
-            running: Requests running when it ended.
+            overloaded: It was refused for overload; `duration` is ignored.
+            work_tokens: Its tokens; durations are compared per token.
+            running: Requests that were running when it ended.
         """
 
 
 class FixedLimit(ConcurrencyLimit):
-    """A number that only its owner changes."""
+    """A limit that only its owner changes."""
 
     __slots__ = ("_slots",)
 
--- a/src/nutmeghook/internal/limits/fair_admission.py
+++ b/src/nutmeghook/internal/limits/fair_admission.py
@@ -1,9 +1,8 @@
 """Admission by priority and deadline, fair among teams.
 
-Every request is answered as soon as its fate is clear. One that can't start
-in time, by the measured service rate and what waits ahead of it, is refused
-on arrival; one that is overtaken is refused when that shows; none waits for
-its deadline to hear that it was hopeless.
+A request that cannot be served in time, by the measured service rate and the
+queue ahead of it, is refused on arrival. One that others overtake is shed as
+soon as it can no longer be served in time, and not at its deadline.
 """
 
 import asyncio
@@ -25,15 +24,15 @@
 
 _ZERO = datetime.timedelta()
 _SHED_INTERVAL = datetime.timedelta(milliseconds=100)
-# A queue that fills all the time there is serves each request just before its
-# deadline, and each that takes longer than expected is then wasted work. It
-# need only be long enough to keep the places busy.
+# A queue that uses up the whole slack serves each request just before its
+# deadline, and then every one that takes longer than expected is wasted work.
+# The queue need only be long enough to keep the slots busy.
 _SLACK_SHARE = 0.75
 DEFAULT_MAX_WAITING = 1000
 
 
 class FairAdmission(admission.Admission):
-    """Places for running requests, and a queue in front of them."""
+    """Slots for running requests, and a queue in front of them."""
 
     __slots__ = (
         "_budgets",
@@ -58,15 +57,16 @@
         guaranteed_share: float = fair_queue.DEFAULT_GUARANTEED_SHARE,
         max_waiting: int = DEFAULT_MAX_WAITING,
     ):
-        """Starts with all places free.
+        """Starts with all slots free.
 
         Args:
             clock: Deadlines are on its monotonic time.
-            randomness: Spreads the moments at which refused callers return.
+            randomness: Jitter for the Retry-After of refused callers.
             limit: How many requests may run at once.
             budgets: The templates' token budgets.
             guaranteed_share: Share of the work picked by fairness alone.
-            max_waiting: Bounds the memory; deadlines bound the queue sooner.
+            max_waiting: Bounds the memory; deadlines usually bound the queue
+                before that.
         """
         if max_waiting < 1:
             raise ValueError(f"max_waiting is {max_waiting}; give 1 or more")
@@ -87,7 +87,7 @@
 
     @property
     def running(self) -> int:
-        """Requests that hold a place."""
+        """Requests that hold a slot."""
         return self._running
 
     @property
@@ -99,7 +99,7 @@
     async def admitted(
         self, request: admission.AdmissionRequest
     ) -> AsyncIterator[None]:
-        """Holds a place while the request runs."""
+        """Holds a slot while the request runs."""
         await self._acquire_slot(admission.checked(request))
         started = self._clock.monotonic()
         completed = False
@@ -121,7 +121,7 @@
         overloaded: bool,
         work_tokens: int = 1,
     ) -> None:
-        """Takes in how long an attempt ran, or that it met overload."""
+        """Records how long an attempt ran, or that it was refused."""
         self._limit.note(
             duration=duration,
             overloaded=overloaded,
@@ -133,7 +133,7 @@
     def reconcile(
         self, request: admission.AdmissionRequest, *, used_tokens: int
     ) -> None:
-        """Replaces the estimate of an admitted request by what it used."""
+        """Replaces an admitted request's estimated cost by what it used."""
         extra_tokens = used_tokens - request.cost_tokens
         self._budgets.charge(request, extra_tokens)
         self._queue.correct(request.team, extra_tokens)
@@ -146,8 +146,8 @@
             )
         self._budgets.check(request, retry_schedule=self._retry_schedule)
         if self._running < self._limit.slots and not self._queue:
-            # Without a queue the estimate is not asked: after a brown-out it
-            # is too high, and only requests that run can bring it down.
+            # Without a queue the estimate is not used: after a brown-out it is
+            # too high, and only requests that run can correct it.
             self._queue.charge(request)
             self._running += 1
             self._budgets.charge(request, request.cost_tokens)
@@ -196,7 +196,7 @@
             raise self._refusal(
                 codes.Code.DEADLINE_BEFORE_RUN,
                 ticket.request,
-                "while it waited it became too late to end in time",
+                "it waited until it could no longer end in time",
             )
         if verdict is fair_queue.Verdict.SHED:
             raise self._refusal(
@@ -212,11 +212,11 @@
         return fair_queue.Verdict.TOO_LATE
 
     def _abandon(self, ticket: fair_queue.Ticket) -> None:
-        """Frees what a cancelled request holds: its turn, or its place.
+        """Frees what a cancelled request holds: its queue entry or its slot.
 
-        The place may have been given in the same turn of the event loop in
-        which the caller went away. Left alone it would be lost for ever, and
-        the instance would serve one request less with every such caller.
+        The slot may have been given in the same iteration of the event loop in
+        which the caller disconnected. Otherwise it would be leaked, and each
+        such caller would leave the instance with one slot fewer.
         """
         if not ticket.verdict.done():
             self._queue.remove(ticket)
@@ -243,7 +243,7 @@
         self._shed_unservable(now)
 
     def _make_room(self, request: admission.AdmissionRequest) -> None:
-        """Sheds the newest of lowest priority, or refuses the newcomer."""
+        """Sheds the newest of lowest priority, or refuses the request."""
         lowest = self._queue.newest_tickets()[0]
         if lowest.request.priority >= request.priority:
             raise self._refusal(
@@ -252,10 +252,10 @@
         self._shed(lowest)
 
     def _shed_unservable(self, now: datetime.timedelta) -> None:
-        """Refuses those that others overtook, now and not at their deadline.
+        """Sheds requests that can no longer be served in time.
 
-        Of each team and priority the newest goes first: it has most before
-        it, and each one shed helps those that stay.
+        Of each team and priority the newest is shed first: it has the most
+        work ahead of it, and shedding it shortens the wait of the others.
         """
         if now < self._shed_at or not self._queue:
             return
@@ -269,7 +269,7 @@
     def _is_unservable(
         self, ticket: fair_queue.Ticket, now: datetime.timedelta
     ) -> bool:
-        """Tells whether the newest of its kind can't end in time."""
+        """Tells whether the newest of its team and priority is too late."""
         self._queue.remove(ticket)
         wait = self._estimate.expected_wait(ticket.request)
         self._queue.push(ticket)
--- a/src/nutmeghook/internal/limits/fair_queue.py
+++ b/src/nutmeghook/internal/limits/fair_queue.py
@@ -1,15 +1,14 @@
 """Waiting requests in the order of their priority and their team's share.
 
 Start-time fair queueing among teams: each team has a virtual time that
-advances by cost over weight with whatever it is served, and the team furthest
-behind goes next. A request that leaves the queue unserved costs its team
-nothing, because virtual time advances on service only.
-
-Priority and fairness pull in different directions. Priority alone would let a
-team that marks all its work urgent starve the others; fairness alone would
-refuse a dossier review so that a lookup can be answered. So most of the
-served work is picked by priority first, and a guaranteed share of it by
-fairness alone.
+advances by cost over weight as it is served, and the team with the lowest one
+goes next. A request that leaves the queue unserved costs its team nothing,
+because virtual time advances on service only.
+
+Priority alone would let a team that marks all its work urgent starve the
+others; fairness alone would refuse a dossier review in favour of a lookup. So
+most of the served work is picked by priority first, and a guaranteed share of
+it by fairness alone.
 """
 
 import asyncio
@@ -25,7 +24,7 @@
 
 
 class Verdict(enum.Enum):
-    """What becomes of a waiting request."""
+    """The outcome of a waiting request."""
 
     RUN = "run"
     TOO_LATE = "too_late"
@@ -34,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Ticket:
-    """A request that waits.
+    """A waiting request.
 
     Attributes:
         latest_start: Monotonic time after which it would end too late.
@@ -60,18 +59,18 @@
         ]
 
     def top_priority(self) -> int:
-        """Returns the highest priority that waits; -1 if nothing does."""
+        """Returns the highest priority waiting; -1 if there is none."""
         for priority in range(admission.PRIORITIES - 1, -1, -1):
             if self.tickets[priority]:
                 return priority
         return -1
 
     def cost_from(self, priority: int) -> int:
-        """Returns the cost that waits at this priority or above."""
+        """Returns the cost waiting at this priority or above."""
         return sum(self.cost_tokens[priority:])
 
     def cost_before(self, virtual_time: float, cost_tokens: int) -> float:
-        """Returns how much of a waiting cost goes before a virtual time."""
+        """Returns how much waiting cost is served before a virtual time."""
         lead = max(0.0, virtual_time - self.virtual_time)
         return min(float(cost_tokens), lead * self.weight)
 
@@ -112,7 +111,7 @@
         self._length += 1
 
     def remove(self, ticket: Ticket) -> bool:
-        """Takes a request out unserved; False if it was out already."""
+        """Removes an unserved request; False if it is not in the queue."""
         request = ticket.request
         team = self._teams.get(request.team)
         if team is None or ticket not in team.tickets[request.priority]:
@@ -122,7 +121,7 @@
         return True
 
     def pop(self) -> Ticket:
-        """Takes out the request to serve next and charges its team.
+        """Removes the request to serve next and charges its team.
 
         Raises:
             IndexError: Nothing waits.
@@ -145,19 +144,19 @@
     def charge(self, request: admission.AdmissionRequest) -> None:
         """Charges a team for a request served without waiting."""
         team = self._team(request)
-        # Without contention nobody is kept waiting, so nothing is owed: time
-        # follows whoever is served, and the others join it when they come.
+        # Without contention no team falls behind: the queue's virtual time
+        # follows the team that is served, and others start from there.
         self._time = max(self._time, team.virtual_time)
         team.virtual_time += request.cost_tokens / team.weight
 
     def correct(self, team_name: str, extra_tokens: int) -> None:
-        """Charges (or, if negative, gives back) what an estimate missed."""
+        """Charges (or, if negative, refunds) the error of an estimate."""
         team = self._teams.get(team_name)
         if team is not None:
             team.virtual_time += extra_tokens / team.weight
 
     def cost_by_priority(self, request: admission.AdmissionRequest) -> float:
-        """Returns the cost ahead of a newcomer among picks by priority."""
+        """Returns the cost ahead of a new request among picks by priority."""
         team = self._team(request)
         priority = request.priority
         start = team.virtual_time + team.cost_from(priority) / team.weight
@@ -170,7 +169,7 @@
         return ahead
 
     def cost_by_fairness(self, request: admission.AdmissionRequest) -> float:
-        """Returns the cost ahead of a newcomer among picks by fairness."""
+        """Returns the cost ahead of a new request among picks by fairness."""
         team = self._team(request)
         ahead = float(team.cost_from(request.priority))
         start = team.virtual_time + ahead / team.weight
@@ -186,7 +185,7 @@
         )
 
     def weight_share(self, request: admission.AdmissionRequest) -> float:
-        """Returns the team's part of the weights of all that want service."""
+        """Returns the team's share of the weights of all backlogged teams."""
         others = sum(
             team.weight
             for name, team in self._teams.items()
@@ -227,10 +226,9 @@
             self._teams[request.team] = team
         team.weight = request.weight
         if not team.waiting:
-            # What an idle team did not use it may not save up for long: it
-            # would block all others until it had caught up. With nothing
-            # saved, a team whose requests come in bursts would never get
-            # its whole share.
+            # An idle team's unused share is capped, or it would block all
+            # others until it had caught up. With a cap of zero, a team whose
+            # requests come in bursts would never get its whole share.
             saved = _SAVED_REQUESTS * request.cost_tokens / team.weight
             team.virtual_time = max(team.virtual_time, self._time - saved)
         return team
--- a/src/nutmeghook/internal/limits/retry_after_schedule.py
+++ b/src/nutmeghook/internal/limits/retry_after_schedule.py
@@ -1,4 +1,4 @@
-"""When refused callers are told to come back."""
+"""The Retry-After of refused callers."""
 
 import datetime
 import random
@@ -11,11 +11,11 @@
 
 
 class RetryAfterSchedule:
-    """Spreads returns so that they come at a rate that can be served.
+    """Spreads retries of refused callers to a rate that can be served.
 
-    If all callers refused in one second were told the same moment, they would
-    return as one herd and be refused again. Each is given the next free
-    moment instead: returns advance by the refused cost over a share of the
+    Callers refused together that all got the same Retry-After would retry
+    together and be refused again (a thundering herd). Each gets the next free
+    time instead, which advances by the refused cost over a share of the
     measured service rate. The rest of the rate is left to new requests.
     """
 
@@ -48,12 +48,12 @@
         """Returns how long a refused caller should wait.
 
         Args:
-            team: Each has a schedule of its own, so that the many refusals
-                of a large team don't put off the few of a small one.
+            team: Each team has its own schedule, so that the many refusals of
+                a large team do not delay the retries of a small one.
             cost_tokens: The refused request's cost.
-            tokens_per_s: What the team is served; 0 where unknown.
-            earliest: No sooner than this from now, for example when the
-                backlog will have been worked off.
+            tokens_per_s: The service rate of the team; 0 if unknown.
+            earliest: The least to wait, for example until the backlog has been
+                worked off.
         """
         now = self._clock.monotonic()
         start = max(
@@ -66,5 +66,5 @@
         return self.jittered(start - now)
 
     def jittered(self, wait: datetime.timedelta) -> datetime.timedelta:
-        """Returns the wait made longer by a random part of itself."""
+        """Returns the wait with jitter, which only lengthens it."""
         return wait * (1 + _JITTER_SHARE * self._random.random())
--- a/src/nutmeghook/internal/limits/retry_budget.py
+++ b/src/nutmeghook/internal/limits/retry_budget.py
@@ -1,4 +1,4 @@
-"""A retry budget: attempts beyond the first as a share of recent requests."""
+"""Retry budgets: a share of recent requests, held in token buckets."""
 
 from nutmeghook.internal.limits import admission
 
@@ -10,12 +10,12 @@
     """A token bucket that first attempts fill.
 
     Each first attempt adds `share` of a token and each retry or hedge takes a
-    whole one. No message between instances is needed: where no instance goes
-    beyond its share, the fleet doesn't either.
+    whole one. Instances need not coordinate: if none exceeds its share, the
+    fleet does not either.
 
-    The bucket holds few tokens, on purpose. During a quiet, healthy hour no
-    retry is needed, and an unbounded bucket would save up enough to double
-    the load at the first minute of a brown-out.
+    The bucket is small: during a healthy hour no retry is needed, and an
+    unbounded bucket would accumulate enough to double the load in the first
+    minute of a brown-out.
     """
 
     __slots__ = ("_burst_attempts", "_share", "_tokens")
@@ -42,7 +42,7 @@
         self._tokens = min(self._burst_attempts, self._tokens + self._share)
 
     def try_spend(self) -> bool:
-        """Takes leave for one more retry or hedge."""
+        """Spends one retry or hedge; False if none is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -52,8 +52,8 @@
 class RetryBudgets(admission.RetryBudgets):
     """One budget for each dependency (a model's pool, a plain service).
 
-    They are apart because a brown-out of one pool must not use up what the
-    requests of a healthy one may spend, nor draw on their number.
+    They are separate so that a brown-out of one pool neither uses up the
+    retries of a healthy one nor earns retries from its requests.
     """
 
     __slots__ = ("_budgets", "_burst_attempts", "_share")
--- a/src/nutmeghook/internal/limits/service_rate.py
+++ b/src/nutmeghook/internal/limits/service_rate.py
@@ -1,18 +1,18 @@
-"""How fast admitted work is done, as measured here."""
+"""The measured service rate of admitted work."""
 
 import datetime
 
 _SECOND = datetime.timedelta(seconds=1)
 _SMOOTHING = 0.05
-# With the mean alone every second request would take longer than expected.
+# With the mean alone, half of the requests would take longer than expected.
 _DEVIATIONS = 2.0
 
 
 class ServiceRate:
-    """Moving averages of durations, costs, and how far durations stray.
+    """Exponentially weighted averages of durations, costs and deviations.
 
-    The rate of one place is the ratio of two averages (cost over duration),
-    not the average of ratios: short requests would count too much in that.
+    The rate of one slot is the ratio of two averages (cost over duration), not
+    the average of ratios, in which short requests would weigh too much.
     """
 
     __slots__ = ("_cost_tokens", "_deviation", "_duration_s")
@@ -29,11 +29,11 @@
         duration: datetime.timedelta,
         completed: bool,
     ) -> None:
-        """Takes in one request that gave its place back.
+        """Records one request that released its slot.
 
-        One that was broken off tells only that it would have taken at least
-        so long. It counts if that is longer than expected: in a brown-out
-        only requests cut at their deadline may be left to learn from.
+        One that did not complete gives only a lower bound of its duration. It
+        counts if that is longer than expected: in a brown-out there may be
+        nothing to learn from but requests cut at their deadline.
         """
         if not completed and duration <= self._mean_duration(cost_tokens):
             return
@@ -54,13 +54,13 @@
         return self._cost_tokens > 0
 
     def tokens_per_s(self, slots: int) -> float:
-        """Returns what so many places serve; 0 before the first measure."""
+        """Returns the rate of so many slots; 0 before the first measurement."""
         if not self.measured:
             return 0.0
         return slots * self._cost_tokens / self._duration_s
 
     def likely_duration(self, cost_tokens: int) -> datetime.timedelta:
-        """Returns a duration that most requests of this cost stay under."""
+        """Returns a duration that most requests of this cost do not exceed."""
         if not self.measured:
             return datetime.timedelta()
         mean = self._mean_duration(cost_tokens)
--- a/src/nutmeghook/internal/limits/token_budget.py
+++ b/src/nutmeghook/internal/limits/token_budget.py
@@ -1,4 +1,4 @@
-"""Token budgets of templates, as each instance enforces its part of them."""
+"""Token budgets of templates, of which each instance enforces its share."""
 
 import datetime
 
@@ -13,7 +13,7 @@
 
 
 class _Bucket:
-    """What is left of one template's budget; negative while in debt."""
+    """What remains of one template's budget; negative while in debt."""
 
     __slots__ = ("filled_at", "level_tokens")
 
@@ -23,11 +23,11 @@
 
 
 class TokenBudgets:
-    """A token bucket a template, filled with this instance's share.
+    """One token bucket per template, filled with this instance's share.
 
-    A request is let in while the bucket isn't empty, whatever its size, and
-    the bucket may go into debt. Otherwise a budget whose share at one of 420
-    instances is smaller than one request would let nothing in at all.
+    A request of any size is admitted while the bucket is not empty, and the
+    bucket may go into debt. Otherwise a budget whose share at one of 420
+    instances is smaller than one request would admit nothing at all.
     """
 
     __slots__ = ("_buckets", "_clock", "_members")
@@ -77,7 +77,7 @@
         return missing_tokens / self._share(request) * _MINUTE
 
     def charge(self, request: admission.AdmissionRequest, tokens: int) -> None:
-        """Takes tokens, or gives them back if negative."""
+        """Takes tokens, or refunds them if negative."""
         if request.tokens_per_minute:
             bucket = self._filled(request)
             bucket.level_tokens = min(
--- a/src/nutmeghook/internal/limits/wait_estimate.py
+++ b/src/nutmeghook/internal/limits/wait_estimate.py
@@ -1,4 +1,4 @@
-"""Whether a request can still end in time, from what was measured."""
+"""Estimates whether a request can still end in time."""
 
 import datetime
 
@@ -12,7 +12,7 @@
 
 
 class WaitEstimate:
-    """Puts together the queue, the places and the measured service rate."""
+    """Estimates waits from the queue, the slots and the service rate."""
 
     __slots__ = ("_limit", "_queue", "_rate")
 
@@ -37,7 +37,7 @@
     def expected_wait(
         self, request: admission.AdmissionRequest
     ) -> datetime.timedelta:
-        """Returns how long a newcomer would wait; zero while unmeasured."""
+        """Returns how long a new request would wait; zero while unmeasured."""
         tokens_per_s = self._tokens_per_s()
         if not tokens_per_s:
             return _ZERO
@@ -52,7 +52,7 @@
         return seconds * _SECOND
 
     def team_tokens_per_s(self, request: admission.AdmissionRequest) -> float:
-        """Returns the team's part of the service rate; 0 while unmeasured."""
+        """Returns the team's share of the service rate; 0 while unmeasured."""
         return self._tokens_per_s() * self._queue.weight_share(request)
 
     def _tokens_per_s(self) -> float:
--- a/src/nutmeghook/internal/limits/window_budget.py
+++ b/src/nutmeghook/internal/limits/window_budget.py
@@ -1,4 +1,4 @@
-"""A retry budget over a sliding window, as a share of its requests."""
+"""Retry budgets over a sliding window, as a share of its requests."""
 
 import collections
 import datetime
@@ -6,21 +6,21 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.limits import admission
 
-# With fewer requests their rate is too rough to plan by.
+# With fewer requests the rate is too inaccurate to plan by.
 _MIN_REQUESTS_FOR_RATE = 5
 
 
 class WindowRetryBudget(admission.RetryBudget):
-    """Allows further attempts up to a share of the window's requests.
+    """Permits further attempts up to a share of the window's requests.
 
-    No message between instances is needed: where no instance goes beyond its
-    share of its own requests, the fleet doesn't either.
+    Instances need not coordinate: if none exceeds its share of its own
+    requests, the fleet does not either.
 
     Args:
         ratio: Further attempts per request.
-        window: Both are counted over it.
-        burst: Allowed beside the ratio, so that a single request of a quiet
-            instance may be tried again.
+        window: Requests and attempts are counted over it.
+        burst: Attempts permitted in addition to the ratio, so that a single
+            request of a quiet instance may be retried.
     """
 
     __slots__ = (
@@ -56,7 +56,7 @@
         self._reserved = 0
 
     def change(self, *, ratio: float, window: datetime.timedelta) -> None:
-        """Changes the bounds; what was counted stays."""
+        """Changes the bounds; the counts stay."""
         self._ratio = ratio
         self._window = window
 
@@ -65,9 +65,10 @@
         self._requests.append(self._clock.monotonic())
 
     def requests_per_s(self) -> float:
-        """Returns the rate of first attempts; 0 if too few are known.
+        """Returns the rate of first attempts; 0 if there are too few.
 
-        The window may not have passed since the first one of all.
+        The rate is over the time since the oldest of them, which is less than
+        the window after a start.
         """
         self._drop_expired()
         if len(self._requests) < _MIN_REQUESTS_FOR_RATE:
@@ -88,20 +89,20 @@
         return allowed - len(self._spent) - self._reserved
 
     def try_spend(self) -> bool:
-        """Takes leave for one more attempt."""
+        """Spends one further attempt; False if none is left."""
         if self.remaining() < 1:
             return False
         self._spent.append(self._clock.monotonic())
         return True
 
     def try_reserve(self) -> bool:
-        """Takes leave for an attempt that may be made later, or never.
+        """Reserves an attempt that may be made later, or never.
 
-        The failure: leave was counted at the moment at which it was taken.
-        Used when its window was over it counted nowhere, and given back it
-        took another request's attempt with it: twice as many were sent in a
-        window as may be. So it counts until it is used or given back, and then
-        like any attempt.
+        A reservation counts until it is spent or released; once spent, it
+        counts like any attempt from that time on. If it were counted at the
+        time it was made, an attempt sent a window later would not count, and
+        a release would uncount another request's attempt: a window could get
+        twice as many attempts as permitted.
         """
         if self.remaining() < 1:
             return False
@@ -109,12 +110,12 @@
         return True
 
     def spend_reserved(self) -> None:
-        """Uses leave that was held; it is not asked for again."""
+        """Spends a reservation, without checking the budget again."""
         self._reserved -= 1
         self._spent.append(self._clock.monotonic())
 
     def release_reserved(self) -> None:
-        """Gives back leave that was held and is not used."""
+        """Releases a reservation that is not needed."""
         self._reserved -= 1
 
 
