--- a/tests/cover/dispatch_errors.py
+++ b/tests/cover/dispatch_errors.py
@@ -1,4 +1,4 @@
-"""How a connection to an engine fails, for tests."""
+"""Errors of connections to an engine, for tests."""
 
 from nutmeghook.internal.dependencies import failures
 
--- a/tests/cover/plain_requests.py
+++ b/tests/cover/plain_requests.py
@@ -17,7 +17,7 @@
     key: str = "",
     path: str = "",
 ) -> requests.PlainRequest:
-    """A call by the team's route that may be repeated, or by the other."""
+    """Returns a call by the team's repeatable route, or by the other one."""
     team = fixture.config.snapshot.teams["agency"]
     route = team.plain_routes[int(repeatable)]
     arrived = fixture.clock.monotonic()
--- a/tests/cover/revoked_access_case.py
+++ b/tests/cover/revoked_access_case.py
@@ -1,4 +1,4 @@
-"""Requests of the OpenAI entry under way as their configuration changes."""
+"""Base for tests of requests whose configuration changes under way."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class RevokedAccessCase(unittest.IsolatedAsyncioTestCase):
-    """Starts requests, and changes the configuration under them."""
+    """Starts requests and changes the configuration while they run."""
 
     def setUp(self):
         self.fixture = fakes.Fixture()
@@ -39,7 +39,7 @@
         return asking
 
     async def ended(self, asking: asyncio.Task):
-        """Lets the server go on; returns the answer."""
+        """Opens the gate and returns the answer."""
         self.gate.set()
         return await fakes.to_end(self.fixture.clock, asking)
 
--- a/tests/cover/test_dispatch_claims.py
+++ b/tests/cover/test_dispatch_claims.py
@@ -1,4 +1,4 @@
-"""Claims wait for the store no longer than a caller should be kept."""
+"""Claims that cannot be made are refused without a long wait."""
 
 import asyncio
 import datetime
@@ -21,7 +21,7 @@
 
 
 class SilentStoreLedger(fake_platform.FakeLedger):
-    """A ledger whose store does not answer within any timeout."""
+    """A ledger whose store never answers in time."""
 
     def __init__(self, clock):
         super().__init__()
@@ -33,15 +33,13 @@
 
 
 class ClaimTimeoutTest(unittest.TestCase):
-    """How long a caller waits to hear that its claim can't be made."""
+    """How long a caller waits for the refusal of a claim."""
 
     @hypothesis.given(strategies.integers(1, 60_000))
     def test_a_silent_store_is_told_within_a_second(self, deadline_ms):
-        """The table service goes silent. A caller with a long deadline sends
-        a keyed request; its claim waits in a commit whose outcome is in
-        doubt. The caller must hear "not run, come back" within a second, not
-        when the store is back 10 s later: it holds a connection meanwhile,
-        and the first token would be long too late.
+        """The store goes silent, and a keyed request's claim waits for an
+        in-doubt commit. The caller must get `not_run` with a Retry-After within
+        a second, not when the store answers again 10 s later.
         """
 
         async def scenario():
@@ -67,7 +65,7 @@
 
 
 class FullLedger(fake_platform.FakeLedger):
-    """A ledger that could make no bill durable."""
+    """A ledger that can make no bill durable."""
 
     def accepting_work(self):
         return False
@@ -76,10 +74,9 @@
 class UnbillableWorkTest(unittest.TestCase):
     @hypothesis.given(strategies.booleans())
     def test_nothing_runs_that_could_not_be_billed(self, keyed):
-        """Both of the platform's stores are out. Work sent to an engine now
-        could not be billed, so its answer would be held back until the
-        deadline and then be refused. The caller hears "not run" at once, and
-        when to come back, with an idempotency key or without.
+        """Both of the platform's stores are unavailable. Work could not be
+        billed, so its answer would be withheld until the deadline. The caller
+        must get `not_run` with a Retry-After at once, with or without a key.
         """
         claimed = claims.Claims(
             ledger=FullLedger(),
--- a/tests/cover/test_dispatch_crashing.py
+++ b/tests/cover/test_dispatch_crashing.py
@@ -1,4 +1,4 @@
-"""A generation that ends each engine that runs it, in the OpenAI entry."""
+"""Generations of the OpenAI entry that crash each engine that runs them."""
 
 import datetime
 import unittest
@@ -13,12 +13,12 @@
 
 ENGINES = 6
 COPIES = 6
-# What the users' rule allows once three engines have ended under a request.
+# Retries permitted once three engines have crashed under a request.
 RETRIES_AFTER_THREE = 3
 
 
 class CrashingEngine(fakes.FakeEngine):
-    """Ends under each generation, and refuses connections until it is back."""
+    """Crashes under each generation; refuses connections until restarted."""
 
     def __init__(self):
         super().__init__()
@@ -50,7 +50,7 @@
         self.dispatcher = self.fixture.dispatcher()
 
     async def copy(self) -> errors.CodedError | None:
-        """Sends a copy once all engines are back; returns its failure."""
+        """Sends a copy once all engines have restarted; returns its error."""
         for ended in self.fixture.engines.values():
             ended.is_up = True
         request = fakes.generation_request(self.fixture)
@@ -64,16 +64,15 @@
         return None
 
     def arrivals(self) -> int:
-        """Returns how often an engine was given a generation."""
+        """Returns how many generations the engines received."""
         return sum(len(e.generations) for e in self.fixture.engines.values())
 
 
 class CrashingGenerationTest(CrashingGenerationCase):
-    async def test_copies_of_a_request_that_ended_three_engines(self):
-        """A caller's request ends each engine that begins to run it, and all
-        that the engine generates for others. The caller hears that its outcome
-        is unknown, and sends the same again. Each copy was new to the instance,
-        and ended up to four engines more.
+    async def test_copies_of_a_request_that_crashed_three_engines(self):
+        """A request crashes each engine that runs it, and the caller sends it
+        again and again. Unless copies are recognised, each one crashes up to
+        four more engines.
         """
         for _ in range(COPIES):
             await self.copy()
@@ -88,16 +87,16 @@
         self.assertGreater(error.retry_after, datetime.timedelta())
         self.assertEqual(self.arrivals(), before)
 
-    async def test_a_trial_ends_one_engine_at_most(self):
+    async def test_a_probe_crashes_one_engine_at_most(self):
         await self.copy()
         before = self.arrivals()
         await self.fixture.clock.advance(registry_module.PROBE_DELAY)
         await self.copy()
         self.assertEqual(self.arrivals(), before + 1)
 
-    async def test_a_trial_waits_for_a_place(self):
-        """The minute is over, and there is no place for the copy just then.
-        It was refused for that, and the one trial was taken all the same.
+    async def test_a_probe_is_not_spent_without_a_backend(self):
+        """A probe is due, but no backend server can take the copy. It is
+        refused, and the probe must stay available for the next copy.
         """
         await self.copy()
         before = self.arrivals()
@@ -109,8 +108,8 @@
         await self.copy()
         self.assertEqual(self.arrivals(), before + 1)
 
-    async def test_lost_connections_condemn_nobody(self):
-        """Connections break all day, and no engine ends."""
+    async def test_lost_connections_quarantine_nothing(self):
+        """Connections break again and again, but no engine crashes."""
         for address in self.fixture.backends.addresses:
             self.fixture.engines[address] = fakes.FakeEngine()
             self.fixture.engines[address].default = fakes.Script(
--- a/tests/cover/test_dispatch_fallback.py
+++ b/tests/cover/test_dispatch_fallback.py
@@ -1,4 +1,4 @@
-"""Begun answers whose engine is left, and the way back to it."""
+"""Begun answers whose engine is abandoned, and the fallback to it."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 from tests.cover import dispatch_errors
 
 _TEXT = "The boiler holds."
-# Refused resumes until an engine is left for another one.
+# Refused resumes until an engine is abandoned for another one.
 _REFUSED_UNTIL_ABANDONED = 3
 _FOR_GOOD = 40
 
@@ -24,9 +24,9 @@
 
 
 class FallbackCase(unittest.IsolatedAsyncioTestCase):
-    """The first engine gives a word; then it can't be reached for a while.
+    """The first engine gives a word; then it is unreachable for a while.
 
-    The second is asked with the last of the retry budget.
+    The last of the retry budget is spent on the second one.
     """
 
     def setUp(self):
@@ -47,7 +47,7 @@
         return asyncio.ensure_future(dispatcher.generate(request, self.sink))
 
     async def started(self) -> asyncio.Task:
-        """Starts a request, whose engine is left for the second one."""
+        """Starts a request whose engine is abandoned for the second one."""
         asking = self.start()
         for _ in range(20):
             await self.fixture.clock.advance(datetime.timedelta(seconds=0.05))
@@ -63,8 +63,8 @@
         await fakes.settle()
         return caught.exception
 
-    async def assert_first_goes_on(self) -> None:
-        """The caller has one text, of one run, which is billed once."""
+    async def assert_first_resumed(self) -> None:
+        """Checks that the caller has one text, of one run, billed once."""
         answer = await self.ended(self.start())
         self.assertEqual(answer.text, _TEXT)
         self.assertEqual(self.sink.text, _TEXT)
@@ -80,13 +80,12 @@
 
 
 class FallbackTest(FallbackCase):
-    """The engine that was left goes on if the next one doesn't."""
+    """The abandoned engine is resumed if the next one fails."""
 
     async def test_the_next_one_refuses(self):
-        """The caller reads on, though no leave is left.
+        """The first engine is resumed, though the retry budget is spent.
 
-        The run at the first engine is asked and paid for once, not as one
-        that was left and one that came back.
+        Its run is billed once, not once as abandoned and once as resumed.
         """
         undisturbed = fakes.Fixture()
         await undisturbed.dispatcher().generate(
@@ -94,7 +93,7 @@
         )
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
         [bill] = self.fixture.ledger.bills
         [usual] = undisturbed.ledger.bills
         self.assertEqual(bill.cost_micros, usual.cost_micros)
@@ -102,14 +101,14 @@
             self.fixture.admission.used, undisturbed.admission.used
         )
 
-    async def test_the_first_is_still_away_then(self):
-        """The caller reads on: resumes are counted on, up to seven."""
+    async def test_the_first_is_still_unreachable_then(self):
+        """Resumes go on counting, up to seven, until it is reachable."""
         self.lose_first(_REFUSED_UNTIL_ABANDONED + 3)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
 
     async def test_the_next_one_is_lost_before_it_covers_the_text(self):
-        """The caller reads on; the other engine's run is cancelled."""
+        """The first engine is resumed; the other one's run is cancelled."""
         for lost in (
             fakes.Script(fails=dispatch_errors.lost()),
             fakes.Script(words=("T", "he ", "boiler"), cut_after=1),
@@ -120,7 +119,7 @@
                 self.second.scripts.extend(refusals(_FOR_GOOD))
                 await self.assert_text_given()
             else:
-                await self.assert_first_goes_on()
+                await self.assert_first_resumed()
             self.assertEqual(self.second.cancelled, ["req-1/2"])
             self.setUp()
 
@@ -130,11 +129,11 @@
         self.assertEqual(self.sink.text, _TEXT)
         await fakes.settle()
 
-    async def test_the_way_back_is_to_the_text_that_the_caller_has(self):
-        """The caller reads on from the first engine, not from the second.
-
-        The second is left for a third before it covers what the caller has,
+    async def test_the_fallback_is_the_attempt_whose_text_the_caller_has(self):
+        """The second engine is abandoned before it covers the caller's text,
         and the third refuses.
+
+        The first engine must be resumed, not the second.
         """
         self.fixture.backends.addresses.append("e3:1")
         self.fixture.budget.permits = 2
@@ -151,40 +150,38 @@
         self.assertEqual(self.first.cancelled, [])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
-    async def test_the_next_one_s_words_are_others(self):
-        """The caller reads one engine's text to its end.
+    async def test_the_next_one_s_text_differs(self):
+        """Another engine seldom gives the same text, so it cannot continue.
 
-        Another engine seldom says the same word for word. Its text was not
-        joined, but the caller's answer was cut, though the first engine had
-        come back.
+        The answer must not be cut if the first engine is reachable again.
         """
         for words in (("A ", "tank ", "holds."), ("The",)):
             self.lose_first(_REFUSED_UNTIL_ABANDONED)
             self.second.scripts.append(fakes.Script(words=words))
-            await self.assert_first_goes_on()
+            await self.assert_first_resumed()
             self.setUp()
 
-    async def test_a_held_answer_goes_on_too(self):
-        """The caller gets the whole cheap answer; it was half done."""
+    async def test_a_buffered_answer_is_resumed_too(self):
+        """The answer of a stage that is still to be judged is resumed."""
         self.fixture.cascade = fakes.FakeCascade(
             first_stage=0, may_escalate=True
         )
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
 
-    async def test_a_hedged_answer_goes_on_too(self):
-        """The caller reads on from the engine that won the race."""
+    async def test_a_hedged_answer_is_resumed_too(self):
+        """The engine that won the race is resumed."""
         self.fixture = fakes.Fixture(hedge_after_ms=500)
         self.fixture.budget.permits = 1
         self.first = self.fixture.engines["e1:1"]
         self.second = self.fixture.engines["e2:1"]
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
 
-    async def test_leave_that_comes_later_serves_a_third_engine(self):
-        """The caller reads on from it; each move was allowed by the budget."""
+    async def test_a_further_retry_goes_to_a_third_engine(self):
+        """Each move is permitted by the budget."""
         self.fixture.backends.addresses.append("e3:1")
         self.fixture.budget.permits = 2
         self.lose_first(_FOR_GOOD)
@@ -196,13 +193,13 @@
 
 
 class OnlyOneTest(FallbackCase):
-    """One engine's text only, and nothing is left running."""
+    """The caller gets one engine's text only, and no run goes on."""
 
-    async def test_both_engines_come_back(self):
-        """The caller reads one text: the engine asked last goes on.
+    async def test_both_engines_are_reachable_again(self):
+        """The engine asked last continues the answer.
 
-        The first one could be reached again meanwhile. It keeps its run until
-        the other has begun, and is cancelled then, not at the answer's end.
+        The first one keeps its run until the other has begun, and is cancelled
+        then, not at the answer's end.
         """
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
@@ -217,8 +214,8 @@
         asking.cancel()
         await fakes.settle()
 
-    async def test_the_other_one_s_answer_is_whole(self):
-        """The caller reads on from the other engine; both runs are paid."""
+    async def test_the_other_one_s_answer_is_complete(self):
+        """The answer continues there, and the first run is cancelled."""
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         asking = await self.started()
@@ -233,8 +230,8 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, [])
 
-    async def test_the_caller_leaves_meanwhile(self):
-        """Nobody reads: both engines are told to stop."""
+    async def test_the_caller_disconnects_meanwhile(self):
+        """Both engines' runs are cancelled."""
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         asking = await self.started()
@@ -243,8 +240,8 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
-    async def test_the_caller_leaves_on_the_way_back(self):
-        """Nobody reads: the run that was resumed is told to stop."""
+    async def test_the_caller_disconnects_during_the_fallback(self):
+        """The resumed run is cancelled."""
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.first.scripts.append(fakes.Script(gate=self.gate))
         self.second.scripts.extend(refusals(1))
@@ -254,7 +251,7 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
 
     async def test_the_deadline_passes_meanwhile(self):
-        """The caller hears `unknown`; both engines are told to stop."""
+        """The caller gets `unknown`; both engines' runs are cancelled."""
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         error = await self.refused(await self.started())
@@ -263,11 +260,11 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
-    async def test_no_way_back_once_the_other_has_begun(self):
-        """The caller reads no third text: two words, then the error.
+    async def test_no_fallback_once_the_other_has_begun(self):
+        """The other engine adds a word and is lost for good.
 
-        The other engine adds a word and is lost for good. The first could go
-        on by now, but behind its own words only.
+        The first is reachable again, but could only continue its own text. The
+        caller gets two words and an error.
         """
         self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
@@ -284,9 +281,9 @@
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
     async def test_the_first_is_gone_for_good(self):
-        """The caller hears `unknown` within 8 s, long before its deadline.
+        """The other engine refuses, and the first is lost for good.
 
-        The other engine refuses, and the first never comes back.
+        The caller gets `unknown` within 8 s, long before its deadline.
         """
         self.lose_first(_FOR_GOOD)
         self.second.scripts.extend(refusals(1))
@@ -316,8 +313,8 @@
 )
 
 
-class AnyTroubleTest(unittest.TestCase):
-    """Whatever three engines do, the promises hold."""
+class AnyFailureTest(unittest.TestCase):
+    """Properties over all failures of three engines."""
 
     @hypothesis.given(
         strategies.lists(
@@ -328,10 +325,10 @@
     )
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
     def test_one_text_within_the_budget(self, scripts, permits, hedge_after_ms):
-        """The caller reads one engine's text, or the front of one.
+        """The caller gets one engine's text, or a prefix of one.
 
-        No more runs are asked for than the budget has leave for, and each run
-        that gave no whole answer is cancelled, unless it never began.
+        No more attempts are made than the budget permits, and each run that
+        began and gave no complete answer is cancelled.
         """
         asyncio.run(self.check(scripts, permits, hedge_after_ms))
 
@@ -360,9 +357,9 @@
         self.assertTrue(any(text.startswith(sink.text) for text in texts))
         sent = [send for each in engines for send in each.generations]
         self.assertLessEqual(len({s.attempt_id for s in sent}), 1 + permits)
-        self.assert_nothing_runs_on(engines, answered=answer is not None)
+        self.assert_no_run_left(engines, answered=answer is not None)
 
-    def assert_nothing_runs_on(
+    def assert_no_run_left(
         self, engines: list[fakes.FakeEngine], *, answered: bool
     ) -> None:
         begun = {name for each in engines for name in each.texts}
--- a/tests/cover/test_dispatch_generation.py
+++ b/tests/cover/test_dispatch_generation.py
@@ -1,4 +1,4 @@
-"""A generation's outcome is whole, true and billed once, whatever fails."""
+"""A generation's outcome is complete, correct and billed once."""
 
 import asyncio
 import datetime
@@ -17,7 +17,7 @@
 
 
 class FailureTest(unittest.IsolatedAsyncioTestCase):
-    """Single failures, told one by one."""
+    """Single failures."""
 
     def setUp(self):
         self.fixture = fakes.Fixture()
@@ -37,11 +37,7 @@
         )
 
     async def test_the_end_waits_for_the_bill(self):
-        """The caller reads all text but not the end while the store is slow.
-
-        The engine's last chunk is relayed; the ledger has not yet made the
-        bill durable. Only its return lets the request end.
-        """
+        """The caller gets all text, but no end until the bill is durable."""
         self.fixture.ledger.finish_gate = asyncio.Event()
         ending = asyncio.ensure_future(self.generate())
         await fakes.settle()
@@ -51,8 +47,8 @@
         await ending
         self.assertEqual(len(self.fixture.ledger.bills), 1)
 
-    async def test_an_unsettled_bill_holds_the_answer_back(self):
-        """The caller is told `ran` and gets no end: the store took no bill."""
+    async def test_an_unsettled_bill_withholds_the_answer(self):
+        """The store takes no bill: the caller gets `ran` and no answer."""
         self.fixture.ledger.finish_error = errors.CodedError(
             code=codes.Code.BILL_UNSETTLED
         )
@@ -62,10 +58,10 @@
         self.assertEqual(self.fixture.ledger.unknown, [])
 
     async def test_a_cut_stream_resumes_on_the_same_engine(self):
-        """The caller reads on after a pause; no word twice, none missing.
+        """The connection breaks after one token.
 
-        The connection breaks after one token. The engine still has the
-        attempt, and is asked for it from the next token on.
+        The engine still has the attempt and resumes it at the next token: no
+        word is doubled or missing.
         """
         self.first.scripts.append(fakes.Script(cut_after=1))
         answer = await self.ended()
@@ -77,22 +73,21 @@
         )
         self.assertEqual(self.second.generations, [])
 
-    async def test_a_missing_chunk_is_asked_for_again(self):
-        """The caller misses nothing: token 1 was skipped, and is fetched.
+    async def test_a_missing_chunk_is_requested_again(self):
+        """Token 1 was skipped, on a connection that stays open.
 
-        The connection stays open; waiting for its end would cost the caller
-        its deadline.
+        It must be requested at once; waiting for the connection's end would
+        last until the deadline.
         """
         self.first.scripts.append(fakes.Script(order=[0, 2], goes_silent=True))
         answer = await self.ended()
         self.assertEqual(self.sink.text, answer.text)
         self.assertEqual(self.first.generations[1].resume_at_token, 1)
 
-    async def test_late_and_crossed_chunks_find_nobody(self):
-        """The caller reads its own answer only, each word once.
+    async def test_duplicate_and_foreign_chunks_are_dropped(self):
+        """The connection carries a chunk of another request and a duplicate.
 
-        On the engine's connection come a chunk of another request, and one
-        of this attempt a second time.
+        The caller must get its own answer only, each word once.
         """
         self.first.scripts.append(fakes.Script(order=[0, -1, 0, 1, 2]))
         await self.ended()
@@ -100,7 +95,7 @@
         self.assertEqual(self.fixture.meter.counts["chunk dropped"], 2)
 
     async def test_an_engine_lost_before_the_first_token_is_replaced(self):
-        """The caller notices nothing: another engine, the same version."""
+        """Another engine runs the same version, unnoticed by the caller."""
         self.first.scripts.append(fakes.Script(fails=dispatch_errors.lost()))
         answer = await self.ended(session="s-1")
         self.assertEqual(answer.text, "The boiler holds.")
@@ -109,12 +104,12 @@
         self.assertEqual(repeat.model_version, fakes.LARGE)
         self.assertEqual(self.first.cancelled, ["req-1/1"])
 
-    async def test_a_lost_engine_s_answer_goes_on_only_word_for_word(self):
-        """The caller reads on if the repeat says the same, else an error.
+    async def test_a_lost_engine_s_answer_continues_only_word_for_word(self):
+        """An engine is lost for good after two tokens were relayed.
 
-        The engine is gone after two tokens were relayed. The second engine's
-        text begins with the same words, in other chunks; then, in a second
-        run, with other words: two texts must not be spliced.
+        The answer continues if the second engine's text begins with the same
+        words, in other chunks. If it begins with other words, the caller gets
+        an error: two texts must not be spliced.
         """
         gone = [fakes.Script(cut_after=2)] + [
             fakes.Script(fails=dispatch_errors.refused())
@@ -136,11 +131,11 @@
         self.assertEqual(self.fixture.ledger.bills, [])
         self.assertEqual(len(self.second.generations), 1)
 
-    async def test_a_refusal_tells_what_it_was(self):
-        """The caller is served elsewhere; the refusal counts as evidence.
+    async def test_refusals_are_reported_by_kind(self):
+        """A refusal says whether the engine is leaving or overloaded.
 
-        An engine that is shutting down says so when it refuses: that is
-        known earlier than any list or report tells.
+        Routing must be told, since it learns so before any list or load report
+        says it.
         """
         leaving = failures.NotDoneError("shutting down", leaving=True)
         full = failures.NotDoneError("full", overloaded=True)
@@ -158,9 +153,9 @@
         )
 
     async def test_retries_end_with_the_budget(self):
-        """The caller hears `not_run` and when to come again, at once.
+        """Both engines refuse, and the retry budget permits one retry.
 
-        Both engines refuse; the fleet's retry budget has leave for one more.
+        The caller gets `not_run` with a Retry-After at once.
         """
         self.fixture.budget.permits = 1
         for fake in (self.first, self.second):
@@ -177,10 +172,10 @@
         self.assertEqual(self.fixture.ledger.released, ["finding-7"])
 
     async def test_a_budget_is_charged_what_was_used(self):
-        """Callers of a small budget are served until it is really spent.
+        """Callers of a small budget are served until it is actually spent.
 
         Each answer may take 104 tokens and takes 8. Of 120 tokens a minute,
-        the last begins with 8 left; the next one is told `OVER_BUDGET`.
+        the last begins with 8 left; the next one gets `OVER_BUDGET`.
         """
         fixture = self.fixture = fakes.Fixture(tokens_per_minute=120)
         fixture.admission = fakes.fair_admission_with(
@@ -193,10 +188,10 @@
         self.assertEqual(caught.exception.code, codes.Code.OVER_BUDGET)
 
     async def test_a_version_withdrawn_while_waiting_gets_no_work(self):
-        """The caller gets the next version's answer.
+        """A version is withdrawn while its request waits for a retry.
 
-        The choice was made; then the request waited to be retried; meanwhile
-        the version is withdrawn. The check just before the send must see it.
+        The check just before the send must notice; the caller gets the next
+        version's answer.
         """
         newer = engine.ModelVersion(model="large", version="2")
         snapshot = self.fixture.config.snapshot
@@ -229,11 +224,10 @@
         self.assertEqual(generation.model_version, newer)
 
     async def test_a_refusal_after_a_possible_run_is_not_called_not_run(self):
-        """The caller hears `unknown`, though the last step was a refusal.
+        """A connection breaks after the request was written.
 
-        The first engine's connection breaks after the request was written.
-        Before the repeat the only version is withdrawn, so no version may be
-        sent to: true of the repeat, but not of the whole request.
+        Before the retry the only version is withdrawn. The retry was not run,
+        but the request may have been: the caller must get `unknown`.
         """
         gate = asyncio.Event()
         self.first.scripts.append(
@@ -249,7 +243,7 @@
         self.assertEqual(self.fixture.ledger.unknown, ["finding-7"])
 
     async def test_the_deadline_ends_a_silent_attempt(self):
-        """The caller hears `unknown` at its deadline; the engine is told."""
+        """The caller gets `unknown` at its deadline; the run is cancelled."""
         self.first.scripts.append(fakes.Script(gate=asyncio.Event()))
         with self.assertRaises(errors.CodedError) as caught:
             await self.ended(deadline_s=2)
@@ -259,8 +253,8 @@
         self.assertEqual(self.first.generations[0].deadline_ms, 2000)
         self.assertEqual(self.fixture.versions.released, [fakes.LARGE])
 
-    async def test_a_caller_that_goes_cancels_and_pays_what_it_took(self):
-        """Nobody reads on: the engine stops, the two tokens are billed."""
+    async def test_a_caller_that_disconnects_pays_what_it_received(self):
+        """The engine's run is cancelled, and two tokens are billed."""
         gate = asyncio.Event()
         self.first.scripts.extend(
             [fakes.Script(cut_after=2), fakes.Script(gate=gate)]
@@ -276,10 +270,10 @@
         self.assertEqual(self.fixture.versions.released, [])
 
     async def test_a_keyed_request_is_finished_for_its_retry(self):
-        """The caller's connection breaks; its retry gets the answer.
+        """The caller's connection breaks, and it retries with the same key.
 
-        The first try goes on without a reader, is billed, and is kept; the
-        retry with the same key reads that answer and nothing runs twice.
+        The first try goes on, is billed and its answer stored; the retry gets
+        that answer and nothing runs twice.
         """
         gate = asyncio.Event()
         self.first.scripts.append(fakes.Script(gate=gate))
@@ -302,11 +296,11 @@
         self.assertEqual(len(self.first.generations), 1)
         self.assertEqual(len(self.fixture.ledger.bills), 1)
 
-    async def test_a_weak_answer_is_never_seen(self):
-        """The caller reads the strong model's answer and pays for that one.
+    async def test_a_weak_answer_is_not_sent(self):
+        """The cheap stage's answer is judged too weak.
 
-        The cheap stage's whole answer is held, judged too weak, and dropped;
-        its cost is counted as spent.
+        The caller gets only the strong model's answer and pays for that one;
+        the cost of the other is counted as spent.
         """
         self.fixture.cascade = fakes.FakeCascade(
             first_stage=0, may_escalate=True
@@ -320,13 +314,13 @@
         self.assertEqual(bill.cost_micros, 10 * 5 + 100 * 3)
         self.assertEqual(bill.spent_micros, bill.cost_micros + 5 + 10 * 2)
 
-    async def test_a_full_rating_queue_costs_the_caller_nothing(self):
-        """All callers are answered; what can't be rated is counted."""
+    async def test_a_full_rating_queue_does_not_affect_callers(self):
+        """All callers are answered; unrated answers are counted."""
         self.fixture.cascade.rated = True
         for _ in range(3):
             await self.ended()
         self.assertEqual(self.fixture.meter.counts["rating dropped"], 1)
-        handing_in = asyncio.ensure_future(self.fixture.ratings.run())
+        submitting = asyncio.ensure_future(self.fixture.ratings.run())
         await fakes.settle()
-        handing_in.cancel()
+        submitting.cancel()
         self.assertEqual(len(self.fixture.rating_service.tasks), 2)
--- a/tests/cover/test_dispatch_hedging.py
+++ b/tests/cover/test_dispatch_hedging.py
@@ -1,4 +1,4 @@
-"""A second attempt beside a silent one gives one text and one bill."""
+"""Hedged attempts give one text and one bill."""
 
 import asyncio
 import datetime
@@ -13,7 +13,7 @@
 
 
 class HedgeTest(unittest.IsolatedAsyncioTestCase):
-    """A second attempt when the first is silent."""
+    """Both attempts of a hedged request give text."""
 
     async def asyncSetUp(self):
         self.fixture = fakes.Fixture(hedge_after_ms=100)
@@ -34,7 +34,7 @@
         await self.fixture.clock.advance(datetime.timedelta(milliseconds=150))
 
     async def test_the_first_token_wins_and_the_loser_is_cancelled(self):
-        """The caller reads the hedge's answer only, billed once."""
+        """The caller gets the hedge's answer only, billed once."""
         self.gates[1].set()
         answer = await self.ending
         self.gates[0].set()
@@ -47,10 +47,10 @@
         self.assertEqual(self.fixture.versions.released, [])
 
     async def test_both_tokens_at_once_still_give_one_text(self):
-        """The caller reads the hedge's text: both come in one turn.
+        """Both first tokens arrive in one iteration of the event loop.
 
-        The first attempt's token is a moment later; that it lost must not
-        become the request's own failure.
+        The hedge's is first; the first attempt's LostRaceError must not fail
+        the request.
         """
         for gate in reversed(self.gates):
             gate.set()
@@ -60,7 +60,7 @@
 
 
 class FirstAttemptTest(unittest.IsolatedAsyncioTestCase):
-    """A silent attempt is not given up for one that has shown nothing."""
+    """A silent attempt is not abandoned for one without a token."""
 
     def setUp(self):
         self.fixture = fakes.Fixture(hedge_after_ms=100)
@@ -71,7 +71,7 @@
         self.first.scripts.append(fakes.Script(gate=self.gate))
 
     async def silent(self) -> asyncio.Task:
-        """Starts a request whose first engine is silent past the hedge."""
+        """Starts a request whose first engine is silent until hedged."""
         asking = asyncio.ensure_future(
             self.fixture.dispatcher().generate(
                 fakes.generation_request(self.fixture), self.sink
@@ -89,10 +89,10 @@
         self.assertEqual(self.sink.text, "The boiler holds.")
         self.assertEqual(len(self.first.generations), 1)
 
-    async def test_a_second_that_fails_leaves_the_first_at_work(self):
-        """The caller reads the first engine's answer: the second has none.
+    async def test_a_failed_hedge_leaves_the_first_attempt_running(self):
+        """The hedge refuses, is lost, or ends before its first token.
 
-        It refuses, is lost, or ends before its first token.
+        The caller must get the first engine's answer.
         """
         for script in (
             fakes.Script(fails=dispatch_errors.refused()),
@@ -105,20 +105,19 @@
             self.assertEqual(len(self.second.generations), 1)
             self.setUp()
 
-    async def test_no_leave_is_taken_without_a_backend_server(self):
-        """The caller reads the first engine's answer; there is no other.
+    async def test_no_retry_is_spent_without_a_backend_server(self):
+        """There is no backend server for a hedge.
 
-        The fleet's few repeats stay for requests that can use them.
+        The retry budget must be kept for requests that can use it.
         """
         self.fixture.backends.addresses = ["e1:1"]
         await self.assert_first_answers(await self.silent())
         self.assertEqual(self.fixture.budget.permits, 100)
 
-    async def test_what_is_taken_away_ends_no_attempt_at_work(self):
-        """The caller reads the first engine's answer, but gets no second.
+    async def test_a_revoked_model_ends_no_running_attempt(self):
+        """The model is revoked or the template removed before the hedge.
 
-        While the engine is silent the team loses the model, or the operator
-        removes the template.
+        The caller gets the first engine's answer, and no hedge is sent.
         """
         for code in (codes.Code.NOT_ALLOWED, None):
             asking = await self.silent()
--- a/tests/cover/test_dispatch_held_answers.py
+++ b/tests/cover/test_dispatch_held_answers.py
@@ -1,4 +1,4 @@
-"""Answers in hand that are kept until what replaces them has begun."""
+"""Answers that are held until the one that replaces them has begun."""
 
 import asyncio
 import datetime
@@ -15,7 +15,7 @@
 
 
 class HeldAnswerTest(revoked_access_case.RevokedAccessCase):
-    """A whole answer that was judged weak is kept until a better one comes."""
+    """A complete but weak answer is held until a better one begins."""
 
     def setUp(self):
         super().setUp()
@@ -39,19 +39,17 @@
         self.assertIn(events.EventKind.HELD_ANSWER_GIVEN, ends)
 
     async def test_no_backend_server_for_the_next_stage(self):
-        """The caller gets the cheap answer that the instance has in hand.
+        """No backend server can run the strong model.
 
-        It was judged weak, and dropped; then no backend server had a place
-        for the strong model, and the caller was told 502 `unknown`.
+        The caller must get the cheap answer, not 502 `unknown`.
         """
         self.fixture.backends.model_addresses["large"] = ()
         await self.assert_held_answer_given(await self.started(self.generate()))
 
-    async def test_each_end_of_the_next_stage(self):
-        """The caller gets the cheap answer, whatever the strong model meets.
+    async def test_each_failure_of_the_next_stage(self):
+        """The strong model's engines refuse, are lost or end the generation.
 
-        It refuses, is lost, ends the generation or falls out of the
-        template; the team loses it, or no instance may choose a version.
+        The caller must get the cheap answer each time.
         """
         for scripts in (
             [fakes.Script(fails=dispatch_errors.refused())] * 4,
@@ -73,12 +71,12 @@
                 await self.started(self.generate())
             )
 
-    async def test_the_next_stage_is_taken_away(self):
-        """The caller gets the cheap answer; the strong model is forbidden.
+    async def test_the_next_stage_is_revoked(self):
+        """The strong model's engine refuses, and no other one may be tried.
 
-        The strong model's engine refuses; before another one is tried, the
-        template is gone, the model is taken from the team, the configuration
-        is too old, or a session's version can't be found out.
+        The template was removed, the model revoked, the configuration is too
+        old, or a session's version is unknown. The caller gets the cheap
+        answer.
         """
         for refusal in (
             codes.Code.UNKNOWN_TEMPLATE,
@@ -96,9 +94,9 @@
             self.setUp()
 
     async def test_the_deadline_passes_in_the_next_stage(self):
-        """The caller gets the cheap answer at its deadline, not 504.
+        """The strong model has not begun to answer by the deadline.
 
-        The strong model has not begun to answer by then.
+        The caller must get the cheap answer then, not 504.
         """
         asking = await self.started(self.generate(deadline_s=2))
         answer = await fakes.to_end(self.fixture.clock, asking)
@@ -109,9 +107,9 @@
         self.assertEqual(self.first.cancelled, ["req-1/2"])
 
     async def test_a_begun_answer_is_not_followed_by_the_held_one(self):
-        """The caller reads one text only: half an answer, then the error.
+        """The strong model's text has begun when its engine is lost for good.
 
-        The strong model's text has begun when its engine is lost for good.
+        The caller gets that part and an error, not a second text.
         """
         self.strong.cut_after = 1
         refused = fakes.Script(fails=dispatch_errors.refused())
@@ -122,8 +120,8 @@
         self.assertIs(error.code, codes.Code.BACKEND_FAILED)
         self.assertEqual(self.sink.text, "The ")
 
-    async def test_nor_is_it_at_the_deadline(self):
-        """The caller reads one text only: half an answer, then the error."""
+    async def test_a_begun_answer_is_not_followed_at_the_deadline(self):
+        """The caller gets part of one text and an error, not a second text."""
         self.strong.order = [0]
         self.strong.goes_silent = True
         self.gate.set()
@@ -132,16 +130,16 @@
         self.assertIs(error.code, codes.Code.DEADLINE_DURING_RUN)
         self.assertEqual(self.sink.text, "The ")
 
-    async def test_a_caller_that_leaves_gets_and_pays_nothing(self):
-        """Nobody reads: the held answer is no reason to bill."""
+    async def test_a_caller_that_disconnects_pays_nothing(self):
+        """A held answer that nobody gets must not be billed."""
         asking = await self.started(self.generate())
         asking.cancel()
         await fakes.settle()
         self.assertEqual(self.sink.text, "")
         self.assertEqual(self.fixture.ledger.bills, [])
 
-    async def test_a_larger_model_s_weak_answer_goes_first(self):
-        """The caller gets the last weak answer of three stages' first two."""
+    async def test_the_latest_weak_answer_is_given(self):
+        """Two of three stages give weak answers: the later one is given."""
         snapshot = self.fixture.config.snapshot
         template = snapshot.template("agency", "review")
         largest = msgspec.structs.replace(template.stages[1], model="largest")
@@ -156,11 +154,11 @@
 
 
 class BegunStreamTest(revoked_access_case.RevokedAccessCase):
-    """A begun answer's engine is left only for an attempt that may follow.
+    """A begun answer's engine is abandoned only for a permitted attempt.
 
-    Its connection breaks after a word, and four more are refused: the engine
-    can't be reached for some 0.75 s. It keeps the attempt for longer. The
-    third try used to be the last, whatever came then.
+    Its connection breaks after a word and four more are refused: the engine is
+    unreachable for some 0.75 s. It keeps the attempt for longer. If it were
+    abandoned after the third resume in any case, the answer would be cut.
     """
 
     def setUp(self):
@@ -169,7 +167,7 @@
         self.first.scripts.append(fakes.Script(gate=self.gate, cut_after=1))
         self.first.scripts.extend([refused] * 4)
 
-    async def assert_goes_on(self, asking: asyncio.Task) -> None:
+    async def assert_resumed(self, asking: asyncio.Task) -> None:
         answer = await self.ended(asking)
         self.assertEqual(answer.text, "The boiler holds.")
         self.assertEqual(self.sink.text, answer.text)
@@ -180,37 +178,37 @@
         self.assertEqual(self.first.generations[-1].resume_at_token, 1)
         self.assertEqual(len(self.fixture.ledger.bills), 1)
 
-    async def test_no_leave_for_a_further_attempt(self):
-        """The caller reads on; the retry budget is spent."""
+    async def test_the_retry_budget_is_spent(self):
+        """No other attempt is permitted: the engine is resumed."""
         self.fixture.budget.permits = 0
-        await self.assert_goes_on(await self.started(self.generate()))
+        await self.assert_resumed(await self.started(self.generate()))
 
     async def test_no_other_backend_server(self):
-        """The caller reads on; there is nobody else to ask."""
+        """There is no other engine: this one is resumed."""
         self.fixture.backends.addresses = ["e1:1"]
-        await self.assert_goes_on(await self.started(self.generate()))
+        await self.assert_resumed(await self.started(self.generate()))
         self.assertEqual(self.fixture.budget.permits, 100)
 
-    async def test_its_template_or_model_is_taken_away(self):
-        """The caller reads on: its engine has had the work for long.
+    async def test_its_template_or_model_is_revoked(self):
+        """No new work may be sent, but the engine already has this one.
 
-        No new work may go out for it, so it is not left for another engine,
-        which would have been refused in mid-answer.
+        It must not be abandoned for another engine, to which nothing may be
+        sent.
         """
         for refusal in (codes.Code.NOT_ALLOWED, codes.Code.NO_CANDIDATE):
             asking = await self.started(self.generate())
             self.fixture.versions.refusal = refusal
-            await self.assert_goes_on(asking)
+            await self.assert_resumed(asking)
             self.assertEqual(self.fixture.budget.permits, 100)
             self.setUp()
         asking = await self.started(self.generate())
         self.configure(templates={})
-        await self.assert_goes_on(asking)
+        await self.assert_resumed(asking)
 
-    async def test_it_is_left_once_another_attempt_is_granted(self):
-        """The caller reads on from another engine, asked for once.
+    async def test_it_is_abandoned_once_another_attempt_is_permitted(self):
+        """The retry budget is spent at first; a little later it permits one.
 
-        The budget is spent at first; a little later it has leave for one.
+        The answer continues at another engine, to which it is sent once.
         """
         self.first.scripts.extend(
             [fakes.Script(fails=dispatch_errors.refused())] * 20
@@ -230,11 +228,11 @@
         self.assertEqual(self.fixture.budget.permits, 0)
 
     async def test_a_granted_attempt_that_is_refused_cuts_no_answer(self):
-        """The caller reads on.
+        """An engine is abandoned with the last of the budget for one that
+        refuses.
 
-        Its engine can't be reached for a moment, and is left for another one
-        with the last of the retry budget. That one refuses. The first is back
-        by then, and would have kept the attempt for 10 s.
+        The first is reachable again by then, and keeps an attempt for 10 s:
+        the answer must continue there.
         """
         self.fixture.budget.permits = 1
         self.second.scripts.append(
@@ -245,10 +243,10 @@
         self.assertEqual(self.sink.text, answer.text)
 
     async def test_an_engine_that_is_gone_ends_the_request(self):
-        """The caller hears `unknown` in 7 s, long before its deadline.
+        """An engine that nothing may replace is lost for good.
 
-        Nothing may replace the engine, and it does not come back; engines
-        keep an attempt for some 10 s.
+        Engines keep an attempt for some 10 s, so the caller gets `unknown`
+        within 7 s, long before its deadline.
         """
         self.first.scripts.extend(
             [fakes.Script(fails=dispatch_errors.refused())] * 20
--- a/tests/cover/test_dispatch_outcomes.py
+++ b/tests/cover/test_dispatch_outcomes.py
@@ -57,16 +57,15 @@
         may_escalate=strategies.booleans(),
         permits=strategies.integers(0, 6),
     )
-    def test_one_version_s_whole_text_or_a_true_error(
+    def test_one_version_s_complete_text_or_a_correct_error(
         self, scripts, key, hedge_after_ms, may_escalate, permits
     ):
-        """The caller reads a whole answer of one attempt, or an error.
+        """Connections to two engines are refused, reset or cut, carry chunks
+        twice, out of order or of another request, or give another text.
 
-        Connections to two engines are refused, reset, cut in mid-answer,
-        carry chunks twice, out of order or of another request, or give
-        another text. What the caller has read must be the answer, or on an
-        error a prefix of one text; `not_run` must be provable; one bill for
-        an answer and none for an error; the claim must say the same.
+        What the caller has must be the answer, or on an error a prefix of one
+        text; `not_run` must be provable; an answer has one bill and an error
+        none; the claim must be settled accordingly.
         """
 
         async def scenario():
@@ -99,7 +98,7 @@
             self._check_error(fixture, sink, outcome, key)
         else:
             self._check_answer(fixture, sink, outcome)
-        self._check_leave(fixture, sink, outcome)
+        self._check_released(fixture, sink, outcome)
         [used_tokens] = fixture.admission.used
         ran = any(fake.ran for fake in fixture.engines.values())
         self.assertEqual(bool(used_tokens), ran)
@@ -114,8 +113,8 @@
         billed_tokens = bill.prompt_tokens + bill.output_tokens
         self.assertGreaterEqual(fixture.admission.used[0], billed_tokens)
 
-    def _check_leave(self, fixture, sink, outcome):
-        """Leave goes back exactly for choices that gave nobody anything."""
+    def _check_released(self, fixture, sink, outcome):
+        """Checks that exactly the choices without relayed text are released."""
         chosen, back = fixture.versions.chosen, fixture.versions.released
         self.assertEqual(back, chosen[: len(back)])
         answered = not isinstance(outcome, errors.CodedError)
--- a/tests/cover/test_dispatch_plain.py
+++ b/tests/cover/test_dispatch_plain.py
@@ -1,4 +1,4 @@
-"""A plain service's call runs at most once unless it may be repeated."""
+"""Calls of plain services run at most once unless repeatable."""
 
 import asyncio
 import datetime
@@ -26,7 +26,7 @@
 
 
 class PlainCallTest(unittest.TestCase):
-    """Properties over all ways in which sends can end."""
+    """Properties over all outcomes of sends."""
 
     @hypothesis.settings(max_examples=200)
     @hypothesis.given(
@@ -40,15 +40,14 @@
     @hypothesis.example(
         names=["lost"], repeatable=True, key="booking-7", permits=0
     )
-    def test_run_at_most_once_and_said_so(
+    def test_run_at_most_once_and_reported_so(
         self, names, repeatable, key, permits
     ):
-        """A crew is booked once, or the caller knows what it can't know.
+        """Each send is refused (provably not run), lost after it was written,
+        answered with an error, or answered.
 
-        Each send is refused (provably not run), lost after it was written,
-        answered with an error, or answered. A call that may not be repeated
-        must never be sent again once a send may have run; `not_run` is said
-        exactly when every send was refused.
+        A call that is not repeatable must not be sent again once a send may
+        have run; `not_run` is reported exactly if every send was refused.
         """
         fixture = fakes.Fixture()
         fixture.budget.permits = permits
@@ -86,17 +85,16 @@
 
 
 class PlainFailureTest(unittest.IsolatedAsyncioTestCase):
-    """Single failures, told one by one."""
+    """Single failures."""
 
     def setUp(self):
         self.fixture = fakes.Fixture()
         self.fixture.services.gate = asyncio.Event()
 
-    async def test_a_call_goes_on_when_its_caller_goes(self):
-        """The caller hangs up; the booking is made, and billed, once.
+    async def test_a_call_continues_when_its_caller_disconnects(self):
+        """A call that the service has received must be awaited and billed.
 
-        Cancelling would not undo a call that the service has. So it is
-        awaited, for the sake of its bill.
+        Cancelling would not undo it.
         """
         dispatcher = self.fixture.dispatcher()
         calling = asyncio.ensure_future(
@@ -109,11 +107,10 @@
         await dispatcher.settled()
         self.assertEqual(len(self.fixture.ledger.bills), 1)
 
-    async def test_a_route_taken_away_meanwhile_gets_no_call(self):
-        """The caller is refused, `not_run`: its team lost the route.
+    async def test_a_removed_route_gets_no_call(self):
+        """The route is removed after the first backend server has refused.
 
-        The first backend server refuses; before the second is tried, an
-        operator has removed the route.
+        The second must not be tried; the caller gets `not_run`.
         """
         services = self.fixture.services
         services.outcomes.append(OUTCOMES["refused"])
@@ -138,8 +135,8 @@
         self.assertEqual(len(services.calls), 1)
 
 
-class ApartTest(unittest.IsolatedAsyncioTestCase):
-    """Trouble of a plain service stays away from the engines' work."""
+class IsolationTest(unittest.IsolatedAsyncioTestCase):
+    """Failures of plain services do not affect generations."""
 
     def setUp(self):
         self.fixture = fakes.Fixture()
@@ -152,7 +149,7 @@
         )
 
     async def call_together(self, dispatcher) -> None:
-        """Makes 8 calls, all there before the first is answered."""
+        """Makes 8 calls, all received before the first is answered."""
         gate = self.fixture.services.gate = asyncio.Event()
         calls = [
             asyncio.ensure_future(
@@ -175,11 +172,10 @@
         )
         return answer.text
 
-    async def test_slow_services_leave_the_engines_their_places(self):
-        """Calls hang in a slow service; generations are answered at once.
+    async def test_slow_services_do_not_take_the_slots_of_generations(self):
+        """More calls than there are slots hang in a slow service.
 
-        More calls than there are places for generations wait for the
-        service, and more still for a place among calls. The engines are idle.
+        A generation must still be answered at once by the idle engines.
         """
         self.fixture.services.gate = asyncio.Event()
         dispatcher = self.fixture.dispatcher()
@@ -204,11 +200,11 @@
         for answer in await asyncio.gather(*calls):
             self.assertEqual(answer.status, 200)
 
-    async def test_places_of_calls_come_back_after_an_overload(self):
-        """Callers wait for few places, but only while the service refuses.
+    async def test_slots_of_calls_recover_after_an_overload(self):
+        """A service refuses calls for overload, which cuts the slots.
 
-        A service refuses calls for overload, which cuts the places. Then it
-        answers again; without a note of that the cut would last for ever.
+        Once it answers again, the slots must grow back; if durations of calls
+        were not reported to admission, the cut would be permanent.
         """
         dispatcher = self.fixture.dispatcher()
         busy = failures.NotDoneError("busy", overloaded=True)
@@ -221,11 +217,10 @@
             await self.call_together(dispatcher)
         self.assertEqual(self.limit.slots, 8)
 
-    async def test_a_service_s_retries_are_not_the_engines(self):
-        """A service is down; a caller of an engine still gets its retry.
+    async def test_services_and_engines_have_separate_retry_budgets(self):
+        """Calls of an unavailable service use up its retry budget.
 
-        The calls of the service use up all retries that they may. Then one
-        engine refuses a generation, which the next engine would take.
+        A generation that an engine refuses must still be retried on another.
         """
         self.fixture.budget = retry_budget.RetryBudgets()
         dispatcher = self.fixture.dispatcher()
--- a/tests/cover/test_dispatch_revoked_access.py
+++ b/tests/cover/test_dispatch_revoked_access.py
@@ -1,4 +1,4 @@
-"""Requests under way that lose their template, their route or their repeat."""
+"""Requests whose template, route, token or repeatability is revoked."""
 
 import msgspec
 
@@ -13,17 +13,17 @@
 
 
 class FinalErrorTest(revoked_access_case.RevokedAccessCase):
-    """A request that may have run is never answered as one that was refused.
+    """A request that may have run must not be reported as refused.
 
-    The body's run state was true before; status, code and time line were the
-    late step's own, and said "not run".
+    Status, code and event must agree with the body's run state, and not be
+    those of the later step that was refused.
     """
 
-    async def test_a_route_taken_away_after_a_possible_run(self):
-        """The caller hears 502 and `unknown`, not 403.
+    async def test_a_route_removed_after_a_possible_run(self):
+        """A repeatable call is lost after it was written, and its route is
+        removed before the retry.
 
-        Its call may be repeated. The first send is lost after it was written;
-        before the repeat the operator takes the route away.
+        The caller must get 502 and `unknown`, not 403.
         """
         self.fixture.services.outcomes.append(dispatch_errors.lost())
         asking = await self.started(self.call_plain(repeatable=True))
@@ -32,11 +32,10 @@
         self.assertEqual(len(self.fixture.services.calls), 1)
 
     async def test_a_template_removed_after_a_possible_run(self):
-        """The caller hears 502 and `unknown`, not 404.
+        """A request is lost after it was written, and its template is removed
+        before the retry.
 
-        The engine's connection breaks after the request was written. Before
-        the repeat the operator removes the template; nothing may go out by a
-        template that is gone, but what went out may have run.
+        The caller must get 502 and `unknown`, not 404.
         """
         self.first.scripts.append(
             fakes.Script(gate=self.gate, fails=dispatch_errors.lost())
@@ -46,8 +45,8 @@
         self.assert_told_unknown(await self.refused(asking))
         self.assertEqual(self.second.generations, [])
 
-    async def test_a_model_taken_away_after_a_possible_run(self):
-        """The caller hears 502 and `unknown`, not 403."""
+    async def test_a_model_revoked_after_a_possible_run(self):
+        """The caller must get 502 and `unknown`, not 403."""
         self.first.scripts.append(
             fakes.Script(gate=self.gate, fails=dispatch_errors.lost())
         )
@@ -58,7 +57,7 @@
 
 
 class ChangedRouteTest(revoked_access_case.RevokedAccessCase):
-    """What a change of its route means for a call under way."""
+    """A call's route is changed while the call is under way."""
 
     def change_routes(self, **changes) -> None:
         routes = self.fixture.config.snapshot.teams["agency"].plain_routes
@@ -68,12 +67,11 @@
             )
         )
 
-    async def test_a_changed_time_limit_takes_no_route_away(self):
-        """The caller gets its answer.
+    async def test_a_changed_time_limit_removes_no_route(self):
+        """A route's time limit and priority change between two sends.
 
-        The first backend server refuses; before the second is tried, an
-        operator changes the route's time limit and priority. The team may
-        call the service as before, but the caller was told 403.
+        The team may call the service as before, so the caller must get its
+        answer, not 403.
         """
         for repeatable in (False, True):
             services = self.fixture.services
@@ -85,18 +83,18 @@
             self.assertEqual(len(services.calls), 2)
             self.setUp()
 
-    async def test_what_may_have_run_goes_on_by_a_changed_route(self):
-        """The caller gets its answer: its call may be repeated, as before."""
+    async def test_a_possible_run_is_retried_by_a_changed_route(self):
+        """The call is still repeatable, so the caller gets its answer."""
         self.fixture.services.outcomes.append(dispatch_errors.lost())
         asking = await self.started(self.call_plain(repeatable=True))
         self.change_routes(deadline_ms=20_000)
         self.assertEqual((await self.ended(asking)).status, 200)
 
-    async def test_what_may_no_longer_be_repeated_is_not(self):
-        """The caller hears `unknown` and not to come again.
+    async def test_a_call_that_is_no_longer_repeatable(self):
+        """A send is lost, and its route is made not repeatable.
 
-        The first send is lost. Before the repeat the operator says that the
-        route's calls may not be sent twice: this one may have run.
+        The call may have run, so it must not be sent again: the caller gets
+        `unknown` without a Retry-After.
         """
         self.fixture.services.outcomes.append(dispatch_errors.lost())
         asking = await self.started(self.call_plain(repeatable=True))
@@ -106,11 +104,11 @@
         self.assertIsNone(error.retry_after)
         self.assertEqual(len(self.fixture.services.calls), 1)
 
-    async def test_a_narrower_route_takes_the_call_over(self):
-        """The caller hears `unknown`: its path's own route forbids repeats.
+    async def test_a_narrower_route_applies_to_the_call(self):
+        """A send is lost, and a route for just its path is added whose calls
+        are not repeatable.
 
-        The first send is lost. Before the repeat the operator adds a route
-        for just this path, whose calls may not be sent twice.
+        The call must not be sent again: the caller gets `unknown`.
         """
         self.fixture.services.outcomes.append(dispatch_errors.lost())
         asking = await self.started(
@@ -124,11 +122,11 @@
         self.assert_told_unknown(await self.refused(asking))
         self.assertEqual(len(self.fixture.services.calls), 1)
 
-    async def test_a_call_taken_for_not_repeatable_stays_so(self):
-        """The caller hears `unknown`: it was promised a call at most once.
+    async def test_a_call_accepted_as_not_repeatable_stays_so(self):
+        """A send is lost, and its route is made repeatable.
 
-        The send is lost. Meanwhile the operator allows repeats of the
-        route's calls; this one was accepted as one that runs once.
+        The call was accepted as one that runs at most once, so it must not be
+        sent again: the caller gets `unknown`.
         """
         self.fixture.services.outcomes.append(dispatch_errors.lost())
         asking = await self.started(self.call_plain())
@@ -138,7 +136,7 @@
 
 
 class TokenTest(revoked_access_case.RevokedAccessCase):
-    """What a token that is taken away means for requests let in with it."""
+    """A caller's token is revoked while its requests are under way."""
 
     def revoke_token(self) -> None:
         self.change_team(tokens=())
@@ -147,15 +145,14 @@
         self.assertIs(error.code, codes.Code.BAD_TOKEN)
         self.assertIs(error.run_state, codes.RunState.NOT_RUN)
 
-    async def test_what_waits_for_a_place_is_not_let_in_late(self):
-        """The caller hears 401, not run: its token went while it waited.
+    async def test_a_request_that_waits_for_a_slot_is_refused(self):
+        """Requests wait for the only slot while their token is revoked.
 
-        One request holds the only place; the next waits behind it. The
-        operator takes their token away, and then the place is free.
+        They must get 401 and `not_run`; the one that holds the slot completes.
         """
-        one_place = concurrency_limit.FixedLimit(slots=1)
+        one_slot = concurrency_limit.FixedLimit(slots=1)
         self.fixture.admission = self.fixture.plain_admission = (
-            fakes.fair_admission_with(self.fixture.clock, one_place)
+            fakes.fair_admission_with(self.fixture.clock, one_slot)
         )
         self.first.scripts.append(fakes.Script(gate=self.gate))
         dispatcher = self.fixture.dispatcher()
@@ -184,8 +181,8 @@
         self.assertEqual(self.fixture.services.calls, [])
         self.assertEqual(self.fixture.ledger.released, ["finding-7"])
 
-    async def test_what_was_refused_everywhere_is_not_let_in_late(self):
-        """The caller hears 401, not run: no server has begun its work."""
+    async def test_a_request_that_no_server_began_is_refused(self):
+        """No server has begun it: the caller gets 401 and `not_run`."""
         refused = fakes.Script(gate=self.gate, fails=dispatch_errors.refused())
         self.first.scripts.append(refused)
         self.fixture.services.outcomes.append(dispatch_errors.refused())
@@ -198,14 +195,14 @@
         self.assertEqual(len(self.fixture.services.calls), 1)
 
     def restore_token(self) -> None:
-        """Gives the token back, and closes the gate."""
+        """Restores the token, and closes the gate."""
         self.configure(teams=fake_config.snapshot().teams)
         self.gate.clear()
 
-    async def test_what_may_have_run_is_answered(self):
-        """The caller gets its answer: it was let in, and work has begun.
+    async def test_a_request_that_may_have_run_is_answered(self):
+        """An accepted request's first server is lost.
 
-        Its first server is lost; the repeat is no new request.
+        The retry is no new request, so the caller gets its answer.
         """
         self.first.scripts.append(
             fakes.Script(gate=self.gate, fails=dispatch_errors.lost())
@@ -219,8 +216,8 @@
         self.assertEqual(self.sink.text, "The boiler holds.")
         self.assertEqual(len(self.fixture.services.calls), 2)
 
-    async def test_a_begun_answer_goes_on(self):
-        """The caller reads on, at another engine when its own is lost."""
+    async def test_a_begun_answer_continues(self):
+        """The answer continues, at another engine when its own is lost."""
         self.first.scripts.append(fakes.Script(gate=self.gate, cut_after=2))
         self.first.scripts.extend(
             [fakes.Script(fails=dispatch_errors.refused())] * 20
--- a/tests/cover/test_dispatch_silent_engine.py
+++ b/tests/cover/test_dispatch_silent_engine.py
@@ -1,4 +1,4 @@
-"""An engine that falls silent is given up, before and after its head."""
+"""A silent engine is timed out, before and after the response head."""
 
 import asyncio
 import datetime
@@ -19,9 +19,9 @@
     messages=(),
     max_tokens=9,
 )
-# The first chunk has to come within it, on a busy machine too.
+# The first chunk has to arrive within it, even on a busy machine.
 SILENCE_LIMIT = datetime.timedelta(seconds=1)
-# Only ends a test that would hang for ever.
+# Only ends a test that would hang.
 HANGS_AFTER_S = 30
 
 
@@ -60,14 +60,14 @@
         return texts
 
     async def test_silence_in_mid_stream_is_a_cut(self):
-        """The caller's stream is resumed instead of hanging to its deadline.
+        """One chunk arrives, then nothing, on a connection that stays open.
 
-        One chunk comes, then nothing, on a connection that stays open: the
-        engine's host is gone without a word. The reading must end as a cut.
+        So it is when the engine's host disappears. The read must end as a cut,
+        so that the stream is resumed instead of hanging until its deadline.
         """
         self.assertEqual(await self.read(), ["The "])
 
     async def test_silence_before_the_head_is_an_unknown_outcome(self):
-        """The attempt is given up; what it did is not known."""
+        """The attempt ends; whether it ran is unknown."""
         self.speaks_first = False
         self.assertEqual(await self.read(), [])
--- a/tests/cover/test_guarantees_permission.py
+++ b/tests/cover/test_guarantees_permission.py
@@ -1,4 +1,4 @@
-"""A team loses a right under load, while instances are killed."""
+"""A team's permission is revoked under load, while instances are killed."""
 
 import asyncio
 import unittest
@@ -23,7 +23,7 @@
 async def _run_scenario(
     seed: int, *, cut: bool
 ) -> permission_scenario.PermissionScenario:
-    """Takes the right away through an instance that dies right after it."""
+    """Revokes through an instance that is killed right after."""
     asyncio.get_running_loop().set_debug(False)
     scenario = permission_scenario.PermissionScenario(seed=seed)
     clock = scenario.fleet.clock
@@ -54,17 +54,17 @@
 def run_scenario(
     seed: int, *, cut: bool = False
 ) -> permission_scenario.PermissionScenario:
-    """Plays a scene to its end, when no request is under way any more."""
+    """Runs a scenario until no request is under way."""
     return asyncio.run(_run_scenario(seed, cut=cut))
 
 
 class PermissionTest(unittest.TestCase):
-    """Judged by what reached the stand-in backend servers."""
+    """Checks what reached the stand-in backend servers."""
 
     def assert_covers(
         self, scenario: permission_scenario.PermissionScenario
     ) -> None:
-        """Checks that the scene brought about what it is for."""
+        """Checks that the situations to be tested occurred."""
         sent = scenario.sent()
         lost = [call for call in scenario.calls if call.team == RESTRICTED_TEAM]
         under_way = [
@@ -87,17 +87,16 @@
             self.assertGreater(len(late), 50)
             self.assertEqual(any(late), served)
 
-    def test_a_right_is_taken_away_while_instances_are_killed(self):
-        """An operator takes a model and a plain route away from a team.
+    def test_a_permission_is_revoked_while_instances_are_killed(self):
+        """A team's model and plain route are revoked.
 
         One instance is killed just before, the one that accepted the change
-        right after it, a third while the news spreads; all three come back.
-        Each has requests running and waiting. Whatever was sent to a backend
-        server before gets its whole answer; what still waited goes on with
-        what the team has left, or hears a true "not run"; nothing that needs
-        the right reaches a backend server after the bound, and nothing leaves
-        an instance that has the change in force. The other team notices none
-        of it.
+        right after, a third while the change spreads; all three restart, with
+        requests running and waiting. What was sent to a backend server before
+        must be answered; what still waited must use the remaining permissions
+        or get a correct `not_run`; nothing that needs the revoked ones may
+        reach a backend server after the bound, nor be sent by an instance that
+        has applied the change. The other team must not be affected.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -106,11 +105,12 @@
                 self.assertEqual(scenario.fleet.violations(), [])
                 self.assert_covers(scenario)
 
-    def test_the_same_with_an_instance_cut_off_from_its_peers(self):
-        """It leaves reading to others, and nobody tells it of the change.
+    def test_the_same_with_an_instance_partitioned_from_its_peers(self):
+        """The instance relies on its peers to read the store, and hears of no
+        change.
 
-        Once its proof is three seconds old it reads the store itself, which
-        is just in time.
+        It must read the store itself once its proof of freshness is three
+        seconds old, which is just in time.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -120,14 +120,14 @@
 
 
 class ChecksCanFailTest(unittest.TestCase):
-    """The same scene with a defect put in on purpose."""
+    """The same scenario with a deliberate defect must fail the checks."""
 
     def assert_found(self, words: str, *, cut: bool = True) -> None:
         found = permission_scenario.violations(run_scenario(SEEDS[0], cut=cut))
         self.assertTrue([v for v in found if words in v], found[:5])
 
-    def test_a_request_s_own_copy_is_trusted(self):
-        """What waited when the right went is sent as it was let in."""
+    def test_the_template_of_arrival_is_used(self):
+        """Waiting requests are sent by the template that they arrived with."""
 
         def copy(permission, call):
             return call.request.template
@@ -156,8 +156,8 @@
         ):
             self.assert_found("sent against the rules")
 
-    def test_a_version_is_not_checked_again_before_a_repeat(self):
-        """A backend server refuses just as the change comes."""
+    def test_a_version_is_not_rechecked_before_a_retry(self):
+        """A backend server refuses just as the change is applied."""
         with mock.patch.object(
             version_choice.ConfiguredVersionChooser,
             "check_dispatch",
@@ -165,13 +165,13 @@
         ):
             self.assert_found("sent against the rules", cut=False)
 
-    def test_the_route_is_not_asked_for_again_before_a_call(self):
+    def test_the_route_is_not_rechecked_before_a_call(self):
         with mock.patch.object(
             plain_calls.PlainCallPath, "_check_route", lambda *_: None
         ):
             self.assert_found("sent against the rules")
 
-    def test_an_instance_hears_too_late(self):
+    def test_an_instance_learns_of_the_change_too_late(self):
         with mock.patch.multiple(
             distribution,
             _READ_EVERY=9 * SECOND,
@@ -181,12 +181,12 @@
         ):
             self.assert_found("sent after the bound")
 
-    def test_what_was_sent_before_is_cut_off(self):
-        """Instances drop what is under way as soon as the change comes."""
-        revoked_at = permission_scenario.PermissionScenario.revoke
+    def test_requests_under_way_are_dropped(self):
+        """Instances cancel what is under way when the change is applied."""
+        revoke = permission_scenario.PermissionScenario.revoke
 
         async def revoke_and_drop(scenario, *, through):
-            await revoked_at(scenario, through=through)
+            await revoke(scenario, through=through)
             for instance in scenario.instances.values():
                 for task in instance.calls:
                     task.cancel()
--- a/tests/cover/test_limits_admission.py
+++ b/tests/cover/test_limits_admission.py
@@ -1,4 +1,4 @@
-"""Admission under load: who runs, who is refused, and when they hear it."""
+"""Admission under load: which requests run, are refused, and when."""
 
 import asyncio
 import collections
@@ -35,7 +35,7 @@
 
 
 class AdmissionHarness:
-    """An admission on a fake clock, and what its callers saw."""
+    """An admission on a fake clock, and the outcomes of its callers."""
 
     def __init__(self, *, slots=2, member_count=1):
         self.clock = clock_module.FakeClock()
@@ -54,7 +54,7 @@
         self.most_running = 0
 
     def ask(self, team="a", *, deadline_s=10.0, runs_s=1.0, **fields):
-        """Starts a caller; `ran` or `refused` shows how it went."""
+        """Starts a caller, whose outcome goes to `ran` or `refused`."""
         request = admission.AdmissionRequest(
             **{
                 "team": team,
@@ -79,7 +79,7 @@
             self.refused.append((request, self.clock.monotonic(), error))
 
     async def warm_up(self):
-        """Lets it measure that one place serves 100 tokens a second."""
+        """Lets it measure that one slot serves 100 tokens a second."""
         for _ in range(5):
             self.ask()
             await self.clock.advance(1 * SECOND)
@@ -91,14 +91,13 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Refusals come at once, are true, and say when to come back."""
+    """Refusals are immediate and correct, and have a Retry-After."""
 
     def test_what_cannot_start_in_time_is_refused_on_arrival(self):
-        """Thirty callers ask at one moment; ten can be served in time.
+        """Of thirty simultaneous requests ten can be served in time.
 
-        The rest hear so at that same moment, not when their deadline comes,
-        and are told different moments to return, so that they don't come
-        back as one herd.
+        The others must be refused at once, not at their deadline, each with a
+        different Retry-After, so that they do not retry together.
         """
 
         async def scenario():
@@ -125,12 +124,13 @@
 
         _run(scenario)
 
-    def test_deadline_passing_in_the_queue_is_told_when_it_is_too_late(self):
-        """Two requests hold both places much longer than measured.
+    def test_a_request_that_becomes_too_late_is_refused_before_its_deadline(
+        self,
+    ):
+        """Two requests hold both slots much longer than measured.
 
-        A third one, let in behind them, was promised a turn that doesn't
-        come. It hears so while its caller still listens: before its deadline,
-        as soon as it could not end in time any more.
+        A third one that was queued behind them must be refused as soon as it
+        can no longer end in time, before its deadline.
         """
 
         async def scenario():
@@ -152,10 +152,9 @@
     def test_all_engines_slow_at_once(self):
         """Every engine becomes ten times slower under steady traffic.
 
-        Nothing is refused by the engines, answers just stop coming. Callers
-        must be refused at once as soon as this shows in what was measured;
-        and when the engines are fast again, requests must be let in again,
-        although the estimate still says that all would be late.
+        The engines refuse nothing. Requests must be refused at once as soon as
+        the measurements show the slowdown, and admitted again when the engines
+        are fast again, although the estimate is still too high.
         """
 
         async def scenario():
@@ -178,10 +177,10 @@
         _run(scenario)
 
     def test_an_overtaken_request_is_shed_before_its_deadline(self):
-        """Lookups wait when a wave of dossier reviews arrives.
+        """Many urgent requests arrive while ordinary ones wait.
 
-        The reviews take the places for longer than the lookups can wait. The
-        lookups are refused when that is clear, not when they run out of time.
+        They take the slots for longer than the ordinary ones can wait, which
+        must be refused when that is certain, not at their deadline.
         """
 
         async def scenario():
@@ -201,16 +200,16 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """A template's token budget, as one of several instances holds it."""
+    """A template's token budget, at one of several instances."""
 
-    def test_budget_refuses_with_a_time_at_which_it_lets_in(self):
+    def test_budget_refuses_with_a_retry_after_at_which_it_admits(self):
         async def scenario():
             harness = AdmissionHarness(slots=50, member_count=2)
             budget = {"tokens_per_minute": 1200, "cost_tokens": 100}
             for _ in range(10):
                 harness.ask(**budget)
             await harness.clock.advance(0 * SECOND)
-            # Half of the budget is this instance's.
+            # This instance has half of the budget.
             self.assertEqual(len(harness.refused), 4)
             error = harness.refused[0][2]
             self.assertIs(error.code, codes.Code.OVER_BUDGET)
@@ -245,14 +244,13 @@
 
 
 class SlotsTest(unittest.TestCase):
-    """Places are never lost, nor given twice."""
+    """Slots are never leaked, nor given twice."""
 
-    def test_a_caller_that_goes_away_frees_what_it_holds(self):
-        """Callers hang up at the very moment at which their turn comes.
+    def test_a_caller_that_disconnects_frees_what_it_holds(self):
+        """Callers disconnect just as they get their slots.
 
-        The place was given to the waiting request, and in the same turn of
-        the event loop its task is cancelled, before it could run. If the
-        place went with it, the instance would serve fewer and fewer.
+        A request gets its slot and is cancelled in the same iteration of the
+        event loop, before it can run. The slot must not be leaked.
         """
 
         async def scenario():
@@ -284,7 +282,7 @@
             max_size=60,
         ),
     )
-    def test_every_caller_has_one_outcome_and_no_place_is_lost(
+    def test_every_caller_has_one_outcome_and_no_slot_is_leaked(
         self, slots, steps
     ):
         async def scenario():
@@ -324,10 +322,10 @@
         _run(scenario)
 
     def test_one_team_at_ten_times_its_share(self):
-        """Nine teams ask for what is theirs, a tenth for ten times that.
+        """Nine teams use their share, and a tenth asks for ten times its own.
 
-        The queue is full of the large team's requests all the time. The small
-        teams' callers must not notice.
+        The queue is always full of the large team's requests; the small teams
+        must be served all the same.
         """
 
         async def scenario():
--- a/tests/cover/test_limits_queue.py
+++ b/tests/cover/test_limits_queue.py
@@ -1,4 +1,4 @@
-"""The queue's order: fair among teams, priority first but not alone."""
+"""The queue's order: by priority, with a share by fairness alone."""
 
 import collections
 import datetime
@@ -27,7 +27,7 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    """Shares of what is served while all teams have work waiting."""
+    """Shares of the served work while all teams are backlogged."""
 
     @hypothesis.given(
         weights=strategies.lists(
@@ -41,7 +41,7 @@
     )
     def test_backlogged_teams_get_their_weights_share(self, weights, costs):
         queue = fair_queue.FairQueue()
-        # The first team floods; the order of arrival must not matter.
+        # All of a team's requests arrive together; the order must not matter.
         for index, weight in enumerate(weights):
             for number in range(200):
                 cost = costs[(number + index) % len(costs)]
@@ -51,20 +51,19 @@
             request = queue.pop().request
             served[request.team] += request.cost_tokens
         virtual = [served[f"{i}"] / w for i, w in enumerate(weights)]
-        # No team is further ahead of another than one request of its own.
+        # No team is ahead of another by more than one request.
         self.assertLessEqual(
             max(virtual) - min(virtual), max(costs) / min(weights)
         )
 
     @hypothesis.given(flooding_priority=strategies.integers(0, 9))
-    def test_small_teams_live_beside_a_flood_of_any_priority(
+    def test_small_teams_are_served_beside_a_flood_of_any_priority(
         self, flooding_priority
     ):
         """A team marks all its work as most urgent and sends ten times more.
 
-        What its neighbours see is that their ordinary requests still go
-        through. The large team has the urgent picks, but a guaranteed share
-        of the work is picked by fairness alone, and there it is last.
+        The others' ordinary requests must still be served, by the guaranteed
+        share of the work that is picked by fairness alone.
         """
         queue = fair_queue.FairQueue(guaranteed_share=0.25)
         for _ in range(1000):
@@ -79,11 +78,10 @@
             self.assertGreaterEqual(served[f"small-{index}"], 400 * 0.24 // 9)
 
     def test_urgent_work_goes_before_ordinary_work_of_all_teams(self):
-        """A dossier review arrives behind a queue of lookups.
+        """An urgent request arrives behind a queue of ordinary ones.
 
-        It is the last to arrive, its own team's lookups among those before
-        it. If they kept its place (a priority inversion) the inspector would
-        wait for all of them.
+        It must not wait behind its own team's ordinary requests (a priority
+        inversion), nor behind those of others.
         """
         queue = fair_queue.FairQueue()
         for _ in range(20):
--- a/tests/cover/test_limits_service.py
+++ b/tests/cover/test_limits_service.py
@@ -1,4 +1,4 @@
-"""Limits that follow service, and the bound on retries."""
+"""Limits that adapt to service, and the bound on retries."""
 
 import datetime
 import unittest
@@ -29,7 +29,7 @@
 
 
 class RetryStormTest(unittest.TestCase):
-    """However many attempts fail, few are repeated."""
+    """However many attempts fail, few are retried."""
 
     @hypothesis.given(
         strategies.lists(
@@ -41,11 +41,11 @@
         strategies.sampled_from([0.02, 0.08, 0.1]),
     )
     def test_retries_stay_within_their_share(self, phases, share):
-        """A pool goes down and every attempt on it fails.
+        """Every attempt on a pool fails, and each request would retry twice
+        and hedge once: four times the load on an overloaded pool.
 
-        Each request would retry twice and hedge once: four times the load on
-        a pool that is down because of load. Over any stretch of requests,
-        those allowed are their share plus what a small bucket holds.
+        Over any run of requests, no more may be permitted than their share
+        plus what the bucket holds.
         """
         wants_retry = [wants for wants, count in phases for _ in range(count)]
         budget = retry_budget.TokenBucketRetryBudget(
@@ -62,7 +62,7 @@
                 allowed = 2 + share * (end - start + 1)
                 self.assertLessEqual(later, allowed + 1e-6)
 
-    def test_a_pool_in_trouble_leaves_the_others_their_retries(self):
+    def test_pools_have_separate_retry_budgets(self):
         budgets = retry_budget.RetryBudgets()
         while budgets.budget_for("down").try_spend():
             pass
@@ -70,14 +70,14 @@
 
 
 class ServiceRateTest(unittest.TestCase):
-    """What requests that were broken off tell of the service."""
+    """What requests that did not complete say about the service rate."""
 
     def test_only_long_ones_count(self):
-        """Callers hang up: some at once, some after a very long wait.
+        """Callers disconnect, some at once, some after a very long wait.
 
-        The first say nothing of the service, and would make it look fast.
-        The second may be all there is to learn from when every answer takes
-        longer than its deadline.
+        The first would make the service look fast, and must not count. The
+        second must count: they are all there is to learn from when every
+        answer takes longer than its deadline.
         """
         rate = service_rate.ServiceRate()
         rate.note(cost_tokens=100, duration=SECOND, completed=True)
@@ -89,15 +89,14 @@
         self.assertLess(rate.tokens_per_s(1), 20)
 
 
-class FollowingLimitTest(unittest.TestCase):
-    """The places through overload, a brown-out and their ends."""
+class AdaptiveLimitTest(unittest.TestCase):
+    """The slots during and after overload and brown-outs."""
 
     def test_refusals_cut_deep_and_the_limit_recovers(self):
-        """The engines refuse nearly everything, then all is well again.
+        """The engines refuse everything for a while, then recover.
 
-        Callers see refusals either way; but while they last they must come
-        from here and not from engines that are kept busy refusing, and
-        afterwards the places must all come back.
+        Meanwhile requests must be refused here, so that engines are not kept
+        busy refusing; afterwards all slots must be restored.
         """
         limit = adaptive_limit.AdaptiveLimit(ceiling=40)
         _serve(limit, pace_s=0.03, count=100)
@@ -108,11 +107,11 @@
         self.assertEqual(limit.slots, 40)
 
     @hypothesis.given(strategies.integers(1, 60), strategies.integers(0, 40))
-    def test_places_come_back_from_any_cut(self, most, refusals):
-        """Callers of a healthy engine pool wait for places that stay cut.
+    def test_slots_recover_from_any_cut(self, most, refusals):
+        """Refusals cut the slots to a fractional number.
 
-        Refusals cut the places to a fraction over a whole number. All whole
-        places are taken from then on, and the places must all come back.
+        All whole slots are in use from then on, and that must count as full
+        use, so that all slots are restored.
         """
         limit = adaptive_limit.AdaptiveLimit(ceiling=most)
         _serve(limit, pace_s=0, count=10 * refusals, overloaded=True)
@@ -127,11 +126,10 @@
         _serve(limit, pace_s=0.03, count=100)
         self.assertEqual(limit.slots, 40)
 
-    def test_a_lasting_change_of_pace_is_accepted_in_the_end(self):
+    def test_a_lasting_change_of_pace_becomes_the_baseline(self):
         """Prompts become longer for good, and each token twice as slow.
 
-        If the first pace were remembered for ever, half of the engines would
-        stand idle from then on.
+        If the baseline never changed, half of the engines would stay idle.
         """
         limit = adaptive_limit.AdaptiveLimit(ceiling=40)
         _serve(limit, pace_s=0.03, count=100)
@@ -151,7 +149,7 @@
             max_size=200,
         )
     )
-    def test_the_places_stay_between_one_and_the_ceiling(self, steps):
+    def test_the_slots_stay_between_one_and_the_ceiling(self, steps):
         limit = adaptive_limit.AdaptiveLimit(ceiling=50)
         for duration_s, overloaded, work_tokens, number in steps:
             limit.note(
@@ -169,12 +167,11 @@
 class CeilingTest(unittest.TestCase):
     """The instance's share of what the engines can hold."""
 
-    def test_it_follows_engines_and_survives_the_loss_of_all_reports(self):
+    def test_it_follows_engines_but_ignores_the_loss_of_all_reports(self):
         """Half of the engines leave; later all reports are missing.
 
-        The first must be felt at once. The second is a fault of reporting:
-        if it closed all places, no request would be served by engines that
-        are well.
+        The first must take effect at once. The second is a fault of reporting:
+        if it closed all slots, healthy engines would serve nothing.
         """
         known = [
             backends.Backend(
@@ -192,20 +189,20 @@
         myself = members.Member(
             inner_address="a", incarnation="i", region="r", data_centre="c"
         )
-        follower = ceiling.CeilingUpdater(
+        updater = ceiling.CeilingUpdater(
             limit=limit,
             known=lambda: known,
             members=members.FixedMemberView(myself=myself, others=(myself,)),
             clock=clock.FakeClock(),
             max_slots=500,
         )
-        follower.update()
+        updater.update()
         self.assertEqual(limit.slots, 68)
         for backend in known[:4]:
             backend.leaving = True
-        follower.update()
+        updater.update()
         self.assertEqual(limit.slots, 35)
         for backend in known:
             backend.report = None
-        follower.update()
+        updater.update()
         self.assertEqual(limit.slots, 35)
--- a/tests/cover/test_window_budget.py
+++ b/tests/cover/test_window_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets over a window: leave that is held for later."""
+"""Retry budgets over a window: attempts reserved for later."""
 
 import asyncio
 import unittest
@@ -23,9 +23,8 @@
         )
 
     async def test_a_released_reservation_frees_no_other_attempt(self):
-        """A request takes leave for the way back, and gives it back when its
-        window is over. An attempt made meanwhile by another request was
-        forgotten for it, and one too many could be sent.
+        """A reservation is released after a window. That must not uncount an
+        attempt that another request made meanwhile.
         """
         clock = clock_module.FakeClock()
         budget = self.budget(clock)
@@ -37,9 +36,9 @@
         budget.release_reserved()
         self.assertEqual(budget.remaining(), BURST - sent)
 
-    async def test_nor_is_it_forgotten_sooner(self):
-        """The same within the window: the other attempt counts for as long as
-        any. The older moment of the leave given back stood for it.
+    async def test_a_released_reservation_expires_no_attempt_early(self):
+        """A reservation is released within its window. The other attempt must
+        count for a whole window, not only until the reservation's would end.
         """
         clock = clock_module.FakeClock()
         budget = self.budget(clock)
@@ -61,9 +60,9 @@
         )
     )
     def test_no_window_gets_more_attempts_than_are_allowed(self, steps):
-        """Requests take leave for the way back, wait, and use it or give it
-        back, others are tried again meanwhile. Leave that was used long after
-        it was taken was counted in a window that is over.
+        """Requests reserve attempts and spend or release them later, while
+        others are retried. An attempt must count from when it is made, not from
+        when it was reserved.
         """
         sent_s = asyncio.run(self.sent_s(steps))
         for last_s in sent_s:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Minimal fakes of what the request path uses, driven by the test."""
+"""Minimal fakes of what the request path uses, scripted by the test."""
 
 import asyncio
 import collections
@@ -40,13 +40,13 @@
     """What an engine does with the next `generate`.
 
     Attributes:
-        words: One token each.
+        words: The answer, one token each.
         fails: Raised before the first chunk.
-        cut_after: Chunks after which the stream ends with no last chunk.
-        order: Which of the attempt's chunks are sent, in place of those due;
-            a negative number is a chunk of another attempt.
-        gate: Waited for before the first chunk.
-        goes_silent: The connection stays open behind the last chunk.
+        cut_after: Number of chunks after which the stream breaks.
+        order: Indexes of the chunks to send instead of those due; an index
+            out of range stands for a chunk of another attempt.
+        gate: Awaited before the first chunk.
+        goes_silent: The connection stays open after the last chunk sent.
     """
 
     words: tuple[str, ...] = ("The ", "boiler ", "holds.")
@@ -59,7 +59,7 @@
 
 
 class FakeEngine(engine.Engine):
-    """Plays scripts in order; then answers with the default one."""
+    """Follows its scripts in order, then the default one."""
 
     def __init__(self):
         self.scripts: collections.deque[Script] = collections.deque()
@@ -134,7 +134,7 @@
 
 
 class FakeBackends(backends.BackendChooser):
-    """Gives the first backend server that is not excluded.
+    """Chooses the first backend server that is not excluded.
 
     Models in `model_addresses` have these backend servers only.
     """
@@ -163,7 +163,7 @@
 class FakeVersions(versions.VersionChooser):
     """Chooses a stage's first version that is not in `withdrawn`.
 
-    `refusal`, if set, is what every choice and check ends with.
+    `refusal`, if set, is the code that every choice and check raises.
     """
 
     def __init__(self):
@@ -201,7 +201,7 @@
 
 
 class FakeCascade(cascade.CascadePolicy):
-    """Starts where told and accepts what it is told to."""
+    """Starts at a given stage; accepts and rates as configured."""
 
     def __init__(self, *, first_stage=1, may_escalate=False):
         self.cascade_plan = cascade.CascadePlan(
@@ -224,7 +224,7 @@
 
 
 class FakeBudget(admission.RetryBudget, admission.RetryBudgets):
-    """Gives leave as often as told, whatever the dependency."""
+    """Permits a number of retries, whatever the dependency."""
 
     def __init__(self, permits=100):
         self.permits = permits
@@ -243,7 +243,7 @@
 def fair_admission_with(
     clock: clock_module.Clock, limit: concurrency_limit.ConcurrencyLimit
 ) -> fair_admission.FairAdmission:
-    """The real admission of an instance that is alone."""
+    """Returns the real admission of a fleet of one instance."""
     alone = members.Member(
         inner_address="i1:1", incarnation="1", region="r", data_centre="r-1"
     )
@@ -258,7 +258,7 @@
 
 
 class RecordingAdmission(admission.OpenAdmission):
-    """Lets all in and keeps what they are charged in the end."""
+    """Admits all requests and records their reconciled costs."""
 
     def __init__(self):
         self.used: list[int] = []
@@ -287,7 +287,7 @@
 
 
 class Fixture(engine.EngineConnector):
-    """A dispatcher with all its surroundings."""
+    """A dispatcher with all its dependencies."""
 
     def __init__(self, *, clock=None, **template_fields):
         self.clock = clock or clock_module.FakeClock()
@@ -338,7 +338,7 @@
 
 
 class RecordingSink(answers.AnswerSink):
-    """Keeps what a caller would have read so far."""
+    """Records what a caller would have received so far."""
 
     def __init__(self):
         self.text = ""
@@ -364,7 +364,7 @@
     session: str = "",
     deadline_s: float = 30,
 ) -> requests.GenerationRequest:
-    """A request to the template `review`."""
+    """Returns a request to the template `review`."""
     template = fixture.config.snapshot.template("agency", "review")
     arrived = fixture.clock.monotonic()
     return requests.GenerationRequest(
@@ -386,7 +386,7 @@
 
 
 async def to_end(clock: clock_module.FakeClock, work):
-    """Moves time on until the work ends, and returns its result."""
+    """Advances time until the work ends, and returns its result."""
     task = asyncio.ensure_future(work)
     for _ in range(2000):
         await asyncio.sleep(0)
@@ -397,6 +397,6 @@
 
 
 async def settle():
-    """Lets tasks run until each waits for something outside."""
+    """Lets tasks run until each waits for something external."""
     for _ in range(50):
         await asyncio.sleep(0)
--- a/tests/permission_scenario.py
+++ b/tests/permission_scenario.py
@@ -1,11 +1,12 @@
-"""A fleet under load whose instances are killed while a team loses a right.
+"""A fleet under load whose instances are killed while permissions change.
 
-The team loses a model, which its template then replaces by another one (a
-template may not name a model that its team isn't allowed), and a plain route.
+A team's permission for a model and for a plain route is revoked. Its template
+names another model from then on, since a template may not name a model that
+its team is not allowed.
 
-Real are the configuration's spread, the rules, the queues and the dispatch.
-Model engines and plain services are stand-ins that note all that reaches
-them, and when; they judge, not the instances. All time is virtual.
+Distribution of the configuration, its rules, queues and dispatch are real.
+Model engines and plain services are stand-ins, whose records of requests and
+times are checked instead of the instances' own. All time is virtual.
 """
 
 import asyncio
@@ -42,14 +43,14 @@
 SERVICE = "crew"
 TEMPLATE = "review"
 BOUND = trial_module.CONFIG_BOUND
-# Of each instance; less than the load needs, so that requests wait in queues
-# across the change.
+# Per instance; fewer than the load needs, so that requests are queued during
+# the change.
 SLOTS = 2
 ENGINES = 4
 REQUEST_EVERY = SECOND / 60
 DEADLINE = 8 * SECOND
 CALL_TIME = 3 * SECOND / 2
-# An engine that is out of order takes so long to refuse.
+# How long the faulty engine takes to refuse.
 REFUSAL_TIME = 3 * SECOND / 10
 _REVOKED_VERSION = engine.ModelVersion(model="small", version="1")
 _ALLOWED_VERSION = engine.ModelVersion(model="other", version="1")
@@ -61,9 +62,10 @@
     """A caller's request.
 
     Attributes:
-        start: Which start of an instance took it, by its place among rings.
-        killed: Its instance was killed with it.
-        error: What the caller was told, if there is no answer.
+        start: The start of an instance that took it, as an index of the
+            fleet's event rings.
+        killed: Its instance was killed while it ran.
+        error: The caller's error, if there is no answer.
     """
 
     request_id: str
@@ -77,7 +79,7 @@
 
 
 class Instance:
-    """One start of an instance: dispatch by its own configuration.
+    """One start of an instance, which dispatches by its own configuration.
 
     Attributes:
         calls: Requests under way, by the task that runs them.
@@ -113,19 +115,19 @@
         self.dispatcher = fixture.dispatcher()
 
     def kill(self) -> None:
-        """Ends all that it has in hand, without a word to anyone."""
+        """Cancels all requests under way; nothing is reported to callers."""
         for task, call in self.calls.items():
             call.killed = True
             task.cancel()
 
 
 class PermissionScenario:
-    """A fleet, its callers, and the backend servers' notes.
+    """A fleet, its callers, and the backend servers' records.
 
     Attributes:
-        seen: What reached backend servers.
-        taken_away: When the change was accepted.
-        revision: Of the change.
+        received: The requests that reached backend servers.
+        revoked_at: When the change was accepted.
+        revision: The revision of the change.
     """
 
     def __init__(self, *, seed: int):
@@ -145,18 +147,18 @@
             )
             for number in range(ENGINES)
         }
-        out_of_order = next(iter(self.engines.values()))
-        out_of_order.settings = engine_settings.EngineSettings(
+        faulty_engine = next(iter(self.engines.values()))
+        faulty_engine.settings = engine_settings.EngineSettings(
             refuses_work=True
         )
-        out_of_order.faults.delay = REFUSAL_TIME
+        faulty_engine.faults.delay = REFUSAL_TIME
         self.service = recording_servers.RecordingService(
             received=self.received, takes=CALL_TIME, clock=clock
         )
         self.instances: dict[str, Instance] = {}
 
     def start(self, *addresses: str) -> None:
-        """Starts instances, or starts them anew; all if not named."""
+        """Starts or restarts the named instances, or all."""
         for address in addresses or self.fleet.addresses:
             self.fleet.start(address)
             self.instances[address] = Instance(
@@ -164,17 +166,17 @@
             )
 
     def cut_off(self, address: str) -> None:
-        """Cuts an instance off from all its peers, not from the store."""
+        """Partitions an instance from all its peers, but not from the store."""
         for other in self.fleet.addresses:
             self.fleet.network.cut_both_ways(address, other)
 
     async def kill(self, address: str) -> None:
-        """Ends an instance as SIGKILL would."""
+        """Kills an instance as SIGKILL would."""
         self.instances.pop(address).kill()
         await self.fleet.crash(address)
 
     async def set_up(self) -> None:
-        """Starts the fleet and puts the first configuration in force."""
+        """Starts the fleet and applies the first configuration."""
         self.start()
         models = tuple(
             documents.ModelEntry(
@@ -199,7 +201,7 @@
         await self.fleet.clock.advance(BOUND)
 
     async def revoke(self, *, through: str) -> None:
-        """Has an operator take the team's model and route away."""
+        """Has an operator revoke the team's model and route."""
         record = await self._accept(
             edits.ImportDocuments(
                 expected_revision=self.instances[through].replica.revision,
@@ -219,7 +221,7 @@
         return record
 
     async def load(self, duration: datetime.timedelta) -> None:
-        """Sends requests of both teams to living instances."""
+        """Sends requests of both teams to running instances."""
         clock = self.fleet.clock
         end = clock.monotonic() + duration
         while clock.monotonic() < end:
@@ -299,7 +301,7 @@
         return answer.body.decode()
 
     def in_force(self) -> dict[int, datetime.timedelta]:
-        """Returns when each start had the change in force, by its notes."""
+        """Returns when each start applied the change, by its events."""
         found = {}
         for start, (_, ring) in enumerate(self.fleet.rings):
             for event in ring.since(0):
@@ -310,9 +312,9 @@
         return found
 
     def waiting_at_change(self) -> list[Call]:
-        """Returns what waited when the right went, and was judged anew.
+        """Returns the requests that waited at the change and were rechecked.
 
-        It went on with what the team has left, or was told so.
+        They were answered by the other model, or refused as not allowed.
         """
         sent = self.sent()
         in_force = self.in_force()
@@ -327,7 +329,7 @@
         ]
 
     def sent(self) -> dict[str, list[datetime.timedelta]]:
-        """Returns when requests that need the right reached servers."""
+        """Returns when requests that need the permission reached servers."""
         sent = collections.defaultdict(list)
         for seen in self.received:
             if seen.needs_permission:
@@ -335,7 +337,7 @@
         return sent
 
     def ran(self) -> set[str]:
-        """Returns the requests that backend servers began to work on."""
+        """Returns the requests that backend servers began to run."""
         generated = {
             run.attempt_id.partition("/")[0]
             for one in self.engines.values()
@@ -345,7 +347,7 @@
 
 
 def violations(scenario: PermissionScenario) -> list[str]:
-    """Returns what did not hold, by the backend servers' notes."""
+    """Returns the violated rules, by the backend servers' records."""
     found = []
     sent = scenario.sent()
     in_force = scenario.in_force()
@@ -379,8 +381,8 @@
 def _is_whole(call: Call) -> bool:
     if call.is_plain:
         return call.text == call.request_id
-    seen = answers.read_answer(call.text)
-    return seen.whole and seen.marker == call.request_id
+    answer = answers.read_answer(call.text)
+    return answer.whole and answer.marker == call.request_id
 
 
 def _identity(call: Call) -> ledger.RequestIdentity:
