--- a/src/nutmeghook/internal/replicas/choice.py
+++ b/src/nutmeghook/internal/replicas/choice.py
@@ -209,17 +209,19 @@
         """Returns the replicas to choose from, preferably none ejected."""
         now = self._clock.monotonic()
 
-        def may_take(replica: replica_module.Replica) -> bool:
+        def is_eligible(replica: replica_module.Replica) -> bool:
             return criteria.allows(replica) and self._gate.is_open(replica)
 
-        def is_sound(replica: replica_module.Replica) -> bool:
-            return may_take(replica) and not replica.health.is_ejected(now)
+        def is_healthy(replica: replica_module.Replica) -> bool:
+            return is_eligible(replica) and not replica.health.is_ejected(now)
 
         return (
-            select(criteria, is_sound)
-            or select(criteria, may_take)
+            select(criteria, is_healthy)
+            or select(criteria, is_eligible)
             or list(
-                filter(may_take, self._directory.of_service(criteria.service))
+                filter(
+                    is_eligible, self._directory.of_service(criteria.service)
+                )
             )
         )
 
