--- a/tests/whole/test_openai_client.py
+++ b/tests/whole/test_openai_client.py
@@ -80,7 +80,7 @@
         self.assertEqual(caught.exception.body["run_state"], "not_run")
 
     async def test_an_error_in_mid_stream_reaches_the_client(self):
-        self.fixture.budget.leave = 0
+        self.fixture.budget.permits = 0
         failing = fakes.Script(
             words=("The ", ""), finish=engine.FinishReason.FAILED
         )
