--- a/bench/decision.py
+++ b/bench/decision.py
@@ -27,7 +27,7 @@
 class Site:
     """A router that knows a number of replicas, some of them busy."""
 
-    __slots__ = ("_clock", "_needs", "_router")
+    __slots__ = ("_clock", "_criteria", "_router")
 
     def __init__(self, *, size: int):
         self._clock = simulation.Simulation()
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -219,7 +219,7 @@
             evacuations=self.send_limits.evacuations,
         )
         replica_rows = tables.ReplicaRows(directory=self.directory)
-        plan_rows = driver.PlanRows(
+        plan_rows = driver.PlanRowReader(
             rollouts=self.rollouts,
             orders=self.orders,
             instance_id=self._settings.instance_id,
@@ -294,7 +294,7 @@
         return driver.RollOutDriver(
             table=store.StoreRows(client=self._store),
             plans=plans.follower,
-            read_plans=lambda: peers.follow(driver.TABLE),
+            read_plans=lambda: peers.follow_once(driver.TABLE),
             rollouts=self.rollouts,
             orders=self.orders,
             status=rollout_rows.PlatformStatusRows(),
@@ -392,7 +392,7 @@
 
 async def _follow_forever(table: str, peers: router_peers.RouterPeers) -> None:
     while True:
-        await peers.follow(table)
+        await peers.follow_once(table)
 
 
 def _split(address: str) -> tuple[str, int]:
