--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -83,10 +83,10 @@
     kept = table_module.MemberTable(
         myself=samples.claim(0),
         clock=clock_module.SystemClock(),
-        fresh_answer=datetime.timedelta(seconds=3),
+        max_ack_age=datetime.timedelta(seconds=3),
     )
     for number in range(1, count):
-        kept.believe(samples.claim(number))
+        kept.apply_claim(samples.claim(number))
     return kept
 
 
--- a/bench/capacity/platform_load.py
+++ b/bench/capacity/platform_load.py
@@ -6,9 +6,9 @@
 from bench.capacity import messages
 from bench.capacity import planned
 from bench.capacity import plans
-from nutmeghook.internal.config import partners
+from nutmeghook.internal.config import distribution_tree
 from nutmeghook.internal.ledger import settings as ledger_settings
-from nutmeghook.internal.membership import contacts
+from nutmeghook.internal.membership import peer_discovery
 from nutmeghook.internal.membership import timing
 from nutmeghook.internal.orders import weight_grants
 from nutmeghook.internal.rollout import controller as rollout_controller
@@ -41,7 +41,7 @@
 
 def table_reads_per_s() -> float:
     """Returns rows read a second while nothing fails."""
-    readers = partners.READERS * planned.DATA_CENTRES
+    readers = distribution_tree.READERS * planned.DATA_CENTRES
     return (
         readers * (_HEAD_READS_PER_S + planned.CHANGES_PER_S)
         + planned.LEASES * _LOOKS_A_LEASE
@@ -55,7 +55,7 @@
 
 def list_reads_per_s() -> float:
     """Returns reads of the instance list a second."""
-    readers = contacts.LIST_READERS * planned.DATA_CENTRES
+    readers = peer_discovery.LIST_READERS * planned.DATA_CENTRES
     return (
         planned.NODES / poller.LIST_PERIOD.total_seconds()
         + readers / timing.Timing().list_period.total_seconds()
--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -6,8 +6,8 @@
 from bench.capacity import ledger_holder
 from bench.capacity import planned
 from bench.capacity import plans
-from nutmeghook.internal.config import partners
-from nutmeghook.internal.membership import contacts
+from nutmeghook.internal.config import distribution_tree
+from nutmeghook.internal.membership import peer_discovery
 from nutmeghook.internal.membership import timing
 from nutmeghook.internal.observe import gathering
 from nutmeghook.internal.rollout import controller as rollout_controller
@@ -36,14 +36,14 @@
     anywhere_per_s = planned.NODES / 3
 
     row = functools.partial(figures.row, CONFIGURATION, runs=("config",))
-    readers = partners.READERS * planned.DATA_CENTRES
+    readers = distribution_tree.READERS * planned.DATA_CENTRES
     return [
         row(
             "busiest node without changes (a reader, a parent of seven)",
             facts.value("config.control_bytes_per_s.126.busiest_idle"),
             "B/s",
             "measured, 42 instances a data centre",
-            "config/partners",
+            "config/distribution_tree",
         ),
         row(
             "one change, at each node",
@@ -245,7 +245,7 @@
             facts.at("membership.join_s", planned.NODES),
             "s",
             "fit at 420 nodes",
-            "membership/contacts",
+            "membership/peer_discovery",
         ),
         row(
             "each directed link between two regions",
@@ -258,7 +258,8 @@
             "membership/gossip",
         ),
         row(
-            f"a list reader ({contacts.LIST_READERS} a data centre), besides",
+            f"a list reader ({peer_discovery.LIST_READERS} a data centre), "
+            "besides",
             facts.value("instance_list.not_modified_read.4400") / list_s,
             "B/s",
             f'a read that says "not changed", each {list_s:.0f} s',
--- a/bench/config.py
+++ b/bench/config.py
@@ -272,7 +272,7 @@
     async def until_in_force(node: Node, revision: int) -> None:
         replica = node.parts.replica
         while replica.revision < revision:
-            await replica.wait_for_move()
+            await replica.wait_for_new_revision()
         in_force_s.append(loop.time() - begun_s)
 
     waiting = [
--- a/src/nutmeghook/internal/assembly/cascades.py
+++ b/src/nutmeghook/internal/assembly/cascades.py
@@ -8,7 +8,7 @@
 from nutmeghook.internal.dependencies import ratings as ratings_module
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.foundation import clock as clock_module
-from nutmeghook.internal.leases import led_part
+from nutmeghook.internal.leases import leased_component
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.routing import cascade_learned
@@ -19,7 +19,7 @@
 LEASE_NAME = "cascades"
 
 
-class Cascades(led_part.LedPart):
+class Cascades(leased_component.LeasedComponent):
     """Reads plans on every instance; learns where the lease is held.
 
     Attributes:
--- a/src/nutmeghook/internal/assembly/rollouts.py
+++ b/src/nutmeghook/internal/assembly/rollouts.py
@@ -9,7 +9,7 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import peers
-from nutmeghook.internal.leases import led_part
+from nutmeghook.internal.leases import leased_component
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.rollout import allowance as allowance_module
@@ -18,7 +18,7 @@
 from nutmeghook.internal.rollout import gate as gate_module
 
 
-class RollOuts(led_part.LedPart):
+class RollOuts(leased_component.LeasedComponent):
     """Runs roll-outs where this instance holds their lease.
 
     Attributes:
--- a/src/nutmeghook/internal/config/acceptance.py
+++ b/src/nutmeghook/internal/config/acceptance.py
@@ -27,11 +27,11 @@
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.observe import events as events_module
 
-_FIRST_PAUSE = datetime.timedelta(milliseconds=50)
-_LONGEST_PAUSE = datetime.timedelta(milliseconds=800)
+_MIN_BACK_OFF = datetime.timedelta(milliseconds=50)
+_MAX_BACK_OFF = datetime.timedelta(milliseconds=800)
 # Operators and roll-outs make 3,700 changes a day in the whole fleet: more
 # than this waiting on one instance is a fault of some client.
-_MOST_WAITING = 32
+_MAX_WAITING = 32
 
 
 class Accepter:
@@ -40,10 +40,10 @@
     __slots__ = (
         "_clock",
         "_events",
+        "_lock",
         "_random",
         "_replica",
         "_store",
-        "_turn",
         "_waiting",
     )
 
@@ -61,7 +61,7 @@
         self._clock = clock
         self._events = events
         self._random = random
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
         self._waiting = 0
 
     async def accept(
@@ -78,14 +78,14 @@
                 written and nothing will be), `OUTCOME_UNKNOWN` (ask by id),
                 or `OPERATION_REUSED`.
         """
-        if self._waiting >= _MOST_WAITING:
+        if self._waiting >= _MAX_WAITING:
             raise _overloaded(f"{self._waiting} changes wait on this instance")
         end = self._clock.monotonic() + timeout
         self._waiting += 1
         try:
             # One at a time: changes of one instance would only make each
             # other fail on the head row.
-            async with self._turn:
+            async with self._lock:
                 return await self._accept(operation, end)
         finally:
             self._waiting -= 1
@@ -97,10 +97,10 @@
             errors.CodedError: The edit can't be made, or `STORE_OUT`.
         """
         try:
-            _, state = await self._newest()
+            _, state = await self._read_newest()
             replacement = planning.plan(edit, state)
         except failures.PlatformError as error:
-            raise _store_out(error) from error
+            raise _store_unavailable(error) from error
         except planning.StaleRevisionError as error:
             raise errors.CodedError(
                 code=codes.Code.CONFLICT, detail=str(error)
@@ -123,7 +123,7 @@
         try:
             return await self._store.operation(team, operation_id)
         except failures.PlatformError as error:
-            raise _store_out(error) from error
+            raise _store_unavailable(error) from error
 
     async def settle(
         self,
@@ -153,17 +153,17 @@
                 record = await self._store.operation(author.team, operation_id)
                 if record is not None:
                     return record
-                left = end - self._clock.monotonic()
-                if left <= datetime.timedelta():
+                remaining = end - self._clock.monotonic()
+                if remaining <= datetime.timedelta():
                     return await self._abandon(author, operation_id, "")
-                await self._clock.sleep(min(left, _LONGEST_PAUSE))
+                await self._clock.sleep(min(remaining, _MAX_BACK_OFF))
         except failures.PlatformError as error:
-            raise _unsettled(operation_id) from error
+            raise _outcome_unknown(operation_id) from error
 
     async def _accept(
         self, operation: operations.Operation, end: datetime.timedelta
     ) -> rows.OperationRecord:
-        pause = _FIRST_PAUSE
+        back_off = _MIN_BACK_OFF
         in_doubt = False
         last_error: failures.PlatformError | None = None
         while self._clock.monotonic() < end:
@@ -180,13 +180,13 @@
                 last_error = error
             except failures.PlatformError as error:
                 last_error = error
-            await self._clock.sleep(pause * self._random.uniform(0.5, 1.5))
-            pause = min(pause * 2, _LONGEST_PAUSE)
+            await self._clock.sleep(back_off * self._random.uniform(0.5, 1.5))
+            back_off = min(back_off * 2, _MAX_BACK_OFF)
         if in_doubt:
             return await self._give_up(operation)
         if last_error is None:
             raise _overloaded("other changes got ahead of this one")
-        raise _store_out(last_error) from last_error
+        raise _store_unavailable(last_error) from last_error
 
     async def _give_up(
         self, operation: operations.Operation
@@ -197,8 +197,8 @@
                 operation.author, operation.operation_id, digest
             )
         except failures.PlatformError as error:
-            raise _unsettled(operation.operation_id) from error
-        return operations.first_outcome(record, operation)
+            raise _outcome_unknown(operation.operation_id) from error
+        return operations.recorded_outcome(record, operation)
 
     async def _try_once(
         self, operation: operations.Operation
@@ -208,11 +208,11 @@
             operation.author.team, operation.operation_id
         )
         if record is not None:
-            return operations.first_outcome(record, operation)
-        head, state = await self._newest()
+            return operations.recorded_outcome(record, operation)
+        head, state = await self._read_newest()
         if state.revision != head.revision:
             return None
-        attempt = await attempts.work_out(
+        attempt = await attempts.prepare(
             operation,
             head=head,
             state=state,
@@ -232,7 +232,7 @@
             )
         return attempt.record
 
-    async def _newest(
+    async def _read_newest(
         self,
     ) -> tuple[store_module.HeadReading, state_module.ConfigState]:
         head = await self._store.head()
@@ -271,7 +271,7 @@
         )
 
 
-def _store_out(error: failures.PlatformError) -> errors.CodedError:
+def _store_unavailable(error: failures.PlatformError) -> errors.CodedError:
     retry_after = None
     if isinstance(error, failures.NotDoneError):
         retry_after = error.retry_after
@@ -282,7 +282,7 @@
     )
 
 
-def _unsettled(operation_id: str) -> errors.CodedError:
+def _outcome_unknown(operation_id: str) -> errors.CodedError:
     return errors.CodedError(
         code=codes.Code.OUTCOME_UNKNOWN,
         detail=f"operation {operation_id!r} is not settled: the table service "
--- a/src/nutmeghook/internal/config/attempts.py
+++ b/src/nutmeghook/internal/config/attempts.py
@@ -36,7 +36,7 @@
     change: rows.Change | None = None
 
 
-async def work_out(
+async def prepare(
     operation: operations.Operation,
     *,
     head: store_module.HeadReading,
--- a/src/nutmeghook/internal/config/distribution.py
+++ b/src/nutmeghook/internal/config/distribution.py
@@ -12,8 +12,8 @@
 
 import eliot
 
+from nutmeghook.internal.config import distribution_tree
 from nutmeghook.internal.config import exchange as exchange_module
-from nutmeghook.internal.config import partners
 from nutmeghook.internal.config import replica as replica_module
 from nutmeghook.internal.config import store as store_module
 from nutmeghook.internal.dependencies import failures
@@ -22,17 +22,17 @@
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 
-_READ_EVERY = datetime.timedelta(milliseconds=500)
-_EXCHANGE_EVERY = datetime.timedelta(seconds=1)
-_EXCHANGE_ANYWHERE_EVERY = datetime.timedelta(seconds=3)
+_READ_PERIOD = datetime.timedelta(milliseconds=500)
+_PARENT_EXCHANGE_PERIOD = datetime.timedelta(seconds=1)
+_RANDOM_EXCHANGE_PERIOD = datetime.timedelta(seconds=3)
 # An instance that no peer keeps fresh reads the store itself. In good times
 # the tree keeps all ages under this; when the store is out for all, 420
 # instances trying at this pace are a tenth of its reads.
-_READ_MYSELF_AGE = datetime.timedelta(seconds=3)
-_READ_MYSELF_EVERY = datetime.timedelta(seconds=2)
+_FALLBACK_READ_AGE = datetime.timedelta(seconds=3)
+_FALLBACK_READ_PERIOD = datetime.timedelta(seconds=2)
 _PUSH_FAN_OUT = 4
 _PUSH_ROUNDS = 8
-_START_PEERS = 3
+_BOOTSTRAP_PEERS = 3
 
 
 class ConfigDistributor:
@@ -47,7 +47,7 @@
         "_read_at",
         "_replica",
         "_store",
-        "_store_out",
+        "_store_unreachable",
     )
 
     def __init__(
@@ -69,15 +69,15 @@
         self._events = events
         self._random = random
         self._read_at: datetime.timedelta | None = None
-        self._store_out = False
+        self._store_unreachable = False
 
     async def run(self) -> None:
         """Spreads the configuration until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._start())
+            tasks.create_task(self._bootstrap())
             tasks.create_task(self._read_repeatedly())
-            tasks.create_task(self._exchange_repeatedly())
-            tasks.create_task(self._exchange_anywhere_repeatedly())
+            tasks.create_task(self._exchange_with_parent())
+            tasks.create_task(self._exchange_with_random_peers())
             tasks.create_task(self._push_repeatedly(tasks))
 
     async def read_store(self) -> bool:
@@ -89,54 +89,59 @@
                 self._replica.state, head.revision
             )
         except failures.PlatformError as error:
-            self._note_store(out=True, detail=str(error))
+            self._record_store_state(unreachable=True, detail=str(error))
             return False
-        self._note_store(out=False, detail="")
+        self._record_store_state(unreachable=False, detail="")
         self._replica.apply_catch_up(catch_up)
         self._replica.confirm(head.revision, head.read_at)
         return True
 
-    async def _start(self) -> None:
+    async def _bootstrap(self) -> None:
         """Learns what peers know, at once; the store only if none knows.
 
         After a power cut 420 instances start together: the few that no peer
         can help read all documents, and the others learn from them.
         """
         others = self._others()
-        chosen = self._random.sample(others, min(_START_PEERS, len(others)))
+        chosen = self._random.sample(others, min(_BOOTSTRAP_PEERS, len(others)))
         await asyncio.gather(*(self._try_exchange(peer) for peer in chosen))
         if self._replica.revision == 0:
             await self.read_store()
 
     async def _read_repeatedly(self) -> None:
         while True:
-            await self._sleep(_READ_EVERY)
-            if partners.is_reader(self._members) or self._is_left_alone():
+            await self._sleep(_READ_PERIOD)
+            if (
+                distribution_tree.is_reader(self._members)
+                or self._needs_fallback_read()
+            ):
                 await self.read_store()
 
-    def _is_left_alone(self) -> bool:
+    def _needs_fallback_read(self) -> bool:
         age = self._replica.confirmed_age()
-        if age is not None and age < _READ_MYSELF_AGE:
+        if age is not None and age < _FALLBACK_READ_AGE:
             return False
         if self._read_at is None:
             return True
-        return self._clock.monotonic() - self._read_at >= _READ_MYSELF_EVERY
+        return self._clock.monotonic() - self._read_at >= _FALLBACK_READ_PERIOD
 
-    async def _exchange_repeatedly(self) -> None:
+    async def _exchange_with_parent(self) -> None:
         while True:
-            await self._sleep(_EXCHANGE_EVERY)
-            parent = partners.parent(self._members) or self._far_reader()
+            await self._sleep(_PARENT_EXCHANGE_PERIOD)
+            parent = (
+                distribution_tree.parent(self._members) or self._remote_reader()
+            )
             if parent is None or await self._try_exchange(parent):
                 continue
             # The one above is gone or frozen, and the members are not known
             # to be so yet: a neighbour of another branch is as good.
-            neighbours = self._neighbours()
-            if neighbours:
-                await self._try_exchange(self._random.choice(neighbours))
+            local_peers = self._local_peers()
+            if local_peers:
+                await self._try_exchange(self._random.choice(local_peers))
 
-    async def _exchange_anywhere_repeatedly(self) -> None:
+    async def _exchange_with_random_peers(self) -> None:
         while True:
-            await self._sleep(_EXCHANGE_ANYWHERE_EVERY)
+            await self._sleep(_RANDOM_EXCHANGE_PERIOD)
             others = self._others()
             if others:
                 await self._try_exchange(self._random.choice(others))
@@ -148,7 +153,7 @@
         pushed_revision = self._replica.revision
         while True:
             if self._replica.revision == pushed_revision:
-                await self._replica.wait_for_move()
+                await self._replica.wait_for_new_revision()
             await rounds.acquire()
             after_revision = pushed_revision
             pushed_revision = self._replica.revision
@@ -156,9 +161,9 @@
             task.add_done_callback(lambda _: rounds.release())
 
     async def _push_round(self, after_revision: int) -> None:
-        neighbours = self._neighbours()
-        count = min(_PUSH_FAN_OUT, len(neighbours))
-        chosen = self._random.sample(neighbours, count)
+        local_peers = self._local_peers()
+        count = min(_PUSH_FAN_OUT, len(local_peers))
+        chosen = self._random.sample(local_peers, count)
         await asyncio.gather(
             *(self._push(peer, after_revision) for peer in chosen)
         )
@@ -171,28 +176,30 @@
                 peer.inner_address, after_revision=after_revision
             )
         except (peers.PeerUnreachableError, peers.PeerRefusedError) as error:
-            _log_failed(peer, error)
+            _log_failure(peer, error)
 
     async def _try_exchange(self, peer: members_module.Member) -> bool:
         try:
             await self._exchange.exchange(peer.inner_address)
         except (peers.PeerUnreachableError, peers.PeerRefusedError) as error:
-            _log_failed(peer, error)
+            _log_failure(peer, error)
             return False
         return True
 
-    def _far_reader(self) -> members_module.Member | None:
+    def _remote_reader(self) -> members_module.Member | None:
         """Returns a reader of another data centre, else the other one here."""
         members = self._members.members()
         here = self._members.myself.data_centre
         elsewhere = [
-            name for name in partners.data_centres(members) if name != here
+            name
+            for name in distribution_tree.data_centres(members)
+            if name != here
         ]
         chosen = self._random.choice(elsewhere) if elsewhere else here
         mine = self._members.myself.inner_address
         found = [
             member
-            for member in partners.readers(members, chosen)
+            for member in distribution_tree.readers(members, chosen)
             if member.inner_address != mine
         ]
         return self._random.choice(found) if found else None
@@ -205,7 +212,7 @@
             if member.inner_address != mine
         ]
 
-    def _neighbours(self) -> list[members_module.Member]:
+    def _local_peers(self) -> list[members_module.Member]:
         here = self._members.myself.data_centre
         return [m for m in self._others() if m.data_centre == here]
 
@@ -213,17 +220,17 @@
         # Instances that started together must not act together for ever.
         await self._clock.sleep(duration * self._random.uniform(0.8, 1.2))
 
-    def _note_store(self, *, out: bool, detail: str) -> None:
-        if out == self._store_out:
+    def _record_store_state(self, *, unreachable: bool, detail: str) -> None:
+        if unreachable == self._store_unreachable:
             return
-        self._store_out = out
+        self._store_unreachable = unreachable
         kind = events_module.EventKind.STORE_BACK
-        if out:
+        if unreachable:
             kind = events_module.EventKind.STORE_OUT
         self._events.record(kind, "configuration", detail=detail)
 
 
-def _log_failed(peer: members_module.Member, error: Exception) -> None:
+def _log_failure(peer: members_module.Member, error: Exception) -> None:
     eliot.log_message(
         "config:exchange_failed", peer=peer.inner_address, reason=str(error)
     )
--- a/src/nutmeghook/internal/config/exchange.py
+++ b/src/nutmeghook/internal/config/exchange.py
@@ -60,7 +60,7 @@
             return await self.push(
                 inner_address, after_revision=reply.after_revision
             )
-        return self._take_in(reply, sent_at)
+        return self._apply_and_confirm(reply, sent_at)
 
     async def push(self, inner_address: str, *, after_revision: int) -> int:
         """Sends what follows a revision; returns the peer's revision then.
@@ -78,7 +78,7 @@
             reply = await self._call(inner_address, update)
         if isinstance(reply, ttypes.ConfigPull):
             return reply.after_revision
-        return self._take_in(reply, sent_at)
+        return self._apply_and_confirm(reply, sent_at)
 
     async def _call(
         self, inner_address: str, request: peers.Message
@@ -106,7 +106,7 @@
     async def _on_pull(self, pull: ttypes.ConfigPull) -> peers.Message:
         return self._update_after(pull.after_revision)
 
-    def _take_in(
+    def _apply_and_confirm(
         self, reply: peers.Message, sent_at: datetime.timedelta
     ) -> int:
         """Applies a reply; returns the revision that its sender has."""
@@ -147,7 +147,7 @@
         )
 
     def _update_after(self, revision: int) -> ttypes.ConfigUpdate:
-        changes = self._replica.kept_changes_after(revision)
+        changes = self._replica.recent_changes_after(revision)
         if changes is None:
             return ttypes.ConfigUpdate(
                 digest=self._digest(),
--- a/src/nutmeghook/internal/config/field_rules.py
+++ b/src/nutmeghook/internal/config/field_rules.py
@@ -28,7 +28,9 @@
         )
 
 
-def repeated(path: str, names: list[str]) -> Iterator[faults.FieldFault]:
+def duplicate_faults(
+    path: str, names: list[str]
+) -> Iterator[faults.FieldFault]:
     """Finds names that stand more than once."""
     for name in sorted({name for name in names if names.count(name) > 1}):
         yield fault(path, f"{name!r} more than once", "name each one once")
--- a/src/nutmeghook/internal/config/in_force.py
+++ b/src/nutmeghook/internal/config/in_force.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
+from nutmeghook.internal.config import distribution_tree
 from nutmeghook.internal.config import exchange as exchange_module
-from nutmeghook.internal.config import partners
 from nutmeghook.internal.config import replica as replica_module
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import peers
 from nutmeghook.internal.membership import members as members_module
 
-_ASK_AGAIN_EVERY = datetime.timedelta(milliseconds=250)
-_ASKED_AT_ONCE = 32
+_RETRY_PERIOD = datetime.timedelta(milliseconds=250)
+_MAX_CONCURRENT_REQUESTS = 32
 
 
 class InForce(msgspec.Struct, frozen=True, kw_only=True):
@@ -73,19 +73,19 @@
         )
 
     async def _ask_all(self, revision: int, confirmed: set[str]) -> None:
-        slots = asyncio.Semaphore(_ASKED_AT_ONCE)
+        slots = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
         while True:
             if self._replica.revision >= revision:
                 confirmed.add(self._members.myself.inner_address)
-            missing = [a for a in self._in_order() if a not in confirmed]
+            missing = [a for a in self._readers_first() if a not in confirmed]
             if not missing:
                 return
             await asyncio.gather(
                 *(self._ask(a, revision, confirmed, slots) for a in missing)
             )
-            if all(a in confirmed for a in self._in_order()):
+            if all(a in confirmed for a in self._readers_first()):
                 return
-            await self._clock.sleep(_ASK_AGAIN_EVERY)
+            await self._clock.sleep(_RETRY_PERIOD)
 
     async def _ask(
         self,
@@ -98,18 +98,18 @@
             return
         async with slots:
             try:
-                theirs = await self._exchange.exchange(inner_address)
+                peer_revision = await self._exchange.exchange(inner_address)
             except (peers.PeerUnreachableError, peers.PeerRefusedError):
                 return
-        if theirs >= revision:
+        if peer_revision >= revision:
             confirmed.add(inner_address)
 
-    def _in_order(self) -> list[str]:
+    def _readers_first(self) -> list[str]:
         members = self._members.members()
         first = [
             member.inner_address
-            for name in partners.data_centres(members)
-            for member in partners.readers(members, name)
+            for name in distribution_tree.data_centres(members)
+            for member in distribution_tree.readers(members, name)
         ]
         rest = [member.inner_address for member in members]
         return list(dict.fromkeys([*first, *rest]))
--- a/src/nutmeghook/internal/config/operations.py
+++ b/src/nutmeghook/internal/config/operations.py
@@ -36,7 +36,7 @@
     differences: tuple[faults.Difference, ...]
 
 
-def first_outcome(
+def recorded_outcome(
     record: rows.OperationRecord, operation: Operation
 ) -> rows.OperationRecord:
     """Returns the outcome that an operation's id has already.
--- a/src/nutmeghook/internal/config/planning.py
+++ b/src/nutmeghook/internal/config/planning.py
@@ -65,7 +65,7 @@
 def _(
     edit: edits.PutFleet, state: state_module.ConfigState
 ) -> edits.Replacement:
-    _check(state, edits.FLEET_DOCUMENT, edit.expected_revision)
+    _check_revision(state, edits.FLEET_DOCUMENT, edit.expected_revision)
     return edits.Replacement(fleet=edit.fleet)
 
 
@@ -74,7 +74,7 @@
     edit: edits.PutTeam, state: state_module.ConfigState
 ) -> edits.Replacement:
     document = edits.team_document(edit.team.name)
-    _check(state, document, edit.expected_revision)
+    _check_revision(state, document, edit.expected_revision)
     return edits.Replacement(teams=(edit.team,))
 
 
@@ -84,7 +84,7 @@
 ) -> edits.Replacement:
     template = edit.template
     document = edits.template_document(template.team, template.name)
-    _check(state, document, edit.expected_revision)
+    _check_revision(state, document, edit.expected_revision)
     return edits.Replacement(templates=(template,))
 
 
@@ -94,7 +94,7 @@
 ) -> edits.Replacement:
     _template(state, edit.team, edit.name)
     document = edits.template_document(edit.team, edit.name)
-    _check(state, document, edit.expected_revision)
+    _check_revision(state, document, edit.expected_revision)
     removed = edits.TemplateName(team=edit.team, name=edit.name)
     return edits.Replacement(removed_templates=(removed,))
 
@@ -152,7 +152,7 @@
         documents.VersionState.SERVING,
         documents.VersionState.ROLLING_OUT,
     ):
-        raise shares.refused(
+        raise shares.invalid_template(
             f"{edit.model_version} is in template {template.name} already; "
             f"use set_roll_out_share to move a roll-out"
         )
@@ -172,7 +172,7 @@
 def _(
     edit: edits.SetRollOutShare, state: state_module.ConfigState
 ) -> edits.Replacement:
-    template = _rolling(state, edit)
+    template = _template_in_roll_out(state, edit)
     entry_state = documents.VersionState.ROLLING_OUT
     if edit.share_percent >= edits.FULL_SHARE_PERCENT:
         entry_state = documents.VersionState.SERVING
@@ -189,13 +189,13 @@
 def _(
     edit: edits.RollBackVersion, state: state_module.ConfigState
 ) -> edits.Replacement:
-    template = _rolling(state, edit)
+    template = _template_in_roll_out(state, edit)
     return edits.Replacement(
         templates=(shares.withdrawn_from(template, edit.model_version),)
     )
 
 
-def _check(
+def _check_revision(
     state: state_module.ConfigState, document: str, expected_revision: int
 ) -> None:
     current = state.revision_of(document)
@@ -223,7 +223,7 @@
     return template
 
 
-def _rolling(
+def _template_in_roll_out(
     state: state_module.ConfigState,
     edit: edits.SetRollOutShare | edits.RollBackVersion,
 ) -> documents.Template:
@@ -231,7 +231,7 @@
     if shares.state_of(template, edit.model_version) is not (
         documents.VersionState.ROLLING_OUT
     ):
-        raise shares.refused(
+        raise shares.invalid_template(
             f"{edit.model_version} is not rolling out in template "
             f"{template.name}; `show` tells what stands"
         )
--- a/src/nutmeghook/internal/config/replica.py
+++ b/src/nutmeghook/internal/config/replica.py
@@ -13,7 +13,7 @@
 from nutmeghook.internal.observe import events as events_module
 
 # Changes kept for peers that are a little behind; others get the whole state.
-_KEPT_CHANGES = 64
+_MAX_RECENT_CHANGES = 64
 
 
 class ConfigReplica(view.ConfigView):
@@ -29,8 +29,8 @@
         "_clock",
         "_confirmed_at",
         "_events",
-        "_kept",
-        "_moved",
+        "_recent_changes",
+        "_revision_changed",
         "_state",
     )
 
@@ -44,10 +44,10 @@
         self._events = events
         self._state = state_module.EMPTY_STATE
         self._confirmed_at: datetime.timedelta | None = None
-        self._kept: collections.deque[rows.Change] = collections.deque(
-            maxlen=_KEPT_CHANGES
+        self._recent_changes: collections.deque[rows.Change] = (
+            collections.deque(maxlen=_MAX_RECENT_CHANGES)
         )
-        self._moved = asyncio.Event()
+        self._revision_changed = asyncio.Event()
 
     @property
     def state(self) -> state_module.ConfigState:
@@ -86,7 +86,7 @@
             if change.revision != state.revision + 1:
                 continue
             state = state.with_change(change)
-            self._kept.append(change)
+            self._recent_changes.append(change)
         if state is self._state:
             return False
         self._put_in_force(state)
@@ -96,7 +96,7 @@
         """Takes in a whole state; returns whether it was newer."""
         if state.revision <= self.revision:
             return False
-        self._kept.clear()
+        self._recent_changes.clear()
         self._put_in_force(state)
         return True
 
@@ -111,29 +111,36 @@
         else:
             self.apply_changes(catch_up.changes)
 
-    def confirm(self, revision: int, moment: datetime.timedelta) -> None:
-        """Notes that at `moment` no revision above `revision` was committed.
+    def confirm(self, revision: int, proven_at: datetime.timedelta) -> None:
+        """Notes that at `proven_at` no revision above `revision` was committed.
 
         Args:
             revision: Says nothing of this replica if it is behind it.
-            moment: Monotonic; must be no later than the proof.
+            proven_at: Monotonic; must be no later than the proof.
         """
         if revision > self.revision:
             return
-        if self._confirmed_at is None or moment > self._confirmed_at:
-            self._confirmed_at = moment
+        if self._confirmed_at is None or proven_at > self._confirmed_at:
+            self._confirmed_at = proven_at
 
-    def kept_changes_after(self, revision: int) -> list[rows.Change] | None:
+    def recent_changes_after(self, revision: int) -> list[rows.Change] | None:
         """Returns the changes behind a revision; None if not all are kept."""
         if revision >= self.revision:
             return []
-        if not self._kept or self._kept[0].revision > revision + 1:
+        if (
+            not self._recent_changes
+            or self._recent_changes[0].revision > revision + 1
+        ):
             return None
-        return [change for change in self._kept if change.revision > revision]
+        return [
+            change
+            for change in self._recent_changes
+            if change.revision > revision
+        ]
 
-    async def wait_for_move(self) -> None:
+    async def wait_for_new_revision(self) -> None:
         """Waits until the revision is higher than at the call."""
-        await self._moved.wait()
+        await self._revision_changed.wait()
 
     def _put_in_force(self, state: state_module.ConfigState) -> None:
         """Moves to a state; the only place that does.
@@ -143,8 +150,8 @@
         """
         before = self.revision
         self._state = state
-        self._moved.set()
-        self._moved = asyncio.Event()
+        self._revision_changed.set()
+        self._revision_changed = asyncio.Event()
         self._events.record(
             events_module.EventKind.CONFIG_APPLIED,
             str(self.revision),
--- a/src/nutmeghook/internal/config/shares.py
+++ b/src/nutmeghook/internal/config/shares.py
@@ -42,7 +42,7 @@
     for index, stage in enumerate(template.stages):
         if stage.model == model_version.model:
             return index
-    raise refused(
+    raise invalid_template(
         f"template {template.name} has no stage of model {model_version.model}"
     )
 
@@ -66,13 +66,13 @@
     index = stage_index(template, model_version)
     stage = template.stages[index]
     others = [e for e in stage.versions if e.version != model_version.version]
-    rest_percent = edits.FULL_SHARE_PERCENT - share_percent
-    mine = documents.VersionEntry(
+    remaining_percent = edits.FULL_SHARE_PERCENT - share_percent
+    new_entry = documents.VersionEntry(
         version=model_version.version,
         state=entry_state,
         share_percent=share_percent,
     )
-    versions = (*_scaled(others, rest_percent), mine)
+    versions = (*_scaled(others, remaining_percent), new_entry)
     stages = list(template.stages)
     stages[index] = msgspec.structs.replace(stage, versions=versions)
     return msgspec.structs.replace(template, stages=tuple(stages))
@@ -86,25 +86,27 @@
     Another version's roll-out keeps its share, which is what its exposure
     was judged at, unless no serving version is left to take the rest.
     """
-    taking = [e for e in entries if e.state is documents.VersionState.SERVING]
+    receiving = [
+        e for e in entries if e.state is documents.VersionState.SERVING
+    ]
     kept_percent = sum(
         e.share_percent
         for e in entries
         if e.state is documents.VersionState.ROLLING_OUT
     )
-    if not taking or kept_percent > total_percent:
-        taking = [
+    if not receiving or kept_percent > total_percent:
+        receiving = [
             e
             for e in entries
             if e.state is not documents.VersionState.WITHDRAWN
         ]
         kept_percent = 0.0
-    return _divided(entries, taking, total_percent - kept_percent)
+    return _divided(entries, receiving, total_percent - kept_percent)
 
 
 def _divided(
     entries: list[documents.VersionEntry],
-    taking: list[documents.VersionEntry],
+    receiving: list[documents.VersionEntry],
     total_percent: float,
 ) -> list[documents.VersionEntry]:
     """Divides a total in the proportion of the shares that entries have.
@@ -114,20 +116,22 @@
     before. `with_entry` puts each version that it moves at the end, so that
     one is the last. Equal parts would bring back versions long replaced.
     """
-    sum_percent = sum(entry.share_percent for entry in taking)
+    sum_percent = sum(entry.share_percent for entry in receiving)
     if sum_percent <= 0:
-        taking = taking[-1:]
+        receiving = receiving[-1:]
     divided = []
     for entry in entries:
-        if entry in taking:
-            part = entry.share_percent / sum_percent if sum_percent > 0 else 1
+        if entry in receiving:
+            fraction = (
+                entry.share_percent / sum_percent if sum_percent > 0 else 1
+            )
             entry = msgspec.structs.replace(
-                entry, share_percent=round(total_percent * part, 6)
+                entry, share_percent=round(total_percent * fraction, 6)
             )
         divided.append(entry)
     return divided
 
 
-def refused(detail: str) -> errors.CodedError:
+def invalid_template(detail: str) -> errors.CodedError:
     """Returns the error of an edit that does not fit the template."""
     return errors.CodedError(code=codes.Code.INVALID_TEMPLATE, detail=detail)
--- a/src/nutmeghook/internal/config/store.py
+++ b/src/nutmeghook/internal/config/store.py
@@ -17,7 +17,7 @@
 _T = TypeVar("_T")
 _PAGE_ROWS = 500
 # A replica further behind than this reads the documents instead of the log.
-_LONGEST_CATCH_UP = 1000
+_MAX_CATCH_UP_CHANGES = 1000
 
 
 class HeadReading(msgspec.Struct, frozen=True, kw_only=True):
@@ -92,7 +92,7 @@
         return _decode(row, rows.Change)
 
     async def changes_after(
-        self, revision: int, *, limit: int = _LONGEST_CATCH_UP
+        self, revision: int, *, limit: int = _MAX_CATCH_UP_CHANGES
     ) -> list[rows.Change]:
         """Reads the changes behind a revision, in order."""
         found: list[rows.Change] = []
@@ -123,12 +123,12 @@
         Raises:
             failures.NotDoneError: Rows that the head promises are missing.
         """
-        if revision - state.revision > _LONGEST_CATCH_UP:
+        if revision - state.revision > _MAX_CATCH_UP_CHANGES:
             return await self._reload()
         changes: list[rows.Change] = []
         while state.revision < revision:
             page = await self.changes_after(state.revision)
-            if not _follows(page, state):
+            if not _is_contiguous(page, state):
                 # Old changes may have been cleared out of the table.
                 return await self._reload()
             for change in page:
@@ -162,7 +162,7 @@
         after = await self.head()
         while state.revision < after.revision:
             page = await self.changes_after(state.revision)
-            if not _follows(page, state):
+            if not _is_contiguous(page, state):
                 raise failures.NotDoneError(
                     f"the head says {after.revision}, but what follows "
                     f"{state.revision} is missing"
@@ -188,25 +188,25 @@
         )
 
     async def _read(self, key: str) -> table_module.Row | None:
-        return await self._within(self._table.read(key))
+        return await self._with_timeout(self._table.read(key))
 
     async def _scan(
         self, prefix: str, after: str, limit: int
     ) -> list[table_module.Row]:
-        return await self._within(
+        return await self._with_timeout(
             self._table.scan(prefix=prefix, after=after, limit=limit)
         )
 
-    async def _within(self, reading) -> _T:
+    async def _with_timeout(self, read) -> _T:
         try:
-            return await self._clock.wait_for(reading, self._call_timeout)
+            return await self._clock.wait_for(read, self._call_timeout)
         except TimeoutError as error:
             raise failures.NotDoneError(
                 f"no answer to a read within {self._call_timeout}"
             ) from error
 
 
-def _follows(
+def _is_contiguous(
     changes: list[rows.Change], state: state_module.ConfigState
 ) -> bool:
     """Tells whether there are changes and they follow on without a gap."""
@@ -231,14 +231,14 @@
     return state.with_replacement(
         edits.Replacement(
             fleet=document.fleet,
-            teams=_present(document.team),
-            templates=_present(document.template),
+            teams=_as_tuple(document.team),
+            templates=_as_tuple(document.template),
         ),
         revision=document.revision,
     )
 
 
-def _present(
+def _as_tuple(
     document: documents.Team | documents.Template | None,
 ) -> tuple:
     return () if document is None else (document,)
--- a/src/nutmeghook/internal/config/template_rules.py
+++ b/src/nutmeghook/internal/config/template_rules.py
@@ -37,7 +37,7 @@
             f"{len(template.stages)} stages",
             f"give 1 to {MAX_STAGES}, from cheap to expensive",
         )
-    yield from field_rules.repeated(
+    yield from field_rules.duplicate_faults(
         f"{path}.stages", [s.model for s in template.stages]
     )
     for index, stage in enumerate(template.stages):
@@ -129,7 +129,7 @@
 def _stage_faults(
     path: str, stage: documents.Stage, fleet: documents.Fleet
 ) -> Iterator[faults.FieldFault]:
-    yield from field_rules.repeated(
+    yield from field_rules.duplicate_faults(
         f"{path}.versions", [entry.version for entry in stage.versions]
     )
     total_percent = 0.0
--- a/src/nutmeghook/internal/config/tokens.py
+++ b/src/nutmeghook/internal/config/tokens.py
@@ -24,19 +24,19 @@
     nothing about how much of a guessed text is right.
     """
 
-    __slots__ = ("_config", "_holders", "_indexed")
+    __slots__ = ("_config", "_holders", "_indexed_snapshot")
 
     def __init__(self, *, config: view_module.ConfigView):
         self._config = config
-        self._indexed: documents.Snapshot | None = None
+        self._indexed_snapshot: documents.Snapshot | None = None
         self._holders: dict[str, TokenHolder] = {}
 
     def find(self, token_text: str) -> TokenHolder | None:
         """Returns the holder in the configuration in force, if any."""
         snapshot = self._config.snapshot
-        if snapshot is not self._indexed:
+        if snapshot is not self._indexed_snapshot:
             self._holders = _index(snapshot)
-            self._indexed = snapshot
+            self._indexed_snapshot = snapshot
         return self._holders.get(digest(token_text))
 
 
--- a/src/nutmeghook/internal/config/validation.py
+++ b/src/nutmeghook/internal/config/validation.py
@@ -40,7 +40,7 @@
 def _fleet_faults(fleet: documents.Fleet) -> Iterator[faults.FieldFault]:
     path = edits.FLEET_DOCUMENT
     names = [model.name for model in fleet.models]
-    yield from field_rules.repeated(f"{path}.models", names)
+    yield from field_rules.duplicate_faults(f"{path}.models", names)
     for index, model in enumerate(fleet.models):
         at = f"{path}.models[{index}]"
         if not field_rules.MODEL_NAME.fullmatch(model.name):
@@ -87,7 +87,7 @@
                 model,
                 "name a model of the fleet's catalogue, or add it there first",
             )
-    yield from field_rules.repeated(
+    yield from field_rules.duplicate_faults(
         f"{path}.tokens", [t.name for t in team.tokens]
     )
     for index, token in enumerate(team.tokens):
--- a/src/nutmeghook/internal/leases/keeper.py
+++ b/src/nutmeghook/internal/leases/keeper.py
@@ -55,15 +55,15 @@
         "_random",
         "_rank",
         "_row",
-        "_row_seen_at",
+        "_row_changed_at",
         "_settings",
-        "_started_at",
         "_stopped",
         "_table",
         "_valid_until",
         "_version",
         "_wake",
         "_write_number",
+        "_write_started_at",
         "incarnation",
     )
 
@@ -93,10 +93,10 @@
         self._is_dead = is_dead
         self._row: rows.LeaseRow | None = None
         self._version = table_module.ABSENT_VERSION
-        self._row_seen_at = clock.monotonic()
+        self._row_changed_at = clock.monotonic()
         self._valid_until = _ZERO
         # When each write that may yet turn out to be ours was begun.
-        self._started_at: dict[int, datetime.timedelta] = {}
+        self._write_started_at: dict[int, datetime.timedelta] = {}
         self._outranked_since: datetime.timedelta | None = None
         self._stopped = False
         self._write_number = 0
@@ -162,16 +162,16 @@
         if self.last_token() is not None:
             await self._renew_or_hand_over()
         elif self._rank() is not None:
-            await self.look()
-            if self._may_take():
-                await self._take()
+            await self.read_row()
+            if self._may_acquire():
+                await self._acquire()
 
-    async def look(self) -> None:
+    async def read_row(self) -> None:
         """Reads the row."""
         row = await self._table.read(self.row_key)
         # Counted from after the read: whoever wrote this version began to
         # count before it, and so stops before us.
-        self._see(row)
+        self._observe_row(row)
 
     async def release(self) -> None:
         """Gives the lease up, so that another may take it at once.
@@ -181,31 +181,31 @@
                 lapses by itself.
         """
         self._stopped = True
-        await self._give_up()
+        await self._release()
 
-    def adopt(self, row: table_module.Row | None) -> bool:
+    def apply_row(self, row: table_module.Row | None) -> bool:
         """Takes in the row that a failed condition showed.
 
         Returns:
             Whether the lease is still this instance's.
         """
-        self._see(row)
+        self._observe_row(row)
         return self.last_token() is not None
 
     async def _renew_or_hand_over(self) -> None:
         if self._is_outranked():
-            await self._give_up()
+            await self._release()
             return
-        await self._write(self._my_row(token=self._row.token))
+        await self._write(self._own_row(token=self._row.token))
 
-    async def _give_up(self) -> None:
+    async def _release(self) -> None:
         if self.last_token() is None:
             return
         self._valid_until = _ZERO
         # An earlier renewal in doubt must not make the lease count again.
-        self._started_at.clear()
+        self._write_started_at.clear()
         released = msgspec.structs.replace(
-            self._my_row(token=self._row.token), released=True
+            self._own_row(token=self._row.token), released=True
         )
         await self._write(released)
 
@@ -219,24 +219,24 @@
             self._outranked_since = now
         return now - self._outranked_since >= self._settings.settle
 
-    def _may_take(self) -> bool:
+    def _may_acquire(self) -> bool:
         rank = self._rank()
         if rank is None:
             return False
         # The preferred instance goes first; the others leave it the time.
-        patience = rank * self._settings.poll_every
-        unchanged_for = self._clock.monotonic() - self._row_seen_at
+        rank_delay = rank * self._settings.poll_every
+        unchanged_for = self._clock.monotonic() - self._row_changed_at
         if self._row is None or self._row.released:
-            return unchanged_for >= patience
+            return unchanged_for >= rank_delay
         if self._is_dead is not None and self._is_dead(self._row.holder):
-            lapse = _MISSED_RENEWALS * self._settings.renew_every
+            expiry = _MISSED_RENEWALS * self._settings.renew_every
         else:
-            lapse = datetime.timedelta(milliseconds=self._row.duration_ms)
-        return unchanged_for >= lapse + self._settings.margin + patience
+            expiry = datetime.timedelta(milliseconds=self._row.duration_ms)
+        return unchanged_for >= expiry + self._settings.margin + rank_delay
 
-    async def _take(self) -> None:
+    async def _acquire(self) -> None:
         last = 0 if self._row is None else self._row.token
-        await self._write(self._my_row(token=last + 1))
+        await self._write(self._own_row(token=last + 1))
 
     async def _write(self, row: rows.LeaseRow) -> None:
         """Writes the row on condition that it is still as last seen.
@@ -245,7 +245,7 @@
         same condition, so at most one of the two takes effect, and the row
         that a failed condition shows tells which.
         """
-        self._started_at[row.write_number] = self._clock.monotonic()
+        self._write_started_at[row.write_number] = self._clock.monotonic()
         try:
             result = await self._table.commit(
                 table_module.Transaction(
@@ -262,10 +262,10 @@
                 )
             )
         except failures.NotDoneError:
-            self._started_at.pop(row.write_number, None)
+            self._write_started_at.pop(row.write_number, None)
             raise
         if result.committed:
-            self._see(
+            self._observe_row(
                 table_module.Row(
                     key=self.row_key,
                     value=rows.encode(row),
@@ -274,9 +274,9 @@
             )
         else:
             current = {found.key: found for found in result.current}
-            self._see(current.get(self.row_key))
+            self._observe_row(current.get(self.row_key))
 
-    def _see(self, found: table_module.Row | None) -> None:
+    def _observe_row(self, found: table_module.Row | None) -> None:
         """Takes in the row's present version, and what it means."""
         version = found.version if found else table_module.ABSENT_VERSION
         if version == self._version:
@@ -284,10 +284,10 @@
         before = self.last_token()
         self._version = version
         self._row = rows.decode(found.value) if found else None
-        self._row_seen_at = self._clock.monotonic()
+        self._row_changed_at = self._clock.monotonic()
         self._extend_validity()
-        self._forget_old_starts()
-        self._note_change(before)
+        self._drop_expired_writes()
+        self._report_change(before)
 
     def _extend_validity(self) -> None:
         if not self._is_mine(self._row):
@@ -295,20 +295,20 @@
             return
         # The row says which of our writes made it, so that a write whose
         # answer was lost counts from its own start and not from a later one.
-        started = self._started_at.get(self._row.write_number)
+        started = self._write_started_at.get(self._row.write_number)
         if started is not None:
             lasts = self._settings.duration - self._settings.margin
             self._valid_until = max(self._valid_until, started + lasts)
 
-    def _forget_old_starts(self) -> None:
+    def _drop_expired_writes(self) -> None:
         oldest = self._clock.monotonic() - self._settings.duration
-        self._started_at = {
+        self._write_started_at = {
             number: started
-            for number, started in self._started_at.items()
+            for number, started in self._write_started_at.items()
             if started > oldest
         }
 
-    def _note_change(self, before: int | None) -> None:
+    def _report_change(self, before: int | None) -> None:
         after = self.last_token()
         if before == after:
             return
@@ -329,7 +329,7 @@
             and not row.released
         )
 
-    def _my_row(self, *, token: int) -> rows.LeaseRow:
+    def _own_row(self, *, token: int) -> rows.LeaseRow:
         self._write_number += 1
         return rows.LeaseRow(
             write_number=self._write_number,
@@ -343,12 +343,12 @@
 
     async def _pause(self) -> None:
         held = self.last_token() is not None
-        usual = (
+        period = (
             self._settings.renew_every if held else self._settings.poll_every
         )
         jitter = 1 + _JITTER_SHARE * (2 * self._random.random() - 1)
         try:
-            await self._clock.wait_for(self._wake.wait(), usual * jitter)
+            await self._clock.wait_for(self._wake.wait(), period * jitter)
         except TimeoutError:
             return
         # Many callers may ask at once; the pause bounds what that costs.
--- a/src/nutmeghook/internal/leases/led_part.py
+++ b/src/nutmeghook/internal/leases/leased_component.py
@@ -13,7 +13,7 @@
 from nutmeghook.internal.observe import events as events_module
 
 
-class LedPart(abc.ABC):
+class LeasedComponent(abc.ABC):
     """Keeps a lease beside the tasks that ask whether it is held.
 
     Args:
--- a/src/nutmeghook/internal/leases/preference.py
+++ b/src/nutmeghook/internal/leases/preference.py
@@ -31,12 +31,14 @@
     lease_name: str, view: members.MemberView
 ) -> list[members.Member]:
     """Returns the members that contend for a lease, preferred first."""
-    able = {
+    eligible = {
         member.incarnation: member
         for member in view.members()
         if member.health is members.MemberHealth.ALIVE
     }
-    return [able[name] for name in _first(lease_name, tuple(able))]
+    return [
+        eligible[name] for name in _top_candidates(lease_name, tuple(eligible))
+    ]
 
 
 # Kept, because every keeper asks each second, and with 420 members the order
@@ -44,7 +46,9 @@
 # other leases, and the orders before and after a member's change: with room
 # for 64 in all, 67 leases asked in turn and never found theirs.
 @functools.lru_cache(maxsize=256)
-def _first(lease_name: str, incarnations: tuple[str, ...]) -> tuple[str, ...]:
+def _top_candidates(
+    lease_name: str, incarnations: tuple[str, ...]
+) -> tuple[str, ...]:
     ordered = sorted(
         incarnations,
         key=lambda incarnation: xxhash.xxh3_64_intdigest(
--- a/src/nutmeghook/internal/ledger/log.py
+++ b/src/nutmeghook/internal/ledger/log.py
@@ -247,7 +247,7 @@
                 return written.version
             raise LostPartitionError
         # Only the lease's row differs: a renewal of our own, or the end.
-        still_mine = self._lease.adopt(current.get(self._lease.row_key))
+        still_mine = self._lease.apply_row(current.get(self._lease.row_key))
         if not still_mine or self._lease.last_token() != self._token:
             raise LostPartitionError
         return None
--- a/src/nutmeghook/internal/membership/claims.py
+++ b/src/nutmeghook/internal/membership/claims.py
@@ -37,12 +37,12 @@
         return self.member.health is not members_module.MemberHealth.DEAD
 
     @property
-    def has_place(self) -> bool:
+    def has_location(self) -> bool:
         """Whether the claim tells where the member is."""
         return bool(self.member.data_centre)
 
 
-def to_state(claim: Claim, *, with_place: bool) -> ttypes.MemberState:
+def to_state(claim: Claim, *, with_location: bool) -> ttypes.MemberState:
     """Returns the message for a claim."""
     member = claim.member
     return ttypes.MemberState(
@@ -51,8 +51,8 @@
         state=int(member.health),
         number=claim.number,
         config_revision=member.config_revision,
-        region=member.region if with_place else None,
-        data_centre=member.data_centre if with_place else None,
+        region=member.region if with_location else None,
+        data_centre=member.data_centre if with_location else None,
     )
 
 
--- a/src/nutmeghook/internal/membership/detector.py
+++ b/src/nutmeghook/internal/membership/detector.py
@@ -16,11 +16,11 @@
 _HELPERS = 3
 # A cut region silences hundreds at once. More suspects than this wait their
 # turn, which bounds the bytes spent on them; others examine the rest.
-_EXAMINED_AT_ONCE = 2
+_MAX_CONCURRENT_CONFIRMATIONS = 2
 _PROBES_WHILE_UNCONFIRMED = 3
 # A wait that took this much longer than asked means that this process stood
 # still or starved, and that its timeouts prove nothing about others.
-_OVERSLEPT = datetime.timedelta(seconds=1)
+_MAX_OVERSLEEP = datetime.timedelta(seconds=1)
 
 
 class _Round(enum.Enum):
@@ -39,9 +39,9 @@
     """
 
     __slots__ = (
+        "_checked",
         "_clock",
-        "_examined",
-        "_examiners",
+        "_confirmation_slots",
         "_gossip",
         "_listener",
         "_queue",
@@ -68,8 +68,10 @@
         self._timing = timing
         self._listener = listener
         self._queue: list[str] = []
-        self._examined: set[str] = set()
-        self._examiners = asyncio.Semaphore(_EXAMINED_AT_ONCE)
+        self._checked: set[str] = set()
+        self._confirmation_slots = asyncio.Semaphore(
+            _MAX_CONCURRENT_CONFIRMATIONS
+        )
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
@@ -108,37 +110,37 @@
 
     def _start_check(self, record: table_module.Record) -> None:
         address = record.member.inner_address
-        if address in self._examined:
+        if address in self._checked:
             return
-        self._examined.add(address)
+        self._checked.add(address)
         task = asyncio.create_task(self._check(record))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _check(self, record: table_module.Record) -> None:
         address = record.member.inner_address
-        accused = record.claim
+        suspected = record.claim
         try:
-            if await self._round(accused.member) is not _Round.SILENT:
+            if await self._round(suspected.member) is not _Round.SILENT:
                 return
             self._set_suspected(record, True)
-            async with self._examiners:
-                await self._examine(record, accused)
+            async with self._confirmation_slots:
+                await self._confirm(record, suspected)
         finally:
-            self._examined.discard(address)
+            self._checked.discard(address)
 
-    async def _examine(
-        self, record: table_module.Record, accused: claims.Claim
+    async def _confirm(
+        self, record: table_module.Record, suspected: claims.Claim
     ) -> None:
         """Asks until the member answers, speaks for itself, or is dead."""
         silent_rounds = 0
         while silent_rounds < self._timing.confirmations:
             started = self._clock.monotonic()
-            outcome = await self._round(accused.member)
+            outcome = await self._round(suspected.member)
             if outcome is _Round.ANSWERED:
                 self._set_suspected(record, False)
                 return
-            if record.claim.order[:2] != accused.order[:2]:
+            if record.claim.order[:2] != suspected.order[:2]:
                 return
             if not record.claim.is_running:
                 return
@@ -146,16 +148,16 @@
                 silent_rounds += 1
             spent = self._clock.monotonic() - started
             await self._clock.sleep(self._timing.round_timeout - spent)
-        self._condemn(accused)
+        self._declare_dead(suspected)
 
-    def _condemn(self, accused: claims.Claim) -> None:
+    def _declare_dead(self, suspected: claims.Claim) -> None:
         """Declares a member dead.
 
         An instance that nobody answers may be the one that is cut off, even
         if what it sends still arrives. It would take the whole fleet for dead
         and talk the others into it, so it keeps its conclusion to itself.
         """
-        claim = self._table.condemn(accused)
+        claim = self._table.declare_dead(suspected)
         if claim is None:
             return
         if self._gossip.is_confirmed():
@@ -172,21 +174,21 @@
         two datagrams; going to three helpers at once would cost twelve.
         """
         started = self._clock.monotonic()
-        if await self._ask(member) or await self._ask(member):
+        if await self._probe(member) or await self._probe(member):
             return _Round.ANSWERED
-        if await self._ask_helpers(member):
+        if await self._probe_via_helpers(member):
             return _Round.ANSWERED
         took = self._clock.monotonic() - started
-        if took > self._timing.round_timeout + _OVERSLEPT:
+        if took > self._timing.round_timeout + _MAX_OVERSLEEP:
             return _Round.VOID
         return _Round.SILENT
 
-    async def _ask(self, member: members_module.Member) -> bool:
+    async def _probe(self, member: members_module.Member) -> bool:
         return await self._gossip.probe(
             member.inner_address, timeout=self._timing.direct_timeout
         )
 
-    async def _ask_helpers(self, member: members_module.Member) -> bool:
+    async def _probe_via_helpers(self, member: members_module.Member) -> bool:
         answers = await asyncio.gather(
             *(
                 self._gossip.probe(
--- a/src/nutmeghook/internal/membership/exchange.py
+++ b/src/nutmeghook/internal/membership/exchange.py
@@ -15,7 +15,7 @@
 # What the swaps that this instance begins may cost it, sent and received. 420
 # members are 30 KB each way, so a swap each 90 s then.
 _BYTES_PER_S = 700
-_BYTES_A_MEMBER = 75
+_BYTES_PER_MEMBER = 75
 
 
 class TableExchange:
@@ -31,10 +31,10 @@
         "_clock",
         "_gossip",
         "_introduce_until",
+        "_learned",
         "_next_at",
         "_random",
         "_table",
-        "_taught",
         "_timing",
     )
 
@@ -57,9 +57,9 @@
         self._next_at = clock.monotonic()
         self._introduce_until = clock.monotonic() + timing.introduction
         # Until one exchange went well this instance knows next to nothing.
-        self._taught = True
+        self._learned = True
 
-    def take_turn(self) -> bool:
+    def try_begin(self) -> bool:
         """Tells whether a difference from another member warrants a swap.
 
         If so, the caller makes it at once; no other is due meanwhile.
@@ -69,12 +69,12 @@
             return False
         # Rumours of a change are still on their way; they are cheaper.
         settled = now - self._table.changed_at >= self._timing.settle
-        if not settled and not self._taught:
+        if not settled and not self._learned:
             return False
         self._next_at = now + _TIMEOUT
         return True
 
-    async def swap_with(self, inner_address: str) -> None:
+    async def sync_with(self, inner_address: str) -> None:
         """Sends the table to a member and merges the one it returns."""
         try:
             reply = await self._caller.call(
@@ -82,16 +82,16 @@
             )
         except (peers.PeerUnreachableError, peers.PeerRefusedError):
             return
-        self._taught = self._merge(reply)
+        self._learned = self._merge(reply)
         jitter = self._random.uniform(0.8, 1.2)
-        self._next_at = self._clock.monotonic() + self._pause() * jitter
+        self._next_at = self._clock.monotonic() + self._next_delay() * jitter
 
-    def _pause(self) -> datetime.timedelta:
+    def _next_delay(self) -> datetime.timedelta:
         members_count = len(self._table.running()) + 1
-        size_bytes = 2 * _BYTES_A_MEMBER * members_count
+        size_bytes = 2 * _BYTES_PER_MEMBER * members_count
         affordable = datetime.timedelta(seconds=size_bytes / _BYTES_PER_S)
-        hurried = self._timing.hurried_sync_period
-        if self._taught:
+        hurried = self._timing.fast_sync_period
+        if self._learned:
             # A fleet that starts all at once has nothing better to do.
             is_new = self._clock.monotonic() < self._introduce_until
             return hurried if is_new else max(affordable, hurried)
@@ -105,14 +105,15 @@
 
     def _message(self) -> ttypes.MemberTable:
         everyone = [record.claim for record in self._table.running()]
-        everyone.append(self._table.mine)
+        everyone.append(self._table.own_claim)
         return ttypes.MemberTable(
-            states=[claims.to_state(c, with_place=True) for c in everyone]
+            states=[claims.to_state(c, with_location=True) for c in everyone]
         )
 
     def _merge(self, table: ttypes.MemberTable) -> bool:
         """Merges a table; returns whether it taught anything."""
         verdicts = [
-            self._gossip.believe(claim) for claim in claims.usable(table.states)
+            self._gossip.apply_claim(claim)
+            for claim in claims.usable(table.states)
         ]
         return table_module.Verdict.ADOPTED in verdicts
--- a/src/nutmeghook/internal/membership/gossip.py
+++ b/src/nutmeghook/internal/membership/gossip.py
@@ -113,13 +113,13 @@
         sent_at = self._clock.monotonic()
         try:
             self._send_probe(inner_address, sequence, target_address)
-            accused = await self._clock.wait_for(ack, timeout)
+            refuted = await self._clock.wait_for(ack, timeout)
         except TimeoutError:
             return False
         finally:
             del self._waiting[sequence]
-        self._table.note_answer(target_address or inner_address, sent_at)
-        if not accused:
+        self._table.record_ack(target_address or inner_address, sent_at)
+        if not refuted:
             self._confirmed_at = max(self._confirmed_at or sent_at, sent_at)
         return True
 
@@ -132,7 +132,7 @@
     ) -> None:
         probe = ttypes.Probe(
             sender=self._sender(),
-            rumours=self._news_for(inner_address),
+            rumours=self._rumours_for(inner_address),
             target_address=target_address,
             members_hash=self._table.running_hash(),
         )
@@ -143,30 +143,30 @@
     ) -> None:
         ack = ttypes.ProbeAck(
             sender=self._sender(),
-            rumours=self._news_for(inner_address),
+            rumours=self._rumours_for(inner_address),
             members_hash=self._table.running_hash(),
         )
         record = self._table.record(target_address or "")
         if record is not None:
-            ack.rumours.insert(0, _with_place(record.claim))
+            ack.rumours.insert(0, _with_location(record.claim))
         self._send(inner_address, ack, sequence)
 
     def _sender(self) -> ttypes.MemberState:
         introduces = self._clock.monotonic() < self._introduce_until
-        return claims.to_state(self._table.mine, with_place=introduces)
+        return claims.to_state(self._table.own_claim, with_location=introduces)
 
-    def _news_for(self, inner_address: str) -> list[ttypes.MemberState]:
+    def _rumours_for(self, inner_address: str) -> list[ttypes.MemberState]:
         """Returns rumours, and first whether the receiver is held for dead.
 
         That is how a member that was frozen or cut off learns of it: by the
         first message of anyone who believes it.
         """
         running = len(self._table.running()) + 1
-        news = self._rumours.pick(running)
+        updates = self._rumours.pick(running)
         record = self._table.record(inner_address)
         if record is not None and not record.claim.is_running:
-            news = [record.claim, *(c for c in news if c != record.claim)]
-        return [_with_place(claim) for claim in news]
+            updates = [record.claim, *(c for c in updates if c != record.claim)]
+        return [_with_location(claim) for claim in updates]
 
     def _send(
         self,
@@ -204,11 +204,11 @@
         self._traffic.count_received(
             received.kind, len(data) + datagrams_module.HEADER_BYTES
         )
-        accused = self._merge(sender, received.message.rumours)
+        refuted = self._merge(sender, received.message.rumours)
         if isinstance(received.message, ttypes.ProbeAck):
             waiting = self._waiting.get(received.sequence)
             if waiting is not None and not waiting.done():
-                waiting.set_result(accused)
+                waiting.set_result(refuted)
         else:
             self._answer(received, sender.member.inner_address)
         if received.message.members_hash != self._table.running_hash():
@@ -230,19 +230,19 @@
         Returns:
             Whether one of them was a wrong one about this instance.
         """
-        accused = False
+        refuted = False
         for claim in [sender, *claims.usable(states)]:
-            verdict = self.believe(claim)
-            accused = accused or verdict is table_module.Verdict.REFUTED
-        return accused
+            verdict = self.apply_claim(claim)
+            refuted = refuted or verdict is table_module.Verdict.REFUTED
+        return refuted
 
-    def believe(self, claim: claims.Claim) -> table_module.Verdict:
+    def apply_claim(self, claim: claims.Claim) -> table_module.Verdict:
         """Merges one claim, spreads it if it is news, tells the listener."""
-        verdict = self._table.believe(claim)
+        verdict = self._table.apply_claim(claim)
         if verdict is table_module.Verdict.ADOPTED:
             self._rumours.add(claim)
         elif verdict is table_module.Verdict.REFUTED:
-            self._rumours.add(self._table.mine)
+            self._rumours.add(self._table.own_claim)
         if verdict is not table_module.Verdict.KNOWN:
             self._listener.on_verdict(claim, verdict)
         return verdict
@@ -268,5 +268,5 @@
             self._send_ack(asker_address, sequence, target_address)
 
 
-def _with_place(claim: claims.Claim) -> ttypes.MemberState:
-    return claims.to_state(claim, with_place=True)
+def _with_location(claim: claims.Claim) -> ttypes.MemberState:
+    return claims.to_state(claim, with_location=True)
--- a/src/nutmeghook/internal/membership/contacts.py
+++ b/src/nutmeghook/internal/membership/peer_discovery.py
@@ -13,11 +13,11 @@
 
 LIST_READERS = 2
 _LIST_PURPOSE = "instance list"
-_TRIED_WHILE_ALONE = 3
-_DISPUTES_A_PERIOD = 10
+_PROBES_WHILE_ALONE = 3
+_DISPUTES_PER_PERIOD = 10
 
 
-class Contacts:
+class PeerDiscovery:
     """Finds the members that the others' rumours can't bring.
 
     Few instances of each data centre read the list and try what is on it; an
@@ -68,7 +68,7 @@
         """
         self._disputed.add(inner_address)
 
-    async def run_list(self) -> None:
+    async def run_list_reads(self) -> None:
         """Reads the list at the start, then as a reader; until cancelled."""
         while True:
             if not self._hints.was_read or self._is_reader():
@@ -79,45 +79,45 @@
                 period = self._timing.probe_period
             await self._clock.sleep(period * jitter)
 
-    async def run_trials(self) -> None:
+    async def run_probes(self) -> None:
         """Tries addresses, until cancelled."""
         while True:
-            self._try_disputed()
+            self._probe_disputed()
             if self._is_alone():
-                self._try_missing(_TRIED_WHILE_ALONE)
+                self._probe_missing(_PROBES_WHILE_ALONE)
                 await self._clock.sleep(self._timing.probe_period)
                 continue
             if self._is_reader():
-                self._try_missing(1)
-            self._table.forget_dead(self._timing.dead_retention)
+                self._probe_missing(1)
+            self._table.drop_dead(self._timing.dead_retention)
             jitter = self._random.uniform(0.8, 1.2)
-            await self._clock.sleep(self._timing.contact_period * jitter)
+            await self._clock.sleep(self._timing.discovery_period * jitter)
 
     def stop(self) -> None:
         """Ends all trials."""
         for task in self._tasks:
             task.cancel()
 
-    def missing(self) -> list[str]:
+    def missing_addresses(self) -> list[str]:
         """Returns the addresses where a member may be that is not known."""
         known = {
             record.member.inner_address for record in self._table.running()
         }
-        known.add(self._table.mine.member.inner_address)
+        known.add(self._table.own_claim.member.inner_address)
         wanted = self._hints.addresses() | set(self._table.dead_addresses())
         return sorted(wanted - known)
 
-    def is_only_one(self) -> bool:
+    def is_sole_instance(self) -> bool:
         """Tells whether there is no other instance, as far as can be known.
 
         A list without this instance may be faulty, and then its lack of
         others means nothing.
         """
-        myself = self._table.mine.member.inner_address
+        myself = self._table.own_claim.member.inner_address
         return (
             self._is_alone()
             and self._hints.lists(myself)
-            and not self.missing()
+            and not self.missing_addresses()
         )
 
     def _is_alone(self) -> bool:
@@ -128,20 +128,20 @@
             self._view, count=LIST_READERS, purpose=_LIST_PURPOSE
         )
 
-    def _try_disputed(self) -> None:
-        for _ in range(min(len(self._disputed), _DISPUTES_A_PERIOD)):
-            self._try(self._disputed.pop())
+    def _probe_disputed(self) -> None:
+        for _ in range(min(len(self._disputed), _DISPUTES_PER_PERIOD)):
+            self._start_probe(self._disputed.pop())
 
-    def _try_missing(self, count: int) -> None:
+    def _probe_missing(self, count: int) -> None:
         for _ in range(count):
             if not self._queue:
-                self._queue = self.missing()
+                self._queue = self.missing_addresses()
                 self._random.shuffle(self._queue)
             if not self._queue:
                 return
-            self._try(self._queue.pop())
+            self._start_probe(self._queue.pop())
 
-    def _try(self, inner_address: str) -> None:
+    def _start_probe(self, inner_address: str) -> None:
         task = asyncio.create_task(
             self._gossip.probe(
                 inner_address, timeout=self._timing.direct_timeout
--- a/src/nutmeghook/internal/membership/rumours.py
+++ b/src/nutmeghook/internal/membership/rumours.py
@@ -6,17 +6,17 @@
 
 from nutmeghook.internal.membership import claims
 
-RUMOURS_A_MESSAGE = 5
+RUMOURS_PER_MESSAGE = 5
 # Each instance repeats a rumour this often for each doubling of the fleet.
 # With 2 a rumour misses fewer than one instance in a hundred at 5% loss; those
 # find their members' hash different and ask for the table.
-_REPEATS_A_DOUBLING = 2
+_REPEATS_PER_DOUBLING = 2
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Rumour:
     claim: claims.Claim
-    sent_times: int = 0
+    times_sent: int = 0
 
 
 class RumourQueue:
@@ -35,13 +35,13 @@
         """Returns what the next message carries, least often sent first."""
         limit = repeats(members_count)
         chosen = heapq.nsmallest(
-            RUMOURS_A_MESSAGE,
+            RUMOURS_PER_MESSAGE,
             self._rumours.values(),
-            key=lambda rumour: rumour.sent_times,
+            key=lambda rumour: rumour.times_sent,
         )
         for rumour in chosen:
-            rumour.sent_times += 1
-            if rumour.sent_times >= limit:
+            rumour.times_sent += 1
+            if rumour.times_sent >= limit:
                 del self._rumours[rumour.claim.member.inner_address]
         return [rumour.claim for rumour in chosen]
 
@@ -51,4 +51,4 @@
 
 def repeats(members_count: int) -> int:
     """Returns how often each instance repeats a rumour."""
-    return math.ceil(_REPEATS_A_DOUBLING * math.log2(members_count + 1))
+    return math.ceil(_REPEATS_PER_DOUBLING * math.log2(members_count + 1))
--- a/src/nutmeghook/internal/membership/service.py
+++ b/src/nutmeghook/internal/membership/service.py
@@ -13,20 +13,20 @@
 from nutmeghook.internal.inner import traffic as traffic_module
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.membership import claims
-from nutmeghook.internal.membership import contacts as contacts_module
 from nutmeghook.internal.membership import detector as detector_module
 from nutmeghook.internal.membership import exchange as exchange_module
 from nutmeghook.internal.membership import gossip as gossip_module
 from nutmeghook.internal.membership import listener as listener_module
 from nutmeghook.internal.membership import listing
 from nutmeghook.internal.membership import members as members_module
+from nutmeghook.internal.membership import peer_discovery as discovery_module
 from nutmeghook.internal.membership import table as table_module
 from nutmeghook.internal.membership import timing as timing_module
 from nutmeghook.internal.observe import events as events_module
 
 ChangeCallback = Callable[[members_module.Member], None]
 
-_FAREWELLS = 3
+_END_NOTICES = 3
 _EVENT_OF_HEALTH = {
     members_module.MemberHealth.SUSPECT: (
         events_module.EventKind.MEMBER_SUSPECTED
@@ -44,16 +44,16 @@
     __slots__ = (
         "_callbacks",
         "_clock",
-        "_contacts",
         "_detector",
+        "_discovery",
         "_ended",
         "_events",
         "_exchange",
         "_gossip",
         "_random",
-        "_swaps",
+        "_reported",
+        "_syncs",
         "_table",
-        "_told",
     )
 
     def __init__(
@@ -97,13 +97,13 @@
         self._random = random
         self._events = events
         self._callbacks: list[ChangeCallback] = []
-        self._swaps: set[asyncio.Task] = set()
+        self._syncs: set[asyncio.Task] = set()
         self._ended = False
-        self._told: dict[str, members_module.Member] = {}
+        self._reported: dict[str, members_module.Member] = {}
         self._table = table_module.MemberTable(
             myself=claims.Claim(member=myself, number=number),
             clock=clock,
-            fresh_answer=timing.probe_period * 3,
+            max_ack_age=timing.probe_period * 3,
         )
         self._gossip = gossip_module.Gossip(
             clock=clock,
@@ -130,7 +130,7 @@
             gossip=self._gossip,
             timing=timing,
         )
-        self._contacts = contacts_module.Contacts(
+        self._discovery = discovery_module.PeerDiscovery(
             clock=clock,
             random=random,
             view=self,
@@ -146,7 +146,7 @@
     @property
     def myself(self) -> members_module.Member:
         """This instance."""
-        return self._table.mine.member
+        return self._table.own_claim.member
 
     def members(self) -> list[members_module.Member]:
         """All members but dead ones, this instance among them."""
@@ -161,7 +161,7 @@
         acting on what being a member entitles to. An instance that knows of
         no other is confirmed.
         """
-        return self._gossip.is_confirmed() or self._contacts.is_only_one()
+        return self._gossip.is_confirmed() or self._discovery.is_sole_instance()
 
     def on_change(self, callback: ChangeCallback) -> None:
         """Has `callback` called with each other member whose state changed.
@@ -193,53 +193,53 @@
         self._gossip.start()
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._contacts.run_list())
-                group.create_task(self._contacts.run_trials())
+                group.create_task(self._discovery.run_list_reads())
+                group.create_task(self._discovery.run_probes())
                 group.create_task(self._detector.run())
         finally:
             self._gossip.stop()
             self._detector.stop()
-            self._contacts.stop()
-            for swap in self._swaps:
-                swap.cancel()
+            self._discovery.stop()
+            for sync in self._syncs:
+                sync.cancel()
 
     def on_verdict(
         self, claim: claims.Claim, verdict: table_module.Verdict
     ) -> None:
         """Acts on a claim; called by gossip and the detector."""
         if verdict is table_module.Verdict.ADOPTED:
-            self._tell(claim.member)
+            self._notify(claim.member)
         elif verdict is table_module.Verdict.DISPUTED:
-            self._contacts.dispute(claim.member.inner_address)
+            self._discovery.dispute(claim.member.inner_address)
         elif verdict is table_module.Verdict.REFUTED:
             eliot.log_message(
-                "membership:refuted", number=self._table.mine.number
+                "membership:refuted", number=self._table.own_claim.number
             )
 
     def on_difference(self, inner_address: str) -> None:
         """Swaps tables with a member that knows others."""
-        if self._ended or not self._exchange.take_turn():
+        if self._ended or not self._exchange.try_begin():
             return
-        swap = asyncio.create_task(self._exchange.swap_with(inner_address))
-        self._swaps.add(swap)
-        swap.add_done_callback(self._swaps.discard)
+        sync = asyncio.create_task(self._exchange.sync_with(inner_address))
+        self._syncs.add(sync)
+        sync.add_done_callback(self._syncs.discard)
 
     def on_suspicion(self, member: members_module.Member) -> None:
         """Tells callbacks; called by the detector."""
-        self._tell(member)
+        self._notify(member)
 
-    def _tell(self, member: members_module.Member) -> None:
+    def _notify(self, member: members_module.Member) -> None:
         """Calls back if the member's state differs from what was told."""
         address = member.inner_address
-        before = self._told.get(address)
+        before = self._reported.get(address)
         if member.health is members_module.MemberHealth.DEAD:
-            self._told.pop(address, None)
+            self._reported.pop(address, None)
             if before is None:
                 return
         elif before is not None and _same_state(before, member):
             return
         else:
-            self._told[address] = member
+            self._reported[address] = member
         self._record(before, member)
         for callback in self._callbacks:
             # A faulty callback would keep this instance from answering the
@@ -267,9 +267,9 @@
 
     def _announce(self, health: members_module.MemberHealth) -> None:
         self._table.announce(health)
-        self._gossip.spread(self._table.mine)
+        self._gossip.spread(self._table.own_claim)
         others = self._table.running()
-        chosen = self._random.sample(others, min(_FAREWELLS, len(others)))
+        chosen = self._random.sample(others, min(_END_NOTICES, len(others)))
         for record in chosen:
             self._gossip.announce_to(record.member.inner_address)
 
--- a/src/nutmeghook/internal/membership/table.py
+++ b/src/nutmeghook/internal/membership/table.py
@@ -43,7 +43,7 @@
 
     claim: claims.Claim
     is_suspected: bool = False
-    answered_at: datetime.timedelta | None = None
+    acked_probe_sent_at: datetime.timedelta | None = None
     died_at: datetime.timedelta | None = None
 
     @property
@@ -60,8 +60,8 @@
 
     __slots__ = (
         "_clock",
-        "_fresh_answer",
-        "_mine",
+        "_max_ack_age",
+        "_own_claim",
         "_records",
         "_running_hash",
         "changed_at",
@@ -72,31 +72,35 @@
         *,
         myself: claims.Claim,
         clock: clock_module.Clock,
-        fresh_answer: datetime.timedelta,
+        max_ack_age: datetime.timedelta,
     ):
-        self._mine = myself
+        self._own_claim = myself
         self._clock = clock
-        self._fresh_answer = fresh_answer
+        self._max_ack_age = max_ack_age
         self._records: dict[str, Record] = {}
         self._running_hash: int | None = None
         self.changed_at = clock.monotonic()
 
     @property
-    def mine(self) -> claims.Claim:
+    def own_claim(self) -> claims.Claim:
         """What this instance says of itself."""
-        return self._mine
+        return self._own_claim
 
     def announce(self, health: members_module.MemberHealth) -> None:
         """Says something new of this instance."""
-        member = msgspec.structs.replace(self._mine.member, health=health)
-        self._mine = claims.Claim(member=member, number=self._mine.number + 1)
+        member = msgspec.structs.replace(self._own_claim.member, health=health)
+        self._own_claim = claims.Claim(
+            member=member, number=self._own_claim.number + 1
+        )
 
     def set_config_revision(self, revision: int) -> None:
         """Sets what this instance has in force."""
         member = msgspec.structs.replace(
-            self._mine.member, config_revision=revision
+            self._own_claim.member, config_revision=revision
+        )
+        self._own_claim = claims.Claim(
+            member=member, number=self._own_claim.number
         )
-        self._mine = claims.Claim(member=member, number=self._mine.number)
 
     def record(self, inner_address: str) -> Record | None:
         """Returns what is believed of another address."""
@@ -121,37 +125,37 @@
         else they know of them.
         """
         if self._running_hash is None:
-            total = _hash_of(self._mine.member)
+            total = _hash_of(self._own_claim.member)
             for record in self.running():
                 total ^= _hash_of(record.claim.member)
             self._running_hash = total & _HASH_MASK
         return self._running_hash
 
-    def believe(self, claim: claims.Claim) -> Verdict:
+    def apply_claim(self, claim: claims.Claim) -> Verdict:
         """Merges what anyone said of anyone."""
         address = claim.member.inner_address
-        if address == self._mine.member.inner_address:
-            return self._believe_of_myself(claim)
+        if address == self._own_claim.member.inner_address:
+            return self._apply_claim_about_self(claim)
         record = self._records.get(address)
         if record is None:
-            if claim.is_running and not claim.has_place:
+            if claim.is_running and not claim.has_location:
                 return Verdict.UNPLACED
             return self._adopt(Record(claim=claim))
         if claim.order <= record.claim.order:
-            return self._learn_details(record, claim)
-        if self._contradicts_an_answer(record, claim):
+            return self._merge_details(record, claim)
+        if self._contradicts_recent_ack(record, claim):
             return Verdict.KNOWN
         return self._adopt(record, claim)
 
-    def note_answer(
+    def record_ack(
         self, inner_address: str, sent_at: datetime.timedelta
     ) -> None:
         """Notes that a member answered a probe that left at `sent_at`."""
         record = self._records.get(inner_address)
         if record is not None:
-            record.answered_at = sent_at
+            record.acked_probe_sent_at = sent_at
 
-    def condemn(self, suspected: claims.Claim) -> claims.Claim | None:
+    def declare_dead(self, suspected: claims.Claim) -> claims.Claim | None:
         """Declares a member dead, unless it said something since.
 
         Returns:
@@ -166,7 +170,7 @@
         )
         return record.claim
 
-    def forget_dead(self, retention: datetime.timedelta) -> None:
+    def drop_dead(self, retention: datetime.timedelta) -> None:
         """Drops what is remembered of members that died long ago."""
         oldest = self._clock.monotonic() - retention
         self._records = {
@@ -175,24 +179,26 @@
             if record.died_at is None or record.died_at > oldest
         }
 
-    def _believe_of_myself(self, claim: claims.Claim) -> Verdict:
+    def _apply_claim_about_self(self, claim: claims.Claim) -> Verdict:
         """Outbids whatever is said of this address and isn't so.
 
         Either others took a frozen or cut instance for dead, or they still
         hold to the process that had the address before. They take back
         neither for less than a higher number.
         """
-        mine = self._mine
+        own_claim = self._own_claim
         says_the_same = (
-            claim.order[:2] == mine.order[:2]
-            and claim.member.health <= mine.member.health
+            claim.order[:2] == own_claim.order[:2]
+            and claim.member.health <= own_claim.member.health
         )
-        if claim.number < mine.number or says_the_same:
+        if claim.number < own_claim.number or says_the_same:
             return Verdict.KNOWN
-        self._mine = claims.Claim(member=mine.member, number=claim.number + 1)
+        self._own_claim = claims.Claim(
+            member=own_claim.member, number=claim.number + 1
+        )
         return Verdict.REFUTED
 
-    def _learn_details(self, record: Record, claim: claims.Claim) -> Verdict:
+    def _merge_details(self, record: Record, claim: claims.Claim) -> Verdict:
         known = record.claim
         if claim.order[:2] != known.order[:2]:
             return Verdict.KNOWN
@@ -201,7 +207,7 @@
         record.claim = _with_details(known, claim)
         return Verdict.KNOWN
 
-    def _contradicts_an_answer(
+    def _contradicts_recent_ack(
         self, record: Record, claim: claims.Claim
     ) -> bool:
         """Tells a mistaken accusation by this instance's own evidence.
@@ -210,21 +216,21 @@
         this one, is alive; to believe the accuser would let one bad link
         remove a member everywhere.
         """
-        if claim.is_running or record.answered_at is None:
+        if claim.is_running or record.acked_probe_sent_at is None:
             return False
         if claim.order[:2] != record.claim.order[:2]:
             return False
-        age = self._clock.monotonic() - record.answered_at
+        age = self._clock.monotonic() - record.acked_probe_sent_at
         # A member that says itself that it ends is believed: see `announce`,
         # which raises the number.
-        return age <= self._fresh_answer
+        return age <= self._max_ack_age
 
     def _adopt(
         self, record: Record, claim: claims.Claim | None = None
     ) -> Verdict:
         if claim is not None:
             if claim.member.incarnation != record.claim.member.incarnation:
-                record.answered_at = None
+                record.acked_probe_sent_at = None
             record.claim = _with_details(claim, record.claim)
         record.is_suspected = False
         now = self._clock.monotonic()
@@ -238,7 +244,7 @@
 def _with_details(claim: claims.Claim, other: claims.Claim) -> claims.Claim:
     """Returns a claim with what another one of the address can add to it."""
     member = claim.member
-    if not claim.has_place and other.has_place:
+    if not claim.has_location and other.has_location:
         member = msgspec.structs.replace(
             member,
             region=other.member.region,
--- a/src/nutmeghook/internal/membership/timing.py
+++ b/src/nutmeghook/internal/membership/timing.py
@@ -16,12 +16,12 @@
         confirmations: Rounds without any ack before a suspect is declared
             dead. Their sum is the longest freeze that costs nothing.
         list_period: Between readings of the instance list by a reader.
-        contact_period: Between a reader's probes of listed instances that are
+        discovery_period: Between a reader's probes of listed instances that are
             believed dead or were never heard of.
         settle: How long rumours of a change take to reach everyone; other
             instances' different members mean nothing meanwhile.
         sync_period: Between exchanges of whole tables, at most.
-        hurried_sync_period: The same after an exchange that taught something.
+        fast_sync_period: The same after an exchange that taught something.
         dead_retention: How long a dead member is remembered, so that old news
             do not revive it and a healed cut finds it.
         introduction: How long after its start an instance says where it is.
@@ -32,10 +32,10 @@
     indirect_timeout: datetime.timedelta = datetime.timedelta(milliseconds=800)
     confirmations: int = 3
     list_period: datetime.timedelta = datetime.timedelta(seconds=5)
-    contact_period: datetime.timedelta = datetime.timedelta(seconds=2)
+    discovery_period: datetime.timedelta = datetime.timedelta(seconds=2)
     settle: datetime.timedelta = datetime.timedelta(seconds=5)
     sync_period: datetime.timedelta = datetime.timedelta(seconds=20)
-    hurried_sync_period: datetime.timedelta = datetime.timedelta(seconds=3)
+    fast_sync_period: datetime.timedelta = datetime.timedelta(seconds=3)
     dead_retention: datetime.timedelta = datetime.timedelta(hours=2)
     introduction: datetime.timedelta = datetime.timedelta(seconds=60)
 
--- a/src/nutmeghook/internal/orders/service.py
+++ b/src/nutmeghook/internal/orders/service.py
@@ -10,7 +10,7 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.dependencies import weights as weights_module
 from nutmeghook.internal.foundation import clock as clock_module
-from nutmeghook.internal.leases import led_part
+from nutmeghook.internal.leases import leased_component
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.orders import cell_reports
@@ -19,7 +19,7 @@
 from nutmeghook.internal.orders import weight_grants
 
 
-class Orders(led_part.LedPart):
+class Orders(leased_component.LeasedComponent):
     """Gives orders to engines where this instance holds the lease."""
 
     __slots__ = ("_controller",)
--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -8,10 +8,10 @@
 from nutmeghook.experiment import checks
 from nutmeghook.experiment import configuration_steps
 from nutmeghook.internal.config import assembly
+from nutmeghook.internal.config import distribution_tree
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.config import edits
 from nutmeghook.internal.config import operations
-from nutmeghook.internal.config import partners
 from nutmeghook.internal.config import rows
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.foundation import clock as clock_module
@@ -89,12 +89,12 @@
         """The inner addresses of all members, started or not."""
         return [member.inner_address for member in self.members]
 
-    def listeners(self) -> list[str]:
+    def non_readers(self) -> list[str]:
         """Returns the members that leave reading the store to others."""
         return [
             address
             for address in self.addresses
-            if not partners.is_reader(self._view(address))
+            if not distribution_tree.is_reader(self._view(address))
         ]
 
     def start(self, *addresses: str, run: bool = True) -> None:
--- a/tests/config_machine.py
+++ b/tests/config_machine.py
@@ -26,7 +26,7 @@
 moments = strategies.integers(1, 80).map(lambda n: n * SECOND / 20)
 
 
-class TravellingWrites(faults_module.Faults):
+class DelayedWrites(faults_module.Faults):
     """A slow store's writes also take time until their effect.
 
     Between reading the head and the effect of the commit another instance
@@ -50,7 +50,7 @@
         self.runner = asyncio.Runner()
         self.calls: list[asyncio.Task] = []
         # Operation id, revision when accepted, moments of call and answer.
-        self.told: list[tuple[rows.OperationRecord, float, float]] = []
+        self.reported: list[tuple[rows.OperationRecord, float, float]] = []
         self.highest: dict[int, int] = {}
         self.fleet = self.run(self._set_up())
 
@@ -59,7 +59,7 @@
 
     async def _set_up(self) -> config_fleet.ConfigFleet:
         fleet = config_fleet.ConfigFleet(data_centres=INSTANCES)
-        fleet.table.faults = TravellingWrites(clock=fleet.clock)
+        fleet.table.faults = DelayedWrites(clock=fleet.clock)
         fleet.start()
         first = config_fleet.operation("first-op", config_fleet.first_import())
         await fleet.accept(fleet.addresses[0], first)
@@ -200,7 +200,7 @@
                 record = await start()
             except errors.CodedError:
                 return
-            self.told.append((record, begun, self.fleet.clock.monotonic()))
+            self.reported.append((record, begun, self.fleet.clock.monotonic()))
 
         async def begin():
             self.calls.append(asyncio.ensure_future(call()))
@@ -244,20 +244,20 @@
         """Each outcome told is the one on record, and true of the log."""
         made = [change.operation_id for change in changes]
         assert len(made) == len(set(made)), "made twice"
-        for told, _, _ in self.told:
+        for reported, _, _ in self.reported:
             kept = await self.parts(0).store.operation(
-                config_fleet.TEAM, told.operation_id
+                config_fleet.TEAM, reported.operation_id
             )
-            assert kept == told, "two outcomes"
-            accepted = told.outcome is rows.Outcome.ACCEPTED
-            assert accepted == (told.operation_id in made), "untrue outcome"
+            assert kept == reported, "two outcomes"
+            accepted = reported.outcome is rows.Outcome.ACCEPTED
+            assert accepted == (reported.operation_id in made), "untrue outcome"
 
     def _judge_order(self) -> None:
         """What was answered before another was asked for came before it."""
         accepted = [
-            told
-            for told in self.told
-            if told[0].outcome is rows.Outcome.ACCEPTED
+            reported
+            for reported in self.reported
+            if reported[0].outcome is rows.Outcome.ACCEPTED
         ]
         first_asked: dict[str, datetime.timedelta] = {}
         for record, begun, _ in accepted:
--- a/tests/cover/membership_scene.py
+++ b/tests/cover/membership_scenario.py
@@ -14,7 +14,7 @@
 DEAD = members_module.MemberHealth.DEAD
 
 
-class Scene:
+class MembershipScenario:
     """A fleet, its clock, and every change that any instance was told of."""
 
     def __init__(self, count):
@@ -64,14 +64,14 @@
         return await self.until(self.fleet.agrees, at_most=at_most)
 
 
-def scene(count, *, joined=True):
+def fleet_of(count, *, joined=True):
     """Runs a test with a fleet in which, if `joined`, all know each other."""
 
     def decorate(test):
         @functools.wraps(test)
         def run(self):
             async def scenario():
-                this = Scene(count)
+                this = MembershipScenario(count)
                 if joined:
                     for number in range(count):
                         this.start(number)
--- a/tests/cover/test_config_distribution.py
+++ b/tests/cover/test_config_distribution.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from nutmeghook.internal.config import distribution_tree
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.config import edits
-from nutmeghook.internal.config import partners
 from nutmeghook.internal.config import rows
 from nutmeghook.internal.config import state as state_module
 from nutmeghook.internal.config import store as store_module
@@ -68,8 +68,8 @@
         members = self.fleet.members
         return [
             reader.inner_address
-            for name in partners.data_centres(members)
-            for reader in partners.readers(members, name)
+            for name in distribution_tree.data_centres(members)
+            for reader in distribution_tree.readers(members, name)
         ]
 
     async def test_ages_stay_fresh_and_few_read_the_store(self):
@@ -284,7 +284,7 @@
         await self.set_priority(8)
         await self.fleet.clock.advance(BOUND)
         for parts in self.fleet.parts.values():
-            kept = parts.replica.kept_changes_after(1)
+            kept = parts.replica.recent_changes_after(1)
             self.assertEqual([change.revision for change in kept], [2])
 
     async def test_restart_far_behind_reads_documents_instead_of_the_log(self):
@@ -294,7 +294,7 @@
             await self.set_priority(priority)
         before = self.replica(only).state
         await self.fleet.crash(only)
-        with mock.patch.object(store_module, "_LONGEST_CATCH_UP", 2):
+        with mock.patch.object(store_module, "_MAX_CATCH_UP_CHANGES", 2):
             self.fleet.start(only)
             await self.fleet.clock.advance(SECOND)
             self.assertEqual(self.replica(only).state, before)
@@ -355,7 +355,7 @@
                 memory_table.MemoryTable, "scan", scan_and_change
             ),
             mock.patch.object(store_module, "_PAGE_ROWS", 1),
-            mock.patch.object(store_module, "_LONGEST_CATCH_UP", 0),
+            mock.patch.object(store_module, "_MAX_CATCH_UP_CHANGES", 0),
         ):
             read = await store.catch_up(state_module.EMPTY_STATE, 1)
         replica = self.replica(accepting)
@@ -364,14 +364,14 @@
 
     def test_ranks_agree_and_doubtful_members_do_not_read(self):
         members = config_fleet.ConfigFleet(per_data_centre=9).members
-        first = partners.readers(members, "dc1")
-        self.assertEqual(first, partners.readers(members[::-1], "dc1"))
+        first = distribution_tree.readers(members, "dc1")
+        self.assertEqual(first, distribution_tree.readers(members[::-1], "dc1"))
         suspect = members_module.MemberHealth.SUSPECT
         doubted = [
             m if m not in first else msgspec.structs.replace(m, health=suspect)
             for m in members
         ]
-        for reader in partners.readers(doubted, "dc1"):
+        for reader in distribution_tree.readers(doubted, "dc1"):
             self.assertIs(reader.health, members_module.MemberHealth.ALIVE)
 
 
--- a/tests/cover/test_config_replica.py
+++ b/tests/cover/test_config_replica.py
@@ -66,6 +66,6 @@
             highest = replica.revision
             self.assertEqual(replica.state, STATES[highest])
             for after in range(highest):
-                kept = replica.kept_changes_after(after)
+                kept = replica.recent_changes_after(after)
                 if kept is not None:
                     self.assertEqual(kept, CHANGES[after:highest])
--- a/tests/cover/test_guarantees_permission.py
+++ b/tests/cover/test_guarantees_permission.py
@@ -28,7 +28,7 @@
     try:
         await scene.set_up()
         loading = asyncio.ensure_future(scene.load(BEFORE + AFTER))
-        alone = scene.draw.choice(scene.fleet.listeners())
+        alone = scene.draw.choice(scene.fleet.non_readers())
         if cut:
             scene.cut_off(alone)
         others = [a for a in scene.fleet.addresses if a != alone]
@@ -166,10 +166,10 @@
     def test_an_instance_hears_too_late(self):
         with mock.patch.multiple(
             distribution,
-            _READ_EVERY=9 * SECOND,
-            _READ_MYSELF_AGE=9 * SECOND,
-            _EXCHANGE_EVERY=9 * SECOND,
-            _EXCHANGE_ANYWHERE_EVERY=9 * SECOND,
+            _READ_PERIOD=9 * SECOND,
+            _FALLBACK_READ_AGE=9 * SECOND,
+            _PARENT_EXCHANGE_PERIOD=9 * SECOND,
+            _RANDOM_EXCHANGE_PERIOD=9 * SECOND,
         ):
             self.assert_found("sent after the bound")
 
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -123,7 +123,7 @@
         await self.clock.advance(SECOND)
         await self.one.step()
         await self.clock.advance(3 * SECOND)
-        await self.one.keeper.look()
+        await self.one.keeper.read_row()
         self.assertTrue(self.one.acts())
         await self.clock.advance(700 * MS)
         self.assertFalse(self.one.acts())
--- a/tests/cover/test_membership_failures.py
+++ b/tests/cover/test_membership_failures.py
@@ -10,7 +10,7 @@
 from nutmeghook.internal.membership import local_fleet
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events
-from tests.cover import membership_scene
+from tests.cover import membership_scenario
 
 SECOND = datetime.timedelta(seconds=1)
 DEAD = members_module.MemberHealth.DEAD
@@ -19,7 +19,7 @@
 
 
 class DeathTest(unittest.TestCase):
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_a_crash_is_noticed_by_all(self, s):
         def faulty_callback(change):
             raise RuntimeError("of the test")
@@ -38,12 +38,12 @@
         ]
         self.assertEqual(kinds[-1], events.EventKind.MEMBER_LEFT)
 
-    @membership_scene.scene(2)
+    @membership_scenario.fleet_of(2)
     async def test_the_last_one_of_two_notices(self, s):
         s.fleet.crash(1)
         await s.until_agreed()
 
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_a_restart_at_the_same_address(self, s):
         """Others take the new process for a new member at once.
 
@@ -66,7 +66,7 @@
             )
         self.assertLessEqual(s.deaths(), {s.fleet.address(3)})
 
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_leaving_and_ending_cause_no_suspicion(self, s):
         """A draining instance is seen as leaving by all, then as gone.
 
@@ -87,7 +87,7 @@
 
 
 class FreezeTest(unittest.TestCase):
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_a_short_freeze_costs_nothing(self, s):
         for freeze in (SECOND, 3 * SECOND):
             s.fleet.network.freeze(s.fleet.address(2))
@@ -97,7 +97,7 @@
         self.assertEqual(s.deaths(), set())
         self.assertTrue(s.fleet.agrees())
 
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_a_long_freeze_is_a_death_that_the_frozen_one_learns_of(
         self, s
     ):
@@ -122,7 +122,7 @@
         self.assertTrue(s.fleet.agrees())
         self.assertEqual(s.deaths(), {s.fleet.address(2)})
 
-    @membership_scene.scene(4)
+    @membership_scenario.fleet_of(4)
     async def test_an_old_ack_confirms_nothing(self, s):
         """An ack that lay in the socket during a freeze is of the time before.
 
@@ -143,7 +143,7 @@
             await s.clock.advance(SECOND / 100)
             self.assertFalse(s.service(2).is_confirmed())
 
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_a_starving_process_accuses_nobody(self, s):
         """A process that runs for a fifth of a second in each five hears no
         ack in time, and what comes while it stands still is lost.
@@ -169,7 +169,7 @@
 
 
 class CutTest(unittest.TestCase):
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_a_cut_between_two_removes_neither(self, s):
         """One link fails, one way or both; both ends stay members to all.
 
@@ -183,7 +183,7 @@
         self.assertEqual(s.deaths(), set())
         self.assertTrue(s.fleet.agrees())
 
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_a_deaf_instance_convinces_nobody(self, s):
         """An instance hears nothing while what it sends arrives.
 
@@ -203,7 +203,7 @@
         await s.until_agreed()
         self.assertTrue(s.service(4).is_confirmed())
 
-    @membership_scene.scene(15)
+    @membership_scenario.fleet_of(15)
     async def test_regions_that_can_not_reach_each_other_but_a_third(self, s):
         """Two regions lose each other; a third, of one instance, reaches both.
 
@@ -225,7 +225,7 @@
         await s.clock.advance(60 * SECOND)
         self.assertEqual(s.deaths(), set())
 
-    @membership_scene.scene(6)
+    @membership_scenario.fleet_of(6)
     async def test_a_region_cut_off_and_healed(self, s):
         """Each side goes on with its own members and finds the others again.
 
@@ -251,7 +251,7 @@
 
 
 class DatagramTest(unittest.TestCase):
-    @membership_scene.scene(30, joined=False)
+    @membership_scenario.fleet_of(30, joined=False)
     async def test_datagrams_stay_below_the_mtu(self, s):
         """However much there is to tell, no datagram may be fragmented.
 
--- a/tests/cover/test_membership_joining.py
+++ b/tests/cover/test_membership_joining.py
@@ -10,13 +10,13 @@
 from nutmeghook.internal.foundation import clock
 from nutmeghook.internal.membership import listing
 from nutmeghook.internal.membership import local_fleet
-from tests.cover import membership_scene
+from tests.cover import membership_scenario
 
 SECOND = datetime.timedelta(seconds=1)
 
 
 class JoinTest(unittest.TestCase):
-    @membership_scene.scene(7)
+    @membership_scenario.fleet_of(7)
     async def test_few_read_the_list_and_all_learn_of_a_new_instance(self, s):
         s.fleet.list_all(8)
         reads = s.fleet.instance_list.reads
@@ -28,7 +28,7 @@
         self.assertLess(s.fleet.instance_list.reads - reads, 8 * 16)
         self.assertEqual(s.deaths(), set())
 
-    @membership_scene.scene(4, joined=False)
+    @membership_scenario.fleet_of(4, joined=False)
     async def test_starting_while_the_list_is_out(self, s):
         """Instances that start while the list is out find each other by seed
         addresses, and one without seeds as soon as the list is back.
@@ -52,7 +52,7 @@
         s.fleet.instance_list.rows = rows
         await s.until_agreed()
 
-    @membership_scene.scene(5)
+    @membership_scenario.fleet_of(5)
     async def test_a_listed_but_dead_peer_is_no_member(self, s):
         """The platform lists an instance for hours after its death.
 
@@ -79,7 +79,7 @@
             hints.addresses(), {fleet.address(0), fleet.address(1)}
         )
 
-    @membership_scene.scene(6)
+    @membership_scenario.fleet_of(6)
     async def test_a_faulty_list_removes_nobody(self, s):
         """The platform's list loses its lines while the instances run.
 
@@ -98,7 +98,7 @@
         await s.until_agreed()
         self.assertEqual(s.deaths(), {s.fleet.address(3)})
 
-    @membership_scene.scene(1)
+    @membership_scenario.fleet_of(1)
     async def test_the_only_instance_is_sure_of_itself(self, s):
         self.assertTrue(s.service(0).is_confirmed())
 
--- a/tests/cover/test_membership_table.py
+++ b/tests/cover/test_membership_table.py
@@ -46,7 +46,7 @@
     return table_module.MemberTable(
         myself=claim(MINE, "me", HEALTHS[0], 5),
         clock=fake,
-        fresh_answer=timing.Timing().probe_period,
+        max_ack_age=timing.Timing().probe_period,
     )
 
 
@@ -69,11 +69,11 @@
     ):
         one, other = new_table(), new_table()
         for each in said:
-            one.believe(each)
+            one.apply_claim(each)
         again = said + said[: len(said) // 2]
         rng.shuffle(again)
         for each in again:
-            other.believe(each)
+            other.apply_claim(each)
         self.assertEqual(one.running_hash(), other.running_hash())
         for address in ("10.0.0.1:1", "10.0.0.2:1"):
             mine, theirs = one.record(address), other.record(address)
@@ -84,16 +84,16 @@
     @hypothesis.given(strategies.lists(CLAIMS))
     def test_this_instance_outbids_all_that_is_wrong_of_it(self, said):
         table = new_table()
-        number = table.mine.number
+        number = table.own_claim.number
         for each in said:
-            table.believe(each)
-            self.assertGreaterEqual(table.mine.number, number)
-            number = table.mine.number
-        self.assertEqual(table.mine.member.incarnation, "me")
-        self.assertIs(table.mine.member.health, HEALTHS[0])
+            table.apply_claim(each)
+            self.assertGreaterEqual(table.own_claim.number, number)
+            number = table.own_claim.number
+        self.assertEqual(table.own_claim.member.incarnation, "me")
+        self.assertIs(table.own_claim.member.health, HEALTHS[0])
         for each in said:
             if each.member.inner_address == MINE:
-                self.assertGreaterEqual(table.mine.order, each.order)
+                self.assertGreaterEqual(table.own_claim.order, each.order)
 
     def test_an_accusation_is_not_believed_right_after_an_answer(self):
         """One instance's bad link must not remove a member everywhere.
@@ -106,11 +106,11 @@
             (False, table_module.Verdict.ADOPTED),
         ):
             table = new_table()
-            table.believe(claim("10.0.0.1:1", "a", HEALTHS[0], 1))
+            table.apply_claim(claim("10.0.0.1:1", "a", HEALTHS[0], 1))
             if answered:
-                table.note_answer("10.0.0.1:1", table.changed_at)
+                table.record_ack("10.0.0.1:1", table.changed_at)
             dead = claim("10.0.0.1:1", "a", HEALTHS[2], 1)
-            self.assertIs(table.believe(dead), verdict)
+            self.assertIs(table.apply_claim(dead), verdict)
 
     def test_a_rumour_is_repeated_a_bounded_number_of_times(self):
         queue = rumours.RumourQueue()
@@ -145,7 +145,7 @@
                 ),
                 number=1 << 50,
             )
-            state = claims.to_state(dead, with_place=True)
+            state = claims.to_state(dead, with_location=True)
             probe = ttypes.Probe(sender=state, rumours=[state])
             envelope = codec.encode(probe, sequence=1).data
             stranger = fleet.datagrams.attach("10.9.9.9:1")
--- a/tests/whole/member_process.py
+++ b/tests/whole/member_process.py
@@ -29,7 +29,7 @@
     probe_period=datetime.timedelta(milliseconds=200),
     direct_timeout=datetime.timedelta(milliseconds=300),
     indirect_timeout=datetime.timedelta(milliseconds=600),
-    contact_period=datetime.timedelta(milliseconds=400),
+    discovery_period=datetime.timedelta(milliseconds=400),
     settle=datetime.timedelta(seconds=1),
     sync_period=datetime.timedelta(seconds=2),
 )
