--- a/src/nutmeghook/internal/config/acceptance.py
+++ b/src/nutmeghook/internal/config/acceptance.py
@@ -1,9 +1,9 @@
-"""Accepts changes: each operation id has one outcome, for ever.
+"""Accepts changes; each operation id gets exactly one, final outcome.
 
 A change is one transaction of the table service. Its conditions are that the
-head row is the one that the change was worked out on, and that the operation's
-row does not exist. Every way of ending an operation writes that row, so the
-first one wins and all others, however late, fail.
+head row is unchanged since the change was prepared, and that the operation's
+row does not exist. Every outcome (accepted, refused, abandoned) writes that
+row, so the first write succeeds and all later ones fail.
 """
 
 import asyncio
@@ -29,13 +29,13 @@
 
 _MIN_BACK_OFF = datetime.timedelta(milliseconds=50)
 _MAX_BACK_OFF = datetime.timedelta(milliseconds=800)
-# Operators and roll-outs make 3,700 changes a day in the whole fleet: more
-# than this waiting on one instance is a fault of some client.
+# The whole fleet makes 3,700 changes a day. More than this many waiting on one
+# instance means that a client misbehaves.
 _MAX_WAITING = 32
 
 
 class Accepter:
-    """Settles operations; any number of instances may do so at once."""
+    """Decides operations; any number of instances may do so concurrently."""
 
     __slots__ = (
         "_clock",
@@ -67,34 +67,36 @@
     async def accept(
         self, operation: operations.Operation, *, timeout: datetime.timedelta
     ) -> rows.OperationRecord:
-        """Accepts a change, or returns the outcome that its id has already.
+        """Accepts a change, or returns the recorded outcome of its id.
 
         Returns:
-            The settled outcome; `operations.error_of` tells what a refusal
-            means.
+            The final outcome; `operations.error_of` converts a refusal to an
+            error.
 
         Raises:
             errors.CodedError: `STORE_OUT` or `OVERLOADED` (nothing was
-                written and nothing will be), `OUTCOME_UNKNOWN` (ask by id),
-                or `OPERATION_REUSED`.
+                written and nothing will be), `OUTCOME_UNKNOWN` (query it by
+                id), or `OPERATION_REUSED`.
         """
         if self._waiting >= _MAX_WAITING:
-            raise _overloaded(f"{self._waiting} changes wait on this instance")
+            raise _overloaded(
+                f"{self._waiting} changes are waiting on this instance"
+            )
         end = self._clock.monotonic() + timeout
         self._waiting += 1
         try:
-            # One at a time: changes of one instance would only make each
-            # other fail on the head row.
+            # One at a time: concurrent changes of one instance would only
+            # fail each other's condition on the head row.
             async with self._lock:
                 return await self._accept(operation, end)
         finally:
             self._waiting -= 1
 
     async def draft(self, edit: edits.Edit) -> operations.Draft:
-        """Works a change out on the newest state and writes nothing.
+        """Dry run: applies a change to the newest state and writes nothing.
 
         Raises:
-            errors.CodedError: The edit can't be made, or `STORE_OUT`.
+            errors.CodedError: The edit can't be applied, or `STORE_OUT`.
         """
         try:
             _, state = await self._read_newest()
@@ -115,7 +117,7 @@
     async def outcome(
         self, team: str, operation_id: str
     ) -> rows.OperationRecord | None:
-        """Reads an operation's outcome; None if it is not settled yet.
+        """Reads an operation's outcome; None if it has none yet.
 
         Raises:
             errors.CodedError: `STORE_OUT`.
@@ -134,18 +136,20 @@
     ) -> rows.OperationRecord:
         """Makes an operation's outcome final, on any instance.
 
-        A read that finds nothing proves nothing: the write may still be on
-        its way. So after the grace "abandoned" is written where no row is;
-        either it gets there first and the late write fails, or it fails and
-        the outcome can be read.
+        A missing row does not prove that the operation failed: its write may
+        still be in flight. So after the grace period "abandoned" is written on
+        condition that there is no row. Either it comes first and a late write
+        fails, or it fails and the recorded outcome is read.
 
         Args:
             author: Who asks; recorded if the operation ends abandoned.
             operation_id: An id of the author's team.
-            grace: How long to let an instance finish that has just begun.
+            grace: How long to wait for an instance that is still accepting
+                the operation.
 
         Raises:
-            errors.CodedError: `OUTCOME_UNKNOWN` while the store is out.
+            errors.CodedError: `OUTCOME_UNKNOWN` while the store is
+                unavailable.
         """
         end = self._clock.monotonic() + grace
         try:
@@ -174,8 +178,8 @@
             except attempts.LeaseLapsedError:
                 return await self._give_up(operation)
             except failures.OutcomeUnknownError as error:
-                # Trying again is safe and settles it: both writes want the
-                # operation's row to be absent, so at most one takes effect.
+                # A retry is safe and resolves the doubt: both writes require
+                # the operation's row to be absent, so at most one succeeds.
                 in_doubt = True
                 last_error = error
             except failures.PlatformError as error:
@@ -185,7 +189,9 @@
         if in_doubt:
             return await self._give_up(operation)
         if last_error is None:
-            raise _overloaded("other changes got ahead of this one")
+            raise _overloaded(
+                "concurrent changes kept this one from committing"
+            )
         raise _store_unavailable(last_error) from last_error
 
     async def _give_up(
@@ -203,7 +209,7 @@
     async def _try_once(
         self, operation: operations.Operation
     ) -> rows.OperationRecord | None:
-        """Returns the settled outcome, or None if something got ahead."""
+        """Returns the final outcome, or None if another change came first."""
         record = await self._store.operation(
             operation.author.team, operation.operation_id
         )
@@ -246,7 +252,7 @@
     async def _abandon(
         self, author: rows.Author, operation_id: str, digest: str
     ) -> rows.OperationRecord:
-        """Writes "abandoned" unless there is an outcome; returns the one."""
+        """Writes "abandoned" unless there is an outcome; returns what holds."""
         record = rows.OperationRecord(
             operation_id=operation_id,
             outcome=rows.Outcome.ABANDONED,
@@ -277,7 +283,7 @@
         retry_after = error.retry_after
     return errors.CodedError(
         code=codes.Code.STORE_OUT,
-        detail=f"the table service did not take or give it: {error}",
+        detail=f"the table service call failed: {error}",
         retry_after=retry_after or datetime.timedelta(seconds=2),
     )
 
@@ -285,8 +291,8 @@
 def _outcome_unknown(operation_id: str) -> errors.CodedError:
     return errors.CodedError(
         code=codes.Code.OUTCOME_UNKNOWN,
-        detail=f"operation {operation_id!r} is not settled: the table service "
-        f"is out; ask for its outcome by id later, on any instance",
+        detail=f"the outcome of operation {operation_id!r} is unknown: the "
+        f"table service is unavailable; query it by id later, on any instance",
         retry_after=datetime.timedelta(seconds=5),
     )
 
--- a/src/nutmeghook/internal/config/assembly.py
+++ b/src/nutmeghook/internal/config/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of the configuration together."""
+"""Builds the configuration components of an instance."""
 
 import dataclasses
 import datetime
@@ -19,11 +19,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ConfigParts:
-    """The configuration's parts on one instance.
+    """The configuration components of one instance.
 
     Attributes:
-        replica: The `ConfigView` for everyone else.
-        distributor: Its `run` is to be a task for as long as the process.
+        replica: The `ConfigView` that the rest of the instance reads.
+        distributor: Its `run` must be a task for the life of the process.
     """
 
     store: store_module.ConfigStore
@@ -44,7 +44,7 @@
     random: random_module.Random,
     store_timeout: datetime.timedelta = datetime.timedelta(seconds=2),
 ) -> ConfigParts:
-    """Returns the parts, with their handlers registered."""
+    """Returns the components, with their peer handlers registered."""
     store = store_module.ConfigStore(
         table=table, clock=clock, call_timeout=store_timeout
     )
--- a/src/nutmeghook/internal/config/attempts.py
+++ b/src/nutmeghook/internal/config/attempts.py
@@ -1,4 +1,4 @@
-"""Works out one attempt at an operation: the outcome and its transaction."""
+"""Prepares one attempt at an operation: the outcome and its transaction."""
 
 import dataclasses
 import datetime
@@ -20,12 +20,12 @@
 
 
 class LeaseLapsedError(Exception):
-    """The operation's author no longer holds the lease it acts under."""
+    """The operation's author no longer holds its fencing lease."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Attempt:
-    """One try: the outcome that it would write, and how.
+    """The outcome that one attempt would write, and its transaction.
 
     Attributes:
         change: None for a refusal.
@@ -44,11 +44,12 @@
     store: store_module.ConfigStore,
     now: datetime.datetime,
 ) -> Attempt:
-    """Returns the attempt for a state that is exactly at the head.
+    """Returns the attempt for a state at the head revision.
 
     Raises:
-        LeaseLapsedError: The operation's lease is not held any more.
-        failures.PlatformError: The winner of a conflict can't be read.
+        LeaseLapsedError: The operation's lease is no longer held.
+        failures.PlatformError: The change that a refusal conflicts with can't
+            be read.
     """
     refused = rows.OperationRecord(
         operation_id=operation.operation_id,
@@ -114,12 +115,12 @@
 def check_fence(
     operation: operations.Operation, result: table.CommitResult
 ) -> None:
-    """Tells a lapsed lease from a change that got ahead.
+    """Distinguishes a lapsed lease from a concurrent change.
 
     Raises:
-        LeaseLapsedError: The lease's row is not at the version that the
-            holder believes in. A renewal of its own changes that version too,
-            so the row is compared with what the lease says now.
+        LeaseLapsedError: The lease's row differs from the version that the
+            holder knows now. The commit's condition can't be used for this:
+            the holder's own renewal changes the version too.
     """
     lease = operation.fence
     if lease is None:
@@ -221,7 +222,7 @@
 async def _conflict(
     error: planning.StaleRevisionError, store: store_module.ConfigStore
 ) -> faults.Conflict:
-    """Shows the change that was there first."""
+    """Returns the change that was accepted first, and how it differs."""
     winner = await store.change(error.current_revision)
     read = await store.change(error.expected_revision)
     return faults.Conflict(
@@ -229,7 +230,7 @@
         expected_revision=error.expected_revision,
         current_revision=error.current_revision,
         author=str(winner.author) if winner else "",
-        reason=winner.reason if winner else "there is no such document now",
+        reason=winner.reason if winner else "the document no longer exists",
         operation_id=winner.operation_id if winner else "",
         accepted_at=winner.accepted_at if winner else None,
         differences=differences.between(
@@ -247,8 +248,8 @@
         return ()
     if lease.fencing_token() is None:
         raise LeaseLapsedError(lease.name)
-    # A holder that is paused after this line, and wakes when another has
-    # taken over, fails this condition: the lease's row has changed.
+    # Fencing: if the holder is paused here while another instance takes the
+    # lease over, the lease's row changes and the commit fails.
     return (table.Condition(key=lease.row_key, version=lease.row_version()),)
 
 
--- a/src/nutmeghook/internal/config/differences.py
+++ b/src/nutmeghook/internal/config/differences.py
@@ -1,4 +1,4 @@
-"""Shows field by field how two revisions of a document differ."""
+"""Lists the fields in which two revisions of a document differ."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -13,8 +13,7 @@
 def between(before: Any, after: Any) -> tuple[faults.Difference, ...]:
     """Returns the differences of two documents; None stands for no document.
 
-    Documents are walked as the plain values that operators write, so paths
-    are those of the JSON form.
+    Paths are those of the JSON form that operators write.
     """
     plain_before = _plain(before)
     plain_after = _plain(after)
@@ -53,7 +52,7 @@
 
 
 def _item_name(index: int, item: Any) -> str:
-    """Names an item by what identifies it: a moved one still matches."""
+    """Names an item by its identifying fields, so that a moved one matches."""
     if isinstance(item, dict):
         if "model" in item and "version" in item:
             return f"[{item['model']}@{item['version']}]"
--- a/src/nutmeghook/internal/config/distribution.py
+++ b/src/nutmeghook/internal/config/distribution.py
@@ -1,9 +1,9 @@
-"""Keeps this instance's configuration new, and that of its peers.
+"""Distributes configuration changes between the store and the instances.
 
-Three ways bring news, each able to do without the others: the readers of each
-data centre read the store's head; whoever learns something new pushes it to a
-few neighbours at random; and every instance exchanges digests, each second
-with the instance above it and now and then with any other.
+Three independent mechanisms: the readers of each data centre poll the store's
+head; an instance that receives a change pushes it to a few random peers of its
+data centre; and every instance exchanges digests, each second with its parent
+in the distribution tree and each three seconds with a random instance.
 """
 
 import asyncio
@@ -25,9 +25,10 @@
 _READ_PERIOD = datetime.timedelta(milliseconds=500)
 _PARENT_EXCHANGE_PERIOD = datetime.timedelta(seconds=1)
 _RANDOM_EXCHANGE_PERIOD = datetime.timedelta(seconds=3)
-# An instance that no peer keeps fresh reads the store itself. In good times
-# the tree keeps all ages under this; when the store is out for all, 420
-# instances trying at this pace are a tenth of its reads.
+# An instance whose configuration is older than this, as peers don't confirm it,
+# reads the store itself. In normal operation the tree keeps all ages below.
+# During a store outage 420 instances retrying at this period are a tenth of the
+# store's reads.
 _FALLBACK_READ_AGE = datetime.timedelta(seconds=3)
 _FALLBACK_READ_PERIOD = datetime.timedelta(seconds=2)
 _PUSH_FAN_OUT = 4
@@ -36,7 +37,7 @@
 
 
 class ConfigDistributor:
-    """Runs the tasks that spread the configuration."""
+    """Runs the tasks that distribute the configuration."""
 
     __slots__ = (
         "_clock",
@@ -72,7 +73,7 @@
         self._store_unreachable = False
 
     async def run(self) -> None:
-        """Spreads the configuration until cancelled."""
+        """Distributes the configuration until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._bootstrap())
             tasks.create_task(self._read_repeatedly())
@@ -81,7 +82,7 @@
             tasks.create_task(self._push_repeatedly(tasks))
 
     async def read_store(self) -> bool:
-        """Reads the head and what follows; returns whether that worked."""
+        """Reads the head and the missing changes; returns whether it worked."""
         self._read_at = self._clock.monotonic()
         try:
             head = await self._store.head()
@@ -97,10 +98,10 @@
         return True
 
     async def _bootstrap(self) -> None:
-        """Learns what peers know, at once; the store only if none knows.
+        """Fetches the configuration from peers, or else from the store.
 
-        After a power cut 420 instances start together: the few that no peer
-        can help read all documents, and the others learn from them.
+        After a power cut 420 instances start together: only those that find
+        no peer with a configuration read all documents from the store.
         """
         others = self._others()
         chosen = self._random.sample(others, min(_BOOTSTRAP_PEERS, len(others)))
@@ -133,8 +134,8 @@
             )
             if parent is None or await self._try_exchange(parent):
                 continue
-            # The one above is gone or frozen, and the members are not known
-            # to be so yet: a neighbour of another branch is as good.
+            # The parent crashed or froze and membership has not noticed yet.
+            # Any other instance of the data centre serves as well.
             local_peers = self._local_peers()
             if local_peers:
                 await self._try_exchange(self._random.choice(local_peers))
@@ -147,8 +148,8 @@
                 await self._try_exchange(self._random.choice(others))
 
     async def _push_repeatedly(self, tasks: asyncio.TaskGroup) -> None:
-        # Rounds overlap, so that a frozen neighbour does not hold up the next
-        # change; they are few, so that a burst of changes goes out together.
+        # Rounds overlap, so that a frozen peer does not delay the next change;
+        # their number is limited, so that a burst of changes is batched.
         rounds = asyncio.Semaphore(_PUSH_ROUNDS)
         pushed_revision = self._replica.revision
         while True:
@@ -187,7 +188,7 @@
         return True
 
     def _remote_reader(self) -> members_module.Member | None:
-        """Returns a reader of another data centre, else the other one here."""
+        """Returns a reader of another data centre, else the other local one."""
         members = self._members.members()
         here = self._members.myself.data_centre
         elsewhere = [
@@ -217,7 +218,7 @@
         return [m for m in self._others() if m.data_centre == here]
 
     async def _sleep(self, duration: datetime.timedelta) -> None:
-        # Instances that started together must not act together for ever.
+        # Jitter keeps instances that started together from staying in step.
         await self._clock.sleep(duration * self._random.uniform(0.8, 1.2))
 
     def _record_store_state(self, *, unreachable: bool, detail: str) -> None:
--- a/src/nutmeghook/internal/config/distribution_tree.py
+++ b/src/nutmeghook/internal/config/distribution_tree.py
@@ -1,9 +1,9 @@
-"""Who reads the store for a data centre, and whom each instance asks.
+"""The tree along which a data centre's instances get the configuration.
 
-The instances of a data centre are ranked by a hash. The first two read the
-store. Each other one asks the instance above it in a tree of fan-out seven,
-so that 47 instances are at most two steps from a reader, and no instance
-answers more than seven others.
+The instances of a data centre are ranked by a rendezvous hash. The first two
+read the store. Each other one queries its parent in a tree of fan-out seven, so
+that 47 instances are at most two hops from a reader, and no instance serves
+more than seven others.
 """
 
 from nutmeghook.internal.membership import members as members_module
@@ -17,11 +17,11 @@
 def ranked(
     members: list[members_module.Member], data_centre: str
 ) -> list[members_module.Member]:
-    """Returns a data centre's members by rank, doubtful ones last.
+    """Returns a data centre's members by rank, unhealthy ones last.
 
-    All instances with the same members agree on the ranks. Where they differ
-    for a moment there are a few readers more or less, which costs reads or
-    time and harms nothing.
+    All instances with the same member list compute the same ranks. While their
+    lists differ there are a few readers too many or too few, which costs only
+    reads or delay.
     """
     return readers_module.elected_readers(
         members,
@@ -46,7 +46,7 @@
 def parent(
     view: members_module.MemberView,
 ) -> members_module.Member | None:
-    """Returns whom this instance asks; None for a reader."""
+    """Returns the member that this instance queries; None for a reader."""
     position = _position(view)
     if position < READERS:
         return None
--- a/src/nutmeghook/internal/config/documents.py
+++ b/src/nutmeghook/internal/config/documents.py
@@ -1,7 +1,7 @@
-"""The configuration's documents: what operators edit.
+"""The configuration documents that operators edit.
 
-Every document is immutable; a change replaces it whole under a new revision
-of the one configuration. `validation` holds the rules that span fields.
+Documents are immutable; a change replaces whole documents under a new revision
+of the whole configuration. `validation` holds the rules that span fields.
 """
 
 import enum
--- a/src/nutmeghook/internal/config/edits.py
+++ b/src/nutmeghook/internal/config/edits.py
@@ -1,9 +1,9 @@
-"""The edits that an operator can ask for, and what each one replaces.
+"""The edits that an operator can request.
 
-Edits that hand in a whole document name the revision that it was read at.
-Edits that state an aim (withdraw this version) are worked out on whatever
-stands when they are accepted: an operator who withdraws a bad version must
-not lose to a colleague who changes a deadline at the same moment.
+Edits that carry a whole document name the revision that it was read at
+(optimistic locking). Edits that state a goal, such as withdrawing a version,
+apply to the newest state: a concurrent change of a deadline must not make the
+withdrawal of a bad version fail.
 """
 
 import msgspec
@@ -112,8 +112,8 @@
     Attributes:
         team: Empty for the whole fleet.
         template: Empty for the whole fleet.
-        allow_unusable: Withdraw it also where that leaves a stage without a
-            version; requests that need the stage are refused then.
+        allow_unusable: Withdraw it even where that leaves a stage without a
+            version; requests that need the stage are then refused.
     """
 
     model_version: engine.ModelVersion
@@ -139,9 +139,9 @@
     tag="set_roll_out_share",
     tag_field="edit",
 ):
-    """Moves a roll-out to a share; 100 ends it, and the version serves.
+    """Sets the share of a roll-out; 100 completes it.
 
-    It states the aim, not a step forward, so doing it twice does no harm.
+    The share is absolute, so the edit is idempotent.
     """
 
     team: str
@@ -153,7 +153,7 @@
 class RollBackVersion(
     msgspec.Struct, frozen=True, kw_only=True, tag="roll_back", tag_field="edit"
 ):
-    """Ends a roll-out: the version is withdrawn in this template."""
+    """Ends a roll-out and withdraws the version in this template."""
 
     team: str
     template: str
@@ -183,7 +183,7 @@
 
 
 class Replacement(msgspec.Struct, frozen=True, kw_only=True):
-    """The documents that a change replaces, whole."""
+    """The whole documents that a change replaces."""
 
     fleet: documents.Fleet | None = None
     teams: tuple[documents.Team, ...] = ()
@@ -191,7 +191,7 @@
     removed_templates: tuple[TemplateName, ...] = ()
 
     def documents(self) -> list[str]:
-        """Returns the names of all documents that it touches."""
+        """Returns the names of all affected documents."""
         names = [FLEET_DOCUMENT] if self.fleet is not None else []
         names += [team_document(t.name) for t in self.teams]
         names += [template_document(t.team, t.name) for t in self.templates]
--- a/src/nutmeghook/internal/config/exchange.py
+++ b/src/nutmeghook/internal/config/exchange.py
@@ -1,8 +1,8 @@
-"""Carries the configuration between two instances.
+"""Transfers the configuration between two instances.
 
-An exchange is one request with this instance's digest. The peer that is ahead
-replies with what is missing, the one that is behind asks for it, so either
-way both end at the higher revision.
+An exchange is one request with this instance's digest. A peer that is ahead
+replies with the missing changes, a peer that is behind requests them, so both
+end at the higher revision.
 """
 
 import datetime
@@ -48,7 +48,7 @@
         """Brings both sides to the higher revision.
 
         Returns:
-            The revision that the peer then has in force.
+            The revision in force on the peer afterwards.
 
         Raises:
             peers.PeerUnreachableError: No reply in time.
@@ -63,7 +63,7 @@
         return self._apply_and_confirm(reply, sent_at)
 
     async def push(self, inner_address: str, *, after_revision: int) -> int:
-        """Sends what follows a revision; returns the peer's revision then.
+        """Sends the changes after a revision; returns the peer's new revision.
 
         Raises:
             peers.PeerUnreachableError: No reply in time.
@@ -73,7 +73,7 @@
         update = self._update_after(after_revision)
         reply = await self._call(inner_address, update)
         if isinstance(reply, ttypes.ConfigPull):
-            # The peer is further behind than thought: all that it lacks.
+            # The peer is further behind than assumed.
             update = self._update_after(reply.after_revision)
             reply = await self._call(inner_address, update)
         if isinstance(reply, ttypes.ConfigPull):
@@ -95,9 +95,9 @@
         return self._digest()
 
     async def _on_update(self, update: ttypes.ConfigUpdate) -> peers.Message:
-        # The age in a request proves nothing: a sender that was frozen while
-        # the request left it would make old news look fresh. Only replies to
-        # this instance's own requests, timed by its own clock, count.
+        # The age in a request is ignored: if the sender froze before the
+        # request left, the age is too low. Only replies to this instance's
+        # own requests, timed by its own clock, confirm freshness.
         self._apply(update)
         if self._replica.revision < update.digest.revision:
             return ttypes.ConfigPull(after_revision=self._replica.revision)
@@ -109,14 +109,14 @@
     def _apply_and_confirm(
         self, reply: peers.Message, sent_at: datetime.timedelta
     ) -> int:
-        """Applies a reply; returns the revision that its sender has."""
+        """Applies a reply; returns its sender's revision."""
         digest = reply
         if isinstance(reply, ttypes.ConfigUpdate):
             self._apply_reply(reply)
             digest = reply.digest
         if digest.confirmed_age_ms != _NEVER_CONFIRMED_MS:
-            # The age was true when the reply was made, which is later than
-            # the request was sent: this errs on the old side.
+            # The age was valid when the reply was built, after the request was
+            # sent, so this can only overestimate it.
             age = digest.confirmed_age_ms * _MILLISECOND
             self._replica.confirm(digest.revision, sent_at - age)
         return digest.revision
@@ -127,7 +127,7 @@
         except msgspec.MsgspecError as error:
             raise peers.PeerRefusedError(
                 code_number=codes.Code.INTERNAL.number,
-                detail=f"its configuration can't be read: {error}",
+                detail=f"the peer's configuration can't be decoded: {error}",
             ) from error
 
     def _apply(self, update: ttypes.ConfigUpdate) -> None:
@@ -165,7 +165,7 @@
         age = self._replica.confirmed_age()
         age_ms = _NEVER_CONFIRMED_MS
         if age is not None:
-            # Rounded up, so that relays never make it look fresher.
+            # Rounded up, so that relaying never lowers the age.
             age_ms = -(-age // _MILLISECOND)
         return ttypes.ConfigDigest(
             revision=self._replica.revision, confirmed_age_ms=age_ms
--- a/src/nutmeghook/internal/config/faults.py
+++ b/src/nutmeghook/internal/config/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a change, told field by field."""
+"""Validation faults by field, and conflicts between changes."""
 
 import datetime
 
@@ -6,13 +6,13 @@
 
 
 class FieldFault(msgspec.Struct, frozen=True, kw_only=True, order=True):
-    """One wrong field.
+    """One invalid field.
 
     Attributes:
         path: For example `template/agency/dossier.stages[0].versions`.
-        value: The value found, as text.
-        remedy: What to do about it.
-        waivable: The operator may accept it knowingly.
+        value: The present value, as text.
+        remedy: How to correct it.
+        waivable: The operator may override the fault.
     """
 
     path: str
@@ -21,12 +21,12 @@
     waivable: bool = False
 
     def __str__(self) -> str:
-        """Returns a line for people."""
+        """Returns a line for reports."""
         return f"{self.path} is {self.value}; {self.remedy}"
 
 
 class FieldFaultError(Exception):
-    """One fault, as a member of an exception group."""
+    """One fault as an exception, for an exception group."""
 
     def __init__(self, *, fault: FieldFault):
         super().__init__(str(fault))
@@ -42,13 +42,13 @@
 
 
 class Conflict(msgspec.Struct, frozen=True, kw_only=True):
-    """The change that was accepted before the one that lost.
+    """The accepted change that an edit conflicts with.
 
     Attributes:
         document: The document that both edited.
-        expected_revision: What the loser had read.
-        current_revision: What it is now.
-        differences: From the revision the loser had read to the current one.
+        expected_revision: The revision that the refused edit was based on.
+        current_revision: The document's revision now.
+        differences: From the expected revision to the current one.
     """
 
     document: str
@@ -64,6 +64,6 @@
 def as_group(faults: list[FieldFault]) -> ExceptionGroup:
     """Returns the faults as one exception group."""
     return ExceptionGroup(
-        "the configuration would not be valid",
+        "the configuration would be invalid",
         [FieldFaultError(fault=fault) for fault in faults],
     )
--- a/src/nutmeghook/internal/config/field_rules.py
+++ b/src/nutmeghook/internal/config/field_rules.py
@@ -1,4 +1,4 @@
-"""The rules that a document's fields keep, whatever the document."""
+"""Validation rules for fields that several documents share."""
 
 from collections.abc import Iterator
 import re
@@ -17,7 +17,7 @@
 def common_faults(
     path: str, document: documents.PlainRoute | documents.Template
 ) -> Iterator[faults.FieldFault]:
-    """Checks what routes and templates have in common."""
+    """Checks the fields that routes and templates share."""
     if document.deadline_ms < 1:
         yield fault(
             f"{path}.deadline_ms", document.deadline_ms, "give 1 or more"
@@ -31,7 +31,7 @@
 def duplicate_faults(
     path: str, names: list[str]
 ) -> Iterator[faults.FieldFault]:
-    """Finds names that stand more than once."""
+    """Finds duplicate names."""
     for name in sorted({name for name in names if names.count(name) > 1}):
         yield fault(path, f"{name!r} more than once", "name each one once")
 
--- a/src/nutmeghook/internal/config/in_force.py
+++ b/src/nutmeghook/internal/config/in_force.py
@@ -1,4 +1,4 @@
-"""Finds out on which instances a revision is in force, by asking them."""
+"""Queries all instances for whether a revision is in force there."""
 
 import asyncio
 import contextlib
@@ -18,12 +18,12 @@
 
 
 class InForce(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a revision is in force; addresses of the inner protocol.
+    """Where a revision is in force, by addresses of the inner protocol.
 
     Attributes:
-        in_force: Instances that said they have this revision or a newer one.
-        unconfirmed: The others that are believed to run. They may have it:
-            nothing is known of them.
+        in_force: Instances that reported this revision or a newer one.
+        unconfirmed: The other running members. Whether they have it is
+            unknown.
     """
 
     revision: int
@@ -32,10 +32,10 @@
 
 
 class InForceInquiry:
-    """Asks all members; each question also brings the one asked up to date.
+    """Queries all members; each query also brings the member up to date.
 
     One accepted change costs one small exchange with each instance, which at
-    3,700 changes a day is nothing beside the ordinary exchanges.
+    3,700 changes a day is negligible beside the periodic exchanges.
     """
 
     __slots__ = ("_clock", "_exchange", "_members", "_replica")
@@ -56,10 +56,10 @@
     async def ask(
         self, revision: int, *, timeout: datetime.timedelta
     ) -> InForce:
-        """Asks until all have the revision or the time is over.
+        """Queries until all have the revision or the timeout passes.
 
-        The readers of each data centre are asked first: they pass the news
-        on while the others are still being asked.
+        The readers of each data centre come first: they forward the change
+        while the others are still being queried.
         """
         confirmed: set[str] = set()
         asking = asyncio.ensure_future(self._ask_all(revision, confirmed))
--- a/src/nutmeghook/internal/config/operations.py
+++ b/src/nutmeghook/internal/config/operations.py
@@ -1,4 +1,4 @@
-"""A change that someone asks for, and what its outcome means."""
+"""Requested changes and their outcomes."""
 
 import dataclasses
 
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Operation:
-    """A change that someone asks for.
+    """A requested change.
 
     Attributes:
         operation_id: Chosen by the client, unique within the author's team.
-        fence: The lease that the author must still hold when the change takes
-            effect; None for people.
+        fence: The lease that the author must still hold when the change
+            commits; None for operators.
     """
 
     operation_id: str
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Draft:
-    """What a change would do if it were accepted now."""
+    """The effect that a change would have if it were accepted now."""
 
     revision: int
     faults: tuple[faults.FieldFault, ...]
@@ -39,10 +39,11 @@
 def recorded_outcome(
     record: rows.OperationRecord, operation: Operation
 ) -> rows.OperationRecord:
-    """Returns the outcome that an operation's id has already.
+    """Returns the recorded outcome, if it belongs to this operation.
 
     Raises:
-        errors.CodedError: `OPERATION_REUSED`: it was for another change.
+        errors.CodedError: `OPERATION_REUSED`: the id was used for another
+            change.
     """
     digest = rows.edit_digest(operation.edit)
     if record.edit_digest and record.edit_digest != digest:
@@ -56,7 +57,7 @@
 
 
 def error_of(record: rows.OperationRecord) -> errors.CodedError | None:
-    """Returns what a settled outcome means as an error; None if accepted."""
+    """Returns the error for a recorded outcome; None if accepted."""
     if record.outcome is rows.Outcome.ACCEPTED:
         return None
     for code in codes.Code:
@@ -64,6 +65,6 @@
             return errors.CodedError(code=code, detail=record.detail)
     return errors.CodedError(
         code=codes.Code.INTERNAL,
-        detail=f"operation {record.operation_id} has the unknown code "
+        detail=f"operation {record.operation_id} has the unknown error code "
         f"{record.code_number}",
     )
--- a/src/nutmeghook/internal/config/planning.py
+++ b/src/nutmeghook/internal/config/planning.py
@@ -1,4 +1,4 @@
-"""Works out which documents an edit replaces, on the state as it stands."""
+"""Determines which documents an edit replaces in a given state."""
 
 import functools
 
@@ -34,7 +34,7 @@
 
     Raises:
         StaleRevisionError: Another change came first.
-        errors.CodedError: The edit can't be made on this state.
+        errors.CodedError: The edit can't be applied to this state.
     """
     return _plan(edit, state)
 
@@ -43,7 +43,9 @@
 def _plan(
     edit: edits.Edit, state: state_module.ConfigState
 ) -> edits.Replacement:
-    raise TypeError(f"edit is a {type(edit).__name__}; give one of edits.Edit")
+    raise TypeError(
+        f"edit is a {type(edit).__name__}; expected one of edits.Edit"
+    )
 
 
 @_plan.register
@@ -233,7 +235,7 @@
     ):
         raise shares.invalid_template(
             f"{edit.model_version} is not rolling out in template "
-            f"{template.name}; `show` tells what stands"
+            f"{template.name}; `show` prints the present state"
         )
     return template
 
--- a/src/nutmeghook/internal/config/replica.py
+++ b/src/nutmeghook/internal/config/replica.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this instance; it only moves forward."""
+"""The configuration in force on this instance; its revision never falls."""
 
 import asyncio
 import collections
@@ -12,17 +12,17 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import events as events_module
 
-# Changes kept for peers that are a little behind; others get the whole state.
+# Changes kept for peers that are slightly behind; others get the whole state.
 _MAX_RECENT_CHANGES = 64
 
 
 class ConfigReplica(view.ConfigView):
-    """Holds the newest state that this instance has heard of.
+    """Holds the newest state that this instance has received.
 
-    Whatever brings news (a read of the store, a push, an exchange with a
-    peer, a process that thaws after an hour) ends in `apply_changes` or
-    `apply_state`, and both ignore what is not newer. So no bearer of old news
-    can make it go back, and none has to be trusted not to try.
+    Every source (a read of the store, a push, an exchange with a peer, a
+    message delayed by a frozen process) goes through `apply_changes` or
+    `apply_state`, which ignore what is not newer. So a stale message can't
+    revert the configuration.
     """
 
     __slots__ = (
@@ -76,10 +76,10 @@
         return self._clock.monotonic() - self._confirmed_at
 
     def apply_changes(self, changes: list[rows.Change]) -> bool:
-        """Takes in changes that follow on; returns whether any was new.
+        """Applies consecutive changes; returns whether any was new.
 
-        A gap is left for the next exchange to fill: applying past it would
-        skip another operator's change for good.
+        Changes after a gap are ignored, and the next exchange sends what is
+        missing: applying them would lose the change in the gap for good.
         """
         state = self._state
         for change in changes:
@@ -93,7 +93,7 @@
         return True
 
     def apply_state(self, state: state_module.ConfigState) -> bool:
-        """Takes in a whole state; returns whether it was newer."""
+        """Applies a whole state; returns whether it was newer."""
         if state.revision <= self.revision:
             return False
         self._recent_changes.clear()
@@ -101,10 +101,10 @@
         return True
 
     def apply_catch_up(self, catch_up: store_module.CatchUp) -> None:
-        """Takes in what was read from the store.
+        """Applies what was read from the store.
 
-        The changes are preferred: they are kept, and peers that lack only
-        them are sent a kilobyte instead of everything.
+        Changes are preferred to the whole state: they are kept, so that peers
+        which lack only them are sent a kilobyte instead of everything.
         """
         if catch_up.changes is None:
             self.apply_state(catch_up.state)
@@ -112,11 +112,12 @@
             self.apply_changes(catch_up.changes)
 
     def confirm(self, revision: int, proven_at: datetime.timedelta) -> None:
-        """Notes that at `proven_at` no revision above `revision` was committed.
+        """Records that at `proven_at` no later revision was committed.
 
         Args:
-            revision: Says nothing of this replica if it is behind it.
-            proven_at: Monotonic; must be no later than the proof.
+            revision: The newest revision then; ignored if this replica is
+                behind it.
+            proven_at: Monotonic time, no later than the evidence was taken.
         """
         if revision > self.revision:
             return
@@ -124,7 +125,7 @@
             self._confirmed_at = proven_at
 
     def recent_changes_after(self, revision: int) -> list[rows.Change] | None:
-        """Returns the changes behind a revision; None if not all are kept."""
+        """Returns the changes after a revision; None if not all are kept."""
         if revision >= self.revision:
             return []
         if (
@@ -139,14 +140,14 @@
         ]
 
     async def wait_for_new_revision(self) -> None:
-        """Waits until the revision is higher than at the call."""
+        """Waits until the revision rises."""
         await self._revision_changed.wait()
 
     def _put_in_force(self, state: state_module.ConfigState) -> None:
-        """Moves to a state; the only place that does.
+        """Replaces the state; nothing else does.
 
-        Each move is recorded with what it replaced, so that a step back which
-        lasted for an instant could still be told from the events.
+        Each replacement is recorded with the revision before it, so that even
+        a momentary step back would show in the events.
         """
         before = self.revision
         self._state = state
--- a/src/nutmeghook/internal/config/rows.py
+++ b/src/nutmeghook/internal/config/rows.py
@@ -1,8 +1,8 @@
-"""What the configuration keeps in the table service, and under which keys.
+"""The configuration's rows in the table service, and their keys.
 
-Rows are JSON, so that an operator can read them with the platform's own
-tools. Decoding is lenient: an instance of the release before must be able to
-read the rows that one of the next release writes.
+Rows are JSON, so that operators can read them with the platform's own tools.
+Decoding ignores unknown fields: the previous release must be able to read the
+rows that the next release writes.
 """
 
 import datetime
@@ -28,13 +28,13 @@
 
 
 class Author(msgspec.Struct, frozen=True, kw_only=True):
-    """Who made a change: the name of a token, and the token's team."""
+    """The author of a change: a token's name and team."""
 
     team: str
     name: str
 
     def __str__(self) -> str:
-        """Returns the form that reports show."""
+        """Returns the form for reports."""
         return f"{self.team}/{self.name}"
 
 
@@ -46,13 +46,13 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted change; never written again. These rows are the audit.
+    """One accepted change; never rewritten. These rows are the audit log.
 
     Attributes:
         operation_id: Chosen by the operator's client.
         accepted_at: Wall time of the accepting instance.
-        bases: What the documents were before.
-        replacement: The documents, whole, as they are from this revision on.
+        bases: The revisions of the documents before the change.
+        replacement: The whole documents as of this revision.
     """
 
     revision: int
@@ -65,7 +65,7 @@
 
 
 class DocumentRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A document as it stands; exactly one of the three is set."""
+    """A current document; exactly one of the three is set."""
 
     revision: int
     fleet: documents.Fleet | None = None
@@ -74,7 +74,7 @@
 
 
 class Outcome(enum.Enum):
-    """What became of an operation, for ever."""
+    """The final outcome of an operation."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -85,12 +85,12 @@
     """The first and only outcome of an operation id.
 
     Attributes:
-        edit_digest: Tells a repetition from another use of the same id;
-            empty if the operation was abandoned by someone who did not know
-            its content.
-        revision: Of the accepted change; else the newest one looked at.
-        code_number: Why it was refused; a number of `foundation.codes`.
-        conflict: The change that was there first.
+        edit_digest: Distinguishes a retry from another use of the same id;
+            empty if the operation was abandoned by an instance that did not
+            know its edit.
+        revision: Of the accepted change; else the newest one examined.
+        code_number: The reason for a refusal, from `foundation.codes`.
+        conflict: The change that was accepted first.
     """
 
     operation_id: str
@@ -113,7 +113,7 @@
 
 
 def change_key(revision: int) -> str:
-    """Returns the key of a change's row; keys sort as revisions do."""
+    """Returns the key of a change's row; keys sort like revisions."""
     return f"{CHANGE_PREFIX}{revision:012d}"
 
 
@@ -125,7 +125,7 @@
 def operation_key(team: str, operation_id: str) -> str:
     """Returns the key of an operation's row.
 
-    Ids belong to the team of the token that uses them: one team can neither
-    read nor abandon another's operation by guessing its id.
+    Ids are scoped by the team of the token, so that a team can neither read
+    nor abandon another team's operation by guessing its id.
     """
     return f"{OPERATION_PREFIX}{team}/{operation_id}"
--- a/src/nutmeghook/internal/config/shares.py
+++ b/src/nutmeghook/internal/config/shares.py
@@ -1,4 +1,4 @@
-"""Sets a version's state and share in a template; the others make room."""
+"""Sets a version's state and share in a template, and adjusts the others."""
 
 import msgspec
 
@@ -62,7 +62,7 @@
     entry_state: documents.VersionState,
     share_percent: float,
 ) -> documents.Template:
-    """Sets one version's entry; the others share the rest as before."""
+    """Sets one version's entry; the others split the remaining share."""
     index = stage_index(template, model_version)
     stage = template.stages[index]
     others = [e for e in stage.versions if e.version != model_version.version]
@@ -83,8 +83,8 @@
 ) -> list[documents.VersionEntry]:
     """Scales the shares of serving versions so that all sum to a total.
 
-    Another version's roll-out keeps its share, which is what its exposure
-    was judged at, unless no serving version is left to take the rest.
+    Another version's roll-out keeps its share, because its exposure was
+    evaluated at it, unless no serving version is left to take the rest.
     """
     receiving = [
         e for e in entries if e.state is documents.VersionState.SERVING
@@ -109,12 +109,12 @@
     receiving: list[documents.VersionEntry],
     total_percent: float,
 ) -> list[documents.VersionEntry]:
-    """Divides a total in the proportion of the shares that entries have.
+    """Divides a total in proportion to the entries' present shares.
 
-    Where all of them have none, they are former versions, kept to fall back
-    to. The one that served last takes everything: it is what callers had
-    before. `with_entry` puts each version that it moves at the end, so that
-    one is the last. Equal parts would bring back versions long replaced.
+    If all shares are 0, the entries are former versions, and the one that
+    served most recently gets everything. That is the last one, because
+    `with_entry` appends each version it changes. Equal shares would bring back
+    versions replaced long ago.
     """
     sum_percent = sum(entry.share_percent for entry in receiving)
     if sum_percent <= 0:
@@ -133,5 +133,5 @@
 
 
 def invalid_template(detail: str) -> errors.CodedError:
-    """Returns the error of an edit that does not fit the template."""
+    """Returns the error for an edit that does not fit the template."""
     return errors.CodedError(code=codes.Code.INVALID_TEMPLATE, detail=detail)
--- a/src/nutmeghook/internal/config/state.py
+++ b/src/nutmeghook/internal/config/state.py
@@ -1,4 +1,4 @@
-"""The whole configuration with each document's own revision."""
+"""The whole configuration with the revision of each document."""
 
 import msgspec
 
@@ -19,7 +19,7 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the whole."""
+        """The revision of the whole configuration."""
         return self.snapshot.revision
 
     def revision_of(self, document: str) -> int:
--- a/src/nutmeghook/internal/config/store.py
+++ b/src/nutmeghook/internal/config/store.py
@@ -16,7 +16,7 @@
 
 _T = TypeVar("_T")
 _PAGE_ROWS = 500
-# A replica further behind than this reads the documents instead of the log.
+# A replica further behind reads the documents instead of the change log.
 _MAX_CATCH_UP_CHANGES = 1000
 
 
@@ -25,8 +25,8 @@
 
     Attributes:
         version: The row's version, for the condition of the next change.
-        read_at: Monotonic time just before the read was sent: whatever was
-            committed by then is covered by `revision`.
+        read_at: Monotonic time just before the read was sent; `revision`
+            covers everything committed by then.
     """
 
     revision: int
@@ -36,11 +36,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class CatchUp:
-    """What was read to bring a state up to date.
+    """A state brought up to date from the store.
 
     Attributes:
-        state: The state then.
-        changes: What led to it; None if the documents were read instead.
+        state: The new state.
+        changes: The changes applied; None if the documents were read instead.
     """
 
     state: state_module.ConfigState
@@ -52,8 +52,8 @@
 
     Reads raise `failures.PlatformError`. `commit` raises
     `failures.NotDoneError` only if the write had no effect; a call that
-    outlasts the time limit raises `failures.OutcomeUnknownError`, because the
-    request may still be on its way.
+    exceeds the time limit raises `failures.OutcomeUnknownError`, because the
+    request may still be in flight.
     """
 
     __slots__ = ("_call_timeout", "_clock", "_table")
@@ -94,7 +94,7 @@
     async def changes_after(
         self, revision: int, *, limit: int = _MAX_CATCH_UP_CHANGES
     ) -> list[rows.Change]:
-        """Reads the changes behind a revision, in order."""
+        """Reads the changes after a revision, in order."""
         found: list[rows.Change] = []
         after = rows.change_key(revision)
         while len(found) < limit:
@@ -109,7 +109,7 @@
     async def operation(
         self, team: str, operation_id: str
     ) -> rows.OperationRecord | None:
-        """Reads what became of an operation; None if that is not settled."""
+        """Reads an operation's outcome; None if it has none yet."""
         row = await self._read(rows.operation_key(team, operation_id))
         if row is None:
             return None
@@ -118,10 +118,10 @@
     async def catch_up(
         self, state: state_module.ConfigState, revision: int
     ) -> CatchUp:
-        """Reads what a state lacks to be at `revision` or newer.
+        """Brings a state to `revision` or newer.
 
         Raises:
-            failures.NotDoneError: Rows that the head promises are missing.
+            failures.NotDoneError: Rows up to the head revision are missing.
         """
         if revision - state.revision > _MAX_CATCH_UP_CHANGES:
             return await self._reload()
@@ -129,7 +129,7 @@
         while state.revision < revision:
             page = await self.changes_after(state.revision)
             if not _is_contiguous(page, state):
-                # Old changes may have been cleared out of the table.
+                # Old changes may have been deleted from the table.
                 return await self._reload()
             for change in page:
                 state = state.with_change(change)
@@ -150,12 +150,12 @@
             ) from error
 
     async def _reload(self) -> CatchUp:
-        """Reads all documents and the changes made meanwhile.
+        """Reads all documents and the changes committed meanwhile.
 
-        The pages are read one after the other while changes go on, so some
-        documents are newer than others. The changes from the head before to
-        the head after, applied in order, make the whole consistent again:
-        each replaces its documents whole.
+        Changes may commit between two pages, so some documents are newer than
+        others. Applying the changes between the head before and the head after
+        in order makes the state consistent, because each replaces whole
+        documents.
         """
         before = await self.head()
         state = await self._load(before.revision)
@@ -164,15 +164,15 @@
             page = await self.changes_after(state.revision)
             if not _is_contiguous(page, state):
                 raise failures.NotDoneError(
-                    f"the head says {after.revision}, but what follows "
-                    f"{state.revision} is missing"
+                    f"the head is at revision {after.revision}, but changes "
+                    f"after {state.revision} are missing"
                 )
             for change in page:
                 state = state.with_change(change)
         return CatchUp(state=state, changes=None)
 
     async def _load(self, revision: int) -> state_module.ConfigState:
-        """Reads all documents, to be called those of a revision."""
+        """Reads all documents and labels the state with a revision."""
         state = state_module.EMPTY_STATE
         after = ""
         while True:
@@ -209,15 +209,15 @@
 def _is_contiguous(
     changes: list[rows.Change], state: state_module.ConfigState
 ) -> bool:
-    """Tells whether there are changes and they follow on without a gap."""
+    """Tells whether there are changes that continue a state without a gap."""
     first = state.revision + 1
     expected = range(first, first + len(changes))
     return bool(changes) and [c.revision for c in changes] == list(expected)
 
 
 def _decode(row: table_module.Row, row_type: type[_T]) -> _T:
-    # A row that this release can't read must not end the task that reads it:
-    # the instance goes on with what it has, and its age shows.
+    # A row that this release can't decode must not end the reading task: the
+    # instance keeps its configuration, whose age then grows.
     try:
         return msgspec.json.decode(row.value, type=row_type)
     except msgspec.MsgspecError as error:
--- a/src/nutmeghook/internal/config/template_rules.py
+++ b/src/nutmeghook/internal/config/template_rules.py
@@ -1,4 +1,4 @@
-"""The rules that a template must keep, with its team and the fleet."""
+"""Validation rules for a template with its team and the fleet."""
 
 from collections.abc import Iterator
 import itertools
--- a/src/nutmeghook/internal/config/tokens.py
+++ b/src/nutmeghook/internal/config/tokens.py
@@ -1,4 +1,4 @@
-"""Who a bearer token belongs to."""
+"""Finds the holder of a bearer token."""
 
 import dataclasses
 import hashlib
@@ -18,10 +18,10 @@
 
 
 class TokenIndex:
-    """Finds a token's holder with the same work for every token.
+    """Finds a token's holder without a timing side channel.
 
-    The text is hashed before it is looked up, so the time of the lookup says
-    nothing about how much of a guessed text is right.
+    The text is hashed before the look-up, so the look-up time does not reveal
+    how much of a guessed token is correct.
     """
 
     __slots__ = ("_config", "_holders", "_indexed_snapshot")
@@ -41,7 +41,7 @@
 
 
 def digest(token_text: str) -> str:
-    """Returns the form in which a token's text is kept: SHA-256 in hex."""
+    """Returns the stored form of a token's text: SHA-256 in hex."""
     return hashlib.sha256(
         token_text.encode("utf-8", "surrogateescape")
     ).hexdigest()
--- a/src/nutmeghook/internal/config/validation.py
+++ b/src/nutmeghook/internal/config/validation.py
@@ -1,8 +1,8 @@
-"""The rules that a whole configuration must keep.
+"""Validation rules for a whole configuration.
 
-All faults are found at once. A change is refused for the faults that it adds:
-one template that a fleet-wide withdrawal left without a version must not keep
-every other team from changing theirs.
+All faults are reported together. A change is refused only for faults that it
+adds: a template that a fleet-wide withdrawal left without a version must not
+block other teams' changes.
 """
 
 from collections.abc import Iterator
@@ -114,15 +114,15 @@
 def _shared_token_faults(
     snapshot: documents.Snapshot,
 ) -> Iterator[faults.FieldFault]:
-    # A bearer token is looked up by its hash alone: one that two entries
-    # share would act for whichever team came last.
+    # A bearer token is looked up by its hash alone; a hash that two entries
+    # share would authenticate the team that was indexed last.
     seen: set[str] = set()
     for team in snapshot.teams.values():
         for token in team.tokens:
             if token.sha256 in seen:
                 path = f"{edits.team_document(team.name)}.tokens[{token.name}]"
                 yield field_rules.fault(
-                    f"{path}.sha256", token.sha256, "mint a token of its own"
+                    f"{path}.sha256", token.sha256, "create a separate token"
                 )
             seen.add(token.sha256)
 
--- a/src/nutmeghook/internal/config/view.py
+++ b/src/nutmeghook/internal/config/view.py
@@ -18,12 +18,12 @@
     def confirmed_age(self) -> datetime.timedelta | None:
         """Time since the snapshot was known to be the newest.
 
-        None if that was never so in this process's life.
+        None if that was never confirmed since the process started.
         """
 
 
 class FixedConfigView(ConfigView):
-    """A configuration given once; for tests."""
+    """A fixed configuration, for tests."""
 
     __slots__ = ("_age", "_snapshot")
 
