--- a/src/nutmeghook/internal/leases/keeper.py
+++ b/src/nutmeghook/internal/leases/keeper.py
@@ -1,10 +1,10 @@
-"""Takes, renews and gives up one lease on behalf of this instance.
+"""Acquires, renews and releases one lease on behalf of this instance.
 
 No wall clocks are compared. An observer takes a lease over when the row's
-version has stood still for longer than the lease's duration on the observer's
+version has not changed for longer than the lease's duration on the observer's
 own monotonic clock; the take-over is conditional on that version, so a
 renewal that comes first wins. The holder counts from the start of its last
-renewal, so it stops before any observer may begin.
+renewal, so its lease expires before any observer may take over.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 
 _ZERO = datetime.timedelta()
 _JITTER_SHARE = 0.1
-# Two instances that are cut off from each other, and not from the store, take
-# each other for dead. If that were enough they would take the lease from each
-# other without end; a holder that still renews is not dead.
+# Two instances that reach the store but not each other consider each other
+# dead, and would take the lease from each other endlessly. So a take-over also
+# requires that the holder missed this many renewals.
 _MISSED_RENEWALS = 2
 
 
@@ -38,10 +38,10 @@
         incarnation: This process.
         inner_address: Where others reach the holder.
         rank: Returns this instance's preference, 0 for the most preferred,
-            None where it should not hold the lease. Asked again each time.
-        is_dead: Tells whether an incarnation is known to be gone. Given only
-            where every act of the holder is conditional on the lease's row:
-            then a take-over before the lease has lapsed is safe.
+            None where it should not hold the lease. Called for each decision.
+        is_dead: Tells whether an incarnation is known to be dead. To be given
+            only where every action of the holder is conditional on the
+            lease's row, so that a take-over before the expiry is safe.
     """
 
     __slots__ = (
@@ -95,7 +95,7 @@
         self._version = table_module.ABSENT_VERSION
         self._row_changed_at = clock.monotonic()
         self._valid_until = _ZERO
-        # When each write that may yet turn out to be ours was begun.
+        # Start of each write that the row may yet turn out to come from.
         self._write_started_at: dict[int, datetime.timedelta] = {}
         self._outranked_since: datetime.timedelta | None = None
         self._stopped = False
@@ -118,19 +118,19 @@
         return self._version
 
     def fencing_token(self) -> int | None:
-        """Returns the token while the lease surely holds, else None.
+        """Returns the token while the lease is certainly held, else None.
 
-        A process that was paused finds the time already past `valid_until`
-        here, before its renewal task has run at all.
+        The expiry is checked at each call, so that it is also noticed by a
+        process which was paused and whose renewal task has not run yet.
         """
         if self._clock.monotonic() >= self._valid_until:
             return None
         return self.last_token()
 
     def last_token(self) -> int | None:
-        """Returns the token while nothing shows that the lease is lost.
+        """Returns the token unless the lease is known to be lost.
 
-        It may have lapsed: use it only for commits that are conditional on
+        It may have expired: use it only for commits that are conditional on
         the lease's row.
         """
         if self._is_mine(self._row):
@@ -138,27 +138,27 @@
         return None
 
     def known_holder(self) -> rows.LeaseRow | None:
-        """Returns the row as last seen, for sending others to the holder."""
+        """Returns the row as last seen, for referring others to the holder."""
         return self._row
 
     def wake(self) -> None:
-        """Looks at the row now instead of at the next poll."""
+        """Reads the row now instead of at the next poll."""
         self._wake.set()
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Has a function called whenever the lease is gained or lost."""
+        """Registers a listener for the gain and the loss of the lease."""
         self._listeners.append(listener)
 
     async def run(self) -> None:
         """Contends for the lease and renews it until cancelled."""
         while not self._stopped:
-            # Where the store's answer is missing, the next step looks again.
+            # If the store does not answer, the next step reads the row again.
             with contextlib.suppress(failures.PlatformError):
                 await self.step()
             await self._pause()
 
     async def step(self) -> None:
-        """Does one look, renewal or take-over, as the moment calls for."""
+        """Renews or hands over a held lease, else tries to acquire it."""
         if self.last_token() is not None:
             await self._renew_or_hand_over()
         elif self._rank() is not None:
@@ -169,25 +169,25 @@
     async def read_row(self) -> None:
         """Reads the row."""
         row = await self._table.read(self.row_key)
-        # Counted from after the read: whoever wrote this version began to
-        # count before it, and so stops before us.
+        # Timed from after the read: the writer of this version began to count
+        # before it, so its lease expires before this instance takes over.
         self._observe_row(row)
 
     async def release(self) -> None:
-        """Gives the lease up, so that another may take it at once.
+        """Releases the lease, so that another may acquire it immediately.
 
         Raises:
             failures.PlatformError: The store did not answer; the lease then
-                lapses by itself.
+                expires by itself.
         """
         self._stopped = True
         await self._release()
 
     def apply_row(self, row: table_module.Row | None) -> bool:
-        """Takes in the row that a failed condition showed.
+        """Applies the row that a failed condition returned.
 
         Returns:
-            Whether the lease is still this instance's.
+            Whether this instance still holds the lease.
         """
         self._observe_row(row)
         return self.last_token() is not None
@@ -202,7 +202,7 @@
         if self.last_token() is None:
             return
         self._valid_until = _ZERO
-        # An earlier renewal in doubt must not make the lease count again.
+        # An earlier in-doubt renewal must not make the lease valid again.
         self._write_started_at.clear()
         released = msgspec.structs.replace(
             self._own_row(token=self._row.token), released=True
@@ -210,7 +210,7 @@
         await self._write(released)
 
     def _is_outranked(self) -> bool:
-        """Whether another has been preferred for the settling time."""
+        """Whether another was preferred throughout the settling time."""
         if self._rank() == 0:
             self._outranked_since = None
             return False
@@ -223,7 +223,7 @@
         rank = self._rank()
         if rank is None:
             return False
-        # The preferred instance goes first; the others leave it the time.
+        # Lower-ranked instances wait longer, so the preferred one comes first.
         rank_delay = rank * self._settings.poll_every
         unchanged_for = self._clock.monotonic() - self._row_changed_at
         if self._row is None or self._row.released:
@@ -239,11 +239,11 @@
         await self._write(self._own_row(token=last + 1))
 
     async def _write(self, row: rows.LeaseRow) -> None:
-        """Writes the row on condition that it is still as last seen.
+        """Writes the row on condition that it is unchanged (compare-and-swap).
 
-        A write in doubt needs no settling of its own: the next write has the
-        same condition, so at most one of the two takes effect, and the row
-        that a failed condition shows tells which.
+        An in-doubt write needs no resolution of its own: the next write has
+        the same condition, so at most one of the two succeeds, and the row
+        that a failed condition returns shows which.
         """
         self._write_started_at[row.write_number] = self._clock.monotonic()
         try:
@@ -277,7 +277,7 @@
             self._observe_row(current.get(self.row_key))
 
     def _observe_row(self, found: table_module.Row | None) -> None:
-        """Takes in the row's present version, and what it means."""
+        """Applies the row's current version."""
         version = found.version if found else table_module.ABSENT_VERSION
         if version == self._version:
             return
@@ -293,8 +293,8 @@
         if not self._is_mine(self._row):
             self._valid_until = _ZERO
             return
-        # The row says which of our writes made it, so that a write whose
-        # answer was lost counts from its own start and not from a later one.
+        # The row names the write that it comes from, so that after a lost
+        # answer the lease counts from the start of that write, not a later one.
         started = self._write_started_at.get(self._row.write_number)
         if started is not None:
             lasts = self._settings.duration - self._settings.margin
@@ -351,6 +351,6 @@
             await self._clock.wait_for(self._wake.wait(), period * jitter)
         except TimeoutError:
             return
-        # Many callers may ask at once; the pause bounds what that costs.
+        # Many callers may wake it at once; the pause limits the reads.
         self._wake.clear()
         await self._clock.sleep(self._settings.poll_every / 10)
--- a/src/nutmeghook/internal/leases/lease.py
+++ b/src/nutmeghook/internal/leases/lease.py
@@ -1,15 +1,15 @@
-"""A lease as its user sees it: held or not, and with which token."""
+"""The interface of a lease for its users: whether it is held, its token."""
 
 import abc
 
 
 class Lease(abc.ABC):
-    """A named right that at most one instance may use at a time.
+    """A named lease that at most one instance holds at a time.
 
-    The holder can be paused and wake after its lease has lapsed. So users
-    ask `fencing_token` just before each act, and send the token along to
-    whoever can check it: the table service by a condition on the lease's row,
-    engines by the order's own field.
+    A holder can be paused and resume after its lease has expired. So users
+    call `fencing_token` just before each action and pass the token to what can
+    check it: the table service by a condition on the lease's row, engines by a
+    field of the order.
     """
 
     @property
@@ -19,7 +19,7 @@
 
     @abc.abstractmethod
     def fencing_token(self) -> int | None:
-        """Returns the token while the lease surely holds, else None."""
+        """Returns the token while the lease is certainly held, else None."""
 
     @property
     @abc.abstractmethod
@@ -28,8 +28,8 @@
 
     @abc.abstractmethod
     def row_version(self) -> int:
-        """The row's version to name in a condition; valid while held.
+        """The row's version for a condition; valid while held.
 
         A commit with this condition fails once another instance holds the
-        lease. Renewals change it; take it just before building a commit.
+        lease. Renewals change it, so read it just before building a commit.
         """
--- a/src/nutmeghook/internal/leases/leased_component.py
+++ b/src/nutmeghook/internal/leases/leased_component.py
@@ -1,4 +1,4 @@
-"""A part of an instance that acts for all where its instance holds a lease."""
+"""A component that acts for the whole fleet while it holds a lease."""
 
 import abc
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class LeasedComponent(abc.ABC):
-    """Keeps a lease beside the tasks that ask whether it is held.
+    """Runs a lease keeper beside the tasks that depend on the lease.
 
     Args:
         lease_name: The same on all instances.
@@ -43,14 +43,14 @@
 
     @abc.abstractmethod
     def _tasks(self) -> tuple[Coroutine[Any, Any, None], ...]:
-        """Returns what runs beside the lease, on every instance."""
+        """Returns the tasks to run beside the keeper, on every instance."""
 
     async def run(self) -> None:
-        """Takes part until cancelled."""
+        """Runs the keeper and the tasks until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             for task in (self._lease.run(), *self._tasks()):
                 tasks.create_task(task)
 
     async def release(self) -> None:
-        """Gives the lease up, so that another instance goes on at once."""
+        """Releases the lease, so that another instance can take over."""
         await self._lease.release()
--- a/src/nutmeghook/internal/leases/preference.py
+++ b/src/nutmeghook/internal/leases/preference.py
@@ -1,7 +1,7 @@
-"""Which members should hold a lease: rendezvous hashing, no messages.
+"""Which members should hold a lease, by rendezvous hashing.
 
-Each member computes the same order from the same member list, so leases
-spread evenly, and a member that joins or leaves moves only its own share.
+Each member computes the same order from the same member list. Leases spread
+evenly, and a member that joins or leaves moves only its own share.
 """
 
 import functools
@@ -10,15 +10,15 @@
 
 from nutmeghook.internal.membership import members
 
-# Only the first few look at a lease's row. The rest would cost the store
-# leases x instances reads; they move up as members before them are found dead.
+# Only this many members poll a lease's row; all of them would cost the store
+# leases x instances reads. The others move up as members before them die.
 CANDIDATES = 3
 
 
 def rank_of_myself(lease_name: str, view: members.MemberView) -> int | None:
-    """Returns this instance's place in the order, 0 being preferred.
+    """Returns this instance's rank for a lease, 0 being preferred.
 
-    None where it is no candidate: too far down, or leaving.
+    None if it is no candidate: ranked too low, or leaving.
     """
     order = candidates(lease_name, view)
     for rank, member in enumerate(order):
@@ -41,10 +41,10 @@
     ]
 
 
-# Kept, because every keeper asks each second, and with 420 members the order
-# of 16 leases would take half a per cent of a core. Room for 64 partitions, the
-# other leases, and the orders before and after a member's change: with room
-# for 64 in all, 67 leases asked in turn and never found theirs.
+# Cached, because every keeper asks each second, and with 420 members sorting
+# for 16 leases would take half a per cent of a core. Sized for 64 partitions,
+# the other leases, and the orders before and after a membership change: with
+# 64 entries, 67 leases asked in turn would never hit the cache.
 @functools.lru_cache(maxsize=256)
 def _top_candidates(
     lease_name: str, incarnations: tuple[str, ...]
--- a/src/nutmeghook/internal/leases/preferred.py
+++ b/src/nutmeghook/internal/leases/preferred.py
@@ -1,4 +1,4 @@
-"""Builds the lease of a task that one instance does for all."""
+"""Builds the lease of a task that one instance does for the fleet."""
 
 import random
 
@@ -19,10 +19,11 @@
     events: events_module.EventRing,
     random_source: random.Random,
 ) -> keeper.LeaseKeeper:
-    """Returns a lease that the member preferred by rendezvous should hold.
+    """Returns the keeper of a lease whose holder is chosen by rendezvous hash.
 
-    A holder believed dead is waited out, not hurried: what such holders do
-    (orders to engines, for one) is not always conditional on the lease's row.
+    A dead holder's lease is not taken over before it expires, because its
+    actions (orders to engines, for example) are not always conditional on the
+    lease's row.
     """
     return keeper.LeaseKeeper(
         name=name,
--- a/src/nutmeghook/internal/leases/rows.py
+++ b/src/nutmeghook/internal/leases/rows.py
@@ -1,4 +1,4 @@
-"""The row in the table service that stands for a lease."""
+"""The table service's row of a lease."""
 
 import datetime
 
@@ -10,16 +10,16 @@
 
 
 class LeaseRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Who holds a lease.
+    """The holder of a lease.
 
     Attributes:
         holder: Incarnation of the holding process.
-        inner_address: Where the holder is reached, `ip:port`.
+        inner_address: The holder's address, `ip:port`.
         token: Fencing token; it rises with each change of holder.
         duration_ms: How long after a renewal the holder may act.
-        write_number: Counts the holder's writes, so that it can tell which
-            of them a row came from.
-        released: The holder gave it up; anyone may take it at once.
+        write_number: Counts the holder's writes, to identify the one that a
+            row comes from.
+        released: The holder released it; anyone may acquire it immediately.
     """
 
     holder: str
@@ -34,16 +34,17 @@
 
 
 class LeaseSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Times of a lease; one set for all leases of a kind.
+    """Durations of a lease; the same for all leases of a kind.
 
     Attributes:
-        duration: How long a renewal lasts for its holder.
-        margin: What the holder takes off and observers add, for clocks that
-            run at slightly different speeds.
+        duration: How long the lease is valid after a renewal.
+        margin: Subtracted by the holder and added by observers, against clock
+            drift.
         renew_every: Time between renewals.
         poll_every: Time between an observer's reads of the row.
         settle: How long another instance must be preferred before a holder
-            hands over to it; it damps views that differ for a moment.
+            hands over to it, so that brief differences between member lists
+            move no lease.
     """
 
     duration: datetime.timedelta = datetime.timedelta(seconds=4)
