--- a/src/nutmeghook/internal/membership/claims.py
+++ b/src/nutmeghook/internal/membership/claims.py
@@ -1,4 +1,4 @@
-"""What one instance says of another, checked as it enters the process."""
+"""Claims about a member's state, and their validation on receipt."""
 
 import dataclasses
 
@@ -8,15 +8,15 @@
 
 
 class BadClaimError(ValueError):
-    """A state that lacks a field or holds an impossible one."""
+    """A received state with a missing or invalid field."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Claim:
-    """A member's state at a number of its own.
+    """A member's state at one of its incarnation numbers, as in SWIM.
 
-    Only the member itself raises its number. What is said at a higher number
-    holds against all that was said at lower ones.
+    Only the member itself raises its number. A claim with a higher number
+    overrides all claims with lower ones.
     """
 
     member: members_module.Member
@@ -24,21 +24,21 @@
 
     @property
     def order(self) -> tuple[int, str, members_module.MemberHealth]:
-        """What tells the newer of two claims on the same address.
+        """Sort key: the greater of two claims about an address is the newer.
 
-        The incarnation only settles a tie between two processes that started
-        at one address in the same millisecond: all must pick the same.
+        The incarnation only breaks a tie between two processes that started
+        at one address in the same millisecond: all must choose the same.
         """
         return self.number, self.member.incarnation, self.member.health
 
     @property
     def is_running(self) -> bool:
-        """Whether the member is said to exist."""
+        """Whether the claim says that the member is not dead."""
         return self.member.health is not members_module.MemberHealth.DEAD
 
     @property
     def has_location(self) -> bool:
-        """Whether the claim tells where the member is."""
+        """Whether the claim contains the member's data centre."""
         return bool(self.member.data_centre)
 
 
@@ -60,17 +60,17 @@
     """Returns the claim in a message.
 
     Raises:
-        BadClaimError: A field is missing or impossible.
+        BadClaimError: A field is missing or invalid.
     """
     needed = (state.inner_address, state.incarnation, state.number)
     if not all(needed) or state.number < 0:
-        raise BadClaimError(f"a field is missing in {state!r}")
+        raise BadClaimError(f"missing or negative field in {state!r}")
     if not addresses.is_valid(state.inner_address):
-        raise BadClaimError(f"inner_address {state.inner_address!r}")
+        raise BadClaimError(f"invalid inner_address {state.inner_address!r}")
     try:
         health = members_module.MemberHealth(state.state)
     except ValueError as error:
-        raise BadClaimError(f"state {state.state!r}") from error
+        raise BadClaimError(f"unknown state {state.state!r}") from error
     member = members_module.Member(
         inner_address=state.inner_address,
         incarnation=state.incarnation,
@@ -83,7 +83,7 @@
 
 
 def usable(states: list[ttypes.MemberState] | None) -> list[Claim]:
-    """Returns the sound claims of a list, leaving out the others."""
+    """Returns the valid claims of a list, skipping the others."""
     claims = []
     for state in states or []:
         try:
--- a/src/nutmeghook/internal/membership/detector.py
+++ b/src/nutmeghook/internal/membership/detector.py
@@ -1,4 +1,4 @@
-"""Finds members that no longer answer, and makes sure before it says so."""
+"""Detects members that no longer answer, and confirms before it says so."""
 
 import asyncio
 import datetime
@@ -14,12 +14,12 @@
 from nutmeghook.internal.membership import timing as timing_module
 
 _HELPERS = 3
-# A cut region silences hundreds at once. More suspects than this wait their
-# turn, which bounds the bytes spent on them; others examine the rest.
+# A region that is cut off makes hundreds of members suspect at once. This limit
+# bounds the traffic for them; other instances confirm the rest.
 _MAX_CONCURRENT_CONFIRMATIONS = 2
 _PROBES_WHILE_UNCONFIRMED = 3
-# A wait that took this much longer than asked means that this process stood
-# still or starved, and that its timeouts prove nothing about others.
+# A wait that took this much longer than requested means that this process
+# stalled, so its timeouts prove nothing about other members.
 _MAX_OVERSLEEP = datetime.timedelta(seconds=1)
 
 
@@ -30,12 +30,12 @@
 
 
 class FailureDetector:
-    """Probes the members in turn and examines the silent ones.
+    """Probes the members in turn and confirms suspicions.
 
-    A suspicion stays with the instance that has it. Spreading it, as SWIM
-    does, lets every instance start a clock that only a refutation, spread
-    just as fast, can stop; here the one instance that suspects keeps asking,
-    directly and through three helpers, and only its conclusion is spread.
+    Unlike in SWIM, a suspicion is not gossiped. Gossiped, it would start a
+    timer on every instance, which only an equally fast refutation stops. Here
+    the suspecting instance goes on probing, directly and through three
+    helpers, and only its conclusion is gossiped.
     """
 
     __slots__ = (
@@ -81,21 +81,21 @@
             await self._clock.sleep(self._timing.probe_period * jitter)
             count = 1
             if not self._gossip.is_confirmed():
-                # At the start, after a freeze, and while cut off.
+                # At start, after a freeze, and while cut off.
                 count = _PROBES_WHILE_UNCONFIRMED
             for _ in range(count):
                 self._probe_next()
 
     def stop(self) -> None:
-        """Ends all examinations."""
+        """Cancels all checks."""
         for task in self._tasks:
             task.cancel()
 
     def _probe_next(self) -> None:
-        """Probes in a shuffled order that is renewed when it is through.
+        """Probes in a shuffled order, reshuffled after each pass.
 
-        So each member is probed within a bounded time, which drawing lots
-        anew each time would not give.
+        So each member is probed within a bounded time, which independent
+        random choices would not ensure.
         """
         if not self._queue:
             self._queue = [
@@ -132,7 +132,7 @@
     async def _confirm(
         self, record: table_module.Record, suspected: claims.Claim
     ) -> None:
-        """Asks until the member answers, speaks for itself, or is dead."""
+        """Probes until the member answers, sends a new claim, or is dead."""
         silent_rounds = 0
         while silent_rounds < self._timing.confirmations:
             started = self._clock.monotonic()
@@ -153,25 +153,26 @@
     def _declare_dead(self, suspected: claims.Claim) -> None:
         """Declares a member dead.
 
-        An instance that nobody answers may be the one that is cut off, even
-        if what it sends still arrives. It would take the whole fleet for dead
-        and talk the others into it, so it keeps its conclusion to itself.
+        An instance that nobody answers may itself be cut off, even if its
+        messages still arrive. It would declare the whole fleet dead, so it
+        does not gossip its conclusion.
         """
         claim = self._table.declare_dead(suspected)
         if claim is None:
             return
         if self._gossip.is_confirmed():
             self._gossip.spread(claim)
-            # Saves the rumour its slow start: seconds, at 100 members.
+            # Starts the rumour at several members: at 100 members this saves
+            # seconds.
             for helper in self._helpers(claim.member):
                 self._gossip.announce_to(helper.inner_address)
         self._listener.on_verdict(claim, table_module.Verdict.ADOPTED)
 
     async def _round(self, member: members_module.Member) -> _Round:
-        """Asks twice directly, then once through helpers.
+        """Probes twice directly, then once through helpers.
 
-        At 5% loss a tenth of the probes fail. The second direct one costs
-        two datagrams; going to three helpers at once would cost twelve.
+        At 5% loss a tenth of the probes fail. The second direct probe costs
+        two datagrams; probing through three helpers costs twelve.
         """
         started = self._clock.monotonic()
         if await self._probe(member) or await self._probe(member):
@@ -204,11 +205,12 @@
     def _helpers(
         self, member: members_module.Member
     ) -> list[members_module.Member]:
-        """Draws helpers, of as many regions as there are.
+        """Chooses random helpers, each of another region where possible.
 
-        While two regions can't reach each other, a third one still reaches
-        both; helpers drawn blindly would often all be on this side of the
-        cut, and the two would take each other's members for dead.
+        While two regions can't reach each other, a third may reach both.
+        Helpers chosen without regard to regions would often all be on this
+        side of the cut, and the two regions would declare each other's members
+        dead.
         """
         others = [
             record.member
--- a/src/nutmeghook/internal/membership/exchange.py
+++ b/src/nutmeghook/internal/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Whole tables between two members, where rumours left them different."""
+"""Anti-entropy: syncs whole tables between members that differ."""
 
 import datetime
 import random as random_module
@@ -12,18 +12,18 @@
 from nutmeghook.internal.membership import timing as timing_module
 
 _TIMEOUT = datetime.timedelta(seconds=3)
-# What the swaps that this instance begins may cost it, sent and received. 420
-# members are 30 KB each way, so a swap each 90 s then.
+# Limit for the syncs that this instance begins, sent and received. 420 members
+# are 30 KB each way, so one sync each 90 s then.
 _BYTES_PER_S = 700
 _BYTES_PER_MEMBER = 75
 
 
 class TableExchange:
-    """Swaps tables over TCP, at a bounded rate.
+    """Syncs tables over TCP, at a bounded rate.
 
-    Only running members are told of. Deaths travel as rumours alone: a
-    region that was cut off would otherwise receive hundreds of its own
-    members' deaths on its first contact after the cut, and believe them.
+    Only running members are sent; deaths travel only as rumours. Otherwise a
+    region that was cut off would receive the deaths of hundreds of its own
+    members on its first contact after the cut, and apply them.
     """
 
     __slots__ = (
@@ -56,18 +56,19 @@
         self._timing = timing
         self._next_at = clock.monotonic()
         self._introduce_until = clock.monotonic() + timing.introduction
-        # Until one exchange went well this instance knows next to nothing.
+        # Whether the last sync brought anything new; true until the first, as
+        # this instance then knows hardly any member.
         self._learned = True
 
     def try_begin(self) -> bool:
-        """Tells whether a difference from another member warrants a swap.
+        """Tells whether a difference from another member warrants a sync.
 
-        If so, the caller makes it at once; no other is due meanwhile.
+        If so, the caller must begin it at once; no other is due meanwhile.
         """
         now = self._clock.monotonic()
         if now < self._next_at:
             return False
-        # Rumours of a change are still on their way; they are cheaper.
+        # Rumours of a recent change may still arrive, and are cheaper.
         settled = now - self._table.changed_at >= self._timing.settle
         if not settled and not self._learned:
             return False
@@ -90,15 +91,16 @@
         members_count = len(self._table.running()) + 1
         size_bytes = 2 * _BYTES_PER_MEMBER * members_count
         affordable = datetime.timedelta(seconds=size_bytes / _BYTES_PER_S)
-        hurried = self._timing.fast_sync_period
+        fast = self._timing.fast_sync_period
         if self._learned:
-            # A fleet that starts all at once has nothing better to do.
+            # A new instance may exceed the byte limit: a fleet that starts all
+            # at once has little else to do.
             is_new = self._clock.monotonic() < self._introduce_until
-            return hurried if is_new else max(affordable, hurried)
+            return fast if is_new else max(affordable, fast)
         return max(affordable, self._timing.sync_period)
 
     async def handle(self, request: ttypes.MemberTable) -> ttypes.MemberTable:
-        """Answers another member's swap."""
+        """Answers another member's sync."""
         reply = self._message()
         self._merge(request)
         return reply
@@ -111,7 +113,7 @@
         )
 
     def _merge(self, table: ttypes.MemberTable) -> bool:
-        """Merges a table; returns whether it taught anything."""
+        """Merges a table; returns whether it contained anything new."""
         verdicts = [
             self._gossip.apply_claim(claim)
             for claim in claims.usable(table.states)
--- a/src/nutmeghook/internal/membership/gossip.py
+++ b/src/nutmeghook/internal/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Probes, their acks, and the rumours that ride on both."""
+"""Probes, their acks, and the rumours piggybacked on both."""
 
 import asyncio
 import datetime
@@ -17,7 +17,7 @@
 from nutmeghook.internal.membership import table as table_module
 from nutmeghook.internal.membership import timing as timing_module
 
-# Probes passed on for others at one time; more are dropped, and the asker has
+# Concurrent indirect probes for others; more are dropped, as the requester has
 # two other helpers.
 _MAX_RELAYS = 32
 
@@ -67,21 +67,20 @@
         self._confirmed_at: datetime.timedelta | None = None
 
     def start(self) -> None:
-        """Begins to answer."""
+        """Begins to receive datagrams."""
         self._datagrams.set_receiver(self._receive)
 
     def stop(self) -> None:
-        """Ends the probes that are being passed on."""
+        """Cancels the indirect probes for others."""
         for relay in self._relays:
             relay.cancel()
 
     def is_confirmed(self) -> bool:
-        """Tells whether some member lately took this instance for alive.
+        """Tells whether a member recently acked without a claim of death.
 
-        What counts is when the probe left, not when its ack came: an ack that
-        lay in the socket while this process was frozen proves nothing of
-        today. So right after a long freeze, before any task has run, this is
-        false until somebody answers a new probe.
+        Measured from when the probe was sent, not when its ack came: an ack
+        that waited in the socket while this process was frozen is stale. So
+        after a long freeze this is false until a new probe is answered.
         """
         if self._confirmed_at is None:
             return False
@@ -89,7 +88,7 @@
         return age <= self._timing.suspicion
 
     def spread(self, claim: claims.Claim) -> None:
-        """Tells all members, a bounded number of times."""
+        """Gossips a claim, a bounded number of times."""
         self._rumours.add(claim)
 
     async def probe(
@@ -99,13 +98,13 @@
         timeout: datetime.timedelta,
         target_address: str | None = None,
     ) -> bool:
-        """Asks for a sign of life; returns whether one came in time.
+        """Probes a member; returns whether an ack came in time.
 
         Args:
-            inner_address: Who is asked.
+            inner_address: The receiver of the probe.
             timeout: How long the ack may take.
-            target_address: Whose sign of life the one asked shall get; its
-                own if None.
+            target_address: The member that the receiver shall probe (indirect
+                probe); None for the receiver itself.
         """
         sequence = next(self._sequences)
         ack = asyncio.get_running_loop().create_future()
@@ -156,10 +155,10 @@
         return claims.to_state(self._table.own_claim, with_location=introduces)
 
     def _rumours_for(self, inner_address: str) -> list[ttypes.MemberState]:
-        """Returns rumours, and first whether the receiver is held for dead.
+        """Returns rumours, preceded by the receiver's own death if known.
 
-        That is how a member that was frozen or cut off learns of it: by the
-        first message of anyone who believes it.
+        So a member that was frozen or cut off learns of its death with the
+        first message of any member that knows of it.
         """
         running = len(self._table.running()) + 1
         updates = self._rumours.pick(running)
@@ -176,15 +175,16 @@
     ) -> None:
         """Seals and sends, with as many rumours as fit the datagram.
 
-        Larger ones would be cut into fragments and lost more often, which
-        looks like dead members.
+        Larger datagrams would be fragmented and lost more often, and the lost
+        probes would make members look dead.
         """
         encoded = codec.encode(message, sequence=sequence)
         while len(encoded.data) > datagrams_module.MAX_ENVELOPE_BYTES:
             if not message.rumours:
                 raise ValueError(
-                    f"a {encoded.kind} of {len(encoded.data)} bytes; shorten "
-                    "the names of regions and data centres"
+                    f"{encoded.kind} of {len(encoded.data)} bytes exceeds the "
+                    "datagram limit; shorten the names of regions and data "
+                    "centres"
                 )
             message.rumours.pop()
             encoded = codec.encode(message, sequence=sequence)
@@ -217,18 +217,20 @@
     def _sender_of(self, received: codec.Received) -> claims.Claim:
         message = received.message
         if not isinstance(message, ttypes.Probe | ttypes.ProbeAck):
-            raise codec.MalformedError(f"a {received.kind} in a datagram")
+            raise codec.MalformedError(
+                f"unexpected {received.kind} in a datagram"
+            )
         if message.sender is None:
-            raise claims.BadClaimError("no sender")
+            raise claims.BadClaimError("missing sender")
         return claims.from_state(message.sender)
 
     def _merge(
         self, sender: claims.Claim, states: list[ttypes.MemberState] | None
     ) -> bool:
-        """Takes in all claims of a message.
+        """Applies all claims of a message.
 
         Returns:
-            Whether one of them was a wrong one about this instance.
+            Whether one of them was false and about this instance.
         """
         refuted = False
         for claim in [sender, *claims.usable(states)]:
@@ -237,7 +239,7 @@
         return refuted
 
     def apply_claim(self, claim: claims.Claim) -> table_module.Verdict:
-        """Merges one claim, spreads it if it is news, tells the listener."""
+        """Applies one claim, gossips it if new, and notifies the listener."""
         verdict = self._table.apply_claim(claim)
         if verdict is table_module.Verdict.ADOPTED:
             self._rumours.add(claim)
--- a/src/nutmeghook/internal/membership/listing.py
+++ b/src/nutmeghook/internal/membership/listing.py
@@ -1,9 +1,9 @@
-"""The platform's instance list, as a source of addresses to try.
+"""The platform's instance list, as a source of addresses to probe.
 
-A line on the list is a hint that somebody may be there, and the lack of one
-proves nothing: who is a member is decided by whether it answers. So a list
-that is late, out, empty or wrong removes nobody, and needs no safeguard here:
-members that were lost while it was faulty are tried from memory.
+The list only hints at where instances may be; an instance is a member if it
+answers. So a list that is late, unavailable, empty or wrong removes no member
+and needs no safeguard here: members that died while it was faulty are probed at
+their remembered addresses.
 """
 
 import eliot
@@ -14,7 +14,7 @@
 
 
 class InstanceHints:
-    """The addresses of the last list, and those of the settings."""
+    """The addresses of the last list, and the configured seeds."""
 
     __slots__ = (
         "_instance_list",
@@ -37,15 +37,15 @@
         self.was_read = False
 
     def addresses(self) -> frozenset[str]:
-        """Returns the inner addresses to try."""
+        """Returns the inner addresses to probe."""
         return self._listed | self._seed_addresses
 
     def lists(self, inner_address: str) -> bool:
-        """Tells whether the last list names an instance."""
+        """Tells whether the last list contains an instance."""
         return inner_address in self._listed
 
     async def read(self) -> bool:
-        """Reads the list; returns whether that went well."""
+        """Reads the list; returns whether it succeeded."""
         try:
             rows = await self._instance_list.list_instances()
         except failures.PlatformError as error:
--- a/src/nutmeghook/internal/membership/local_fleet.py
+++ b/src/nutmeghook/internal/membership/local_fleet.py
@@ -1,6 +1,6 @@
-"""Many memberships in one process, for tests, benches and experiments.
+"""Many membership services in one process, for tests and benchmarks.
 
-Everything but the sockets is real: codec, seals, timers on the given clock.
+Only the sockets are simulated; codec, seals and timers are the real ones.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 
 
 class SettableInstanceList(instances.InstanceList):
-    """A list that says what it is told to.
+    """An instance list with settable content.
 
     Attributes:
-        rows: What it returns.
-        is_out: Whether it fails instead.
-        reads: How often it was read.
+        rows: The rows to return.
+        is_out: Whether reads fail instead.
+        reads: Number of reads so far.
     """
 
     __slots__ = ("is_out", "reads", "rows")
@@ -44,12 +44,12 @@
         """Returns the rows."""
         self.reads += 1
         if self.is_out:
-            raise failures.NotDoneError("the list is out")
+            raise failures.NotDoneError("the list is unavailable")
         return list(self.rows)
 
 
 class LocalMember:
-    """One running membership with all that belongs to its process."""
+    """One running membership service and the state of its process."""
 
     __slots__ = ("address", "events", "service", "task", "traffic")
 
@@ -73,9 +73,9 @@
 
     Attributes:
         network: Cuts, delays and freezes the links and instances.
-        datagrams: Loses datagrams.
+        datagrams: Drops datagrams.
         instance_list: The platform's list.
-        running: The processes by inner address.
+        running: The running processes by inner address.
     """
 
     __slots__ = (
@@ -106,15 +106,15 @@
         self.running: dict[str, LocalMember] = {}
 
     def address(self, number: int) -> str:
-        """Returns the inner address of the instance of a number."""
+        """Returns the inner address of an instance."""
         return f"10.0.{number // 200}.{number % 200 + 1}:7000"
 
     def region(self, number: int) -> str:
-        """Returns the region of the instance of a number."""
+        """Returns the region of an instance."""
         return f"region-{number % _REGIONS}"
 
     def list_row(self, number: int) -> instances.ListedInstance:
-        """Returns the platform's line for an instance."""
+        """Returns the platform's list row for an instance."""
         return instances.ListedInstance(
             address=self.address(number).replace(":7000", ":8080"),
             role=instances.InstanceRole.ENTRY,
@@ -170,7 +170,7 @@
         return member
 
     def crash(self, number: int) -> None:
-        """Ends an instance's process without a word."""
+        """Ends an instance's process without an announcement."""
         address = self.address(number)
         member = self.running.pop(address, None)
         if member is not None:
@@ -195,7 +195,7 @@
                     self.network.cut(self.address(one), self.address(other))
 
     def agrees(self) -> bool:
-        """Tells whether all processes believe in exactly one another."""
+        """Tells whether all processes know exactly the running processes."""
         everyone = set(self.running)
         return all(
             {m.inner_address for m in member.service.members()} == everyone
--- a/src/nutmeghook/internal/membership/members.py
+++ b/src/nutmeghook/internal/membership/members.py
@@ -1,4 +1,4 @@
-"""Which entry instances exist, as the rest of the system sees them."""
+"""The entry instances, as the rest of the system sees them."""
 
 import abc
 import enum
@@ -7,7 +7,7 @@
 
 
 class MemberHealth(enum.IntEnum):
-    """What is believed of a member."""
+    """The last known health of a member."""
 
     ALIVE = 1
     SUSPECT = 2
@@ -21,7 +21,7 @@
     Attributes:
         inner_address: `ip:port` of the inner protocol.
         incarnation: Random, new with every start of the process.
-        config_revision: The newest revision it said it has in force.
+        config_revision: The newest revision that it reported in force.
     """
 
     inner_address: str
@@ -33,7 +33,7 @@
 
 
 class MemberView(abc.ABC):
-    """The members as this instance believes them to be."""
+    """The members as this instance knows them."""
 
     @property
     @abc.abstractmethod
@@ -42,11 +42,11 @@
 
     @abc.abstractmethod
     def members(self) -> list[Member]:
-        """All known members but dead ones, this instance among them."""
+        """All known members except dead ones, including this instance."""
 
 
 class FixedMemberView(MemberView):
-    """Members given once; for tests and for a single instance."""
+    """A fixed set of members, for tests and for a single instance."""
 
     __slots__ = ("_members", "_myself")
 
--- a/src/nutmeghook/internal/membership/peer_discovery.py
+++ b/src/nutmeghook/internal/membership/peer_discovery.py
@@ -1,4 +1,4 @@
-"""Trying addresses at which a member may be that is believed dead."""
+"""Probes addresses at which an unknown or dead member may be running."""
 
 import asyncio
 import random as random_module
@@ -18,11 +18,11 @@
 
 
 class PeerDiscovery:
-    """Finds the members that the others' rumours can't bring.
+    """Finds members that gossip does not reach.
 
-    Few instances of each data centre read the list and try what is on it; an
-    instance that knows nobody does so too. Whoever answers is spread as a
-    rumour, so the others need not.
+    Two readers in each data centre read the instance list and probe its
+    addresses, as does an instance that knows no other member. A member that
+    answers is spread by gossip, so the other instances need not probe.
     """
 
     __slots__ = (
@@ -61,15 +61,15 @@
         self._tasks: set[asyncio.Task] = set()
 
     def dispute(self, inner_address: str) -> None:
-        """Has a member asked that some believe dead and some do not.
+        """Schedules a probe of a member that some consider dead, some alive.
 
-        The question tells it that it is believed dead; its answer settles
-        the matter with a higher number.
+        The probe tells the member that it was declared dead; it refutes that
+        with a higher number.
         """
         self._disputed.add(inner_address)
 
     async def run_list_reads(self) -> None:
-        """Reads the list at the start, then as a reader; until cancelled."""
+        """Reads the list at start, then while elected; until cancelled."""
         while True:
             if not self._hints.was_read or self._is_reader():
                 await self._hints.read()
@@ -80,7 +80,7 @@
             await self._clock.sleep(period * jitter)
 
     async def run_probes(self) -> None:
-        """Tries addresses, until cancelled."""
+        """Probes addresses, until cancelled."""
         while True:
             self._probe_disputed()
             if self._is_alone():
@@ -94,12 +94,12 @@
             await self._clock.sleep(self._timing.discovery_period * jitter)
 
     def stop(self) -> None:
-        """Ends all trials."""
+        """Cancels all probes."""
         for task in self._tasks:
             task.cancel()
 
     def missing_addresses(self) -> list[str]:
-        """Returns the addresses where a member may be that is not known."""
+        """Returns listed, seed and dead addresses without a running member."""
         known = {
             record.member.inner_address for record in self._table.running()
         }
@@ -108,10 +108,10 @@
         return sorted(wanted - known)
 
     def is_sole_instance(self) -> bool:
-        """Tells whether there is no other instance, as far as can be known.
+        """Tells whether, as far as is known, there is no other instance.
 
-        A list without this instance may be faulty, and then its lack of
-        others means nothing.
+        A list that lacks this instance may be faulty, so the absence of others
+        from it proves nothing.
         """
         myself = self._table.own_claim.member.inner_address
         return (
--- a/src/nutmeghook/internal/membership/readers.py
+++ b/src/nutmeghook/internal/membership/readers.py
@@ -1,4 +1,4 @@
-"""Who of a data centre does a piece of work that few should do."""
+"""Elects the few members of a data centre that read for the others."""
 
 import xxhash
 
@@ -15,15 +15,15 @@
     """Returns the members of a data centre that read for the others.
 
     Rendezvous hashing: each member is ranked by a hash of its address and the
-    purpose, so a member that joins or leaves changes one reader at most, and
-    different purposes fall on different members. Suspected and leaving
-    members serve only where there are too few others. Instances that differ
-    about the members for a moment have a reader more or less.
+    purpose, so a member that joins or leaves changes at most one reader, and
+    different purposes get different members. Suspected and leaving members are
+    elected only where there are too few others. While instances' member lists
+    differ, there may be a reader too many or too few.
 
     Args:
-        members: All that this instance knows.
-        data_centre: Whose readers are wanted.
-        count: How many to return, if there are as many.
+        members: All members that this instance knows.
+        data_centre: The readers' data centre.
+        count: How many to return, if there are that many.
         purpose: What is read; the same text on all instances.
 
     Raises:
--- a/src/nutmeghook/internal/membership/rumours.py
+++ b/src/nutmeghook/internal/membership/rumours.py
@@ -1,4 +1,4 @@
-"""News that travel with the probes, each a bounded number of times."""
+"""Claims piggybacked on probes, each a bounded number of times."""
 
 import dataclasses
 import heapq
@@ -7,9 +7,9 @@
 from nutmeghook.internal.membership import claims
 
 RUMOURS_PER_MESSAGE = 5
-# Each instance repeats a rumour this often for each doubling of the fleet.
-# With 2 a rumour misses fewer than one instance in a hundred at 5% loss; those
-# find their members' hash different and ask for the table.
+# Times that each instance sends a rumour, per doubling of the fleet. With 2 a
+# rumour misses fewer than one instance in a hundred at 5% loss; those notice
+# that their members' hash differs, and sync tables.
 _REPEATS_PER_DOUBLING = 2
 
 
@@ -20,7 +20,7 @@
 
 
 class RumourQueue:
-    """The newest claim on each address that is still to be spread."""
+    """The newest claim about each address that is still to be gossiped."""
 
     __slots__ = ("_rumours",)
 
@@ -28,11 +28,11 @@
         self._rumours: dict[str, _Rumour] = {}
 
     def add(self, claim: claims.Claim) -> None:
-        """Spreads a claim in place of older ones on the same address."""
+        """Queues a claim in place of an older one about the same address."""
         self._rumours[claim.member.inner_address] = _Rumour(claim=claim)
 
     def pick(self, members_count: int) -> list[claims.Claim]:
-        """Returns what the next message carries, least often sent first."""
+        """Returns the claims for the next message, least often sent first."""
         limit = repeats(members_count)
         chosen = heapq.nsmallest(
             RUMOURS_PER_MESSAGE,
@@ -50,5 +50,5 @@
 
 
 def repeats(members_count: int) -> int:
-    """Returns how often each instance repeats a rumour."""
+    """Returns how many times each instance sends a rumour."""
     return math.ceil(_REPEATS_PER_DOUBLING * math.log2(members_count + 1))
--- a/src/nutmeghook/internal/membership/service.py
+++ b/src/nutmeghook/internal/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership of this instance: joins, watches, and tells the others."""
+"""The membership service: failure detection, gossip and discovery."""
 
 import asyncio
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 class MembershipService(
     members_module.MemberView, listener_module.MembershipListener
 ):
-    """The members as this instance believes them to be, kept up to date."""
+    """The members as this instance knows them, kept up to date."""
 
     __slots__ = (
         "_callbacks",
@@ -72,26 +72,26 @@
         events: events_module.EventRing,
         timing: timing_module.Timing | None = None,
     ):
-        """Registers the handler for table swaps; `run` does the rest.
+        """Registers the handler for table syncs; `run` does the rest.
 
         Args:
             myself: This instance; its incarnation must be new.
             clock: Drives all waits.
-            random: Draws jitter, orders and helpers.
-            instance_list: Where new addresses come from.
-            seed_addresses: Inner addresses to try beside those listed.
+            random: For jitter, probe orders and helpers.
+            instance_list: The source of new addresses.
+            seed_addresses: Inner addresses to probe beside those listed.
             caller: Calls other instances over TCP.
             handlers: The handlers of the TCP side.
             datagrams: The UDP socket on the same address.
             credential: Shared by all instances.
             traffic: Counts what is sent and received.
-            events: The time line's ring.
-            timing: All durations; those of production if None.
+            events: The ring of events.
+            timing: All durations; the production values if None.
         """
         timing = timing or timing_module.Timing()
-        # A restarted process must outbid its predecessor at the address. The
-        # wall clock nearly always does; where it went back, the first ack
-        # tells the number to outbid.
+        # A restarted process needs a higher number than its predecessor at the
+        # address. The wall clock nearly always gives one; where it went back,
+        # the first ack contains the number to exceed.
         number = int(clock.now().timestamp() * 1000)
         self._clock = clock
         self._random = random
@@ -149,47 +149,46 @@
         return self._table.own_claim.member
 
     def members(self) -> list[members_module.Member]:
-        """All members but dead ones, this instance among them."""
+        """All members except dead ones, including this instance."""
         others = [record.member for record in self._table.running()]
         return [self.myself, *others]
 
     def is_confirmed(self) -> bool:
-        """Tells whether others lately took this instance for alive.
+        """Tells whether others recently considered this instance alive.
 
-        False right after a long freeze and while cut off from everybody:
-        others may have given this instance's work to another. Ask it before
-        acting on what being a member entitles to. An instance that knows of
-        no other is confirmed.
+        False right after a long freeze and while cut off from all others, when
+        others may have taken over this instance's work. Check it before acting
+        as a member. An instance that knows of no other is confirmed.
         """
         return self._gossip.is_confirmed() or self._discovery.is_sole_instance()
 
     def on_change(self, callback: ChangeCallback) -> None:
-        """Has `callback` called with each other member whose state changed.
+        """Registers a callback for changes of other members' states.
 
-        A process that took over an address comes as a member with another
-        incarnation; that its predecessor is gone goes without saying.
+        A new process at an address is reported as a member with another
+        incarnation; the death of its predecessor is not reported.
         """
         self._callbacks.append(callback)
 
     def set_config_revision(self, revision: int) -> None:
-        """Sets the revision in force here, told with each message.
+        """Sets the revision in force here, sent with each message.
 
-        Others learn it by the next probe between them and this instance: in
-        seconds among seven, in minutes among 420.
+        Others receive it with the next probe between them and this instance:
+        in seconds among 7 instances, in minutes among 420.
         """
         self._table.set_config_revision(revision)
 
     def announce_leaving(self) -> None:
-        """Tells the others that this instance takes no new work."""
+        """Announces that this instance takes no new work."""
         self._announce(members_module.MemberHealth.LEAVING)
 
     def announce_end(self) -> None:
-        """Tells the others that this process ends, so that none suspects it."""
+        """Announces that this process ends, so that no member suspects it."""
         self._ended = True
         self._announce(members_module.MemberHealth.DEAD)
 
     async def run(self) -> None:
-        """Takes part, until cancelled."""
+        """Runs membership until cancelled."""
         self._gossip.start()
         try:
             async with asyncio.TaskGroup() as group:
@@ -206,7 +205,7 @@
     def on_verdict(
         self, claim: claims.Claim, verdict: table_module.Verdict
     ) -> None:
-        """Acts on a claim; called by gossip and the detector."""
+        """Handles a claim; called by gossip and the detector."""
         if verdict is table_module.Verdict.ADOPTED:
             self._notify(claim.member)
         elif verdict is table_module.Verdict.DISPUTED:
@@ -217,7 +216,7 @@
             )
 
     def on_difference(self, inner_address: str) -> None:
-        """Swaps tables with a member that knows others."""
+        """Syncs tables with a member whose set of members differs."""
         if self._ended or not self._exchange.try_begin():
             return
         sync = asyncio.create_task(self._exchange.sync_with(inner_address))
@@ -225,11 +224,11 @@
         sync.add_done_callback(self._syncs.discard)
 
     def on_suspicion(self, member: members_module.Member) -> None:
-        """Tells callbacks; called by the detector."""
+        """Notifies the callbacks; called by the detector."""
         self._notify(member)
 
     def _notify(self, member: members_module.Member) -> None:
-        """Calls back if the member's state differs from what was told."""
+        """Calls back if the member's state differs from the last reported."""
         address = member.inner_address
         before = self._reported.get(address)
         if member.health is members_module.MemberHealth.DEAD:
@@ -242,8 +241,8 @@
             self._reported[address] = member
         self._record(before, member)
         for callback in self._callbacks:
-            # A faulty callback would keep this instance from answering the
-            # probe that brought the news, and so make it look dead.
+            # An exception here would keep this instance from answering the
+            # probe that contained the claim, and so make it look dead.
             try:
                 callback(member)
             except Exception:
--- a/src/nutmeghook/internal/membership/table.py
+++ b/src/nutmeghook/internal/membership/table.py
@@ -1,4 +1,4 @@
-"""All that this instance believes of the others, and of itself."""
+"""This instance's table of claims about all members and itself."""
 
 import dataclasses
 import datetime
@@ -18,27 +18,27 @@
 
 
 class Verdict(enum.Enum):
-    """What became of a claim."""
+    """The result of applying a claim."""
 
     KNOWN = "known"
     ADOPTED = "adopted"
-    # It was about this instance and wrong; the number was raised above it.
+    # A false claim about this instance, whose number was raised above it.
     REFUTED = "refuted"
-    # It says that a member runs at the number at which it is believed dead.
+    # It says that a member runs, with the number at which it was declared dead.
     DISPUTED = "disputed"
-    # Of an unknown member, without its place.
+    # About an unknown member, without its data centre.
     UNPLACED = "unplaced"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Record:
-    """One address.
+    """What is known of the member at one address.
 
     Attributes:
-        is_suspected: This instance alone suspects it; it tells nobody.
-        answered_at: When the last probe left that it answered, by the
-            monotonic clock.
-        died_at: When it was believed dead.
+        is_suspected: This instance suspects it; that is not gossiped.
+        acked_probe_sent_at: When the last probe that it answered was sent, by
+            the monotonic clock.
+        died_at: When it was declared dead.
     """
 
     claim: claims.Claim
@@ -48,7 +48,7 @@
 
     @property
     def member(self) -> members_module.Member:
-        """The member with this instance's suspicion worked in."""
+        """The member, `SUSPECT` if this instance suspects it."""
         member = self.claim.member
         if self.is_suspected and member.health is _ALIVE:
             return msgspec.structs.replace(member, health=_SUSPECT)
@@ -56,7 +56,7 @@
 
 
 class MemberTable:
-    """Merges claims; knows nothing of how they come and go."""
+    """Merges claims; independent of how they are sent and received."""
 
     __slots__ = (
         "_clock",
@@ -83,18 +83,18 @@
 
     @property
     def own_claim(self) -> claims.Claim:
-        """What this instance says of itself."""
+        """This instance's claim about itself."""
         return self._own_claim
 
     def announce(self, health: members_module.MemberHealth) -> None:
-        """Says something new of this instance."""
+        """Changes this instance's own health under a new number."""
         member = msgspec.structs.replace(self._own_claim.member, health=health)
         self._own_claim = claims.Claim(
             member=member, number=self._own_claim.number + 1
         )
 
     def set_config_revision(self, revision: int) -> None:
-        """Sets what this instance has in force."""
+        """Sets the revision in force on this instance."""
         member = msgspec.structs.replace(
             self._own_claim.member, config_revision=revision
         )
@@ -103,11 +103,11 @@
         )
 
     def record(self, inner_address: str) -> Record | None:
-        """Returns what is believed of another address."""
+        """Returns the record of another address."""
         return self._records.get(inner_address)
 
     def running(self) -> list[Record]:
-        """Returns the other members but the dead ones."""
+        """Returns the other members except dead ones."""
         return [r for r in self._records.values() if r.claim.is_running]
 
     def dead_addresses(self) -> list[str]:
@@ -121,8 +121,8 @@
     def running_hash(self) -> int:
         """Returns a hash of the set of running members, this one included.
 
-        Equal on two instances that believe in the same members, whatever
-        else they know of them.
+        Equal on two instances with the same running members, whatever else
+        they know of them.
         """
         if self._running_hash is None:
             total = _hash_of(self._own_claim.member)
@@ -132,7 +132,7 @@
         return self._running_hash
 
     def apply_claim(self, claim: claims.Claim) -> Verdict:
-        """Merges what anyone said of anyone."""
+        """Merges a claim about any member."""
         address = claim.member.inner_address
         if address == self._own_claim.member.inner_address:
             return self._apply_claim_about_self(claim)
@@ -150,16 +150,16 @@
     def record_ack(
         self, inner_address: str, sent_at: datetime.timedelta
     ) -> None:
-        """Notes that a member answered a probe that left at `sent_at`."""
+        """Records that a member answered a probe sent at `sent_at`."""
         record = self._records.get(inner_address)
         if record is not None:
             record.acked_probe_sent_at = sent_at
 
     def declare_dead(self, suspected: claims.Claim) -> claims.Claim | None:
-        """Declares a member dead, unless it said something since.
+        """Declares a member dead, unless a newer claim of it arrived.
 
         Returns:
-            The new claim; None if the suspicion no longer holds.
+            The new claim; None if the suspicion is outdated.
         """
         record = self._records.get(suspected.member.inner_address)
         if record is None or record.claim.order[:2] != suspected.order[:2]:
@@ -171,7 +171,7 @@
         return record.claim
 
     def drop_dead(self, retention: datetime.timedelta) -> None:
-        """Drops what is remembered of members that died long ago."""
+        """Drops the records of members that died before the retention time."""
         oldest = self._clock.monotonic() - retention
         self._records = {
             address: record
@@ -180,11 +180,11 @@
         }
 
     def _apply_claim_about_self(self, claim: claims.Claim) -> Verdict:
-        """Outbids whatever is said of this address and isn't so.
+        """Refutes a false claim about this address with a higher number.
 
-        Either others took a frozen or cut instance for dead, or they still
-        hold to the process that had the address before. They take back
-        neither for less than a higher number.
+        Either others declared this instance dead while it was frozen or cut
+        off, or they still know the previous process at this address. Only a
+        higher number overrides their claims.
         """
         own_claim = self._own_claim
         says_the_same = (
@@ -210,19 +210,19 @@
     def _contradicts_recent_ack(
         self, record: Record, claim: claims.Claim
     ) -> bool:
-        """Tells a mistaken accusation by this instance's own evidence.
+        """Tells whether a claim of death contradicts a recent ack.
 
-        An instance that can't be reached by the accuser, but just answered
-        this one, is alive; to believe the accuser would let one bad link
-        remove a member everywhere.
+        A member that the claimant can't reach, but that just answered this
+        instance, is alive. Otherwise one bad link would remove a member
+        everywhere.
         """
         if claim.is_running or record.acked_probe_sent_at is None:
             return False
         if claim.order[:2] != record.claim.order[:2]:
             return False
         age = self._clock.monotonic() - record.acked_probe_sent_at
-        # A member that says itself that it ends is believed: see `announce`,
-        # which raises the number.
+        # A member's own announcement of its end is not contradicted here, since
+        # `announce` raises the number.
         return age <= self._max_ack_age
 
     def _adopt(
@@ -242,7 +242,7 @@
 
 
 def _with_details(claim: claims.Claim, other: claims.Claim) -> claims.Claim:
-    """Returns a claim with what another one of the address can add to it."""
+    """Returns a claim completed with details from another about its address."""
     member = claim.member
     if not claim.has_location and other.has_location:
         member = msgspec.structs.replace(
--- a/src/nutmeghook/internal/membership/timing.py
+++ b/src/nutmeghook/internal/membership/timing.py
@@ -1,4 +1,4 @@
-"""The durations of membership, in one place because they depend on another."""
+"""The durations of membership, together because they are interdependent."""
 
 import dataclasses
 import datetime
@@ -9,22 +9,23 @@
     """Durations; tests with real processes shorten them.
 
     Attributes:
-        probe_period: Each instance probes one other in each.
+        probe_period: Each instance probes one other in each period.
         direct_timeout: How long a probe's ack may take; above the round trip
             between regions.
-        indirect_timeout: The same by way of a helper.
-        confirmations: Rounds without any ack before a suspect is declared
-            dead. Their sum is the longest freeze that costs nothing.
-        list_period: Between readings of the instance list by a reader.
-        discovery_period: Between a reader's probes of listed instances that are
-            believed dead or were never heard of.
-        settle: How long rumours of a change take to reach everyone; other
-            instances' different members mean nothing meanwhile.
-        sync_period: Between exchanges of whole tables, at most.
-        fast_sync_period: The same after an exchange that taught something.
-        dead_retention: How long a dead member is remembered, so that old news
-            do not revive it and a healed cut finds it.
-        introduction: How long after its start an instance says where it is.
+        indirect_timeout: The same through a helper.
+        confirmations: Rounds without an ack before a suspect is declared
+            dead. Their total is the longest freeze without a consequence.
+        list_period: Between reads of the instance list by a reader.
+        discovery_period: Between a reader's probes of addresses without a
+            known running member.
+        settle: How long rumours of a change take to reach all members; no sync
+            is begun for a difference meanwhile.
+        sync_period: Least time between syncs of whole tables.
+        fast_sync_period: The same after a sync that brought anything new.
+        dead_retention: How long a dead member is remembered, so that stale
+            claims do not revive it and it is found again after a network cut.
+        introduction: How long after its start an instance sends its region and
+            data centre with each message.
     """
 
     probe_period: datetime.timedelta = datetime.timedelta(seconds=1)
@@ -41,10 +42,10 @@
 
     @property
     def round_timeout(self) -> datetime.timedelta:
-        """How long one round takes: two direct probes, an indirect one."""
+        """Duration of one round: two direct probes and an indirect one."""
         return 2 * self.direct_timeout + self.indirect_timeout
 
     @property
     def suspicion(self) -> datetime.timedelta:
-        """How long a silent member is suspected before it is dead."""
+        """How long a silent member is suspected before it is declared dead."""
         return self.round_timeout * self.confirmations
