--- a/tests/config_fleet.py
+++ b/tests/config_fleet.py
@@ -1,4 +1,4 @@
-"""A few instances' configuration on a fake clock, for tests."""
+"""The configuration components of a few instances on a fake clock."""
 
 import asyncio
 import contextlib
@@ -63,14 +63,14 @@
 
 
 class ConfigFleet:
-    """Instances over an in-process network and one table."""
+    """Instances on an in-process network with one table service."""
 
     def __init__(self, *, per_data_centre: int = 1, data_centres: int = 3):
         self.clock = clock_module.FakeClock()
         self.table = memory_table.MemoryTable(clock=self.clock)
         self.network = local.LocalNetwork(clock=self.clock)
         self.parts: dict[str, assembly.ConfigParts] = {}
-        # Of every start, also of those that ended.
+        # The event ring of every start, including ended ones.
         self.rings: list[tuple[str, events.EventRing]] = []
         self.members = [
             members_module.Member(
@@ -90,7 +90,7 @@
         return [member.inner_address for member in self.members]
 
     def non_readers(self) -> list[str]:
-        """Returns the members that leave reading the store to others."""
+        """Returns the members that are not readers of the store."""
         return [
             address
             for address in self.addresses
@@ -98,7 +98,7 @@
         ]
 
     def start(self, *addresses: str, run: bool = True) -> None:
-        """Starts instances, or starts them anew; all of them if not named."""
+        """Starts or restarts the given instances; all if none is given."""
         for address in addresses or self.addresses:
             clock = self.network.clock_of(address)
             handlers = peers.PeerHandlers()
@@ -148,14 +148,14 @@
         return [parts.replica.revision for parts in self.parts.values()]
 
     def violations(self) -> list[checks.Violation]:
-        """Judges every step that any instance ever made, however short."""
+        """Checks every revision change of every instance from its events."""
         steps = []
         now = {}
         for number, (address, ring) in enumerate(self.rings):
             holder = f"{address} as start {number}"
             noted = configuration_steps.steps_of_events(holder, ring.since(0))
             steps.extend(noted)
-            # Of an ended instance nobody can ask any more.
+            # An ended instance has no present revision.
             if dict(self.rings)[address] is ring:
                 now[holder] = self.parts[address].replica.revision
         return list(configuration_steps.check_steps(steps, now=now))
--- a/tests/config_machine.py
+++ b/tests/config_machine.py
@@ -1,9 +1,9 @@
-"""Operations and replicas under faults, checked as one history.
+"""State machine: operations and replicas under faults.
 
 Hypothesis chooses operators' calls, faults and the passing of time over three
-instances. In the end all faults heal and the rows are judged: every outcome
-that was told is the only one, every change is there once and was worked out
-on what the change before it left, and no instance ever went back.
+instances. At the end all faults are healed and the rows checked: every returned
+outcome is the recorded one, every change is recorded once and based on the
+state after the change before it, and no instance's revision ever fell.
 """
 
 import asyncio
@@ -27,29 +27,29 @@
 
 
 class DelayedWrites(faults_module.Faults):
-    """A slow store's writes also take time until their effect.
+    """Delays the writes of a slow store also before their effect.
 
-    Between reading the head and the effect of the commit another instance
-    may get ahead; with all of the delay behind the effect none ever could.
+    So another instance can commit between a read of the head and the effect of
+    the commit; with the whole delay after the effect none could.
     """
 
     __slots__ = ()
 
     async def write(self, effect):
-        # Less than a call's timeout, so that a write of a very slow store
-        # takes effect although its answer is not waited for.
+        # Below a call's timeout, so that with a very slow store a write takes
+        # effect although its caller has timed out.
         await self._clock.sleep(min(self.delay, SECOND / 4))
         return await super().write(effect)
 
 
 class ConfigMachine(stateful.RuleBasedStateMachine):
-    """Three instances, one table, and everything that may go wrong."""
+    """Three instances, one table, and all faults of store and network."""
 
     def __init__(self):
         super().__init__()
         self.runner = asyncio.Runner()
         self.calls: list[asyncio.Task] = []
-        # Operation id, revision when accepted, moments of call and answer.
+        # Returned outcome, time of the call, time of the answer.
         self.reported: list[tuple[rows.OperationRecord, float, float]] = []
         self.highest: dict[int, int] = {}
         self.fleet = self.run(self._set_up())
@@ -75,7 +75,7 @@
         blind=strategies.booleans(),
     )
     def submit(self, index, operation_id, priority, blind):
-        """An operator puts the template, or withdraws a version."""
+        """An operator replaces the template, or withdraws a version."""
         edit = edits.WithdrawVersion(
             model_version=config_fleet.NEXT,
             team=config_fleet.TEAM,
@@ -101,15 +101,15 @@
         apart=strategies.integers(0, 3),
     )
     def race(self, one, further, repeats, apart):
-        """Two instances put the template at once while the store is slow.
+        """Two instances replace the template at once while the store is slow.
 
-        Either two operators ask for it, or one who repeats the operation.
+        Either for two operators, or for one who repeats the operation.
         """
         faults = self.fleet.table.faults
         faults.delay = max(faults.delay, SECOND / 20)
         number = len(self.calls)
         self.submit(one, f"race-operation-{number}", 1, False)
-        # Half a call apart, one reads what the other is about to change.
+        # At half a call's distance one reads what the other will change.
         self.run(self._advance(apart * faults.delay / 2))
         other = (one + further) % INSTANCES
         number += not repeats
@@ -118,7 +118,7 @@
 
     @stateful.rule(index=instances, operation_id=operation_ids)
     def settle(self, index, operation_id):
-        """The next shift asks what became of an operation."""
+        """An operator asks for the final outcome of an operation."""
         accepter = self.parts(index).accepter
         self._call(
             lambda: accepter.settle(
@@ -147,7 +147,7 @@
 
     @stateful.rule(index=instances)
     def restart(self, index):
-        """An instance dies; another process starts at its address."""
+        """An instance crashes; another process starts at its address."""
 
         async def restart():
             address = self.fleet.addresses[index]
@@ -186,7 +186,7 @@
             self.run(self._advance(10 * SECOND))
             self.never_goes_back()
             assert not self.fleet.violations(), "stepped back"
-            self.run(self._judge())
+            self.run(self._check_history())
         finally:
             self.run(self.fleet.stop())
             self.runner.close()
@@ -221,18 +221,18 @@
         for address in self.fleet.addresses:
             self.fleet.network.thaw(address)
 
-    async def _judge(self) -> None:
+    async def _check_history(self) -> None:
         head = await self.parts(0).store.head()
         changes = await self.parts(0).store.changes_after(0)
         numbers = [change.revision for change in changes]
         assert numbers == list(range(1, head.revision + 1)), "gap in the log"
         assert set(self.fleet.revisions()) == {head.revision}, "not in force"
-        self._judge_bases(changes)
-        await self._judge_outcomes(changes)
-        self._judge_order()
+        self._check_bases(changes)
+        await self._check_outcomes(changes)
+        self._check_order()
 
-    def _judge_bases(self, changes: list[rows.Change]) -> None:
-        """Each change was worked out on what stood just before it."""
+    def _check_bases(self, changes: list[rows.Change]) -> None:
+        """Each change was based on the state just before it."""
         written: dict[str, int] = {}
         for change in changes:
             for base in change.bases:
@@ -240,8 +240,8 @@
             for document in change.replacement.documents():
                 written[document] = change.revision
 
-    async def _judge_outcomes(self, changes: list[rows.Change]) -> None:
-        """Each outcome told is the one on record, and true of the log."""
+    async def _check_outcomes(self, changes: list[rows.Change]) -> None:
+        """Each returned outcome is the recorded one and agrees with the log."""
         made = [change.operation_id for change in changes]
         assert len(made) == len(set(made)), "made twice"
         for reported, _, _ in self.reported:
@@ -252,8 +252,8 @@
             accepted = reported.outcome is rows.Outcome.ACCEPTED
             assert accepted == (reported.operation_id in made), "untrue outcome"
 
-    def _judge_order(self) -> None:
-        """What was answered before another was asked for came before it."""
+    def _check_order(self) -> None:
+        """A change accepted before another was requested precedes it."""
         accepted = [
             reported
             for reported in self.reported
--- a/tests/configuration_rows.py
+++ b/tests/configuration_rows.py
@@ -1,12 +1,12 @@
-"""Operator's configurations of any size, as the users' platform writes them."""
+"""Configurations of any size in the form of the users' platform."""
 
 import json
 import random
 
 
 def configuration(*, routes: int) -> bytes:
-    """Returns one with so many routes; a longer one begins like a shorter."""
-    # Names are drawn, as compression would find invented series too easy.
+    """Returns one with `routes` routes; a longer one extends a shorter one."""
+    # Random names, since numbered ones would compress unrealistically well.
     drawn = random.Random(7)
     return json.dumps(
         {
--- a/tests/cover/membership_scenario.py
+++ b/tests/cover/membership_scenario.py
@@ -1,4 +1,4 @@
-"""A fleet on a fake clock, and what its instances were told of each other."""
+"""A fleet on a fake clock, and the changes reported to its instances."""
 
 import asyncio
 import datetime
@@ -15,7 +15,7 @@
 
 
 class MembershipScenario:
-    """A fleet, its clock, and every change that any instance was told of."""
+    """A fleet, its clock, and every change reported to any instance."""
 
     def __init__(self, count):
         self.count = count
@@ -37,7 +37,7 @@
         return self.fleet.running[self.fleet.address(number)].service
 
     def seen(self, observer, number):
-        """Returns how one instance sees another; None if not at all."""
+        """Returns one instance's record of another; None if there is none."""
         address = self.fleet.address(number)
         for member in self.service(observer).members():
             if member.inner_address == address:
@@ -56,7 +56,9 @@
         start = self.clock.monotonic()
         while not condition():
             if self.clock.monotonic() - start >= at_most:
-                raise AssertionError(f"still not after {at_most}")
+                raise AssertionError(
+                    f"the condition did not hold within {at_most}"
+                )
             await self.clock.advance(SECOND / 4)
         return self.clock.monotonic() - start
 
@@ -65,7 +67,7 @@
 
 
 def fleet_of(count, *, joined=True):
-    """Runs a test with a fleet in which, if `joined`, all know each other."""
+    """Runs a test with a fleet; if `joined`, all instances know each other."""
 
     def decorate(test):
         @functools.wraps(test)
--- a/tests/cover/test_config_acceptance.py
+++ b/tests/cover/test_config_acceptance.py
@@ -1,4 +1,4 @@
-"""An operation has one outcome, whatever is lost on the way."""
+"""An operation has one outcome, whatever messages are lost."""
 
 import asyncio
 import datetime
@@ -21,7 +21,7 @@
 def set_priority(
     operation_id: str, priority: int, expected_revision: int = 1
 ) -> operations.Operation:
-    """Returns an operation that puts the template with a priority."""
+    """Returns an operation that sets the template's priority."""
     return config_fleet.operation(
         operation_id,
         edits.PutTemplate(
@@ -32,7 +32,7 @@
 
 
 class LapsingLease(lease.Lease):
-    """A lease that another holder takes between the check and the commit."""
+    """A lease that another holder acquires between the check and the commit."""
 
     name = "rollouts"
     row_key = "lease/rollouts"
@@ -46,7 +46,7 @@
 
 class AcceptanceTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        # The debug mode that unittest sets makes each step 20 times as long.
+        # unittest's debug mode makes each step 20 times as long.
         asyncio.get_running_loop().set_debug(False)
         self.fleet = config_fleet.ConfigFleet()
         self.fleet.start()
@@ -76,11 +76,10 @@
         self.assertIs(caught.exception.code, code)
 
     async def test_lost_answer_after_the_effect(self):
-        """The caller sees: accepted, at the revision of the first commit.
+        """A commit takes effect and its answer is lost.
 
-        The commit takes effect and its answer is lost. The accepter tries
-        again under the same operation id; the row that the first commit wrote
-        makes the second fail, and its content is the outcome.
+        The retry under the same operation id fails on the row that the first
+        commit wrote, and returns its content: accepted, at that revision.
         """
         self.faults.lose_next_answers = 1
         record = await self.fleet.accept(self.one, set_priority("op-lost", 7))
@@ -97,12 +96,10 @@
         self.assertEqual(record.revision, 2)
 
     async def test_late_effect_after_abandonment(self):
-        """The next shift sees: abandoned, and the priority never changes.
+        """All writes are delayed in the network, so the outcome is unknown.
 
-        All writes are held up in the network, so the accepter can't tell what
-        became of its commit and says so. The next shift asks another instance,
-        which writes "abandoned". When the held-up commits arrive they find
-        that row and fail.
+        Another instance is asked to settle it and writes "abandoned". The
+        delayed commits find that row and fail, so nothing changes.
         """
         self.faults.late_effect = 60 * SECOND
         accepting = self.fleet.accept(self.one, set_priority("op-late", 7))
@@ -122,11 +119,10 @@
         await self.fleet.clock.advance(60 * SECOND)
         self.assertEqual(self.fleet.revisions(), [1, 1, 1])
 
-    async def test_commit_that_never_answers_is_not_called_undone(self):
-        """The caller sees: outcome unknown, and may ask by id later.
+    async def test_unanswered_commit_has_an_unknown_outcome(self):
+        """Reads work, but each commit hangs until the call's time limit.
 
-        Reads work, but each commit hangs somewhere on the way until the
-        call's time limit. It may still arrive, so "not run" would be a lie.
+        It may still arrive, so the outcome must be unknown, not "not run".
         """
 
         async def hang(_table, _transaction):
@@ -136,11 +132,11 @@
             accepting = self.fleet.accept(self.one, set_priority("op-hang", 7))
             await self.assert_code(codes.Code.OUTCOME_UNKNOWN, accepting)
 
-    async def test_slow_store_ends_known(self):
-        """The caller sees: accepted, after some seconds.
+    async def test_slow_store_ends_with_a_known_outcome(self):
+        """Each answer exceeds the call's time limit, then the store recovers.
 
-        Each answer takes longer than the call may, so the first commit takes
-        effect unseen and even reads fail; then the store is quick again.
+        The first commit takes effect without an answer and reads fail too; the
+        caller still gets "accepted" some seconds later.
         """
         self.faults.delay = 3 * SECOND
         accepter = self.fleet.parts[self.one].accepter
@@ -153,11 +149,10 @@
         self.assertIs(record.outcome, rows.Outcome.ACCEPTED)
 
     async def test_crash_between_commit_and_answer(self):
-        """The next shift sees: accepted, from any other instance.
+        """The accepting instance crashes before the commit's answer arrives.
 
-        The accepting instance dies with the commit's answer on its way. The
-        operation's row was written by the same transaction as the change, so
-        whoever asks by id reads it.
+        The operation's row was written in the same transaction as the change,
+        so any other instance returns "accepted" for the id.
         """
         self.faults.delay = SECOND
         accepter = self.fleet.parts[self.one].accepter
@@ -175,12 +170,10 @@
         self.assertEqual(self.priority(self.two), 7)
 
     async def test_two_operators_race(self):
-        """One caller sees accepted, the other the first one's change.
+        """Two operators replace the same revision through two instances.
 
-        Both read revision 1 and put their own template through different
-        instances at the same moment. Both work their change out; the head row
-        lets one commit through. The other works it out again on what stands
-        then, finds its expected revision gone, and merges nothing.
+        The condition on the head row lets one commit succeed. The other is
+        retried on the new state and refused with the first one's change.
         """
         both = await self.fleet.drive(
             asyncio.gather(
@@ -200,13 +193,12 @@
         changed = [difference.path for difference in lost.conflict.differences]
         self.assertEqual(changed, ["priority"])
 
-    async def test_race_on_what_changes_mean_together(self):
-        """The second caller sees its template refused, field by field.
+    async def test_race_of_changes_that_are_invalid_together(self):
+        """Two changes of different documents are invalid together.
 
-        One operator withdraws v1 for the fleet where v2 serves too; another,
-        who read the fleet before, puts a template in which only v1 serves.
-        Different documents, so no revision clashes; the whole configuration
-        is checked on the state at the commit.
+        One withdraws v1 for the fleet, the other adds a template in which only
+        v1 serves. No revision conflicts, so the whole configuration has to be
+        validated on the state at the commit.
         """
         withdraw = config_fleet.operation(
             "op-withdraw",
@@ -226,17 +218,16 @@
         self.assertEqual(record.code_number, codes.Code.INVALID_TEMPLATE.number)
         self.assertIn("withdrawn for the fleet", record.detail)
 
-    async def test_reused_id_is_told_from_a_repetition(self):
+    async def test_reused_id_is_distinguished_from_a_retry(self):
         await self.fleet.accept(self.one, set_priority("op-same", 7))
         other = self.fleet.accept(self.two, set_priority("op-same", 8))
         await self.assert_code(codes.Code.OPERATION_REUSED, other)
 
     async def test_holder_that_lost_its_lease_changes_nothing(self):
-        """The roll-out sees: abandoned.
+        """A holder is paused after it checked its lease; another acquires it.
 
-        Its process is paused after it checked its lease. Another instance
-        takes the lease, which changes the lease's row. The commit names the
-        row's old version and fails, whatever the process believes.
+        That changes the lease's row, so the commit, which is conditional on
+        the old version, fails and the operation ends abandoned.
         """
         operation = operations.Operation(
             operation_id="op-fenced",
--- a/tests/cover/test_config_distribution.py
+++ b/tests/cover/test_config_distribution.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and never reverts."""
+"""An accepted configuration gets in force everywhere and never reverts."""
 
 import asyncio
 import datetime
@@ -26,7 +26,7 @@
 
 class DistributionTest(unittest.IsolatedAsyncioTestCase):
     async def start(self, **sizes: int) -> None:
-        """Starts a fleet with one accepted revision everywhere."""
+        """Starts a fleet with revision 1 in force everywhere."""
         asyncio.get_running_loop().set_debug(False)
         self.fleet = config_fleet.ConfigFleet(**sizes)
         self.fleet.start()
@@ -73,10 +73,10 @@
         ]
 
     async def test_ages_stay_fresh_and_few_read_the_store(self):
-        """Nothing fails: no instance's knowledge ever looks too old.
+        """Without faults no instance's configuration age gets too high.
 
-        Only two instances a data centre read the store; the others learn
-        through them how fresh they are, up to two steps away.
+        Only two instances per data centre read the store; the others get
+        their freshness through them, over at most two hops.
         """
         await self.start(per_data_centre=20, data_centres=2)
         reads_before = self.fleet.table.reads
@@ -96,24 +96,23 @@
         await self.fleet.clock.advance(SECOND / 100)
         self.assertEqual(set(self.fleet.revisions()), {2})
 
-    async def test_data_centre_without_store_and_readers_still_learns(self):
-        """Its callers get the change late, but without anybody's help.
+    async def test_data_centre_without_store_and_readers_is_updated(self):
+        """The accepting instance crashes right after the commit.
 
-        The accepting instance dies right after the commit, so it tells
-        nobody. The other data centre does not reach the store and both its
-        readers are frozen. Exchanges with any instance at random remain.
+        The other data centre does not reach the store and both its readers are
+        frozen, so only exchanges with random instances bring the change.
         """
         await self.start(per_data_centre=5, data_centres=2)
-        far = self.fleet.addresses[5:]
-        for address in far:
+        remote = self.fleet.addresses[5:]
+        for address in remote:
             self.fleet.parts[address].store._table = down_table(self.fleet)
-        frozen = [address for address in self.readers() if address in far]
+        frozen = [address for address in self.readers() if address in remote]
         for address in frozen:
             self.fleet.network.freeze(address)
         await self.set_priority(8)
         await self.fleet.crash(self.fleet.addresses[0])
         await self.fleet.clock.advance(15 * SECOND)
-        for address in set(far) - set(frozen):
+        for address in set(remote) - set(frozen):
             self.assertEqual(self.replica(address).revision, 2)
 
     async def test_peer_that_stays_behind_is_not_called_in_force(self):
@@ -134,11 +133,10 @@
         self.assertEqual(where.unconfirmed, (behind,))
 
     async def test_frozen_readers_do_not_hold_a_change_up(self):
-        """Callers see the change in force within the bound.
+        """All readers of both data centres freeze, unnoticed by membership.
 
-        All readers of both data centres freeze and are not yet known to be
-        frozen. The change is accepted by another instance, whose pushes and
-        exchanges reach the rest without them.
+        Another instance accepts the change; its pushes and exchanges reach the
+        rest within the bound.
         """
         await self.start(per_data_centre=5, data_centres=2)
         readers = self.readers()
@@ -157,12 +155,11 @@
         await self.fleet.clock.advance(BOUND)
         self.assertEqual(set(self.fleet.revisions()), {revision})
 
-    async def test_frozen_reader_that_thaws_brings_no_old_news(self):
-        """No caller ever sees the old configuration come back.
+    async def test_thawed_reader_reverts_nothing(self):
+        """A reader freezes at revision 1 and thaws when revision 2 is in force.
 
-        A reader freezes while it answers and pushes revision 1. Meanwhile
-        revision 2 is in force. It thaws and its old messages go out: nobody
-        goes back, and its own age shows how long it stood still.
+        Its stale messages must not revert any instance, and its own age must
+        include the time it was frozen.
         """
         await self.start(per_data_centre=3, data_centres=1)
         reader = self.readers()[0]
@@ -179,13 +176,11 @@
             self.assertEqual({self.replica(a).revision for a in others}, {2})
         self.assertEqual(self.replica(reader).revision, 2)
 
-    async def test_age_in_a_held_up_push_proves_nothing(self):
-        """Its callers are refused where the template wants fresh news.
+    async def test_age_in_a_delayed_push_is_ignored(self):
+        """A sender freezes between writing a push and sending it.
 
-        A reader writes a push that says "confirmed just now" and freezes
-        before it leaves. When it thaws half a minute later, the push arrives
-        at an instance that heard nothing meanwhile, and must not make that
-        one believe that it is up to date.
+        The push says "confirmed just now" but arrives half a minute later. It
+        must not make the receiver, which got nothing else, count as fresh.
         """
         await self.start(per_data_centre=2, data_centres=1)
         sender, receiver = self.fleet.addresses
@@ -202,12 +197,11 @@
         )
         push.cancel()
 
-    async def test_instance_cut_from_all_knows_that_it_is_old(self):
-        """Its callers are served or refused as their template says.
+    async def test_isolated_instance_grows_stale(self):
+        """An instance reaches neither the store nor a peer.
 
-        The instance reaches neither the store nor a peer. It can't know that
-        a change was accepted, but its age grows past any limit; when the cut
-        heals it is up to date within the bound.
+        Its configuration age must keep growing; after the cut heals it must be
+        up to date within the bound.
         """
         await self.start(per_data_centre=3, data_centres=1)
         cut = self.fleet.addresses[2]
@@ -233,11 +227,10 @@
         self.assertLess(self.replica(cut).confirmed_age(), BOUND)
 
     async def test_data_centre_cut_from_the_store_stays_fresh(self):
-        """Its callers see nothing of it.
+        """No instance of the second data centre reaches the store.
 
-        No instance of the second data centre reaches the store. Its readers
-        ask readers of the other one, and the age that comes along is counted
-        from before their question.
+        Its readers query those of the other one and stay fresh, with ages
+        counted from before their request.
         """
         await self.start(per_data_centre=3, data_centres=2)
         cut_off = self.fleet.addresses[3:]
@@ -251,11 +244,10 @@
         self.assertEqual(set(self.fleet.revisions()), {2})
 
     async def test_start_during_an_outage_and_a_lagging_peer(self):
-        """The new instance serves the newest configuration it can learn.
+        """An instance starts while the store is down and a peer lags behind.
 
-        The store is out, and one peer was cut off before revision 2. The new
-        instance may learn from that one first; it moves on to revision 2, and
-        the lagging one never pulls it or anyone back.
+        It may get revision 1 from that peer first, must reach revision 2 from
+        the others, and must never go back.
         """
         await self.start(per_data_centre=4, data_centres=1)
         lagging, new = self.fleet.addresses[2:]
@@ -278,8 +270,11 @@
         await self.fleet.clock.advance(BOUND)
         self.assertLess(self.replica(new).confirmed_age(), BOUND)
 
-    async def test_news_from_the_store_goes_on_as_changes(self):
-        """Nobody is sent the whole configuration for one change's sake."""
+    async def test_changes_from_the_store_are_forwarded_as_changes(self):
+        """A change read from the store is forwarded as a change.
+
+        Otherwise peers would be sent the whole configuration for it.
+        """
         await self.start(per_data_centre=1, data_centres=2)
         await self.set_priority(8)
         await self.fleet.clock.advance(BOUND)
@@ -300,11 +295,10 @@
             self.assertEqual(self.replica(only).state, before)
 
     async def test_start_when_old_changes_were_deleted(self):
-        """Callers are served as before.
+        """The oldest change rows were deleted from the table.
 
-        Somebody cleared the audit's oldest rows out of the table. An instance
-        that starts alone finds that the log does not begin where it stands,
-        and reads the documents instead.
+        An instance that starts alone can't replay the log and must read the
+        documents instead.
         """
         await self.start(per_data_centre=1, data_centres=1)
         only = self.fleet.addresses[0]
@@ -318,12 +312,11 @@
         await self.fleet.clock.advance(SECOND)
         self.assertEqual(self.replica(only).state, before)
 
-    async def test_documents_read_across_a_change_are_whole(self):
-        """Callers never see half of a change.
+    async def test_documents_read_across_a_change_are_consistent(self):
+        """A change commits while a starting instance reads document pages.
 
-        A starting instance reads the documents page by page. Between two
-        pages a change replaces a document already read and one still to be
-        read. What it puts in force has both or none.
+        It replaces a document already read and one still to be read; the state
+        put in force must contain both or neither.
         """
         await self.start(per_data_centre=1, data_centres=2)
         accepting, other = self.fleet.addresses
@@ -362,16 +355,16 @@
         self.assertEqual(replica.revision, 2)
         self.assertEqual(read.state, replica.state)
 
-    def test_ranks_agree_and_doubtful_members_do_not_read(self):
+    def test_ranks_agree_and_unhealthy_members_do_not_read(self):
         members = config_fleet.ConfigFleet(per_data_centre=9).members
         first = distribution_tree.readers(members, "dc1")
         self.assertEqual(first, distribution_tree.readers(members[::-1], "dc1"))
         suspect = members_module.MemberHealth.SUSPECT
-        doubted = [
+        suspected = [
             m if m not in first else msgspec.structs.replace(m, health=suspect)
             for m in members
         ]
-        for reader in distribution_tree.readers(doubted, "dc1"):
+        for reader in distribution_tree.readers(suspected, "dc1"):
             self.assertIs(reader.health, members_module.MemberHealth.ALIVE)
 
 
--- a/tests/cover/test_config_replica.py
+++ b/tests/cover/test_config_replica.py
@@ -1,4 +1,4 @@
-"""A replica moves forward only, whatever reaches it in whatever order."""
+"""A replica's revision never falls, whatever updates arrive in which order."""
 
 import datetime
 import unittest
@@ -41,7 +41,7 @@
 
 CHANGES, STATES = log()
 revisions = strategies.integers(0, LENGTH)
-news = strategies.one_of(
+updates = strategies.one_of(
     revisions.map(lambda n: STATES[n]),
     strategies.tuples(revisions, revisions).map(
         lambda ends: CHANGES[min(ends) : max(ends)]
@@ -50,7 +50,7 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    @hypothesis.given(strategies.lists(news, max_size=20))
+    @hypothesis.given(strategies.lists(updates, max_size=20))
     def test_never_goes_back_and_holds_what_was_accepted(self, deliveries):
         fake = clock.FakeClock()
         replica = replica_module.ConfigReplica(
--- a/tests/cover/test_config_validation.py
+++ b/tests/cover/test_config_validation.py
@@ -1,4 +1,4 @@
-"""What operators can put in force is whole, whatever they do to it."""
+"""Every configuration that operators can put in force is valid."""
 
 import dataclasses
 import pathlib
@@ -26,8 +26,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class WrongTemplate:
-    """A parameter with a wrong value, and the field to be named."""
+class InvalidTemplate:
+    """A parameter with an invalid value, and the field to be named."""
 
     field: str
     parameters: dict
@@ -46,34 +46,34 @@
     return documents.Stage(model=config_fleet.GOOD.model, versions=entries)
 
 
-WRONG_TEMPLATES = [
-    WrongTemplate(field="priority", parameters={"priority": 10}),
-    WrongTemplate(field="quality_target", parameters={"quality_target": 1.1}),
-    WrongTemplate(field="deadline_ms", parameters={"deadline_ms": 0}),
-    WrongTemplate(field="name", parameters={"name": "no spaces"}),
-    WrongTemplate(field="team", parameters={"team": "nobody"}),
-    WrongTemplate(field="stages", parameters={"stages": ()}),
-    WrongTemplate(
+INVALID_TEMPLATES = [
+    InvalidTemplate(field="priority", parameters={"priority": 10}),
+    InvalidTemplate(field="quality_target", parameters={"quality_target": 1.1}),
+    InvalidTemplate(field="deadline_ms", parameters={"deadline_ms": 0}),
+    InvalidTemplate(field="name", parameters={"name": "no spaces"}),
+    InvalidTemplate(field="team", parameters={"team": "nobody"}),
+    InvalidTemplate(field="stages", parameters={"stages": ()}),
+    InvalidTemplate(
         field="roll_out.steps_percent",
         parameters={"roll_out": documents.RollOutPolicy(steps_percent=(5, 1))},
     ),
-    WrongTemplate(
+    InvalidTemplate(
         field="stages[0].versions",
         parameters={
             "stages": (stage(v1=("serving", 60), v2=("rolling_out", 30)),)
         },
     ),
-    WrongTemplate(
+    InvalidTemplate(
         field="stages[0].versions",
         parameters={"stages": (stage(v1=("rolling_out", 100)),)},
     ),
-    WrongTemplate(
+    InvalidTemplate(
         field="stages[0].versions[1].share_percent",
         parameters={
             "stages": (stage(v1=("serving", 100), v2=("withdrawn", 5)),)
         },
     ),
-    WrongTemplate(
+    InvalidTemplate(
         field="stages[0].model",
         parameters={
             "stages": (
@@ -117,8 +117,8 @@
 
 class ValidationTest(unittest.TestCase):
     @hypothesis.given(strategies.lists(steps, max_size=12))
-    def test_accepted_steps_leave_a_whole_template(self, chosen):
-        """Nothing fails: any order of operators' steps is refused or whole."""
+    def test_accepted_steps_leave_a_valid_template(self, chosen):
+        """Any sequence of operators' steps is refused or leaves it valid."""
         state = first_state()
         for edit in chosen:
             try:
@@ -129,9 +129,8 @@
                 replacement, revision=state.revision + 1
             )
             found = validation.added_faults(state.snapshot, after.snapshot)
-            # A step may only be refused for what it leaves unusable, or for
-            # bringing back what is withdrawn; shares that it worked out
-            # itself are never wrong.
+            # A step may only be refused because it leaves a stage unusable or
+            # uses a withdrawn version; computed shares are never invalid.
             withdrawn = getattr(edit, "model_version", None) in (
                 state.snapshot.fleet.withdrawn
             )
@@ -158,10 +157,10 @@
     def test_withdrawal_falls_back_to_the_version_that_served_last(
         self, chosen
     ):
-        """Callers' answers turn bad after a promotion, and an operator
-        withdraws the version. Versions that served before it stand at share
-        0. New sessions get the one that served last before it, and no share
-        goes to an older one, whatever was rolled out and withdrawn before.
+        """An operator withdraws a promoted version; older ones have share 0.
+
+        All new sessions must get the version that served last before it,
+        whatever was rolled out and withdrawn earlier.
         """
         served = [config_fleet.GOOD]
         template = config_fleet.template()
@@ -185,10 +184,10 @@
             }
             self.assertEqual(found, {served[-1].version: 100})
 
-    def test_each_wrong_parameter_is_named(self):
-        for wrong in WRONG_TEMPLATES:
-            with self.subTest(field=wrong.field):
-                template = config_fleet.template(**wrong.parameters)
+    def test_each_invalid_parameter_is_named(self):
+        for invalid in INVALID_TEMPLATES:
+            with self.subTest(field=invalid.field):
+                template = config_fleet.template(**invalid.parameters)
                 snapshot = first_state().with_replacement(
                     edits.Replacement(templates=(template,)), revision=2
                 )
@@ -197,7 +196,7 @@
                     for fault in validation.find_faults(snapshot.snapshot)
                 ]
                 document = edits.template_document(template.team, template.name)
-                self.assertIn(f"{document}.{wrong.field}", paths)
+                self.assertIn(f"{document}.{invalid.field}", paths)
 
     def test_two_tokens_never_share_a_hash(self):
         token = documents.TokenEntry(
--- a/tests/cover/test_leases.py
+++ b/tests/cover/test_leases.py
@@ -1,4 +1,4 @@
-"""A lease has one holder at a time, also when holders freeze and stores lie."""
+"""A lease has one holder at a time, despite frozen holders and lost writes."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 class Contender:
-    """One instance that contends for the lease, and can be frozen."""
+    """One instance that contends for the lease."""
 
     def __init__(self, *, name, clock, table, rank=0, is_dead=None):
         self.name = name
@@ -51,7 +51,7 @@
 
 
 class LeaseTest(unittest.IsolatedAsyncioTestCase):
-    """Two contenders, stepped by hand: one that isn't stepped is frozen."""
+    """Two contenders; one whose steps are not called is frozen."""
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
@@ -73,7 +73,7 @@
             if condition():
                 return
             await self.clock.advance(500 * MS)
-        self.fail(f"not so within {within_s} s")
+        self.fail(f"the condition did not hold within {within_s} s")
 
     async def condition_holds(self, contender):
         """Whether a commit under the contender's lease would succeed."""
@@ -90,11 +90,11 @@
         )
         return result.committed
 
-    async def test_frozen_holder_refuses_itself_when_it_thaws(self):
-        """The holder is frozen past its lease and another takes over.
+    async def test_thawed_holder_finds_its_lease_expired(self):
+        """The holder freezes past its lease's expiry and another takes over.
 
-        When it thaws, before any of its tasks has run, it finds the lease
-        lapsed by its own clock, and the store refuses its commits.
+        When it thaws, before any of its tasks has run, it must find the lease
+        expired by its own clock, and the store must refuse its commits.
         """
         self.assertEqual(self.one.keeper.fencing_token(), 1)
         await self.step_until(self.other, self.other.acts)
@@ -114,10 +114,10 @@
             self.assertFalse(self.other.acts())
 
     async def test_lost_answer_counts_from_the_writes_own_start(self):
-        """A renewal takes effect, its answer is lost and known late.
+        """A renewal takes effect and its answer is lost.
 
-        The next step finds the row and counts the lease from the start of
-        the write that made it, not from when it learnt of it.
+        When the row is read later, the lease must count from the start of that
+        write, not from the read.
         """
         self.table.faults.lose_next_answers = 1
         await self.clock.advance(SECOND)
@@ -129,9 +129,9 @@
         self.assertFalse(self.one.acts())
 
     async def test_late_renewal_after_the_take_over(self):
-        """A renewal takes effect late, when another holds the lease.
+        """A delayed renewal arrives when another instance holds the lease.
 
-        It is conditional on the row's version, so it changes nothing.
+        It is conditional on the row's version, so it must change nothing.
         """
         self.table.faults.late_effect = 20 * SECOND
         await self.one.step()
@@ -149,7 +149,7 @@
         await self.other.step()
         self.assertEqual(self.other.keeper.fencing_token(), 2)
 
-    async def test_preferred_instance_gets_it_in_the_end(self):
+    async def test_preferred_instance_gets_the_lease(self):
         self.one.rank = 1
         for _ in range(8):
             await self.one.step()
@@ -158,20 +158,22 @@
         self.assertTrue(self.other.acts())
         self.assertFalse(self.one.acts())
 
-    async def test_known_death_shortens_the_wait(self):
-        heir = self.contender("heir", is_dead=lambda holder: holder == "one")
-        await heir.step()
-        self.assertFalse(heir.acts())
+    async def test_known_death_shortens_the_take_over(self):
+        successor = self.contender(
+            "heir", is_dead=lambda holder: holder == "one"
+        )
+        await successor.step()
+        self.assertFalse(successor.acts())
         await self.clock.advance(2500 * MS)
-        await heir.step()
-        self.assertTrue(heir.acts())
+        await successor.step()
+        self.assertTrue(successor.acts())
         self.assertFalse(await self.condition_holds(self.one))
 
-    async def test_cut_instances_do_not_rob_each_other(self):
-        """Two instances are cut off from each other, not from the store.
+    async def test_partitioned_instances_do_not_take_each_others_lease(self):
+        """Two instances reach the store but not each other.
 
-        Each takes the other for dead and itself for preferred. The holder
-        still renews, which the other sees: the lease stays where it is.
+        Each considers the other dead and itself preferred. As the holder still
+        renews, the lease must not move.
         """
         both = [
             self.contender(name, is_dead=lambda holder: holder != "one")
@@ -188,7 +190,7 @@
 
 
 class LeaseHistoryTest(unittest.TestCase):
-    """Random schedules of steps, freezes and lost writes."""
+    """Random schedules of steps, freezes and lost or late writes."""
 
     @hypothesis.settings(max_examples=150)
     @hypothesis.given(
@@ -250,7 +252,7 @@
         )
 
     def test_spread_and_least_movement(self):
-        """Leases spread over members; a lost member moves only its own."""
+        """Leases spread over members; losing one moves only its leases."""
         names = [f"m{number}" for number in range(20)]
         leases = [f"ledger/{number}" for number in range(1000)]
 
--- a/tests/cover/test_membership_failures.py
+++ b/tests/cover/test_membership_failures.py
@@ -1,4 +1,4 @@
-"""Membership under every failure it is meant for, on a fake clock."""
+"""Membership under crashes, freezes and network cuts, on a fake clock."""
 
 import datetime
 import unittest
@@ -24,13 +24,13 @@
         def faulty_callback(change):
             raise RuntimeError("of the test")
 
-        told_after_the_fault = []
+        reported_after_the_fault = []
         s.service(5).on_change(faulty_callback)
-        s.service(5).on_change(told_after_the_fault.append)
+        s.service(5).on_change(reported_after_the_fault.append)
         s.fleet.crash(3)
         await s.until_agreed()
         self.assertEqual(s.deaths(), {s.fleet.address(3)})
-        self.assertIs(told_after_the_fault[-1].health, DEAD)
+        self.assertIs(reported_after_the_fault[-1].health, DEAD)
         kinds = [
             event.kind
             for event in s.fleet.running[s.fleet.address(0)].events.since(0)
@@ -45,11 +45,11 @@
 
     @membership_scenario.fleet_of(7)
     async def test_a_restart_at_the_same_address(self, s):
-        """Others take the new process for a new member at once.
+        """A process restarts before any member notices that the old one died.
 
-        It restarts faster than anyone could miss the old one, on a machine
-        whose wall clock is hours behind, so its number is below its
-        predecessor's; the first acks tell it the number to outbid.
+        The second restart has a wall clock an hour behind, so its number is
+        below its predecessor's; the first acks give the number to exceed. All
+        must replace the old member by the new one.
         """
         for wall_clock_lag in (datetime.timedelta(), 3600 * SECOND):
             s.start(3, wall_clock_lag=wall_clock_lag)
@@ -68,9 +68,9 @@
 
     @membership_scenario.fleet_of(7)
     async def test_leaving_and_ending_cause_no_suspicion(self, s):
-        """A draining instance is seen as leaving by all, then as gone.
+        """A draining instance announces that it leaves, then that it ends.
 
-        It says so itself, so nobody has to miss its answers first.
+        All must see it as leaving, then dead, without suspecting it.
         """
         s.service(3).announce_leaving()
         await s.until(
@@ -88,7 +88,7 @@
 
 class FreezeTest(unittest.TestCase):
     @membership_scenario.fleet_of(7)
-    async def test_a_short_freeze_costs_nothing(self, s):
+    async def test_a_short_freeze_has_no_effect(self, s):
         for freeze in (SECOND, 3 * SECOND):
             s.fleet.network.freeze(s.fleet.address(2))
             await s.clock.advance(freeze)
@@ -98,16 +98,13 @@
         self.assertTrue(s.fleet.agrees())
 
     @membership_scenario.fleet_of(7)
-    async def test_a_long_freeze_is_a_death_that_the_frozen_one_learns_of(
-        self, s
-    ):
-        """The others drop a frozen instance; it comes back by itself.
+    async def test_a_member_declared_dead_while_frozen_rejoins(self, s):
+        """An instance freezes past the suspicion time, is dropped and thaws.
 
-        It is stopped past the suspicion time and goes on. Before its first
-        task has run it already knows that it can't be sure to be a member;
-        the first ack tells it that it was taken for dead; it raises its
-        number and all take it back. It accuses nobody, though to its clock
-        everybody was silent for a minute.
+        Before its first task runs it must count as unconfirmed. The first ack
+        tells it of its death, it raises its number and all take it back. It
+        must declare no other dead, although all were silent for a minute by
+        its clock.
         """
         frozen = s.service(2)
         self.assertTrue(frozen.is_confirmed())
@@ -124,11 +121,10 @@
 
     @membership_scenario.fleet_of(4)
     async def test_an_old_ack_confirms_nothing(self, s):
-        """An ack that lay in the socket during a freeze is of the time before.
+        """An instance freezes with a probe in flight, and is declared dead.
 
-        The frozen instance has a probe under way when it is stopped. At the
-        thaw it reads the ack first, but has since been taken for dead: only
-        the ack of a probe that left after the thaw counts.
+        At the thaw it reads that probe's ack first, which must not confirm it:
+        only the ack of a probe sent after the thaw does.
         """
         frozen = s.fleet.address(2)
         for number in (0, 1, 3):
@@ -144,36 +140,34 @@
             self.assertFalse(s.service(2).is_confirmed())
 
     @membership_scenario.fleet_of(7)
-    async def test_a_starving_process_accuses_nobody(self, s):
-        """A process that runs for a fifth of a second in each five hears no
-        ack in time, and what comes while it stands still is lost.
+    async def test_a_stalling_process_declares_nobody_dead(self, s):
+        """A process runs for 0.2 s in each 5 s and loses what arrives between.
 
-        To its clock all probes time out, round after round. It must not take
-        everybody for dead: a wait that took far longer than asked says that
-        it was itself that stood still.
+        All its probes time out. It must declare nobody dead: waits that took
+        far longer than requested show that the process itself stalled.
         """
-        starving = s.fleet.address(2)
+        stalling = s.fleet.address(2)
         others = [s.fleet.address(n) for n in range(7) if n != 2]
         for other in others:
-            s.fleet.network.set_delay(other, starving, SECOND / 2)
+            s.fleet.network.set_delay(other, stalling, SECOND / 2)
         for _ in range(12):
-            s.fleet.network.freeze(starving)
+            s.fleet.network.freeze(stalling)
             for other in others:
-                s.fleet.network.cut(other, starving)
+                s.fleet.network.cut(other, stalling)
             await s.clock.advance(5 * SECOND)
-            s.fleet.network.thaw(starving)
+            s.fleet.network.thaw(stalling)
             s.fleet.network.heal_all()
             await s.clock.advance(SECOND / 5)
-        told = [change.health for n, change in s.changes if n == 2]
-        self.assertEqual(told, [])
+        reported = [change.health for n, change in s.changes if n == 2]
+        self.assertEqual(reported, [])
 
 
 class CutTest(unittest.TestCase):
     @membership_scenario.fleet_of(7)
     async def test_a_cut_between_two_removes_neither(self, s):
-        """One link fails, one way or both; both ends stay members to all.
+        """One link fails in one direction, then in both.
 
-        Their probes fail, the helpers' don't.
+        Both ends must stay members everywhere, as the helpers' probes succeed.
         """
         one, other = s.fleet.address(1), s.fleet.address(5)
         s.fleet.network.cut(one, other)
@@ -184,32 +178,33 @@
         self.assertTrue(s.fleet.agrees())
 
     @membership_scenario.fleet_of(7)
-    async def test_a_deaf_instance_convinces_nobody(self, s):
-        """An instance hears nothing while what it sends arrives.
+    async def test_an_instance_that_receives_nothing_is_the_one_dropped(
+        self, s
+    ):
+        """An instance receives nothing while what it sends arrives.
 
-        To it everybody is silent. It is the one that leaves the members, not
-        the six others on its word; it can't be sure of itself meanwhile, and
-        it is back soon after the links heal.
+        All others look silent to it. They must drop it, and not each other on
+        its claims; it must be unconfirmed meanwhile and return soon after the
+        links heal.
         """
-        deaf = s.fleet.address(4)
+        unreachable = s.fleet.address(4)
         for number in range(7):
-            s.fleet.network.cut(s.fleet.address(number), deaf)
+            s.fleet.network.cut(s.fleet.address(number), unreachable)
         await s.until(lambda: all(s.seen(n, 4) is None for n in (0, 1, 6)))
         await s.clock.advance(60 * SECOND)
         self.assertFalse(s.service(4).is_confirmed())
-        told = {c.inner_address for n, c in s.changes if n != 4}
-        self.assertEqual(told, {deaf})
+        reported = {c.inner_address for n, c in s.changes if n != 4}
+        self.assertEqual(reported, {unreachable})
         s.fleet.network.heal_all()
         await s.until_agreed()
         self.assertTrue(s.service(4).is_confirmed())
 
     @membership_scenario.fleet_of(15)
     async def test_regions_that_can_not_reach_each_other_but_a_third(self, s):
-        """Two regions lose each other; a third, of one instance, reaches both.
+        """Two regions are cut from each other; a third instance reaches both.
 
-        Each probe across is carried by the helper of the third region, so
-        nobody is taken for dead. Helpers drawn without regard to regions
-        would often all be on the wrong side.
+        Indirect probes through it must keep all members alive. Helpers chosen
+        without regard to regions would often all be on the same side.
         """
         for number in (5, 8, 11, 14):
             s.fleet.crash(number)
@@ -227,11 +222,11 @@
 
     @membership_scenario.fleet_of(6)
     async def test_a_region_cut_off_and_healed(self, s):
-        """Each side goes on with its own members and finds the others again.
+        """A region is cut off for two minutes while the list still names all.
 
-        The list still names all, and says nothing of the cut. Meanwhile one
-        instance behind the cut is replaced by a new process. After the heal
-        all agree on who runs, and none was dropped by its own side.
+        One instance behind the cut restarts meanwhile. Each side must keep
+        exactly its own members, and after the heal all must agree again
+        without a further death.
         """
         s.fleet.cut_region("region-1", count=6)
         inside, outside = {1, 4}, {0, 2, 3, 5}
@@ -253,10 +248,10 @@
 class DatagramTest(unittest.TestCase):
     @membership_scenario.fleet_of(30, joined=False)
     async def test_datagrams_stay_below_the_mtu(self, s):
-        """However much there is to tell, no datagram may be fragmented.
+        """No datagram may be fragmented, however many rumours are queued.
 
-        30 instances with names of 100 characters join at once, so that each
-        message has more rumours to carry than fit.
+        30 instances with names of 100 characters join at once, so that more
+        rumours are queued than fit a message.
         """
         sizes = []
         send = local_datagrams.LocalDatagrams.send
--- a/tests/cover/test_membership_joining.py
+++ b/tests/cover/test_membership_joining.py
@@ -1,4 +1,4 @@
-"""Instances find each other, whatever the platform's list says."""
+"""Instances find each other, whatever the platform's list contains."""
 
 import asyncio
 import datetime
@@ -24,17 +24,17 @@
         await s.until_agreed()
         self.assertEqual(s.seen(0, 7).data_centre, "data-centre-7")
         await s.clock.advance(60 * SECOND)
-        # Each of these 8 instances is alone in its data centre.
+        # Each of these 8 instances is the only one in its data centre.
         self.assertLess(s.fleet.instance_list.reads - reads, 8 * 16)
         self.assertEqual(s.deaths(), set())
 
     @membership_scenario.fleet_of(4, joined=False)
     async def test_starting_while_the_list_is_out(self, s):
-        """Instances that start while the list is out find each other by seed
-        addresses, and one without seeds as soon as the list is back.
+        """Instances start while the instance list is unavailable.
 
-        Until then it knows nobody, and does not take that for being alone;
-        nor does it when the list comes back empty at first.
+        Those with seed addresses must find each other. One without must not
+        count as the only instance, also while the list is empty at first, and
+        must join once the list is complete.
         """
         s.fleet.instance_list.is_out = True
         seeds = (s.fleet.address(0),)
@@ -54,10 +54,10 @@
 
     @membership_scenario.fleet_of(5)
     async def test_a_listed_but_dead_peer_is_no_member(self, s):
-        """The platform lists an instance for hours after its death.
+        """The platform lists an instance that is dead.
 
-        It never answers, so it never becomes a member of anybody, and costs
-        the readers a probe each two seconds at most.
+        It never answers, so it must never become a member; it costs a reader
+        at most a probe each two seconds.
         """
         s.fleet.list_all(6)
         await s.clock.advance(60 * SECOND)
@@ -81,11 +81,10 @@
 
     @membership_scenario.fleet_of(6)
     async def test_a_faulty_list_removes_nobody(self, s):
-        """The platform's list loses its lines while the instances run.
+        """The platform's list is empty, then has one row, while all run.
 
-        It is empty, then holds one line, then is out. All stay members; and
-        a crash and a return during the fault are still noticed, because the
-        dead are tried again from memory.
+        All must stay members. A crash and a restart during the fault must be
+        noticed, as dead members are probed at their remembered addresses.
         """
         rows = s.fleet.instance_list.rows
         for faulty in ([], rows[:1]):
@@ -99,7 +98,7 @@
         self.assertEqual(s.deaths(), {s.fleet.address(3)})
 
     @membership_scenario.fleet_of(1)
-    async def test_the_only_instance_is_sure_of_itself(self, s):
+    async def test_the_only_instance_is_confirmed(self, s):
         self.assertTrue(s.service(0).is_confirmed())
 
 
--- a/tests/cover/test_membership_readers.py
+++ b/tests/cover/test_membership_readers.py
@@ -1,4 +1,4 @@
-"""Readers are few, agreed on, and move little when members change."""
+"""Elected readers are few, the same everywhere, and change little."""
 
 import unittest
 
@@ -48,7 +48,7 @@
         chosen = {elect(members, f"purpose {n}")[0] for n in range(20)}
         self.assertGreater(len(chosen), 10)
 
-    def test_doubtful_members_come_last(self):
+    def test_unhealthy_members_come_last(self):
         suspect = members_module.MemberHealth.SUSPECT
         members = [member(n, health=suspect) for n in range(20)]
         members += [member(30), member(31)]
--- a/tests/cover/test_membership_table.py
+++ b/tests/cover/test_membership_table.py
@@ -1,4 +1,4 @@
-"""Merging claims: the order in which they come must not matter."""
+"""Claims merge to the same result in any order; bad datagrams are harmless."""
 
 import asyncio
 import random
@@ -65,12 +65,12 @@
         strategies.lists(CLAIMS), strategies.randoms(use_true_random=False)
     )
     def test_any_order_and_repetition_leads_to_the_same_members(
-        self, said, rng
+        self, received, rng
     ):
         one, other = new_table(), new_table()
-        for each in said:
+        for each in received:
             one.apply_claim(each)
-        again = said + said[: len(said) // 2]
+        again = received + received[: len(received) // 2]
         rng.shuffle(again)
         for each in again:
             other.apply_claim(each)
@@ -82,24 +82,24 @@
             )
 
     @hypothesis.given(strategies.lists(CLAIMS))
-    def test_this_instance_outbids_all_that_is_wrong_of_it(self, said):
+    def test_false_claims_about_this_instance_are_refuted(self, received):
         table = new_table()
         number = table.own_claim.number
-        for each in said:
+        for each in received:
             table.apply_claim(each)
             self.assertGreaterEqual(table.own_claim.number, number)
             number = table.own_claim.number
         self.assertEqual(table.own_claim.member.incarnation, "me")
         self.assertIs(table.own_claim.member.health, HEALTHS[0])
-        for each in said:
+        for each in received:
             if each.member.inner_address == MINE:
                 self.assertGreaterEqual(table.own_claim.order, each.order)
 
-    def test_an_accusation_is_not_believed_right_after_an_answer(self):
+    def test_a_death_is_ignored_right_after_an_ack(self):
         """One instance's bad link must not remove a member everywhere.
 
-        This instance has just had an answer of the accused. A minute later
-        it has nothing to set against the same accusation.
+        A claim of death is ignored right after the member answered this
+        instance, and applied if it did not answer.
         """
         for answered, verdict in (
             (True, table_module.Verdict.KNOWN),
@@ -120,14 +120,14 @@
         self.assertEqual(len(queue), 0)
 
 
-class StrangeDatagramTest(unittest.TestCase):
-    """Nothing that arrives may harm, with or without the right seal."""
+class UntrustedDatagramTest(unittest.TestCase):
+    """No received datagram may do harm, with or without a valid seal."""
 
-    def test_a_forged_death_is_not_believed(self):
-        """Anyone can send a datagram that says an instance is dead.
+    def test_a_forged_death_is_ignored(self):
+        """A stranger sends a datagram that declares an instance dead.
 
-        Without the credential the seal is wrong and nothing happens; the
-        same claim from an instance is believed, and then outbid.
+        Without the credential its seal is invalid and nothing may happen; with
+        it the claim is applied, and then refuted.
         """
 
         async def scenario():
@@ -185,7 +185,7 @@
         ),
         strategies.booleans(),
     )
-    def test_bytes_of_a_stranger(self, envelopes, is_sealed):
+    def test_arbitrary_datagrams_do_no_harm(self, envelopes, is_sealed):
         credential = "local fleet" if is_sealed else "of a stranger"
         seal = datagrams.Seal(credential=credential)
 
--- a/tests/fake_config.py
+++ b/tests/fake_config.py
@@ -1,4 +1,4 @@
-"""A small configuration, and a view of it that a test replaces."""
+"""A small configuration, and a view of it that tests can replace."""
 
 import datetime
 
@@ -12,7 +12,7 @@
 
 
 def snapshot(**template_fields) -> documents.Snapshot:
-    """A team `agency` with a template `review`, and a team without any."""
+    """A team `agency` with a template `review`, and a team without one."""
     stages = tuple(
         documents.Stage(
             model=model, versions=(documents.VersionEntry(version="1"),)
--- a/tests/slow/test_config_defects.py
+++ b/tests/slow/test_config_defects.py
@@ -1,4 +1,4 @@
-"""Each property's check can fail: a defect put in on purpose is found."""
+"""Seeded defects are found by the property checks of configuration."""
 
 import dataclasses
 import unittest
@@ -20,9 +20,9 @@
 class SeededDefectTest(unittest.TestCase):
     def assert_found(self, *messages: str) -> None:
         # Hypothesis mixes the constants of the product's modules into the
-        # examples, so an edit anywhere changes them. Over 20 seeds a defect
-        # was found within 90 examples; should one need hundreds, a rule is
-        # missing that brings the fault about.
+        # examples, so any edit changes them. Over 20 seeds each defect was
+        # found within 90 examples; if one needs hundreds, the machine lacks a
+        # rule that brings the fault about.
         settings = hypothesis.settings(
             config_machine.SETTINGS,
             max_examples=400,
@@ -47,14 +47,14 @@
         with mock.patch.object(acceptance.Accepter, "_abandon", read_only):
             self.assert_found("two outcomes", "untrue outcome")
 
-    def test_commit_that_does_not_ask_for_the_operations_absence(self):
+    def test_commit_without_the_condition_on_the_operation(self):
         nothing = table_module.Condition(key="config/nothing", version=0)
         with mock.patch.object(
             attempts, "absent_operation", lambda *_: nothing
         ):
             self.assert_found("made twice", "two outcomes", "untrue outcome")
 
-    def test_commit_that_does_not_name_the_head(self):
+    def test_commit_without_the_condition_on_the_head(self):
         acceptance_of = attempts._acceptance
 
         def headless(*args):
@@ -68,11 +68,11 @@
         with mock.patch.object(attempts, "_acceptance", headless):
             self.assert_found("lost", "untrue outcome", "went back")
 
-    def test_replica_that_takes_in_changes_it_has(self):
-        """A late answer brings changes that have come another way meanwhile.
+    def test_replica_that_applies_known_changes(self):
+        """A late answer contains changes that the replica already has.
 
-        Taken in, they undo the newer ones until the next news, mostly before
-        anyone has asked. Only each instance's own events tell of that.
+        Applying them reverts the newer ones until the next update, mostly
+        before the revision is next checked. Only the events show it.
         """
 
         def apply(replica, changes):
@@ -89,9 +89,9 @@
         ):
             self.assert_found("stepped back")
 
-    def test_replica_that_takes_in_older_states(self):
-        # Over three instances the store's readers repair this within half a
-        # second, so it is the replica's own property that has to show it.
+    def test_replica_that_applies_older_states(self):
+        # Among three instances the store's readers repair this within half a
+        # second, so only the replica's own property test shows it.
         def apply(replica, state):
             replica._state = state
             return True
--- a/tests/slow/test_config_operations.py
+++ b/tests/slow/test_config_operations.py
@@ -1,4 +1,4 @@
-"""Operations and replicas under faults keep to one history."""
+"""Operations and replicas under faults stay consistent."""
 
 from tests import config_machine
 
--- a/tests/whole/member_process.py
+++ b/tests/whole/member_process.py
@@ -1,6 +1,6 @@
-"""A process that takes part in membership and does nothing else.
+"""A process that only runs the membership service.
 
-It prints a JSON line at its start and for each change it is told of.
+It prints a JSON line at its start and for each reported change.
 """
 
 import asyncio
@@ -45,10 +45,10 @@
 ) -> str:
     """Listens on one port over TCP and UDP, and returns the address.
 
-    TCP first: the system then gives a number that no connection of another
-    process has as its own end, which it does not look at for UDP. That took
-    one process in 24 when UDP came first. The wait is for a restart at a
-    given number, which such a connection may have meanwhile.
+    TCP is bound first, so that the system chooses a port that no TCP connection
+    uses as its local port; for UDP it does not check that, and one process in
+    24 failed when UDP was bound first. The retry is for a restart at a given
+    port, which such a connection may use meanwhile.
     """
     while True:
         try:
--- a/tests/whole/test_membership_processes.py
+++ b/tests/whole/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Membership among real processes over real UDP and TCP, with signals."""
+"""Membership among real processes over UDP and TCP, with signals."""
 
 import asyncio
 import json
@@ -8,12 +8,12 @@
 import unittest
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
-# Far above what any of this takes on a busy machine; no verdict rests on it.
+# Far above what any wait takes on a busy machine; no assertion depends on it.
 LIMIT_S = 120
 
 
 class Process:
-    """One member's process and the last state it printed of each address."""
+    """One member's process and the state it last printed for each address."""
 
     def __init__(self, process):
         self.process = process
@@ -78,12 +78,12 @@
         return process
 
     async def test_kill_restart_stop_and_continue(self):
-        """Four processes see one of them die, return, freeze and thaw.
+        """Four processes, of which one is killed and one stopped.
 
-        The third is killed and replaced at its address by a new process, which
-        all take for a new member. The fourth is stopped until all others hold
-        it for dead and then goes on: it returns by itself, as the same
-        incarnation, and has not accused anyone for good.
+        The third is killed and restarted at its address, and must become a new
+        member. The fourth is stopped until all others declare it dead; after it
+        continues it must return as the same incarnation, and know all others
+        as alive.
         """
         first = await self.start(0)
         second = await self.start(0, first.address)
