--- a/tests/cover/test_guarantees_permission.py
+++ b/tests/cover/test_guarantees_permission.py
@@ -30,7 +30,7 @@
     try:
         await scenario.set_up()
         loading = asyncio.ensure_future(scenario.load(BEFORE + AFTER))
-        alone = scenario.draw.choice(scenario.fleet.listeners())
+        alone = scenario.draw.choice(scenario.fleet.non_readers())
         if cut:
             scenario.cut_off(alone)
         others = [a for a in scenario.fleet.addresses if a != alone]
@@ -174,10 +174,10 @@
     def test_an_instance_learns_of_the_change_too_late(self):
         with mock.patch.multiple(
             distribution,
-            _READ_EVERY=9 * SECOND,
-            _READ_MYSELF_AGE=9 * SECOND,
-            _EXCHANGE_EVERY=9 * SECOND,
-            _EXCHANGE_ANYWHERE_EVERY=9 * SECOND,
+            _READ_PERIOD=9 * SECOND,
+            _FALLBACK_READ_AGE=9 * SECOND,
+            _PARENT_EXCHANGE_PERIOD=9 * SECOND,
+            _RANDOM_EXCHANGE_PERIOD=9 * SECOND,
         ):
             self.assert_found("sent after the bound")
 
