--- a/src/nutmeghook/internal/assembly/inner_side.py
+++ b/src/nutmeghook/internal/assembly/inner_endpoint.py
@@ -20,7 +20,7 @@
 _PORT_TRIES = 20
 
 
-class InnerSide:
+class InnerEndpoint:
     """Listens on one port number over TCP and UDP, and keeps the members.
 
     Attributes:
--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -8,7 +8,7 @@
 from nutmeghook.internal.administration import principals
 from nutmeghook.internal.assembly import cascades
 from nutmeghook.internal.assembly import gauges
-from nutmeghook.internal.assembly import inner_side
+from nutmeghook.internal.assembly import inner_endpoint
 from nutmeghook.internal.assembly import observation
 from nutmeghook.internal.assembly import platform_clients
 from nutmeghook.internal.assembly import rollouts
@@ -99,7 +99,7 @@
         self._instances = shared_instances.SharedInstanceList(
             instance_list=self._clients.instance_list, clock=clock
         )
-        self._inner = inner_side.InnerSide(
+        self._inner = inner_endpoint.InnerEndpoint(
             settings=settings, clock=clock, random_source=self._random
         )
 
@@ -345,19 +345,19 @@
             messages=peer_messages.PeerMessages(
                 caller=self._inner.caller, handlers=self._inner.handlers
             ),
-            sample_peers=self._some_members,
+            sample_peers=self._sample_members,
             clock=self._clock,
             random_source=self._random,
         )
 
-    def _some_members(self, *, local: int, remote: float) -> list[str]:
+    def _sample_members(self, *, local: int, remote: float) -> list[str]:
         """Returns where some other instances listen."""
         others = [m for m in self.members.members() if m != self.members.myself]
-        told = peer_sampling.PeerSampler(
+        sampler = peer_sampling.PeerSampler(
             data_centre=self._settings.text("data_centre"),
             random_source=self._random,
         )
-        return told.choose(
+        return sampler.choose(
             {m.incarnation: m.inner_address for m in others},
             {m.incarnation: m.data_centre for m in others},
             local=local,
--- a/src/nutmeghook/internal/assembly/relay_path.py
+++ b/src/nutmeghook/internal/assembly/relay_assembly.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Surroundings:
+class RelayDependencies:
     """What a request's way rests on.
 
     Attributes:
@@ -55,80 +55,84 @@
     random_source: random.Random
 
 
-def build(around: Surroundings) -> request_relay.RequestRelay:
+def build(dependencies: RelayDependencies) -> request_relay.RequestRelay:
     """Returns the way of requests, with all that decides on it."""
     times = generation_times.GenerationTimes()
     chooser = choice.ReplicaChooser(
-        directory=around.directory,
-        gate=around.gate,
-        data_centre=around.data_centre,
-        clock=around.clock,
+        directory=dependencies.directory,
+        gate=dependencies.gate,
+        data_centre=dependencies.data_centre,
+        clock=dependencies.clock,
     )
     search = replica_search.ReplicaSearch(
         chooser=chooser,
-        versions=around.versions,
+        versions=dependencies.versions,
         times=times,
-        homes=home_regions.HomeRegions(region_of=around.region_of),
+        homes=home_regions.HomeRegions(region_of=dependencies.region_of),
+    )
+    routes = current_routes.CurrentRoutes(
+        configuration=dependencies.configuration
     )
-    routes = current_routes.CurrentRoutes(configuration=around.configuration)
     crashes = crash_detector.CrashDetector(
-        registry=around.suspects, pool=around.pool, metrics=around.metrics
+        registry=dependencies.suspects,
+        pool=dependencies.pool,
+        metrics=dependencies.metrics,
     )
     permission = retry_permission.RetryPermission(
         routes=routes,
         search=search,
-        budgets=around.budgets,
+        budgets=dependencies.budgets,
         crashes=crashes,
-        clock=around.clock,
-        random_source=around.random_source,
+        clock=dependencies.clock,
+        random_source=dependencies.random_source,
     )
     parts = {
         "planner": attempts.AttemptPlanner(
-            configuration=around.configuration,
+            configuration=dependencies.configuration,
             routes=routes,
             permission=permission,
             crashes=crashes,
             search=search,
-            gate=around.gate,
-            versions=around.versions,
-            budgets=around.budgets,
-            wire_format=around.wire_format,
-            clock=around.clock,
+            gate=dependencies.gate,
+            versions=dependencies.versions,
+            budgets=dependencies.budgets,
+            wire_format=dependencies.wire_format,
+            clock=dependencies.clock,
         ),
         "permission": permission,
         "crashes": crashes,
         "observer": observations.AnswerObserver(
             chooser=chooser,
-            versions=around.versions,
+            versions=dependencies.versions,
             times=times,
-            metrics=around.metrics,
-            clock=around.clock,
+            metrics=dependencies.metrics,
+            clock=dependencies.clock,
         ),
         "sender": sender_module.Sender(
-            pool=around.pool,
-            directory=around.directory,
-            gate=around.gate,
-            wire_format=around.wire_format,
-            clock=around.clock,
+            pool=dependencies.pool,
+            directory=dependencies.directory,
+            gate=dependencies.gate,
+            wire_format=dependencies.wire_format,
+            clock=dependencies.clock,
         ),
-        "wire_format": around.wire_format,
-        "clock": around.clock,
+        "wire_format": dependencies.wire_format,
+        "clock": dependencies.clock,
     }
     return request_relay.RequestRelay(
-        configuration=around.configuration,
+        configuration=dependencies.configuration,
         stream_relay=streams.StreamRelay(
             selector=model_selector.ModelSelector(
                 choice=model_choice.ExpectedUtility(),
                 search=search,
                 times=times,
-                configuration=around.configuration,
-                directory=around.directory,
-                clock=around.clock,
+                configuration=dependencies.configuration,
+                directory=dependencies.directory,
+                clock=dependencies.clock,
             ),
             **parts,
         ),
         whole_answer_relay=whole_answers.WholeAnswerRelay(**parts),
-        wire_format=around.wire_format,
-        metrics=around.metrics,
-        clock=around.clock,
+        wire_format=dependencies.wire_format,
+        metrics=dependencies.metrics,
+        clock=dependencies.clock,
     )
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -10,7 +10,7 @@
 from aiohttp import hdrs
 from aiohttp import web
 
-from nutmeghook.internal.assembly import relay_path
+from nutmeghook.internal.assembly import relay_assembly
 from nutmeghook.internal.assembly import router_peers
 from nutmeghook.internal.assembly import send_limits as send_limits_module
 from nutmeghook.internal.foundation import clock as clock_module
@@ -41,7 +41,7 @@
 METRICS_PATH = "/metrics"
 # Part of the fleet's retry ratio that instances use: what they count a little
 # differently from the platform must not lead over it.
-_RETRY_RATIO_USED = 0.9
+_RETRY_RATIO_FACTOR = 0.9
 _RETRY_BURST = 2
 # After SIGTERM callers are still sent here until the balancer has missed two
 # answers, which it asks for a second apart.
@@ -105,7 +105,7 @@
             session=self._session, address=settings.store_address
         )
         self._store_monitor = follower.StoreMonitor(
-            clock=clock, on_return=self._distrust_list
+            clock=clock, on_return=self._hold_list_deletions
         )
         self.configuration = in_force_module.ConfigurationInForce()
         self.orders = orders_module.OrderRegistry()
@@ -129,7 +129,7 @@
             clock=clock,
         )
         self.budgets = window_budget.WindowRetryBudgets(
-            ratio=settings.retries.ratio * _RETRY_RATIO_USED,
+            ratio=settings.retries.ratio * _RETRY_RATIO_FACTOR,
             window=settings.retries.window,
             burst=_RETRY_BURST,
             clock=clock,
@@ -151,8 +151,8 @@
         self._peers: router_peers.RouterPeers | None = None
 
     def _build_relay(self) -> request_relay.RequestRelay:
-        return relay_path.build(
-            relay_path.Surroundings(
+        return relay_assembly.build(
+            relay_assembly.RelayDependencies(
                 configuration=self.configuration,
                 directory=self.directory,
                 gate=self.send_limits.gate,
@@ -207,7 +207,7 @@
         self._store.address = settings.store_address
         self.rollouts.progress.schedule = _schedule(settings)
         self.budgets.change(
-            ratio=settings.retries.ratio * _RETRY_RATIO_USED,
+            ratio=settings.retries.ratio * _RETRY_RATIO_FACTOR,
             window=settings.retries.window,
         )
 
@@ -316,7 +316,7 @@
             random_source=self._random,
         )
 
-    def _distrust_list(self) -> None:
+    def _hold_list_deletions(self) -> None:
         """Holds deletions back after a store outage; entries lapse in it."""
         self.directory.hold_deletions(
             self._clock.monotonic() + directory_module.LAPSE_GRACE
--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -32,7 +32,7 @@
 
 _RETRY = datetime.timedelta(seconds=1)
 # One line of log; seldom enough to be nothing beside requests' own lines.
-_TELL_TRAFFIC_EVERY = datetime.timedelta(seconds=10)
+_TRAFFIC_LOG_PERIOD = datetime.timedelta(seconds=10)
 _CLOSE_GRACE = datetime.timedelta(milliseconds=200)
 
 
@@ -167,8 +167,8 @@
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self._gossip.run())
                 tasks.create_task(self._note_traffic())
-                for told in self._told_by(messages, self._gossip):
-                    tasks.create_task(told.run())
+                for sender in self._build_senders(messages, self._gossip):
+                    tasks.create_task(sender.run())
         finally:
             udp.close()
             await asyncio.gather(
@@ -179,14 +179,14 @@
     async def _note_traffic(self) -> None:
         """Logs from time to time what was sent to peers, until cancelled."""
         while True:
-            await self._clock.sleep(_TELL_TRAFFIC_EVERY)
+            await self._clock.sleep(_TRAFFIC_LOG_PERIOD)
             kinds = self.traffic.kinds()
             logs.note(
                 "peer:traffic",
                 sent_bytes={k: c.sent_bytes for k, c in kinds.items()},
             )
 
-    def _told_by(
+    def _build_senders(
         self,
         messages: sealed_messages.SealedMessages,
         gossip: gossip_module.TableGossip,
--- a/src/nutmeghook/internal/assembly/router_process.py
+++ b/src/nutmeghook/internal/assembly/router_process.py
@@ -15,7 +15,7 @@
 
 # The settings file may change without a signal; a look at it costs next to
 # nothing.
-_LOOK_EVERY = datetime.timedelta(seconds=2)
+_SETTINGS_POLL_PERIOD = datetime.timedelta(seconds=2)
 
 LoadSettings = Callable[[], settings_module.InstanceSettings]
 
@@ -35,12 +35,12 @@
     settings = load()
     clock = clock_module.SystemClock()
     router = router_module.Router(settings=settings, clock=clock, loop=loop)
-    told_to_stop = asyncio.Event()
-    told_to_reload = asyncio.Event()
+    stop_requested = asyncio.Event()
+    reload_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told_to_stop.set)
+        loop.add_signal_handler(number, stop_requested.set)
     # Without a handler a reload would end the process.
-    loop.add_signal_handler(signal.SIGHUP, told_to_reload.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     await router.start()
     logs.note(
         "process:started",
@@ -51,9 +51,9 @@
     )
     running = asyncio.create_task(router.run())
     reloading = asyncio.create_task(
-        _reload(router, settings, load, told_to_reload, clock)
+        _reload(router, settings, load, reload_requested, clock)
     )
-    stopping = asyncio.create_task(told_to_stop.wait())
+    stopping = asyncio.create_task(stop_requested.wait())
     await asyncio.wait(
         {running, reloading, stopping}, return_when=asyncio.FIRST_COMPLETED
     )
@@ -88,17 +88,17 @@
     router: router_module.Router,
     settings: settings_module.InstanceSettings,
     load: LoadSettings,
-    told: asyncio.Event,
+    reload_requested: asyncio.Event,
     clock: clock_module.Clock,
 ) -> None:
     """Applies the settings file whenever it has changed, until cancelled."""
     while True:
         try:
-            await clock.wait_for(told.wait(), _LOOK_EVERY)
+            await clock.wait_for(reload_requested.wait(), _SETTINGS_POLL_PERIOD)
         except TimeoutError:
             signalled = False
         else:
-            told.clear()
+            reload_requested.clear()
             signalled = True
         found = _loaded(load)
         if found is None or (found == settings and not signalled):
--- a/src/nutmeghook/internal/assembly/serving.py
+++ b/src/nutmeghook/internal/assembly/serving.py
@@ -40,9 +40,11 @@
     )
     print(msgspec.json.encode(line).decode(), flush=True)
     logs.note("instance:started", address=address)
-    told = asyncio.create_task(_told_to_stop())
+    stop_requested = asyncio.create_task(_wait_for_stop_signal())
     running = asyncio.create_task(instance.run())
-    await asyncio.wait({told, running}, return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait(
+        {stop_requested, running}, return_when=asyncio.FIRST_COMPLETED
+    )
     failure = running.exception() if running.done() else None
     if failure is not None:
         logs.note("instance:part_failed", failure=repr(failure))
@@ -54,10 +56,10 @@
     return EXIT_FAILED if failure is not None else EXIT_DRAINED
 
 
-async def _told_to_stop() -> None:
+async def _wait_for_stop_signal() -> None:
     """Returns when a signal asks the process to end."""
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    await told.wait()
+        loop.add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
--- a/src/nutmeghook/internal/assembly/waiting.py
+++ b/src/nutmeghook/internal/assembly/waiting.py
@@ -14,7 +14,7 @@
 
 # Changes are to be in force everywhere within this time. An instance that
 # was not confirmed for longer may lack one.
-LONGEST_UNCONFIRMED = datetime.timedelta(seconds=4)
+MAX_CONFIRMED_AGE = datetime.timedelta(seconds=4)
 
 
 class UnconfirmedConfiguration(status.WaitingSource):
@@ -30,7 +30,7 @@
         age = self._view.confirmed_age()
         if age is None:
             return ["the configuration of this instance was never confirmed"]
-        if age <= LONGEST_UNCONFIRMED:
+        if age <= MAX_CONFIRMED_AGE:
             return []
         return [
             f"the configuration of this instance was last confirmed "
--- a/src/nutmeghook/internal/dependencies/ratings.py
+++ b/src/nutmeghook/internal/dependencies/ratings.py
@@ -54,14 +54,14 @@
 
 
 async def read_new(
-    service: RatingService, cursor: int, *, most_pages: int
+    service: RatingService, cursor: int, *, max_pages: int
 ) -> list[Rating]:
     """Reads the ratings behind a cursor, page by page.
 
     Args:
         service: Where from.
         cursor: The last rating that the caller has.
-        most_pages: Of 1000 ratings each; what is behind them is left for the
+        max_pages: Of 1000 ratings each; what is behind them is left for the
             next time.
 
     Returns:
@@ -69,7 +69,7 @@
         or some, so that a caller goes on with its other work.
     """
     found: list[Rating] = []
-    for _ in range(most_pages):
+    for _ in range(max_pages):
         try:
             page = await service.ratings_after(cursor, limit=_RATINGS_PER_PAGE)
         except failures.PlatformError:
--- a/src/nutmeghook/internal/orders/cell_reports.py
+++ b/src/nutmeghook/internal/orders/cell_reports.py
@@ -20,16 +20,16 @@
 from nutmeghook.internal.routing import cells as cells_module
 
 CALL_TIMEOUT = datetime.timedelta(seconds=1)
-_CALLS_AT_ONCE = 16
+_MAX_CONCURRENT_CALLS = 16
 # One that does not answer is left for another of its cell for this long.
-_AVOID_SILENT = datetime.timedelta(seconds=30)
+_UNRESPONSIVE_BACKOFF = datetime.timedelta(seconds=30)
 
 # The inner addresses of the members of one cell.
 _CellMembers = tuple[str, ...]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Gathered:
+class GatheredReports:
     """What the cells told.
 
     Attributes:
@@ -47,7 +47,7 @@
     """Knows what is loaded on many engines without reading them."""
 
     @abc.abstractmethod
-    async def gather(self) -> Gathered:
+    async def gather(self) -> GatheredReports:
         """Returns what is known now; never fails as a whole."""
 
 
@@ -56,9 +56,9 @@
 
     __slots__ = ()
 
-    async def gather(self) -> Gathered:
+    async def gather(self) -> GatheredReports:
         """Returns nothing."""
-        return Gathered()
+        return GatheredReports()
 
 
 class CellReports(ReportSource):
@@ -75,8 +75,8 @@
     __slots__ = (
         "_avoided",
         "_caller",
+        "_cell_members",
         "_cells",
-        "_cells_of",
         "_clock",
         "_known",
         "_members",
@@ -97,7 +97,7 @@
         self._known = known
         self._clock = clock
         self._cells: tuple[_CellMembers, ...] = ()
-        self._cells_of: tuple[members_module.Member, ...] = ()
+        self._cell_members: tuple[members_module.Member, ...] = ()
         self._pages: dict[str, report_pages.ReportPage] = {}
         self._avoided: dict[str, datetime.timedelta] = {}
         handlers.register(ttypes.LoadedPull, self.answer)
@@ -110,38 +110,42 @@
             page, known_hash=pull.known_hash, now=now
         )
 
-    async def gather(self) -> Gathered:
+    async def gather(self) -> GatheredReports:
         """Asks one member of each cell, a second one where it is silent."""
         self._refresh()
         me = self._members.myself.inner_address
         others = [cell for cell in self._cells if me not in cell]
-        gate = asyncio.Semaphore(_CALLS_AT_ONCE)
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
         results = await asyncio.gather(
-            *(self._ask_cell(cell, gate) for cell in others)
+            *(self._ask_cell(cell, semaphore) for cell in others)
         )
         own = report_pages.page_of(self._known(), self._clock.monotonic())
         pages = [page for gathered in results for page in gathered.pages]
-        return Gathered(
+        return GatheredReports(
             pages=(own, *pages),
             calls=sum(one.calls for one in results),
             changed=sum(one.changed for one in results),
         )
 
     async def _ask_cell(
-        self, cell: _CellMembers, gate: asyncio.Semaphore
-    ) -> Gathered:
+        self, cell: _CellMembers, semaphore: asyncio.Semaphore
+    ) -> GatheredReports:
         now = self._clock.monotonic()
         calls = 0
-        for address in sorted(cell, key=lambda a: self._avoided_at(a, now))[:2]:
+        for address in sorted(cell, key=lambda a: self._avoided_until(a, now))[
+            :2
+        ]:
             known = self._pages.get(address)
-            async with gate:
+            async with semaphore:
                 calls += 1
                 page = await self._ask(address, known)
             if page is not None:
                 is_new = known is None or page.engines is not known.engines
-                return Gathered(pages=(page,), calls=calls, changed=int(is_new))
-            self._avoided[address] = now + _AVOID_SILENT
-        return Gathered(calls=calls)
+                return GatheredReports(
+                    pages=(page,), calls=calls, changed=int(is_new)
+                )
+            self._avoided[address] = now + _UNRESPONSIVE_BACKOFF
+        return GatheredReports(calls=calls)
 
     async def _ask(
         self, address: str, known: report_pages.ReportPage | None
@@ -164,7 +168,7 @@
             self._pages[address] = page
         return page
 
-    def _avoided_at(
+    def _avoided_until(
         self, address: str, now: datetime.timedelta
     ) -> datetime.timedelta:
         """Returns 0 for a member that may be asked; silent ones come last."""
@@ -176,11 +180,12 @@
         found = tuple(self._members.members())
         places = [(m.inner_address, m.region, m.data_centre) for m in found]
         before = [
-            (m.inner_address, m.region, m.data_centre) for m in self._cells_of
+            (m.inner_address, m.region, m.data_centre)
+            for m in self._cell_members
         ]
         if places == before:
             return
-        self._cells_of = found
+        self._cell_members = found
         self._cells = cells_among(found)
         addresses = {member.inner_address for member in found}
         for kept in (self._pages, self._avoided):
--- a/src/nutmeghook/internal/orders/controller.py
+++ b/src/nutmeghook/internal/orders/controller.py
@@ -14,9 +14,9 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.leases import lease as lease_module
 from nutmeghook.internal.observe import events as events_module
-from nutmeghook.internal.orders import drain_wait
+from nutmeghook.internal.orders import drain_tracker
 from nutmeghook.internal.orders import fleet_reading
-from nutmeghook.internal.orders import order_book
+from nutmeghook.internal.orders import order_tracker
 from nutmeghook.internal.orders import planning
 from nutmeghook.internal.orders import weight_grants
 
@@ -24,20 +24,20 @@
 ORDER_TIMEOUT = datetime.timedelta(seconds=5)
 # A new holder sends nothing for this long: its predecessor's last order has
 # arrived by then or never will, but for one that was paused on its way.
-TAKE_OVER_WAIT = 2 * ORDER_TIMEOUT
+TAKEOVER_DELAY = 2 * ORDER_TIMEOUT
 # The lease's first holder ever has no predecessor.
 FIRST_TOKEN = 1
-LOADS_AT_ONCE = 4
-STALE_CONFIG = datetime.timedelta(seconds=10)
-AVOID_REFUSING = datetime.timedelta(seconds=10)
-AVOID_FORBIDDING = datetime.timedelta(minutes=5)
+MAX_CONCURRENT_LOADS = 4
+MAX_CONFIG_AGE = datetime.timedelta(seconds=10)
+REFUSAL_BACKOFF = datetime.timedelta(seconds=10)
+FORBIDDEN_BACKOFF = datetime.timedelta(minutes=5)
 
-_LONGEST_WAIT_IN_PASS = datetime.timedelta(seconds=2)
-_LOOK_AT_CONFIG = datetime.timedelta(seconds=1)
-_SHORTEST_PASS = datetime.timedelta(seconds=2)
+_MAX_GRANT_WAIT = datetime.timedelta(seconds=2)
+_CONFIG_POLL_PERIOD = datetime.timedelta(seconds=1)
+_MIN_PASS_PERIOD = datetime.timedelta(seconds=2)
 
 
-class NotHolderError(Exception):
+class LeaseLostError(Exception):
     """The lease is not held any more; nothing may be ordered."""
 
 
@@ -45,7 +45,6 @@
     """Reads back, plans, and gives the orders that limits allow."""
 
     __slots__ = (
-        "_book",
         "_clock",
         "_connector",
         "_drain",
@@ -55,10 +54,11 @@
         "_grants",
         "_lease",
         "_planned_revision",
-        "_quiet_until",
         "_reader",
         "_secret",
+        "_takeover_ends_at",
         "_token",
+        "_tracker",
         "_view",
     )
 
@@ -84,75 +84,75 @@
         self._secret = secret
         self._found: planning.Engines = []
         self._planned_revision = 0
-        self._quiet_until = datetime.timedelta()
+        self._takeover_ends_at = datetime.timedelta()
         self._fenced_token: int | None = None
-        self._forget()
+        self._reset()
 
     async def run(self) -> None:
         """Makes a pass each period until cancelled."""
         while True:
             await self.step()
-            period = max(_SHORTEST_PASS, self._reader.cost)
+            period = max(_MIN_PASS_PERIOD, self._reader.cost)
             next_pass = self._clock.monotonic() + period
             while self._clock.monotonic() < next_pass:
-                await self._clock.sleep(_LOOK_AT_CONFIG)
+                await self._clock.sleep(_CONFIG_POLL_PERIOD)
                 if self._view.snapshot.revision != self._planned_revision:
-                    await self.step(read_back=False)
+                    await self.step(read_reports=False)
 
-    async def step(self, *, read_back: bool = True) -> None:
+    async def step(self, *, read_reports: bool = True) -> None:
         """Makes one pass, if the lease is held.
 
         Args:
-            read_back: Reads the engines' reports first. Otherwise only loads
+            read_reports: Reads the engines' reports first. Otherwise only loads
                 are ordered, by the reports of the last pass: a roll-out must
                 not wait for the reading of a large fleet.
         """
         token = self._lease.fencing_token()
         if token is None or token == self._fenced_token:
-            self._forget()
+            self._reset()
             return
         if token != self._token:
             self._take_over(token)
-        if self._clock.monotonic() < self._quiet_until:
+        if self._clock.monotonic() < self._takeover_ends_at:
             return
         try:
-            if read_back:
+            if read_reports:
                 await self._pass()
             else:
                 await self._load_all(self._plan())
-        except NotHolderError:
-            self._forget()
+        except LeaseLostError:
+            self._reset()
         except (failures.PlatformError, TimeoutError):
             # There is no instance list. What is loaded goes on serving.
             return
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._token: int | None = None
-        self._book = order_book.OrderBook(token=0)
-        self._drain = drain_wait.DrainWait()
+        self._tracker = order_tracker.OrderTracker(token=0)
+        self._drain = drain_tracker.DrainTracker()
 
     def _take_over(self, token: int) -> None:
-        self._forget()
+        self._reset()
         self._token = token
-        self._book = order_book.OrderBook(token=token)
-        self._quiet_until = self._clock.monotonic()
+        self._tracker = order_tracker.OrderTracker(token=token)
+        self._takeover_ends_at = self._clock.monotonic()
         if token != FIRST_TOKEN:
-            self._quiet_until += TAKE_OVER_WAIT
+            self._takeover_ends_at += TAKEOVER_DELAY
 
     async def _pass(self) -> None:
         self._found = await self._reader.read(
             urgent=frozenset(
-                entry.placement.address for entry in self._book.open_orders()
+                entry.placement.address for entry in self._tracker.open_orders()
             ),
             # What may be unloaded must have its work ended, and its fellows
             # at hand: second-hand reports won't do.
-            exactly=frozenset(
+            first_hand=frozenset(
                 placement.address for placement in self._drain.placements()
             ),
         )
         plan = self._plan()
-        self._drain.note(plan, self._clock.monotonic())
-        await self._ask_again()
+        self._drain.update(plan, self._clock.monotonic())
+        await self._resend_open_orders()
         await self._load_all(plan)
         if self._may_unload():
             await self._unload_all(plan)
@@ -160,7 +160,9 @@
     def _plan(self) -> planning.Plan:
         snapshot = self._view.snapshot
         self._planned_revision = snapshot.revision
-        engines = self._book.read_back(self._found, self._clock.monotonic())
+        engines = self._tracker.apply_reports(
+            self._found, self._clock.monotonic()
+        )
         return planning.make_plan(snapshot, engines)
 
     def _may_unload(self) -> bool:
@@ -171,14 +173,14 @@
         only unloading waits.
         """
         age = self._view.confirmed_age()
-        return age is not None and age <= STALE_CONFIG
+        return age is not None and age <= MAX_CONFIG_AGE
 
-    async def _ask_again(self) -> None:
+    async def _resend_open_orders(self) -> None:
         """Repeats the open orders under their old ids.
 
         That asks how they stand, and sends again those that were lost.
         """
-        for entry in self._book.open_orders():
+        for entry in self._tracker.open_orders():
             await self._send(entry)
 
     async def _load_all(self, plan: planning.Plan) -> None:
@@ -188,23 +190,23 @@
         the plan would be too old by then.
         """
         for placement in plan.loads:
-            if self._book.loads_open() >= LOADS_AT_ONCE:
+            if self._tracker.count_open_loads() >= MAX_CONCURRENT_LOADS:
                 return
-            wait = self._grants.next_in()
-            if wait > _LONGEST_WAIT_IN_PASS:
+            wait = self._grants.time_until_next()
+            if wait > _MAX_GRANT_WAIT:
                 return
             await self._clock.sleep(wait)
             await self._load(placement)
 
     async def _load(self, placement: planning.Placement) -> None:
         now = self._clock.monotonic()
-        if self._book.is_avoided(placement.address, now):
+        if self._tracker.is_avoided(placement.address, now):
             return
         self._check_lease()
         ticket = await self._grants.ticket_for(placement)
         if ticket is None:
             return
-        entry = self._book.begin(
+        entry = self._tracker.begin(
             engine.OrderKind.LOAD,
             placement,
             secret=self._secret,
@@ -232,20 +234,20 @@
         takes one replica too many at most, and the plan keeps two.
         """
         now = self._clock.monotonic()
-        if self._book.is_open(placement.model_version):
+        if self._tracker.is_open(placement.model_version):
             return
-        if self._book.is_avoided(placement.address, now):
+        if self._tracker.is_avoided(placement.address, now):
             return
-        entry = self._book.begin(
+        entry = self._tracker.begin(
             engine.OrderKind.UNLOAD, placement, secret=self._secret, now=now
         )
         await self._send(entry)
 
     def _check_lease(self) -> None:
         if self._lease.fencing_token() != self._token:
-            raise NotHolderError
+            raise LeaseLostError
 
-    async def _send(self, entry: order_book.OpenOrder) -> None:
+    async def _send(self, entry: order_tracker.OpenOrder) -> None:
         """Sends an order and takes in the answer.
 
         The lease is looked at just before: a process that was paused since
@@ -259,44 +261,44 @@
                 ORDER_TIMEOUT,
             )
         except failures.NotDoneError:
-            self._note_not_done(entry)
+            self._handle_not_done(entry)
             return
         except (failures.OutcomeUnknownError, TimeoutError):
             self._record(entry, "unknown")
             return
         self._record(entry, state.value)
-        self._note_state(entry, state)
+        self._handle_state(entry, state)
 
-    def _note_not_done(self, entry: order_book.OpenOrder) -> None:
+    def _handle_not_done(self, entry: order_tracker.OpenOrder) -> None:
         self._record(entry, "not done")
         if entry.order.ticket and not entry.answered:
-            self._grants.give_back(entry.placement, entry.order.ticket)
-        self._give_up(entry, AVOID_REFUSING)
+            self._grants.return_ticket(entry.placement, entry.order.ticket)
+        self._give_up(entry, REFUSAL_BACKOFF)
 
-    def _note_state(
-        self, entry: order_book.OpenOrder, state: engine.OrderState
+    def _handle_state(
+        self, entry: order_tracker.OpenOrder, state: engine.OrderState
     ) -> None:
         if state is engine.OrderState.FENCED:
             # The engine has heard of a newer holder. Whatever this instance
             # believes, it must not give another order under this token.
             self._fenced_token = self._token
-            raise NotHolderError
+            raise LeaseLostError
         if state is engine.OrderState.FORBIDDEN:
-            self._give_up(entry, AVOID_FORBIDDING)
+            self._give_up(entry, FORBIDDEN_BACKOFF)
             return
         entry.answered = True
         if state is engine.OrderState.DONE and entry.done_at is None:
             entry.done_at = self._clock.monotonic()
 
     def _give_up(
-        self, entry: order_book.OpenOrder, pause: datetime.timedelta
+        self, entry: order_tracker.OpenOrder, pause: datetime.timedelta
     ) -> None:
-        self._book.finish(entry)
-        self._book.avoid(
+        self._tracker.finish(entry)
+        self._tracker.avoid(
             entry.placement.address, self._clock.monotonic() + pause
         )
 
-    def _record(self, entry: order_book.OpenOrder, outcome: str) -> None:
+    def _record(self, entry: order_tracker.OpenOrder, outcome: str) -> None:
         order = entry.order
         self._events.record(
             events_module.EventKind.ORDER_SENT,
--- a/src/nutmeghook/internal/orders/wishes.py
+++ b/src/nutmeghook/internal/orders/desired_versions.py
@@ -6,7 +6,7 @@
 _WHOLE_PERCENT = 100.0
 
 
-def wanted_shares(
+def desired_shares(
     snapshot: documents.Snapshot,
 ) -> dict[engine.ModelVersion, float]:
     """Returns each usable version's share of its model's engines, 0 to 1.
@@ -45,7 +45,7 @@
                 for entry in stage.versions
                 if entry.state is documents.VersionState.WITHDRAWN
             )
-    return frozenset(withdrawn - wanted_shares(snapshot).keys())
+    return frozenset(withdrawn - desired_shares(snapshot).keys())
 
 
 def _is_withdrawn(
--- a/src/nutmeghook/internal/orders/drain_wait.py
+++ b/src/nutmeghook/internal/orders/drain_tracker.py
@@ -8,11 +8,11 @@
 
 # A withdrawal is in force everywhere within 4 s; queued work is checked
 # again at dispatch. The rest is for clocks and for reports that are late.
-IN_FORCE = datetime.timedelta(seconds=10)
-SURPLUS_KEPT_FOR = datetime.timedelta(minutes=5)
+WITHDRAWAL_PROPAGATION = datetime.timedelta(seconds=10)
+SURPLUS_RETENTION = datetime.timedelta(minutes=5)
 
 
-class DrainWait:
+class DrainTracker:
     """Remembers since when each replica was found to be too much.
 
     Reports don't tell which versions the running work is of. So a replica's
@@ -25,7 +25,7 @@
     def __init__(self):
         self._since: dict[planning.Placement, datetime.timedelta] = {}
 
-    def note(self, plan: planning.Plan, now: datetime.timedelta) -> None:
+    def update(self, plan: planning.Plan, now: datetime.timedelta) -> None:
         """Takes in what is too much now; what isn't any more starts anew."""
         current = {*plan.withdrawn, *plan.surplus}
         self._since = {
@@ -44,7 +44,7 @@
         now: datetime.timedelta,
     ) -> bool:
         """Tells whether a withdrawn version's work on an engine has ended."""
-        in_force_at = self._since[placement] + IN_FORCE
+        in_force_at = self._since[placement] + WITHDRAWAL_PROPAGATION
         if view.idle and view.measured_at > in_force_at:
             return True
         return now > in_force_at + 2 * _longest_deadline(snapshot)
@@ -53,7 +53,7 @@
         self, placement: planning.Placement, now: datetime.timedelta
     ) -> bool:
         """Tells whether a replica has been surplus for long."""
-        return now - self._since[placement] >= SURPLUS_KEPT_FOR
+        return now - self._since[placement] >= SURPLUS_RETENTION
 
 
 def _longest_deadline(snapshot: documents.Snapshot) -> datetime.timedelta:
--- a/src/nutmeghook/internal/orders/fleet_reading.py
+++ b/src/nutmeghook/internal/orders/fleet_reading.py
@@ -15,7 +15,7 @@
 REPORT_TIMEOUT = datetime.timedelta(seconds=2)
 # Engines that no cell tells of, and those whose load matters, are read one by
 # one, so many in a pass; the others of them by the reports of earlier passes.
-DIRECT_READS = 60
+MAX_DIRECT_READS = 60
 # Orders may take 900 bytes a second. A reading takes about 450 bytes, both
 # directions with their headers; a call to a cell 120, and 1,750 more if
 # something has changed there (bench/orders.py).
@@ -24,10 +24,10 @@
 PAGE_COST = datetime.timedelta(seconds=2)
 # To a new holder all pages are new. It may not wait for minutes to see what
 # became of its first orders.
-MOST_PAGES_COST = datetime.timedelta(seconds=30)
+MAX_PAGES_COST = datetime.timedelta(seconds=30)
 # What was read counts for so long where it was not the engine's turn since.
-KEPT_REPORT = datetime.timedelta(minutes=10)
-_READS_AT_ONCE = 16
+REPORT_RETENTION = datetime.timedelta(minutes=10)
+_MAX_CONCURRENT_READS = 16
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -68,8 +68,8 @@
     __slots__ = (
         "_clock",
         "_connector",
+        "_direct_views",
         "_instance_list",
-        "_read_views",
         "_reports",
         "_tried_at",
         "cost",
@@ -88,7 +88,7 @@
         self._clock = clock
         self._reports = reports or cell_reports.NoReports()
         # What was read one by one, and when that was last tried.
-        self._read_views: dict[str, EngineView] = {}
+        self._direct_views: dict[str, EngineView] = {}
         self._tried_at: dict[str, datetime.timedelta] = {}
         self.cost = datetime.timedelta()
 
@@ -96,14 +96,14 @@
         self,
         *,
         urgent: frozenset[str] = frozenset(),
-        exactly: frozenset[str] = frozenset(),
+        first_hand: frozenset[str] = frozenset(),
     ) -> list[EngineView]:
         """Returns all listed engines, those without a report among them.
 
         Args:
             urgent: Addresses of engines with an order under way, which are
                 always read.
-            exactly: Others whose own reports are wanted, in turn.
+            first_hand: Others whose own reports are wanted, in turn.
 
         Raises:
             failures.PlatformError: There is no list.
@@ -118,38 +118,43 @@
             if row.role is instances.InstanceRole.MODEL_ENGINE
         }
         gathered = await self._reports.gather()
-        told = _told_views(gathered, engines)
-        untold = engines.keys() - told.keys()
+        reported = _reported_views(gathered, engines)
+        unreported = engines.keys() - reported.keys()
         reads = self._choose(
-            urgent & engines.keys(), exactly & engines.keys(), untold
+            urgent & engines.keys(), first_hand & engines.keys(), unreported
         )
-        await self._read_one_by_one([engines[address] for address in reads])
+        await self._read_directly([engines[address] for address in reads])
         self.cost = (
             len(reads) * READ_COST
             + gathered.calls * CALL_COST
-            + min(gathered.changed * PAGE_COST, MOST_PAGES_COST)
+            + min(gathered.changed * PAGE_COST, MAX_PAGES_COST)
         )
-        self._forget_all_but(engines)
+        self._prune(engines)
         return [
-            self._newest(row, told.get(address))
+            self._newest(row, reported.get(address))
             for address, row in engines.items()
         ]
 
     def _choose(
-        self, urgent: Set[str], exactly: Set[str], untold: Set[str]
+        self, urgent: Set[str], first_hand: Set[str], unreported: Set[str]
     ) -> list[str]:
         """Returns those to read now.
 
         Neither of two groups that are too large for one pass keeps the other
         from its turn.
         """
-        half = DIRECT_READS // 2
-        exact = self._in_turn(exactly - urgent)
-        others = self._in_turn(untold - exactly - urgent)
-        chosen = [*sorted(urgent), *exact[:half], *others, *exact[half:]]
-        return chosen[:DIRECT_READS]
+        half = MAX_DIRECT_READS // 2
+        due_first_hand = self._least_recently_read(first_hand - urgent)
+        others = self._least_recently_read(unreported - first_hand - urgent)
+        chosen = [
+            *sorted(urgent),
+            *due_first_hand[:half],
+            *others,
+            *due_first_hand[half:],
+        ]
+        return chosen[:MAX_DIRECT_READS]
 
-    def _in_turn(self, wanted: Set[str]) -> list[str]:
+    def _least_recently_read(self, wanted: Set[str]) -> list[str]:
         """Returns the ones tried longest ago first."""
         never = datetime.timedelta.min
         return sorted(
@@ -157,31 +162,31 @@
             key=lambda address: (self._tried_at.get(address, never), address),
         )
 
-    async def _read_one_by_one(
+    async def _read_directly(
         self, rows: list[instances.ListedInstance]
     ) -> None:
-        gate = asyncio.Semaphore(_READS_AT_ONCE)
-        await asyncio.gather(*(self._read_engine(row, gate) for row in rows))
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_READS)
+        await asyncio.gather(
+            *(self._read_engine(row, semaphore) for row in rows)
+        )
 
-    def _forget_all_but(
-        self, engines: dict[str, instances.ListedInstance]
-    ) -> None:
-        for kept in (self._read_views, self._tried_at):
+    def _prune(self, engines: dict[str, instances.ListedInstance]) -> None:
+        for kept in (self._direct_views, self._tried_at):
             for address in kept.keys() - engines.keys():
                 del kept[address]
 
     def _newest(
-        self, row: instances.ListedInstance, told: EngineView | None
+        self, row: instances.ListedInstance, reported: EngineView | None
     ) -> EngineView:
         """Returns the newest of what is known of an engine.
 
         A cell's page may be older than what an order has already been seen
         to bring about. Believed, it would have the order given again.
         """
-        read = self._read_views.get(row.address)
+        read = self._direct_views.get(row.address)
         if read is not None and self._is_too_old(read):
             read = None
-        views = [view for view in (told, read) if view is not None]
+        views = [view for view in (reported, read) if view is not None]
         if not views:
             return _view_without_report(row)
         newest = max(views, key=lambda view: view.measured_at)
@@ -189,15 +194,15 @@
         return dataclasses.replace(newest, leaving=newest.leaving or leaving)
 
     def _is_too_old(self, read: EngineView) -> bool:
-        return self._clock.monotonic() - read.measured_at > KEPT_REPORT
+        return self._clock.monotonic() - read.measured_at > REPORT_RETENTION
 
     async def _read_engine(
-        self, row: instances.ListedInstance, gate: asyncio.Semaphore
+        self, row: instances.ListedInstance, semaphore: asyncio.Semaphore
     ) -> None:
-        async with gate:
+        async with semaphore:
             self._tried_at[row.address] = self._clock.monotonic()
             report = await self._report(row.address)
-        self._read_views[row.address] = self._view(row, report)
+        self._direct_views[row.address] = self._view(row, report)
 
     def _view(
         self, row: instances.ListedInstance, report: engine.LoadReport | None
@@ -235,21 +240,21 @@
     )
 
 
-def _told_views(
-    gathered: cell_reports.Gathered,
+def _reported_views(
+    gathered: cell_reports.GatheredReports,
     engines: dict[str, instances.ListedInstance],
 ) -> dict[str, EngineView]:
     """Returns what the cells told of listed engines, the newest of each."""
     views: dict[str, EngineView] = {}
     # While members differ about the cells, two may tell of one engine.
     for page in sorted(gathered.pages, key=lambda page: page.oldest_at):
-        for told in page.engines:
-            row = engines.get(told.address)
+        for reported in page.engines:
+            row = engines.get(reported.address)
             if row is not None:
-                views[told.address] = dataclasses.replace(
+                views[reported.address] = dataclasses.replace(
                     _view_without_report(row),
-                    loaded=told.loaded,
-                    leaving=told.leaving,
+                    loaded=reported.loaded,
+                    leaving=reported.leaving,
                     measured_at=page.oldest_at,
                 )
     return views
--- a/src/nutmeghook/internal/orders/order_book.py
+++ b/src/nutmeghook/internal/orders/order_tracker.py
@@ -29,7 +29,7 @@
     done_at: datetime.timedelta | None = None
 
 
-class OrderBook:
+class OrderTracker:
     """Open orders, and engines to be left alone for a while.
 
     All of it is this holder's own: a new holder starts with an empty book
@@ -48,7 +48,7 @@
         """Returns the orders under way, oldest first."""
         return list(self._open.values())
 
-    def loads_open(self) -> int:
+    def count_open_loads(self) -> int:
         """Returns how many loads are under way."""
         return sum(
             entry.order.kind is engine.OrderKind.LOAD
@@ -106,7 +106,7 @@
         """Tells whether an engine is to be left alone."""
         return self._avoided.get(address, now) > now
 
-    def read_back(
+    def apply_reports(
         self, engines: planning.Engines, now: datetime.timedelta
     ) -> planning.Engines:
         """Closes what the reports show as done, or as never to be done.
@@ -118,7 +118,7 @@
         views = {view.address: view for view in engines}
         for entry in self.open_orders():
             view = views.get(entry.placement.address)
-            if _has_ended(entry, view, now):
+            if _is_finished(entry, view, now):
                 self.finish(entry)
         return [
             dataclasses.replace(
@@ -138,7 +138,7 @@
         )
 
 
-def _has_ended(
+def _is_finished(
     entry: OpenOrder,
     view: fleet_reading.EngineView | None,
     now: datetime.timedelta,
--- a/src/nutmeghook/internal/orders/planning.py
+++ b/src/nutmeghook/internal/orders/planning.py
@@ -12,15 +12,15 @@
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.dependencies import engine
+from nutmeghook.internal.orders import desired_versions
 from nutmeghook.internal.orders import fleet_reading
-from nutmeghook.internal.orders import wishes
 
 MIN_REPLICAS = 2
 # The shares are of sessions, which don't all bring the same load.
 HEADROOM = 1.25
 # A surplus smaller than this part stays: shares move with each step of a
 # roll-out, and a load takes minutes and a grant of the weight store.
-SURPLUS_KEPT = 0.5
+SURPLUS_TOLERANCE = 0.5
 
 Engines = list[fleet_reading.EngineView]
 
@@ -48,7 +48,7 @@
     surplus: tuple[Placement, ...] = ()
 
 
-def wanted_replicas(*, engines: int, share: float) -> int:
+def desired_replicas(*, engines: int, share: float) -> int:
     """Returns how many of a model's engines should hold a version.
 
     At least two where there are two: an engine dies, or obeys a stray order
@@ -63,18 +63,20 @@
     usable = [view for view in engines if view.usable]
     loads: list[tuple[float, Placement]] = []
     surplus: list[Placement] = []
-    for version, share in sorted(wishes.wanted_shares(snapshot).items()):
+    for version, share in sorted(
+        desired_versions.desired_shares(snapshot).items()
+    ):
         candidates = _engines_of(version.model, usable)
-        wanted = wanted_replicas(engines=len(candidates), share=share)
-        having = [v for v in candidates if version in v.loaded]
-        coming = [v for v in candidates if version in v.loading - v.loaded]
-        missing = wanted - len(having) - len(coming)
-        urgency = len(having) / max(1, wanted)
+        desired = desired_replicas(engines=len(candidates), share=share)
+        holders = [v for v in candidates if version in v.loaded]
+        pending = [v for v in candidates if version in v.loading - v.loaded]
+        missing = desired - len(holders) - len(pending)
+        urgency = len(holders) / max(1, desired)
         loads += [
             (urgency, placement)
             for placement in _additions(version, candidates, missing)
         ]
-        surplus += _removals(version, having, wanted)
+        surplus += _removals(version, holders, desired)
     return Plan(
         loads=tuple(placement for _, placement in sorted(loads)),
         withdrawn=_withdrawn(snapshot, usable),
@@ -122,30 +124,30 @@
         centre = min(
             queues, key=lambda name: (held[name], *fullness(queues[name][-1]))
         )
-        best = _take_last(queues, centre)
+        best = _pop_last(queues, centre)
         held[centre] += 1
         chosen.append(Placement(model_version=version, address=best.address))
     return chosen
 
 
 def _removals(
-    version: engine.ModelVersion, having: Engines, wanted: int
+    version: engine.ModelVersion, holders: Engines, desired: int
 ) -> list[Placement]:
     """Chooses replicas to give up, from the fullest data centre each time."""
-    if len(having) - wanted <= max(1, SURPLUS_KEPT * wanted):
+    if len(holders) - desired <= max(1, SURPLUS_TOLERANCE * desired):
         return []
-    held = collections.Counter(view.data_centre for view in having)
+    held = collections.Counter(view.data_centre for view in holders)
 
     def rank(view: fleet_reading.EngineView) -> int:
         return _rank(version, view)
 
-    queues = _by_data_centre(sorted(having, key=rank))
+    queues = _by_data_centre(sorted(holders, key=rank))
     chosen: list[Placement] = []
-    while len(having) - len(chosen) > wanted:
+    while len(holders) - len(chosen) > desired:
         centre = max(
             queues, key=lambda name: (held[name], rank(queues[name][-1]))
         )
-        worst = _take_last(queues, centre)
+        worst = _pop_last(queues, centre)
         held[centre] -= 1
         chosen.append(Placement(model_version=version, address=worst.address))
     return chosen
@@ -159,7 +161,7 @@
     return queues
 
 
-def _take_last(
+def _pop_last(
     queues: dict[str, Engines], centre: str
 ) -> fleet_reading.EngineView:
     """Takes out a data centre's last engine, and then an empty queue."""
@@ -172,7 +174,7 @@
 def _withdrawn(
     snapshot: documents.Snapshot, usable: Engines
 ) -> tuple[Placement, ...]:
-    withdrawn = wishes.withdrawn_versions(snapshot)
+    withdrawn = desired_versions.withdrawn_versions(snapshot)
     return tuple(
         Placement(model_version=version, address=view.address)
         for view in usable
--- a/src/nutmeghook/internal/orders/readiness.py
+++ b/src/nutmeghook/internal/orders/readiness.py
@@ -13,8 +13,8 @@
 
 # A share may be carried by this part of what is planned for it: an engine that
 # was just replaced must not hold up a roll-out until it has loaded.
-READY_PART = 0.8
-_COUNTED_FOR = datetime.timedelta(seconds=1)
+READY_SHARE = 0.8
+_COUNT_LIFETIME = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -65,7 +65,7 @@
             return False
         needed = max(
             min(engines, planning.MIN_REPLICAS),
-            math.ceil(READY_PART * engines * share_percent / 100),
+            math.ceil(READY_SHARE * engines * share_percent / 100),
         )
         return counts.replicas[model_version] >= needed
 
@@ -75,7 +75,7 @@
         if (
             counts is None
             or self._clock is None
-            or now - counts.counted_at >= _COUNTED_FOR
+            or now - counts.counted_at >= _COUNT_LIFETIME
         ):
             counts = self._counts = _count(self._known(), now)
         return counts
--- a/src/nutmeghook/internal/orders/report_pages.py
+++ b/src/nutmeghook/internal/orders/report_pages.py
@@ -11,7 +11,7 @@
 
 # A cell's reports are polled each 6 s at the longest and repeated to its
 # members each 5 s. An engine whose report is older than this gives none.
-OLDEST_REPORT = datetime.timedelta(seconds=20)
+MAX_REPORT_AGE = datetime.timedelta(seconds=20)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 # Thrift's i64 is signed, and 0 stands for "no page".
 _HASH_BITS = (1 << 63) - 1
@@ -54,7 +54,7 @@
         if backend.locality is backends.Locality.OWN_CELL
         and not backend.plain
         and backend.report is not None
-        and now - backend.reported_at <= OLDEST_REPORT
+        and now - backend.reported_at <= MAX_REPORT_AGE
     ]
     engines = tuple(
         ReportedEngine(
@@ -82,7 +82,7 @@
     )
     if known_hash == page.content_hash:
         return message
-    texts = [_text(one) for one in page.engines]
+    texts = [_version_set(one) for one in page.engines]
     message.version_sets = sorted(set(texts))
     numbers = {text: i for i, text in enumerate(message.version_sets)}
     message.addresses = [one.address for one in page.engines]
@@ -148,12 +148,12 @@
 
 def _hash(engines: tuple[ReportedEngine, ...]) -> int:
     text = "\n".join(
-        f"{one.address} {one.leaving} {_text(one)}" for one in engines
+        f"{one.address} {one.leaving} {_version_set(one)}" for one in engines
     )
     return (xxhash.xxh3_64_intdigest(text.encode()) & _HASH_BITS) or 1
 
 
-def _text(one: ReportedEngine) -> str:
+def _version_set(one: ReportedEngine) -> str:
     return ",".join(sorted(map(str, one.loaded)))
 
 
--- a/src/nutmeghook/internal/orders/weight_grants.py
+++ b/src/nutmeghook/internal/orders/weight_grants.py
@@ -10,8 +10,8 @@
 
 GRANT_INTERVAL = datetime.timedelta(seconds=1)
 GRANT_TIMEOUT = datetime.timedelta(seconds=3)
-_FIRST_BACKOFF = datetime.timedelta(seconds=1)
-_LONGEST_BACKOFF = datetime.timedelta(seconds=60)
+_INITIAL_BACKOFF = datetime.timedelta(seconds=1)
+_MAX_BACKOFF = datetime.timedelta(seconds=60)
 
 
 class GrantPacer:
@@ -44,10 +44,10 @@
         self._random = randomness
         self._interval = interval
         self._not_before = datetime.timedelta()
-        self._backoff = _FIRST_BACKOFF
+        self._backoff = _INITIAL_BACKOFF
         self._tickets: dict[planning.Placement, str] = {}
 
-    def next_in(self) -> datetime.timedelta:
+    def time_until_next(self) -> datetime.timedelta:
         """Returns how long until the store may be asked again."""
         wait = self._not_before - self._clock.monotonic()
         return max(datetime.timedelta(), wait)
@@ -57,7 +57,7 @@
         kept = self._tickets.pop(placement, None)
         if kept is not None:
             return kept
-        if self.next_in():
+        if self.time_until_next():
             return None
         try:
             ticket = await self._clock.wait_for(
@@ -69,11 +69,11 @@
         except (failures.PlatformError, TimeoutError) as error:
             self._back_off(error)
             return None
-        self._backoff = _FIRST_BACKOFF
+        self._backoff = _INITIAL_BACKOFF
         self._not_before = self._clock.monotonic() + self._interval
         return ticket
 
-    def give_back(self, placement: planning.Placement, ticket: str) -> None:
+    def return_ticket(self, placement: planning.Placement, ticket: str) -> None:
         """Keeps a ticket whose order surely did not reach the engine."""
         self._tickets[placement] = ticket
 
@@ -83,6 +83,6 @@
         if isinstance(error, failures.NotDoneError) and error.retry_after:
             wait = error.retry_after
         else:
-            self._backoff = min(2 * self._backoff, _LONGEST_BACKOFF)
+            self._backoff = min(2 * self._backoff, _MAX_BACKOFF)
         jitter = 1 + 0.25 * self._random.random()
         self._not_before = self._clock.monotonic() + wait * jitter
--- a/src/nutmeghook/internal/rollout/controller.py
+++ b/src/nutmeghook/internal/rollout/controller.py
@@ -161,7 +161,7 @@
         service, so its failure does not end the step.
         """
         return await ratings_module.read_new(
-            self._ratings, cursor, most_pages=_PAGES_PER_TICK
+            self._ratings, cursor, max_pages=_PAGES_PER_TICK
         )
 
     async def _commit(self, pool: pool_module.Pool) -> bool:
--- a/src/nutmeghook/internal/routing/cascade_publisher.py
+++ b/src/nutmeghook/internal/routing/cascade_publisher.py
@@ -217,7 +217,7 @@
         Plans are still written: without ratings they grow cautious.
         """
         return await ratings_module.read_new(
-            self._ratings, cursor, most_pages=_PAGES_PER_STEP
+            self._ratings, cursor, max_pages=_PAGES_PER_STEP
         )
 
     async def _write(
--- a/src/nutmeghook/internal/settings/loading.py
+++ b/src/nutmeghook/internal/settings/loading.py
@@ -157,8 +157,8 @@
 
 def _check_count(spec: specs.Spec, text: str) -> None:
     value = int(text)
-    if not spec.least <= value <= spec.most:
-        raise ValueError(f"it is not within {spec.least} to {spec.most}")
+    if not spec.minimum <= value <= spec.maximum:
+        raise ValueError(f"it is not within {spec.minimum} to {spec.maximum}")
 
 
 _CHECKS = {
--- a/src/nutmeghook/internal/settings/page.py
+++ b/src/nutmeghook/internal/settings/page.py
@@ -22,7 +22,7 @@
         default = "(must be given)" if spec.default is None else spec.default
         kind = spec.kind.value
         if spec.kind is specs.Kind.COUNT:
-            kind = f"{kind}, {spec.least} to {spec.most}"
+            kind = f"{kind}, {spec.minimum} to {spec.maximum}"
         if spec.secret:
             kind += ", secret"
         rows.append(
--- a/src/nutmeghook/internal/settings/specs.py
+++ b/src/nutmeghook/internal/settings/specs.py
@@ -26,8 +26,8 @@
         name: As a field; the flag has dashes, the variable is
             `NUTMEGHOOK_` and capitals.
         default: Text; None where the setting must be given.
-        least: Smallest value of a count.
-        most: Largest value of a count.
+        minimum: Smallest value of a count.
+        maximum: Largest value of a count.
         secret: Masked wherever settings are printed.
     """
 
@@ -35,8 +35,8 @@
     kind: Kind
     meaning: str
     default: str | None = None
-    least: int = 0
-    most: int = 2**31
+    minimum: int = 0
+    maximum: int = 2**31
     secret: bool = False
 
     @property
@@ -140,21 +140,21 @@
             " /readyz turned bad."
         ),
         default="3000",
-        most=600_000,
+        maximum=600_000,
     ),
     Spec(
         name="concurrent_requests",
         kind=Kind.COUNT,
         meaning="Most generations that run at once on this instance.",
         default="512",
-        least=1,
+        minimum=1,
     ),
     Spec(
         name="concurrent_plain_calls",
         kind=Kind.COUNT,
         meaning="Most calls of plain services at once on this instance.",
         default="512",
-        least=1,
+        minimum=1,
     ),
     Spec(
         name="queued_requests",
@@ -167,28 +167,28 @@
         kind=Kind.COUNT,
         meaning="Partitions of the ledger; the same on all instances.",
         default="16",
-        least=1,
-        most=1024,
+        minimum=1,
+        maximum=1024,
     ),
     Spec(
         name="ledger_writes_per_s",
         kind=Kind.COUNT,
         meaning="Row writes a second by all partitions together.",
         default="180",
-        least=1,
+        minimum=1,
     ),
     Spec(
         name="claim_retention_s",
         kind=Kind.COUNT,
         meaning="How long an idempotency key and a session are remembered.",
         default="3600",
-        least=60,
+        minimum=60,
     ),
     Spec(
         name="event_ring_events",
         kind=Kind.COUNT,
         meaning="Events kept in memory for the time line.",
         default="8192",
-        least=1,
+        minimum=1,
     ),
 )
--- a/src/nutmeghook/platform/configuration.py
+++ b/src/nutmeghook/platform/configuration.py
@@ -8,7 +8,7 @@
 from nutmeghook.internal.routes import model
 
 # A day. No replica is slow for as long after its start.
-_LONGEST_COLD_S = 86_400.0
+_MAX_COLD_S = 86_400.0
 _KINDS = {
     "idempotent": model.RouteKind.IDEMPOTENT,
     "non_idempotent": model.RouteKind.ONCE,
@@ -55,7 +55,7 @@
     name: str
     health_path: str = "/health"
     max_conns: int = 100
-    cold_s: Annotated[float, msgspec.Meta(ge=0.0, le=_LONGEST_COLD_S)] = 0.0
+    cold_s: Annotated[float, msgspec.Meta(ge=0.0, le=_MAX_COLD_S)] = 0.0
     cold_per_s: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0
     engine: _Engine | None = None
 
--- a/src/nutmeghook/platform/headers.py
+++ b/src/nutmeghook/platform/headers.py
@@ -49,7 +49,7 @@
 # Of one connection, or wrong once the body is framed anew.
 _NOT_RETURNED = http_headers.CONNECTION_FIELDS | {"x-replica-load"}
 # A day. No replica is slow for as long after its start.
-_LONGEST_COLD_MS = 86_400_000
+_MAX_COLD_MS = 86_400_000
 _IDLE_LIMIT = re.compile(r"timeout=(\d+)", re.IGNORECASE)
 
 
@@ -108,7 +108,7 @@
             not_run=NOT_RUN.lower() in values or status == WRONG_REPLICA_STATUS,
             sealed=bool(values.get(SEAL.lower())),
             encoded="content-encoding" in values,
-            confidence=_whole(values.get(CONFIDENCE.lower())),
+            confidence=_whole_number(values.get(CONFIDENCE.lower())),
             load=_load(values.get(LOAD.lower())),
             idle_limit_s=_idle_limit_s(values.get("keep-alive")),
             cold_left=_cold_left(values.get(COLD_LEFT.lower())),
@@ -147,7 +147,7 @@
     counts = values.get(TOKEN_COUNTS.lower())
     if counts is None:
         return None
-    numbers = [_whole(part) for part in counts.split(",")]
+    numbers = [_whole_number(part) for part in counts.split(",")]
     if len(numbers) != 2 or None in numbers:
         raise ValueError(
             f"{TOKEN_COUNTS} is {counts!r}; give two whole numbers"
@@ -163,14 +163,14 @@
     parts = []
     for entry in text.split(","):
         part_id, _, tokens = entry.strip().partition(":")
-        count = _whole(tokens)
+        count = _whole_number(tokens)
         if part_id and count is not None:
             parts.append(wire.PromptPart(part_id=part_id, tokens=count))
     return tuple(parts)
 
 
 def _load(text: str | None) -> wire.ReportedLoad | None:
-    numbers = [_whole(part) for part in (text or "").split(",")]
+    numbers = [_whole_number(part) for part in (text or "").split(",")]
     if len(numbers) != 3 or None in numbers:
         return None
     return wire.ReportedLoad(
@@ -178,7 +178,7 @@
     )
 
 
-def _whole(text: str | None) -> int | None:
+def _whole_number(text: str | None) -> int | None:
     if text is None:
         return None
     text = text.strip()
@@ -188,17 +188,17 @@
 def _milliseconds(text: str | None) -> datetime.timedelta | None:
     if text is None:
         return None
-    number = _whole(text)
+    number = _whole_number(text)
     if number is None:
         raise ValueError(f"{TIME_LEFT} is {text!r}; give a whole number")
     return datetime.timedelta(milliseconds=min(number, 86_400_000))
 
 
 def _cold_left(text: str | None) -> datetime.timedelta | None:
-    number = _whole(text)
+    number = _whole_number(text)
     if number is None:
         return None
-    return datetime.timedelta(milliseconds=min(number, _LONGEST_COLD_MS))
+    return datetime.timedelta(milliseconds=min(number, _MAX_COLD_MS))
 
 
 def _whole_ms(duration: datetime.timedelta) -> int:
--- a/src/nutmeghook/platform/replicas.py
+++ b/src/nutmeghook/platform/replicas.py
@@ -16,14 +16,14 @@
 _READY = "ready"
 _STATES = frozenset({_READY, "draining"})
 _ADDRESS = re.compile(r"(?:\d{1,3}\.){3}\d{1,3}:\d{1,5}", re.ASCII)
-_LAST_PORT = 65535
+_MAX_PORT = 65535
 # Far beyond any engine's batch. A load is divided by it: an absurd number
 # would make a replica look empty whatever it carries.
-_MOST_SLOTS = 1_000_000
+_MAX_SLOTS = 1_000_000
 # A day. No replica is slow for as long after its start.
-_LONGEST_COLD_MS = 86_400_000.0
+_MAX_COLD_MS = 86_400_000.0
 # The year 2100. A start that is far ahead would let no later one take over.
-_LAST_START_MS = 4_102_444_800_000
+_MAX_START_MS = 4_102_444_800_000
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
@@ -36,14 +36,14 @@
     zone: _Text
     version: _Text
     # Requests that it works on at once.
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: str
     # How much longer it is slow after its start.
-    cold_left_ms: Annotated[float, msgspec.Meta(ge=0.0, le=_LONGEST_COLD_MS)]
+    cold_left_ms: Annotated[float, msgspec.Meta(ge=0.0, le=_MAX_COLD_MS)]
     # Counts its own words; not used, but whoever leaves it out is no replica.
     sequence: Annotated[int, msgspec.Meta(ge=0)]
     # Unix milliseconds of its start; not every replica tells it.
-    born: Annotated[int, msgspec.Meta(ge=0, le=_LAST_START_MS)] | None = None
+    born: Annotated[int, msgspec.Meta(ge=0, le=_MAX_START_MS)] | None = None
 
 
 _DECODER = msgspec.json.Decoder(_Entry)
@@ -85,5 +85,5 @@
     ip, _, port = text.partition(":")
     return (
         all(int(part) <= 255 for part in ip.split("."))
-        and 1 <= int(port) <= _LAST_PORT
+        and 1 <= int(port) <= _MAX_PORT
     )
--- a/src/nutmeghook/platform/settings.py
+++ b/src/nutmeghook/platform/settings.py
@@ -113,15 +113,17 @@
             self._fault(path, text, "an address like 10.1.0.40:8227")
         return text
 
-    def number(self, path: str, *, default: float, least: float = 0.0) -> float:
+    def number(
+        self, path: str, *, default: float, minimum: float = 0.0
+    ) -> float:
         value = self._find(path)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, int | float):
             self._fault(path, value, "a number")
             return default
-        if value < least:
-            self._fault(path, value, f"a number of {least:g} or more")
+        if value < minimum:
+            self._fault(path, value, f"a number of {minimum:g} or more")
             return default
         return float(value)
 
@@ -192,7 +194,7 @@
         region=region,
         regions=reader.texts("zones") | {data_centre: region},
         link_mbit_per_s=reader.number(
-            "limits.linkMbps", default=_DEFAULT_LINK_MBIT_PER_S, least=0.1
+            "limits.linkMbps", default=_DEFAULT_LINK_MBIT_PER_S, minimum=0.1
         ),
         change_time=min(
             _milliseconds(reader.number("bounds.configApplyMs", default=2000)),
--- a/src/nutmeghook/platform/store.py
+++ b/src/nutmeghook/platform/store.py
@@ -15,8 +15,8 @@
 # that takes longer than this is better made anew: the answer may be lost.
 CALL_TIMEOUT = datetime.timedelta(milliseconds=1200)
 # Beyond the time that a feed was asked to wait.
-FEED_SLACK = datetime.timedelta(milliseconds=600)
-_ROWS_A_PAGE = 500
+FEED_TIMEOUT_MARGIN = datetime.timedelta(milliseconds=600)
+_ROWS_PER_PAGE = 500
 _HISTORY_GONE_STATUS = 410
 _CONDITION_FAILED_STATUS = 412
 _REFUSING_STATUSES = (429, 503)
@@ -177,7 +177,7 @@
                 self._client,
                 table,
                 first=first,
-                limit=min(limit - len(found), _ROWS_A_PAGE),
+                limit=min(limit - len(found), _ROWS_PER_PAGE),
             )
             matching = [r for r in page.rows if r.key.startswith(start)]
             found.extend(_row(row, table) for row in matching)
@@ -250,7 +250,7 @@
                 "sinceRev": str(since),
                 "waitMs": str(wait_ms),
             },
-            timeout=wait + FEED_SLACK,
+            timeout=wait + FEED_TIMEOUT_MARGIN,
         )
         return _page(answer.rows, max(since, answer.row_version), answer.now_ms)
 
@@ -261,7 +261,7 @@
     *,
     first: str = "",
     end: str = "",
-    limit: int = _ROWS_A_PAGE,
+    limit: int = _ROWS_PER_PAGE,
 ) -> _Rows:
     query = {"table": table, "part": "", "limit": str(limit)}
     if first:
--- a/src/nutmeghook/platform/tables.py
+++ b/src/nutmeghook/platform/tables.py
@@ -55,11 +55,11 @@
         """Takes in changes; a malformed row leaves what is in force."""
         for row in rows:
             try:
-                self._take(row)
+                self._apply(row)
             except ValueError as error:
                 logs.note("operator:bad_row", key=row.key, error=str(error))
 
-    def _take(self, row: source.FollowedRow) -> None:
+    def _apply(self, row: source.FollowedRow) -> None:
         if row.key == CONFIGURATION_KEY and not row.deleted:
             self._configuration.offer(
                 configuration_wire.decode(row.value), source=_FROM_STORE
--- a/tests/cover/orders_floor.py
+++ b/tests/cover/orders_fixture.py
@@ -64,7 +64,7 @@
         return await super().grant_download(model_version, address)
 
 
-class Floor(engine.EngineConnector):
+class OrdersFixture(engine.EngineConnector):
     """Engines, their list and their weight store, on a fake clock."""
 
     def __init__(self, count=6, *, grants_per_s=2.0, **settings):
--- a/tests/cover/test_orders_cells.py
+++ b/tests/cover/test_orders_cells.py
@@ -128,8 +128,8 @@
             router.cells.refresh()
             for backend in router.directory.known():
                 one = self.engines[backend.address]
-                near = backend.locality is backends.Locality.OWN_CELL
-                if near and not one.dead:
+                is_local = backend.locality is backends.Locality.OWN_CELL
+                if is_local and not one.dead:
                     router.directory.note_report(
                         backend,
                         one.report(),
@@ -151,7 +151,7 @@
             for address, one in self.engines.items()
         }
 
-    def of(self, centre):
+    def addresses_in(self, centre):
         """Returns a data centre's engines."""
         return [r.address for r in self.rows if r.data_centre == centre]
 
@@ -198,7 +198,7 @@
             self.assertTrue(fleet.is_seen(await fleet.read()))
             second = traffic.kinds()["loaded_page"].received_bytes - first
             self.assertLess(second, 40)
-            fleet.engines[fleet.of("c1")[3]].loaded = (V1, V2)
+            fleet.engines[fleet.addresses_in("c1")[3]].loaded = (V1, V2)
             fleet.poll()
             self.assertTrue(fleet.is_seen(await fleet.read()))
             self.assertEqual(fleet.read_directly, [])
@@ -215,17 +215,17 @@
 
         async def scenario(withdrawn):
             fleet = Fleet(c0=100, c2=100)
-            fleet.engines[fleet.of("c2")[99]].dead = True
+            fleet.engines[fleet.addresses_in("c2")[99]].dead = True
             for _ in range(4):
                 fleet.poll()
-                seen = await fleet.read(exactly=withdrawn(fleet))
+                seen = await fleet.read(first_hand=withdrawn(fleet))
                 self.assertLessEqual(
-                    len(fleet.read_directly), fleet_reading.DIRECT_READS
+                    len(fleet.read_directly), fleet_reading.MAX_DIRECT_READS
                 )
             self.assertTrue(fleet.is_seen(seen))
 
         asyncio.run(scenario(lambda fleet: frozenset()))
-        asyncio.run(scenario(lambda fleet: frozenset(fleet.of("c0"))))
+        asyncio.run(scenario(lambda fleet: frozenset(fleet.addresses_in("c0"))))
 
     def test_a_member_moves_to_another_data_centre(self):
         """A data centre's second last member is replaced in another one.
@@ -237,15 +237,19 @@
         async def scenario():
             fleet = Fleet(c0=10, c1=10, c2=10)
             await fleet.read()
-            self.assertEqual(set(fleet.read_directly), set(fleet.of("c2")))
-            for number, untold in ((7, []), (8, fleet.of("c1"))):
+            self.assertEqual(
+                set(fleet.read_directly), set(fleet.addresses_in("c2"))
+            )
+            for number, unreported in ((7, []), (8, fleet.addresses_in("c1"))):
                 fleet.members[number] = member(number, "c2")
-                for address in fleet.of("c1"):
+                for address in fleet.addresses_in("c1"):
                     fleet.engines[address].loaded = (V1, V2)
-                await fleet.clock.advance(report_pages.OLDEST_REPORT + SECOND)
+                await fleet.clock.advance(report_pages.MAX_REPORT_AGE + SECOND)
                 fleet.poll()
                 self.assertTrue(fleet.is_seen(await fleet.read()))
-                self.assertEqual(sorted(fleet.read_directly), sorted(untold))
+                self.assertEqual(
+                    sorted(fleet.read_directly), sorted(unreported)
+                )
 
         _run(scenario)
 
@@ -266,7 +270,9 @@
             self.assertEqual(fleet.reader.cost, fleet_reading.CALL_COST)
             fleet.network.freeze(fleet.members[second].inner_address)
             self.assertTrue(fleet.is_seen(await fleet.read()))
-            self.assertEqual(set(fleet.read_directly), set(fleet.of("c1")))
+            self.assertEqual(
+                set(fleet.read_directly), set(fleet.addresses_in("c1"))
+            )
 
         costs = []
         asyncio.run(scenario(7, 8))
@@ -286,7 +292,7 @@
 
         async def scenario():
             fleet = Fleet(c0=5, c1=5)
-            loading, dying = fleet.of("c1")[:2]
+            loading, dying = fleet.addresses_in("c1")[:2]
             await fleet.clock.advance(SECOND)
             fleet.engines[loading].loaded = (V1, V2)
             fleet.engines[dying].dead = True
@@ -295,7 +301,7 @@
             self.assertTrue(fleet.is_seen(await fleet.read()))
             fleet.engines[loading].loaded = (V1,)
             # A page is as old as its oldest report, here the dead one's.
-            await fleet.clock.advance(report_pages.OLDEST_REPORT)
+            await fleet.clock.advance(report_pages.MAX_REPORT_AGE)
             fleet.poll()
             self.assertEqual((await fleet.read())[loading], {V1})
 
@@ -306,9 +312,12 @@
 
         async def scenario():
             fleet = Fleet(c0=5, c1=5)
-            for address in (fleet.of("c0")[0], fleet.of("c1")[0]):
+            for address in (
+                fleet.addresses_in("c0")[0],
+                fleet.addresses_in("c1")[0],
+            ):
                 fleet.engines[address].dead = True
-            await fleet.clock.advance(report_pages.OLDEST_REPORT + SECOND)
+            await fleet.clock.advance(report_pages.MAX_REPORT_AGE + SECOND)
             fleet.poll()
             self.assertTrue(fleet.is_seen(await fleet.read()))
             self.assertEqual(len(fleet.read_directly), 2)
@@ -327,9 +336,9 @@
             views = await fleet.reader.read()
             self.assertFalse(any(view.idle for view in views))
             every = frozenset(fleet.engines)
-            fleet.engines[fleet.of("c1")[0]].running = 1
+            fleet.engines[fleet.addresses_in("c1")[0]].running = 1
             await fleet.clock.advance(SECOND)
-            views = await fleet.reader.read(exactly=every)
+            views = await fleet.reader.read(first_hand=every)
             self.assertEqual([v.idle for v in views], [True, True, False, True])
 
         _run(scenario)
--- a/tests/cover/test_orders_controller.py
+++ b/tests/cover/test_orders_controller.py
@@ -9,7 +9,7 @@
 
 from nutmeghook.internal.orders import controller as controller_module
 from nutmeghook.standins import memory_table
-from tests.cover import orders_floor
+from tests.cover import orders_fixture
 from tests.cover import test_orders_planning as planning_case
 
 SECOND = datetime.timedelta(seconds=1)
@@ -21,15 +21,15 @@
 
     def test_it_is_loaded_where_it_was_not(self):
         async def scenario():
-            floor = orders_floor.Floor(secret="s")
-            await floor.run(
-                floor.holder(orders_floor.FakeLease(7), secret="s"), 60
+            fixture = orders_fixture.OrdersFixture(secret="s")
+            await fixture.run(
+                fixture.holder(orders_fixture.FakeLease(7), secret="s"), 60
             )
-            self.assertEqual(len(await floor.replicas(V2)), 2)
-            self.assertEqual(floor.weights.asked, 2)
-            self.assertEqual({r.fencing_token for r in floor.orders()}, {7})
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
+            self.assertEqual(fixture.weights.asked, 2)
+            self.assertEqual({r.fencing_token for r in fixture.orders()}, {7})
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_answer_or_request_of_an_order_lost(self):
         """An order's answer is lost, or the order itself.
@@ -40,13 +40,13 @@
         """
 
         async def scenario(fault):
-            floor = orders_floor.Floor(2)
-            for one in floor.engines.values():
+            fixture = orders_fixture.OrdersFixture(2)
+            for one in fixture.engines.values():
                 setattr(one.faults, fault, 1)
-            await floor.run(floor.holder(orders_floor.FakeLease(3)), 60)
-            self.assertEqual(len(await floor.replicas(V2)), 2)
-            self.assertEqual(floor.weights.asked, 2)
-            ids = {record.order_id for record in floor.orders()}
+            await fixture.run(fixture.holder(orders_fixture.FakeLease(3)), 60)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
+            self.assertEqual(fixture.weights.asked, 2)
+            ids = {record.order_id for record in fixture.orders()}
             self.assertEqual(len(ids), 2)
 
         for fault in ("lose_next_answers", "lose_next_requests"):
@@ -62,23 +62,23 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(download_bytes_per_ms=0.2)
-            table = memory_table.MemoryTable(clock=floor.clock)
-            await floor.run(floor.instance(table, 1), 20)
-            self.assertGreater(len(floor.orders()), 0)
-            self.assertEqual(await floor.replicas(V2), [])
-            await floor.run(floor.instance(table, 2), 120)
-            tokens = {record.fencing_token for record in floor.orders()}
+            fixture = orders_fixture.OrdersFixture(download_bytes_per_ms=0.2)
+            table = memory_table.MemoryTable(clock=fixture.clock)
+            await fixture.run(fixture.instance(table, 1), 20)
+            self.assertGreater(len(fixture.orders()), 0)
+            self.assertEqual(await fixture.replicas(V2), [])
+            await fixture.run(fixture.instance(table, 2), 120)
+            tokens = {record.fencing_token for record in fixture.orders()}
             self.assertEqual(len(tokens), 2)
-            self.assertEqual(len(await floor.replicas(V2)), 2)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
             loaded_on = {
                 address
-                for address, one in floor.engines.items()
+                for address, one in fixture.engines.items()
                 if any(r.target == str(V2) for r in one.orders)
             }
             self.assertEqual(len(loaded_on), 2)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_engines_die_or_hang_while_they_load(self):
         """All engines that were ordered to load die, or stop answering.
@@ -89,16 +89,20 @@
         """
 
         async def scenario(**fault):
-            floor = orders_floor.Floor(12, download_bytes_per_ms=0.2)
+            fixture = orders_fixture.OrdersFixture(
+                12, download_bytes_per_ms=0.2
+            )
             config = planning_case.snapshot(v1="serving:95", v2="rolling_out:5")
-            holder = floor.holder(orders_floor.FakeLease(3), config=config)
-            await floor.run(holder, 40)
-            victims = [one for one in floor.engines.values() if one.orders]
-            self.assertEqual(len(victims), controller_module.LOADS_AT_ONCE)
+            holder = fixture.holder(orders_fixture.FakeLease(3), config=config)
+            await fixture.run(holder, 40)
+            victims = [one for one in fixture.engines.values() if one.orders]
+            self.assertEqual(
+                len(victims), controller_module.MAX_CONCURRENT_LOADS
+            )
             for one, (name, value) in itertools.product(victims, fault.items()):
                 setattr(one.faults, name, value)
-            await floor.run(holder, 200)
-            self.assertEqual(len(await floor.replicas(V2)), 3)
+            await fixture.run(holder, 200)
+            self.assertEqual(len(await fixture.replicas(V2)), 3)
 
         asyncio.run(scenario(down=True))
         asyncio.run(scenario(delay=3600 * SECOND))
@@ -111,21 +115,21 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor()
-            plan_first = floor.holder(orders_floor.FakeLease(3))
-            await floor.run(plan_first, 30)
-            first = set(await floor.replicas(V2))
-            floor = orders_floor.Floor()
+            fixture = orders_fixture.OrdersFixture()
+            plan_first = fixture.holder(orders_fixture.FakeLease(3))
+            await fixture.run(plan_first, 30)
+            first = set(await fixture.replicas(V2))
+            fixture = orders_fixture.OrdersFixture()
             for address in first:
-                floor.engines[address].settings.secret = "other"
-            await floor.run(floor.holder(orders_floor.FakeLease(3)), 90)
-            replicas = set(await floor.replicas(V2))
+                fixture.engines[address].settings.secret = "other"
+            await fixture.run(fixture.holder(orders_fixture.FakeLease(3)), 90)
+            replicas = set(await fixture.replicas(V2))
             self.assertEqual(len(replicas), 2)
             self.assertFalse(replicas & first)
             for address in first:
-                self.assertEqual(len(floor.engines[address].orders), 1)
+                self.assertEqual(len(fixture.engines[address].orders), 1)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_weight_store_out_then_limiting(self):
         """The weight store is out for a minute, then allows a grant in 10 s.
@@ -136,21 +140,21 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(8, grants_per_s=0.1)
-            floor.weights.faults.down = True
+            fixture = orders_fixture.OrdersFixture(8, grants_per_s=0.1)
+            fixture.weights.faults.down = True
             config = planning_case.snapshot(
                 v1="serving:50", v2="rolling_out:50"
             )
-            holder = floor.holder(orders_floor.FakeLease(3), config=config)
-            await floor.run(holder, 70)
-            self.assertLessEqual(floor.weights.asked, 8)
-            floor.weights.faults.down = False
-            asked_before = floor.weights.asked
-            await floor.run(holder, 220)
-            self.assertEqual(len(await floor.replicas(V2)), 8)
-            self.assertLessEqual(floor.weights.asked - asked_before, 20)
+            holder = fixture.holder(orders_fixture.FakeLease(3), config=config)
+            await fixture.run(holder, 70)
+            self.assertLessEqual(fixture.weights.asked, 8)
+            fixture.weights.faults.down = False
+            asked_before = fixture.weights.asked
+            await fixture.run(holder, 220)
+            self.assertEqual(len(await fixture.replicas(V2)), 8)
+            self.assertLessEqual(fixture.weights.asked - asked_before, 20)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_an_accepted_roll_out_does_not_wait_for_the_next_pass(self):
         """A roll-out is accepted just after a pass over a large fleet.
@@ -160,21 +164,21 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(60)
+            fixture = orders_fixture.OrdersFixture(60)
             before = planning_case.snapshot(v1="serving:100")
-            view = orders_floor.ChangingView(snapshot=before)
-            holder = floor.holder(orders_floor.FakeLease(1), view=view)
+            view = orders_fixture.ChangingView(snapshot=before)
+            holder = fixture.holder(orders_fixture.FakeLease(1), view=view)
             task = asyncio.ensure_future(holder.run())
-            await floor.clock.advance(5 * SECOND)
-            self.assertEqual(floor.weights.asked, 0)
+            await fixture.clock.advance(5 * SECOND)
+            self.assertEqual(fixture.weights.asked, 0)
             view.accept(
-                msgspec.structs.replace(orders_floor.ROLL_OUT, revision=2)
+                msgspec.structs.replace(orders_fixture.ROLL_OUT, revision=2)
             )
-            await floor.clock.advance(5 * SECOND)
+            await fixture.clock.advance(5 * SECOND)
             task.cancel()
-            self.assertEqual(floor.weights.asked, 4)
+            self.assertEqual(fixture.weights.asked, 4)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_few_loads_at_once_one_grant_after_the_other(self):
         """Loads take minutes, and the weight store would grant all at once.
@@ -183,20 +187,20 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(
+            fixture = orders_fixture.OrdersFixture(
                 8, grants_per_s=100.0, download_bytes_per_ms=0.1
             )
             config = planning_case.snapshot(
                 v1="serving:50", v2="rolling_out:50"
             )
-            holder = floor.holder(orders_floor.FakeLease(3), config=config)
+            holder = fixture.holder(orders_fixture.FakeLease(3), config=config)
             asked = []
             for _ in range(30):
-                await floor.run(holder, 2)
-                asked.append(floor.weights.asked)
-            self.assertEqual(asked[-1], controller_module.LOADS_AT_ONCE)
+                await fixture.run(holder, 2)
+                asked.append(fixture.weights.asked)
+            self.assertEqual(asked[-1], controller_module.MAX_CONCURRENT_LOADS)
             steps = [b - a for a, b in itertools.pairwise(asked)]
             # A grant a second at most, and two seconds between the samples.
             self.assertLessEqual(max(steps), 2)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
--- a/tests/cover/test_orders_holders.py
+++ b/tests/cover/test_orders_holders.py
@@ -6,7 +6,7 @@
 
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.orders import controller as controller_module
-from tests.cover import orders_floor
+from tests.cover import orders_fixture
 from tests.cover import test_orders_planning as planning_case
 
 SECOND = datetime.timedelta(seconds=1)
@@ -24,9 +24,9 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor()
-            await floor.run(floor.holder(orders_floor.FakeLease(4)), 60)
-            for one in floor.engines.values():
+            fixture = orders_fixture.OrdersFixture()
+            await fixture.run(fixture.holder(orders_fixture.FakeLease(4)), 60)
+            for one in fixture.engines.values():
                 await one.order(
                     engine.Order(
                         order_id="newer",
@@ -36,15 +36,17 @@
                     )
                 )
             other = planning_case.snapshot(v2="serving:100")
-            late = floor.holder(orders_floor.FakeLease(3), config=other)
-            await floor.run(late, 60)
+            late = fixture.holder(orders_fixture.FakeLease(3), config=other)
+            await fixture.run(late, 60)
             fenced = [
-                r for r in floor.orders() if r.state is engine.OrderState.FENCED
+                r
+                for r in fixture.orders()
+                if r.state is engine.OrderState.FENCED
             ]
             self.assertEqual(len(fenced), 1)
-            self.assertEqual(len(await floor.replicas(V2)), 2)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_late_order_of_a_paused_holder_on_engines_that_ignore_tokens(self):
         """The order of a paused holder leaves its process minutes late.
@@ -55,11 +57,11 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(honours_fencing=False)
-            holder = floor.holder(orders_floor.FakeLease(2))
-            await floor.run(holder, 60)
-            address = (await floor.replicas(V2))[0]
-            await floor.engines[address].order(
+            fixture = orders_fixture.OrdersFixture(honours_fencing=False)
+            holder = fixture.holder(orders_fixture.FakeLease(2))
+            await fixture.run(holder, 60)
+            address = (await fixture.replicas(V2))[0]
+            await fixture.engines[address].order(
                 engine.Order(
                     order_id="late",
                     kind=engine.OrderKind.UNLOAD,
@@ -67,39 +69,41 @@
                     fencing_token=1,
                 )
             )
-            await floor.clock.advance(1 * SECOND)
-            self.assertEqual(len(await floor.replicas(V2)), 1)
-            await floor.run(holder, 60)
-            self.assertEqual(len(await floor.replicas(V2)), 2)
+            await fixture.clock.advance(1 * SECOND)
+            self.assertEqual(len(await fixture.replicas(V2)), 1)
+            await fixture.run(holder, 60)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_lease_lapsing_within_a_pass_stops_the_orders(self):
         """The lease lapses while the holder waits for the weight store."""
 
         async def scenario():
-            floor = orders_floor.Floor()
-            held = orders_floor.FakeLease(3)
-            holder = floor.holder(held)
-            floor.weights.faults.delay = 2 * SECOND
+            fixture = orders_fixture.OrdersFixture()
+            held = orders_fixture.FakeLease(3)
+            holder = fixture.holder(held)
+            fixture.weights.faults.delay = 2 * SECOND
             task = asyncio.ensure_future(holder.run())
-            await floor.clock.advance(11 * SECOND)
-            self.assertEqual(floor.weights.asked, 1)
+            await fixture.clock.advance(11 * SECOND)
+            self.assertEqual(fixture.weights.asked, 1)
             held.token = None
-            await floor.clock.advance(60 * SECOND)
+            await fixture.clock.advance(60 * SECOND)
             task.cancel()
-            self.assertEqual(floor.orders(), [])
+            self.assertEqual(fixture.orders(), [])
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_a_new_holder_first_waits_unless_there_was_none_before(self):
         async def scenario():
-            floor = orders_floor.Floor()
-            wait_s = controller_module.TAKE_OVER_WAIT / SECOND
-            await floor.run(floor.holder(orders_floor.FakeLease(3)), wait_s - 1)
-            self.assertEqual(floor.weights.asked, 0)
-            first = orders_floor.FakeLease(controller_module.FIRST_TOKEN)
-            await floor.run(floor.holder(first), 2)
-            self.assertGreater(floor.weights.asked, 0)
-
-        orders_floor.run(scenario)
+            fixture = orders_fixture.OrdersFixture()
+            wait_s = controller_module.TAKEOVER_DELAY / SECOND
+            await fixture.run(
+                fixture.holder(orders_fixture.FakeLease(3)), wait_s - 1
+            )
+            self.assertEqual(fixture.weights.asked, 0)
+            first = orders_fixture.FakeLease(controller_module.FIRST_TOKEN)
+            await fixture.run(fixture.holder(first), 2)
+            self.assertGreater(fixture.weights.asked, 0)
+
+        orders_fixture.run(scenario)
--- a/tests/cover/test_orders_pages.py
+++ b/tests/cover/test_orders_pages.py
@@ -14,7 +14,7 @@
 from nutmeghook.internal.orders import cell_reports
 from nutmeghook.internal.orders import report_pages
 from nutmeghook.internal.routing import backends
-from tests.cover import orders_floor
+from tests.cover import orders_fixture
 from tests.cover import test_orders_planning as planning_case
 
 SECOND = datetime.timedelta(seconds=1)
@@ -24,20 +24,20 @@
 class LatePages(cell_reports.ReportSource):
     """Tells what was loaded on a floor's engines some time ago."""
 
-    def __init__(self, floor, *, lag_s):
-        self._floor = floor
+    def __init__(self, fixture, *, lag_s):
+        self._fixture = fixture
         self._lag = lag_s * SECOND
         self._pages = []
 
     async def gather(self):
-        now = self._floor.clock.monotonic()
+        now = self._fixture.clock.monotonic()
         engines = [
             report_pages.ReportedEngine(
                 address=address,
                 loaded=frozenset((await one.load_report()).loaded),
                 leaving=False,
             )
-            for address, one in self._floor.engines.items()
+            for address, one in self._fixture.engines.items()
         ]
         self._pages.append(
             report_pages.ReportPage(
@@ -45,7 +45,7 @@
             )
         )
         late = [p for p in self._pages if now - p.oldest_at >= self._lag]
-        return cell_reports.Gathered(pages=tuple(late[-1:]))
+        return cell_reports.GatheredReports(pages=tuple(late[-1:]))
 
 
 class LatePagesTest(unittest.TestCase):
@@ -59,14 +59,14 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor()
-            pages = LatePages(floor, lag_s=20)
+            fixture = orders_fixture.OrdersFixture()
+            pages = LatePages(fixture, lag_s=20)
             await pages.gather()
-            await floor.clock.advance(30 * SECOND)
-            holder = floor.holder(orders_floor.FakeLease(1), reports=pages)
-            await floor.run(holder, 150)
-            self.assertEqual(len(await floor.replicas(V2)), 2)
-            ids = {record.order_id for record in floor.orders()}
+            await fixture.clock.advance(30 * SECOND)
+            holder = fixture.holder(orders_fixture.FakeLease(1), reports=pages)
+            await fixture.run(holder, 150)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
+            ids = {record.order_id for record in fixture.orders()}
             self.assertEqual(len(ids), 2)
 
         asyncio.run(scenario())
@@ -79,18 +79,18 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(8, grants_per_s=100.0)
-            pages = LatePages(floor, lag_s=20)
+            fixture = orders_fixture.OrdersFixture(8, grants_per_s=100.0)
+            pages = LatePages(fixture, lag_s=20)
             await pages.gather()
-            await floor.clock.advance(30 * SECOND)
+            await fixture.clock.advance(30 * SECOND)
             config = planning_case.snapshot(
                 v1="serving:50", v2="rolling_out:50"
             )
-            holder = floor.holder(
-                orders_floor.FakeLease(1), config=config, reports=pages
+            holder = fixture.holder(
+                orders_fixture.FakeLease(1), config=config, reports=pages
             )
-            await floor.run(holder, 40)
-            self.assertEqual(len(await floor.replicas(V2)), 8)
+            await fixture.run(holder, 40)
+            self.assertEqual(len(await fixture.replicas(V2)), 8)
 
         asyncio.run(scenario())
 
@@ -103,13 +103,13 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(2)
-            pages = LatePages(floor, lag_s=20)
-            holder = floor.holder(orders_floor.FakeLease(1), reports=pages)
+            fixture = orders_fixture.OrdersFixture(2)
+            pages = LatePages(fixture, lag_s=20)
+            holder = fixture.holder(orders_fixture.FakeLease(1), reports=pages)
             running = asyncio.ensure_future(holder.run())
-            while not (loaded := await floor.replicas(V2)):
-                await floor.clock.advance(0.01 * SECOND)
-            await floor.engines[loaded[0]].order(
+            while not (loaded := await fixture.replicas(V2)):
+                await fixture.clock.advance(0.01 * SECOND)
+            await fixture.engines[loaded[0]].order(
                 engine.Order(
                     order_id="late",
                     kind=engine.OrderKind.UNLOAD,
@@ -117,9 +117,9 @@
                     fencing_token=1,
                 )
             )
-            await floor.clock.advance(60 * SECOND)
+            await fixture.clock.advance(60 * SECOND)
             running.cancel()
-            self.assertEqual(len(await floor.replicas(V2)), 2)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
 
         asyncio.run(scenario())
 
@@ -130,18 +130,18 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(3)
-            await floor.load_everywhere(V2)
-            pages = LatePages(floor, lag_s=20)
+            fixture = orders_fixture.OrdersFixture(3)
+            await fixture.load_everywhere(V2)
+            pages = LatePages(fixture, lag_s=20)
             await pages.gather()
-            await floor.clock.advance(30 * SECOND)
+            await fixture.clock.advance(30 * SECOND)
             config = planning_case.snapshot(v1="withdrawn", v2="serving:100")
-            holder = floor.holder(
-                orders_floor.FakeLease(1), config=config, reports=pages
+            holder = fixture.holder(
+                orders_fixture.FakeLease(1), config=config, reports=pages
             )
-            await floor.run(holder, 40)
-            self.assertEqual(await floor.replicas(V1), [])
-            self.assertEqual(len(await floor.replicas(V2)), 3)
+            await fixture.run(holder, 40)
+            self.assertEqual(await fixture.replicas(V1), [])
+            self.assertEqual(len(await fixture.replicas(V2)), 3)
 
         asyncio.run(scenario())
 
@@ -177,7 +177,7 @@
             for number, (loaded, leaving) in enumerate(reported)
         ]
         # Polled now and then; its own cell tells of it, and sooner.
-        stranger = backends.Backend(
+        remote = backends.Backend(
             address="10.0.2.1:80",
             region="r",
             data_centre="c0",
@@ -188,7 +188,7 @@
             ),
             reported_at=now,
         )
-        page = report_pages.page_of([*known, stranger], now)
+        page = report_pages.page_of([*known, remote], now)
         self.assertEqual(len(page.engines), len(known))
         for known_page in (None, page):
             message = report_pages.write_page(
--- a/tests/cover/test_orders_unloads.py
+++ b/tests/cover/test_orders_unloads.py
@@ -6,7 +6,7 @@
 import unittest
 
 from nutmeghook.internal.dependencies import engine
-from tests.cover import orders_floor
+from tests.cover import orders_fixture
 from tests.cover import test_orders_planning as planning_case
 
 SECOND = datetime.timedelta(seconds=1)
@@ -25,10 +25,10 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(
+            fixture = orders_fixture.OrdersFixture(
                 3, step_ms=1000.0, mean_answer_tokens=400
             )
-            busy = floor.engines["10.0.1.0:80"]
+            busy = fixture.engines["10.0.1.0:80"]
             chunks = []
 
             async def caller():
@@ -44,16 +44,16 @@
 
             reading = asyncio.ensure_future(caller())
             config = planning_case.snapshot(v1="withdrawn", v2="serving:100")
-            holder = floor.holder(orders_floor.FakeLease(3), config=config)
-            await floor.run(holder, 35)
+            holder = fixture.holder(orders_fixture.FakeLease(3), config=config)
+            await fixture.run(holder, 35)
             kinds = {record.kind for record in busy.orders}
             self.assertNotIn(engine.OrderKind.UNLOAD, kinds)
-            await floor.run(holder, 60)
+            await fixture.run(holder, 60)
             await reading
             self.assertEqual(sum(chunk.tokens for chunk in chunks), 40)
-            self.assertEqual(await floor.replicas(V1), [])
+            self.assertEqual(await fixture.replicas(V1), [])
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_stale_configuration_unloads_nothing(self):
         """An instance cut off holds the lease of a store it can't reach.
@@ -62,16 +62,16 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor(3)
+            fixture = orders_fixture.OrdersFixture(3)
             config = planning_case.snapshot(v1="withdrawn", v2="serving:100")
-            holder = floor.holder(
-                orders_floor.FakeLease(3), config=config, age_s=60
+            holder = fixture.holder(
+                orders_fixture.FakeLease(3), config=config, age_s=60
             )
-            await floor.run(holder, 300)
-            self.assertEqual(len(await floor.replicas(V1)), 3)
-            self.assertEqual(len(await floor.replicas(V2)), 3)
+            await fixture.run(holder, 300)
+            self.assertEqual(len(await fixture.replicas(V1)), 3)
+            self.assertEqual(len(await fixture.replicas(V2)), 3)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
 
     def test_surplus_stays_for_a_while_then_goes_one_by_one(self):
         """A version's share went to zero, and it is still listed.
@@ -83,19 +83,19 @@
         """
 
         async def scenario():
-            floor = orders_floor.Floor()
-            await floor.load_everywhere(V2)
-            await floor.clock.advance(20 * SECOND)
+            fixture = orders_fixture.OrdersFixture()
+            await fixture.load_everywhere(V2)
+            await fixture.clock.advance(20 * SECOND)
             config = planning_case.snapshot(v1="serving:100", v2="serving:0")
-            holder = floor.holder(orders_floor.FakeLease(2), config=config)
-            await floor.run(holder, 300)
-            self.assertEqual(floor.orders(engine.OrderKind.UNLOAD), [])
-            await floor.run(holder, 60)
-            unloads = floor.orders(engine.OrderKind.UNLOAD)
+            holder = fixture.holder(orders_fixture.FakeLease(2), config=config)
+            await fixture.run(holder, 300)
+            self.assertEqual(fixture.orders(engine.OrderKind.UNLOAD), [])
+            await fixture.run(holder, 60)
+            unloads = fixture.orders(engine.OrderKind.UNLOAD)
             moments = sorted(record.received_ms for record in unloads)
             self.assertEqual(len(unloads), 3)
             gaps = [b - a for a, b in itertools.pairwise(moments)]
             self.assertGreaterEqual(min(gaps), 1000)
-            self.assertEqual(len(await floor.replicas(V2)), 3)
+            self.assertEqual(len(await fixture.replicas(V2)), 3)
 
-        orders_floor.run(scenario)
+        orders_fixture.run(scenario)
--- a/tests/cover/test_platform_instances.py
+++ b/tests/cover/test_platform_instances.py
@@ -88,7 +88,7 @@
                     self.assertCountEqual(got, expected)
 
 
-class StrangeListTest(unittest.IsolatedAsyncioTestCase):
+class MalformedListTest(unittest.IsolatedAsyncioTestCase):
     """Services that don't know of changes, or get them wrong."""
 
     async def adapter(self, *answers):
--- a/tests/cover/test_platform_strange.py
+++ b/tests/cover/test_platform_malformed.py
@@ -18,7 +18,7 @@
 from tests.cover import platform_case
 
 
-class StrangeServerTest(unittest.IsolatedAsyncioTestCase):
+class MalformedServerTest(unittest.IsolatedAsyncioTestCase):
     """Other sides that answer what the page of interfaces rules out."""
 
     async def serve(self, answer) -> str:
--- a/tests/cover/test_ratings_reading.py
+++ b/tests/cover/test_ratings_reading.py
@@ -10,7 +10,7 @@
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.dependencies import ratings
 
-MOST_PAGES = 4
+MAX_PAGES = 4
 
 
 class PagedService(ratings.RatingService):
@@ -61,9 +61,9 @@
         """
         service = PagedService(count=count, calls_before_failure=calls)
         found = asyncio.run(
-            ratings.read_new(service, cursor, most_pages=MOST_PAGES)
+            ratings.read_new(service, cursor, max_pages=MAX_PAGES)
         )
-        pages = min(calls, MOST_PAGES)
+        pages = min(calls, MAX_PAGES)
         expected = min(max(0, count - cursor), pages * 1000)
         self.assertEqual(
             [rating.cursor for rating in found],
--- a/tests/cover/test_router_part_fails.py
+++ b/tests/cover/test_router_task_failure.py
@@ -29,7 +29,7 @@
         pass
 
 
-class PartFailsTest(unittest.IsolatedAsyncioTestCase):
+class TaskFailureTest(unittest.IsolatedAsyncioTestCase):
     async def test_the_last_line_says_what_ended_the_process(self):
         """A background part fails, and the process finishes what is under way
         before it ends. Whoever collects its log keeps the last lines only, and
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -31,7 +31,7 @@
             ledger=self.instance.ledger,
         )
 
-    async def said(self, team=None):
+    async def sentences(self, team=None):
         found = []
         for source in self.sources:
             found += await self.cluster.drive(source.waiting(team))
@@ -43,7 +43,7 @@
         and the bill until it is in the log. A team is not told of bills, as
         it can do nothing about them.
         """
-        self.assertEqual(await self.said(), [])
+        self.assertEqual(await self.sentences(), [])
         ledger = self.instance.ledger
         self.cluster.table.faults.down = True
         await self.cluster.until(lambda: ledger.table_health.is_out)
@@ -54,27 +54,27 @@
         )
         await self.cluster.drive(finishing)
         await self.cluster.until(ledger.bills_waiting)
-        table_out, unread, bills = await self.said()
+        table_out, unread, bills = await self.sentences()
         self.assertIn("the table service to be out", table_out)
         self.assertIn("can't be read", unread)
         self.assertIn("wait for the table service: 1", bills)
-        self.assertEqual(await self.said("agency"), [table_out, unread])
+        self.assertEqual(await self.sentences("agency"), [table_out, unread])
 
         for _ in range(self.cluster.settings.failures_to_out):
             ledger.objects_health.note_failure()
-        self.assertIn("object store to be out", (await self.said())[1])
+        self.assertIn("object store to be out", (await self.sentences())[1])
 
         self.cluster.table.faults.down = False
         await self.cluster.until(lambda: not ledger.table_health.is_out)
         await self.cluster.until(lambda: not ledger.objects_health.is_out)
         await self.cluster.until(lambda: not ledger.bills_waiting())
-        self.assertEqual(await self.said(), [])
+        self.assertEqual(await self.sentences(), [])
 
 
 class ConfigurationWaitingTest(unittest.IsolatedAsyncioTestCase):
     async def test_only_an_age_over_the_bound_is_named(self):
         for age, named in (
-            (waiting.LONGEST_UNCONFIRMED, []),
+            (waiting.MAX_CONFIRMED_AGE, []),
             (7 * SECOND, ["last confirmed 7 s ago"]),
             (None, ["never confirmed"]),
         ):
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from nutmeghook.internal.assembly import relay_path
+from nutmeghook.internal.assembly import relay_assembly
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import metrics as metrics_module
@@ -123,8 +123,8 @@
             clock=self.clock,
         )
         return listener_module.CallerListener(
-            relay=relay_path.build(
-                relay_path.Surroundings(
+            relay=relay_assembly.build(
+                relay_assembly.RelayDependencies(
                     gate=self.build_gate(),
                     configuration=self.configuration,
                     directory=self.directory,
