--- a/src/nutmeghook/internal/orders/cell_reports.py
+++ b/src/nutmeghook/internal/orders/cell_reports.py
@@ -1,8 +1,9 @@
 """Asks one member of each routing cell what is loaded on its engines.
 
-The cells' members have the reports anyway (`routing/poller.py`). Reading each
-engine again took the holder 450 bytes an engine and 37 minutes a pass at the
-planned size; a cell whose engines have not changed answers in a few bytes.
+The members of a cell have these reports already (`routing/poller.py`). Reading
+each engine directly takes the lease holder 450 bytes an engine and 37 minutes a
+pass at the planned fleet size; a cell whose engines have not changed answers in
+a few bytes.
 """
 
 import abc
@@ -21,7 +22,7 @@
 
 CALL_TIMEOUT = datetime.timedelta(seconds=1)
 _MAX_CONCURRENT_CALLS = 16
-# One that does not answer is left for another of its cell for this long.
+# For this long after a member failed to answer, others of its cell come first.
 _UNRESPONSIVE_BACKOFF = datetime.timedelta(seconds=30)
 
 # The inner addresses of the members of one cell.
@@ -30,12 +31,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class GatheredReports:
-    """What the cells told.
+    """Reports of the cells.
 
     Attributes:
         pages: One for each cell that answered.
-        calls: How many calls to others that took.
-        changed: How many of the answers held a whole page.
+        calls: Number of calls to other instances.
+        changed: Number of answers that held a whole page.
     """
 
     pages: tuple[report_pages.ReportPage, ...] = ()
@@ -44,15 +45,15 @@
 
 
 class ReportSource(abc.ABC):
-    """Knows what is loaded on many engines without reading them."""
+    """Reports what is loaded on many engines without reading each of them."""
 
     @abc.abstractmethod
     async def gather(self) -> GatheredReports:
-        """Returns what is known now; never fails as a whole."""
+        """Returns what is known now; a failed call only omits its cell."""
 
 
 class NoReports(ReportSource):
-    """Knows nothing: all engines have to be read."""
+    """Reports nothing: all engines have to be read directly."""
 
     __slots__ = ()
 
@@ -62,14 +63,14 @@
 
 
 class CellReports(ReportSource):
-    """Asks the cells, and answers those who ask this instance's cell.
+    """Requests the pages of other cells and serves the page of its own.
 
     Args:
         members: All members; cells follow from them.
         caller: Calls other members.
         handlers: Gets the handler for `LoadedPull`.
-        known: Returns the routing's backend servers.
-        clock: Of this instance.
+        known: Returns the backend servers that routing knows.
+        clock: This instance's clock.
     """
 
     __slots__ = (
@@ -111,7 +112,7 @@
         )
 
     async def gather(self) -> GatheredReports:
-        """Asks one member of each cell, a second one where it is silent."""
+        """Asks one member of each cell, and a second one if it is silent."""
         self._refresh()
         me = self._members.myself.inner_address
         others = [cell for cell in self._cells if me not in cell]
@@ -171,12 +172,12 @@
     def _avoided_until(
         self, address: str, now: datetime.timedelta
     ) -> datetime.timedelta:
-        """Returns 0 for a member that may be asked; silent ones come last."""
+        """Returns the sort key: 0, or the end of a silent member's back-off."""
         until = self._avoided.get(address, now)
         return until if until > now else datetime.timedelta()
 
     def _refresh(self) -> None:
-        """Works the cells out again if the members have changed."""
+        """Recomputes the cells if the members have changed."""
         found = tuple(self._members.members())
         places = [(m.inner_address, m.region, m.data_centre) for m in found]
         before = [
--- a/src/nutmeghook/internal/orders/controller.py
+++ b/src/nutmeghook/internal/orders/controller.py
@@ -1,9 +1,9 @@
-"""Brings the engines to the wanted state, on the holder of the lease.
+"""Brings the engines to the desired state, on the holder of the lease.
 
-Nothing of it lives in this task. The target follows from the configuration,
-the present state from the engines' own reports; orders state targets. So any
-instance goes on from any point, and orders sent twice, late, or by two
-holders at once do no lasting harm: the next pass reads back and corrects.
+No state has to survive this task: the desired state follows from the
+configuration, the actual state from the engines' own reports, and orders state
+targets, not steps. So any instance can continue from any point, and orders sent
+twice, late, or by two holders at once are corrected by the next pass.
 """
 
 import datetime
@@ -22,10 +22,10 @@
 
 LEASE_NAME = "orders"
 ORDER_TIMEOUT = datetime.timedelta(seconds=5)
-# A new holder sends nothing for this long: its predecessor's last order has
-# arrived by then or never will, but for one that was paused on its way.
+# A new holder sends nothing for this long. By then its predecessor's last order
+# has arrived or is lost, unless the predecessor was paused while sending it.
 TAKEOVER_DELAY = 2 * ORDER_TIMEOUT
-# The lease's first holder ever has no predecessor.
+# The token of the lease's first holder, which has no predecessor.
 FIRST_TOKEN = 1
 MAX_CONCURRENT_LOADS = 4
 MAX_CONFIG_AGE = datetime.timedelta(seconds=10)
@@ -38,19 +38,19 @@
 
 
 class LeaseLostError(Exception):
-    """The lease is not held any more; nothing may be ordered."""
+    """The lease is no longer held; no order may be sent."""
 
 
 class OrderController:
-    """Reads back, plans, and gives the orders that limits allow."""
+    """Reads reports, plans, and sends the orders that limits allow."""
 
     __slots__ = (
         "_clock",
         "_connector",
         "_drain",
+        "_engines",
         "_events",
         "_fenced_token",
-        "_found",
         "_grants",
         "_lease",
         "_planned_revision",
@@ -82,7 +82,7 @@
         self._clock = clock
         self._events = events
         self._secret = secret
-        self._found: planning.Engines = []
+        self._engines: planning.Engines = []
         self._planned_revision = 0
         self._takeover_ends_at = datetime.timedelta()
         self._fenced_token: int | None = None
@@ -105,7 +105,7 @@
         Args:
             read_reports: Reads the engines' reports first. Otherwise only loads
                 are ordered, by the reports of the last pass: a roll-out must
-                not wait for the reading of a large fleet.
+                not wait until a large fleet has been read.
         """
         token = self._lease.fencing_token()
         if token is None or token == self._fenced_token:
@@ -123,7 +123,8 @@
         except LeaseLostError:
             self._reset()
         except (failures.PlatformError, TimeoutError):
-            # There is no instance list. What is loaded goes on serving.
+            # Without the instance list nothing is ordered; engines go on
+            # serving the versions that they have loaded.
             return
 
     def _reset(self) -> None:
@@ -140,12 +141,12 @@
             self._takeover_ends_at += TAKEOVER_DELAY
 
     async def _pass(self) -> None:
-        self._found = await self._reader.read(
+        self._engines = await self._reader.read(
             urgent=frozenset(
                 entry.placement.address for entry in self._tracker.open_orders()
             ),
-            # What may be unloaded must have its work ended, and its fellows
-            # at hand: second-hand reports won't do.
+            # Unloading is decided by the engines' own reports: cell pages are
+            # older and don't say whether an engine is idle.
             first_hand=frozenset(
                 placement.address for placement in self._drain.placements()
             ),
@@ -161,33 +162,34 @@
         snapshot = self._view.snapshot
         self._planned_revision = snapshot.revision
         engines = self._tracker.apply_reports(
-            self._found, self._clock.monotonic()
+            self._engines, self._clock.monotonic()
         )
         return planning.make_plan(snapshot, engines)
 
     def _may_unload(self) -> bool:
-        """Tells whether the configuration is surely new enough.
+        """Tells whether the configuration was confirmed recently enough.
 
-        An instance cut off from the others may hold one in which a version is
-        withdrawn that was put back since. Loading too much does no harm, so
-        only unloading waits.
+        An instance that is cut off from the others may hold a configuration in
+        which a version is withdrawn that has been restored since. Loading too
+        much does no harm, so only unloading waits.
         """
         age = self._view.confirmed_age()
         return age is not None and age <= MAX_CONFIG_AGE
 
     async def _resend_open_orders(self) -> None:
-        """Repeats the open orders under their old ids.
+        """Sends the open orders again under the same ids.
 
-        That asks how they stand, and sends again those that were lost.
+        Engines answer with the order's state; an order that was lost is
+        delivered this time.
         """
         for entry in self._tracker.open_orders():
             await self._send(entry)
 
     async def _load_all(self, plan: planning.Plan) -> None:
-        """Orders loads, waiting for the pace of grants between them.
+        """Orders loads, paced by the grants of the weight store.
 
-        Where the weight store asks for a longer wait, the next pass goes on:
-        the plan would be too old by then.
+        If the store asks for a longer wait, the rest is left to the next pass:
+        this plan would be too old by then.
         """
         for placement in plan.loads:
             if self._tracker.count_open_loads() >= MAX_CONCURRENT_LOADS:
@@ -218,7 +220,7 @@
     async def _unload_all(self, plan: planning.Plan) -> None:
         now = self._clock.monotonic()
         snapshot = self._view.snapshot
-        views = {view.address: view for view in self._found}
+        views = {view.address: view for view in self._engines}
         for placement in plan.withdrawn:
             view = views[placement.address]
             if self._drain.has_drained(placement, view, snapshot, now):
@@ -228,10 +230,10 @@
                 await self._unload(placement)
 
     async def _unload(self, placement: planning.Placement) -> None:
-        """Unloads one replica; the next one of its version waits for it.
+        """Unloads one replica, unless an order for its version is open.
 
-        With one order under way for each version, an order that arrives late
-        takes one replica too many at most, and the plan keeps two.
+        With at most one open order for each version, an order that arrives
+        late removes at most one replica too many, and the plan keeps two.
         """
         now = self._clock.monotonic()
         if self._tracker.is_open(placement.model_version):
@@ -248,10 +250,10 @@
             raise LeaseLostError
 
     async def _send(self, entry: order_tracker.OpenOrder) -> None:
-        """Sends an order and takes in the answer.
+        """Sends an order and handles the answer.
 
-        The lease is looked at just before: a process that was paused since
-        the pass began finds out here that its lease has lapsed.
+        The lease is checked just before: a process that was paused since the
+        pass began finds out here that its lease has expired.
         """
         self._check_lease()
         address = entry.placement.address
@@ -279,8 +281,8 @@
         self, entry: order_tracker.OpenOrder, state: engine.OrderState
     ) -> None:
         if state is engine.OrderState.FENCED:
-            # The engine has heard of a newer holder. Whatever this instance
-            # believes, it must not give another order under this token.
+            # The engine has received a newer token. Even if the lease still
+            # looks held here, no more orders may be sent under this one.
             self._fenced_token = self._token
             raise LeaseLostError
         if state is engine.OrderState.FORBIDDEN:
--- a/src/nutmeghook/internal/orders/desired_versions.py
+++ b/src/nutmeghook/internal/orders/desired_versions.py
@@ -1,4 +1,4 @@
-"""How widely the configuration wants each version loaded."""
+"""The share of engines on which each version should be loaded."""
 
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.dependencies import engine
@@ -11,9 +11,9 @@
 ) -> dict[engine.ModelVersion, float]:
     """Returns each usable version's share of its model's engines, 0 to 1.
 
-    Templates differ in the shares that they give a version; the largest
-    counts. Load by version is not known (reports carry none), and too many
-    replicas cost memory where too few cost answers.
+    Of the shares that templates give a version the largest counts. Reports
+    don't carry the load of each version, and too many replicas cost memory
+    where too few cost answers.
     """
     shares: dict[engine.ModelVersion, float] = {}
     for template in snapshot.templates.values():
@@ -32,10 +32,10 @@
 def withdrawn_versions(
     snapshot: documents.Snapshot,
 ) -> frozenset[engine.ModelVersion]:
-    """Returns the versions that are withdrawn for all who name them.
+    """Returns the versions that are withdrawn in all templates naming them.
 
-    A version that no template names is not among them: somebody may have
-    loaded it for a roll-out that is yet to be accepted.
+    A version that no template names is left out: an operator may have loaded
+    it for a roll-out that is yet to be accepted.
     """
     withdrawn = set(snapshot.fleet.withdrawn)
     for template in snapshot.templates.values():
@@ -64,10 +64,10 @@
     stage: documents.Stage,
     template: documents.Template,
 ) -> float:
-    """Returns the share to be ready for, which is not that of today.
+    """Returns the share in percent that the replicas must be ready for.
 
-    A version in roll-out is loaded for its next step, so that it can carry
-    it from its first moment. The serving ones stay ready for everything: the
+    A version in roll-out is loaded for its next step, so that it can carry that
+    step from the start. The serving versions stay ready for all traffic: the
     roll-out may be withdrawn at any time, and must not wait for loads then.
     """
     if entry.state is documents.VersionState.ROLLING_OUT:
--- a/src/nutmeghook/internal/orders/drain_tracker.py
+++ b/src/nutmeghook/internal/orders/drain_tracker.py
@@ -1,4 +1,4 @@
-"""When the work of a withdrawn version has ended."""
+"""When a withdrawn or surplus replica may be unloaded."""
 
 import datetime
 
@@ -6,18 +6,19 @@
 from nutmeghook.internal.orders import fleet_reading
 from nutmeghook.internal.orders import planning
 
-# A withdrawal is in force everywhere within 4 s; queued work is checked
-# again at dispatch. The rest is for clocks and for reports that are late.
+# A withdrawal is in force on all instances within 4 s, and queued requests are
+# checked again at dispatch. The rest allows for clock differences and for late
+# reports.
 WITHDRAWAL_PROPAGATION = datetime.timedelta(seconds=10)
 SURPLUS_RETENTION = datetime.timedelta(minutes=5)
 
 
 class DrainTracker:
-    """Remembers since when each replica was found to be too much.
+    """Records since when each replica has been withdrawn or surplus.
 
-    Reports don't tell which versions the running work is of. So a replica's
-    work has ended when its engine was idle after the withdrawal came into
-    force, or when the longest deadline has passed twice since then.
+    Reports don't say which versions the running generations use. So a replica
+    has drained when its engine was idle after the withdrawal came into force,
+    or when twice the longest deadline has passed since then.
     """
 
     __slots__ = ("_since",)
@@ -26,14 +27,14 @@
         self._since: dict[planning.Placement, datetime.timedelta] = {}
 
     def update(self, plan: planning.Plan, now: datetime.timedelta) -> None:
-        """Takes in what is too much now; what isn't any more starts anew."""
+        """Records the plan's removals; one that was not in it starts anew."""
         current = {*plan.withdrawn, *plan.surplus}
         self._since = {
             placement: self._since.get(placement, now) for placement in current
         }
 
     def placements(self) -> list[planning.Placement]:
-        """Returns the replicas that were too much when last noted."""
+        """Returns the replicas to be removed as of the last update."""
         return list(self._since)
 
     def has_drained(
@@ -43,7 +44,7 @@
         snapshot: documents.Snapshot,
         now: datetime.timedelta,
     ) -> bool:
-        """Tells whether a withdrawn version's work on an engine has ended."""
+        """Tells whether no request can use a withdrawn version any more."""
         in_force_at = self._since[placement] + WITHDRAWAL_PROPAGATION
         if view.idle and view.measured_at > in_force_at:
             return True
@@ -52,7 +53,7 @@
     def stayed_surplus(
         self, placement: planning.Placement, now: datetime.timedelta
     ) -> bool:
-        """Tells whether a replica has been surplus for long."""
+        """Tells whether a replica was surplus for `SURPLUS_RETENTION`."""
         return now - self._since[placement] >= SURPLUS_RETENTION
 
 
--- a/src/nutmeghook/internal/orders/fleet_reading.py
+++ b/src/nutmeghook/internal/orders/fleet_reading.py
@@ -1,4 +1,4 @@
-"""Reads back what is loaded where: from the cells, or engine by engine."""
+"""Reads what is loaded where: from the cells, or engine by engine."""
 
 import asyncio
 from collections.abc import Set
@@ -13,33 +13,33 @@
 
 LIST_TIMEOUT = datetime.timedelta(seconds=3)
 REPORT_TIMEOUT = datetime.timedelta(seconds=2)
-# Engines that no cell tells of, and those whose load matters, are read one by
-# one, so many in a pass; the others of them by the reports of earlier passes.
+# Most engines read directly in a pass: those that no cell reports, and those
+# whose own report is needed. The rest of them are taken from earlier passes.
 MAX_DIRECT_READS = 60
-# Orders may take 900 bytes a second. A reading takes about 450 bytes, both
-# directions with their headers; a call to a cell 120, and 1,750 more if
-# something has changed there (bench/orders.py).
+# How long each kind of traffic lasts within the 900 bytes a second that orders
+# may use. Reading an engine takes about 450 bytes, both directions with their
+# headers; a call to a cell 120, and 1,750 more if something has changed there.
 READ_COST = datetime.timedelta(milliseconds=500)
 CALL_COST = datetime.timedelta(milliseconds=135)
 PAGE_COST = datetime.timedelta(seconds=2)
-# To a new holder all pages are new. It may not wait for minutes to see what
-# became of its first orders.
+# To a new holder all pages are new. The bound keeps it from waiting for minutes
+# before it reads the outcome of its first orders.
 MAX_PAGES_COST = datetime.timedelta(seconds=30)
-# What was read counts for so long where it was not the engine's turn since.
+# A direct report is used for this long if the engine was not read again.
 REPORT_RETENTION = datetime.timedelta(minutes=10)
 _MAX_CONCURRENT_READS = 16
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class EngineView:
-    """One engine as it was found.
+    """The state of one engine as last reported.
 
     Attributes:
         pool: The pool's name in the instance list.
-        loaded: What it serves; None where it gave no report.
+        loaded: The versions that it serves; None where there is no report.
         idle: Nothing ran or waited at `measured_at`.
-        loading: What it was ordered to load and does not show yet.
-        avoided: It refused orders lately, and gets no new ones for a while.
+        loading: Versions that it was ordered to load and does not report yet.
+        avoided: It refused orders recently and gets no new ones for a while.
     """
 
     address: str
@@ -59,10 +59,11 @@
 
 
 class FleetReader:
-    """Reads the instance list, then finds out about each engine.
+    """Reads the instance list, then the state of each engine.
 
     Attributes:
-        cost: How long the traffic of the last reading has to last for.
+        cost: The shortest time until the next reading, so that the traffic of
+            the last one stays within the orders' bandwidth.
     """
 
     __slots__ = (
@@ -87,7 +88,7 @@
         self._connector = connector
         self._clock = clock
         self._reports = reports or cell_reports.NoReports()
-        # What was read one by one, and when that was last tried.
+        # The direct reports by address, and when each was last tried.
         self._direct_views: dict[str, EngineView] = {}
         self._tried_at: dict[str, datetime.timedelta] = {}
         self.cost = datetime.timedelta()
@@ -103,11 +104,12 @@
         Args:
             urgent: Addresses of engines with an order under way, which are
                 always read.
-            first_hand: Others whose own reports are wanted, in turn.
+            first_hand: Others whose own reports are needed; read in turn if
+                they are too many for one pass.
 
         Raises:
-            failures.PlatformError: There is no list.
-            TimeoutError: The list took too long.
+            failures.PlatformError: The instance list can't be read.
+            TimeoutError: Reading the list took too long.
         """
         rows = await self._clock.wait_for(
             self._instance_list.list_instances(), LIST_TIMEOUT
@@ -138,10 +140,10 @@
     def _choose(
         self, urgent: Set[str], first_hand: Set[str], unreported: Set[str]
     ) -> list[str]:
-        """Returns those to read now.
+        """Returns the addresses to read in this pass.
 
-        Neither of two groups that are too large for one pass keeps the other
-        from its turn.
+        Urgent ones come first. Of the rest at most half are for first-hand
+        reports while others wait, so that neither group starves the other.
         """
         half = MAX_DIRECT_READS // 2
         due_first_hand = self._least_recently_read(first_hand - urgent)
@@ -155,7 +157,7 @@
         return chosen[:MAX_DIRECT_READS]
 
     def _least_recently_read(self, wanted: Set[str]) -> list[str]:
-        """Returns the ones tried longest ago first."""
+        """Returns the addresses, those tried longest ago first."""
         never = datetime.timedelta.min
         return sorted(
             wanted,
@@ -178,10 +180,10 @@
     def _newest(
         self, row: instances.ListedInstance, reported: EngineView | None
     ) -> EngineView:
-        """Returns the newest of what is known of an engine.
+        """Returns the newest state known of an engine.
 
-        A cell's page may be older than what an order has already been seen
-        to bring about. Believed, it would have the order given again.
+        A cell's page may be older than the direct report that showed an order's
+        effect. Used instead, it would cause the order to be sent again.
         """
         read = self._direct_views.get(row.address)
         if read is not None and self._is_too_old(read):
@@ -208,7 +210,7 @@
         self, row: instances.ListedInstance, report: engine.LoadReport | None
     ) -> EngineView:
         if report is None:
-            # Newer than what a cell told: it may be dead by now.
+            # Counts as newer than the cell's page: the engine may have died.
             return dataclasses.replace(
                 _view_without_report(row), measured_at=self._clock.monotonic()
             )
@@ -244,9 +246,9 @@
     gathered: cell_reports.GatheredReports,
     engines: dict[str, instances.ListedInstance],
 ) -> dict[str, EngineView]:
-    """Returns what the cells told of listed engines, the newest of each."""
+    """Returns the newest state that the cells report of listed engines."""
     views: dict[str, EngineView] = {}
-    # While members differ about the cells, two may tell of one engine.
+    # While members disagree about the cells, two may report the same engine.
     for page in sorted(gathered.pages, key=lambda page: page.oldest_at):
         for reported in page.engines:
             row = engines.get(reported.address)
--- a/src/nutmeghook/internal/orders/order_tracker.py
+++ b/src/nutmeghook/internal/orders/order_tracker.py
@@ -1,4 +1,4 @@
-"""The orders that this holder of the lease has under way."""
+"""The open orders of this holder of the lease."""
 
 import collections
 import dataclasses
@@ -9,7 +9,7 @@
 from nutmeghook.internal.orders import planning
 
 LOAD_TIMEOUT = datetime.timedelta(minutes=15)
-# An engine's report may be this much older than its answer to an order.
+# An engine's report may lag behind its answer to an order by this much.
 REPORT_LAG = datetime.timedelta(seconds=10)
 
 
@@ -18,8 +18,8 @@
     """An order whose effect the reports don't show yet.
 
     Attributes:
-        answered: The engine said that it has it.
-        done_at: When it first said that it is done.
+        answered: The engine has confirmed that it received the order.
+        done_at: When the engine first answered that the order is done.
     """
 
     order: engine.Order
@@ -30,10 +30,10 @@
 
 
 class OrderTracker:
-    """Open orders, and engines to be left alone for a while.
+    """Open orders, and engines that get no new orders for a while.
 
-    All of it is this holder's own: a new holder starts with an empty book
-    and learns from the engines' reports what came of its predecessor's.
+    This state is not handed over: a new holder starts with none and learns from
+    the engines' reports what became of its predecessor's orders.
     """
 
     __slots__ = ("_avoided", "_finished", "_open", "_token")
@@ -45,18 +45,18 @@
         self._finished: collections.Counter[str] = collections.Counter()
 
     def open_orders(self) -> list[OpenOrder]:
-        """Returns the orders under way, oldest first."""
+        """Returns the open orders, oldest first."""
         return list(self._open.values())
 
     def count_open_loads(self) -> int:
-        """Returns how many loads are under way."""
+        """Returns the number of open loads."""
         return sum(
             entry.order.kind is engine.OrderKind.LOAD
             for entry in self._open.values()
         )
 
     def is_open(self, version: engine.ModelVersion) -> bool:
-        """Tells whether any order about a version is under way."""
+        """Tells whether any order for a version is open."""
         return any(p.model_version == version for p in self._open)
 
     def begin(
@@ -68,11 +68,11 @@
         ticket: str = "",
         now: datetime.timedelta,
     ) -> OpenOrder:
-        """Opens an order, with an id that follows from what it is.
+        """Opens an order, with an id derived from its content.
 
-        Repeating the order until it is answered uses the same id. Once it is
-        finished, the same order gets another: engines answer a known id with
-        what became of it then, and would not load a second time.
+        An open order is sent again under the same id. After it is finished, an
+        equal order gets a new id: engines answer a known id with its earlier
+        outcome and would not load a second time.
         """
         subject = f"{kind.value}-{placement.model_version}-{placement.address}"
         entry = OpenOrder(
@@ -91,7 +91,7 @@
         return entry
 
     def finish(self, entry: OpenOrder) -> None:
-        """Closes an order, done or given up."""
+        """Closes an order that is done or abandoned."""
         self._open.pop(entry.placement, None)
         order = entry.order
         self._finished[
@@ -99,21 +99,20 @@
         ] += 1
 
     def avoid(self, address: str, until: datetime.timedelta) -> None:
-        """Gives an engine no new order until a moment."""
+        """Sends an engine no new orders until a moment."""
         self._avoided[address] = until
 
     def is_avoided(self, address: str, now: datetime.timedelta) -> bool:
-        """Tells whether an engine is to be left alone."""
+        """Tells whether an engine gets no new orders at present."""
         return self._avoided.get(address, now) > now
 
     def apply_reports(
         self, engines: planning.Engines, now: datetime.timedelta
     ) -> planning.Engines:
-        """Closes what the reports show as done, or as never to be done.
+        """Closes the orders that the reports show as done or as hopeless.
 
         Returns:
-            The engines, with what is being loaded on them and whether they
-            are to be left alone.
+            The engines with `loading` and `avoided` set.
         """
         views = {view.address: view for view in engines}
         for entry in self.open_orders():
@@ -143,10 +142,10 @@
     view: fleet_reading.EngineView | None,
     now: datetime.timedelta,
 ) -> bool:
-    """Tells whether nothing more is to be expected of an order.
+    """Tells whether an order is done or will never be done.
 
-    An engine that is gone from the list, or says that it leaves, took its
-    order with it; the plan chooses another one.
+    An order ends with its engine if that is gone from the list or is leaving;
+    the plan then chooses another engine.
     """
     if view is None or view.leaving:
         return True
@@ -156,9 +155,9 @@
         return now - entry.sent_at > REPORT_LAG
     done_at = entry.done_at
     if done_at is not None and view.measured_at > done_at + REPORT_LAG:
-        # Shown, or undone since by a later order or a restart: the plan
-        # starts anew from the reports. A report from before that moment may
-        # not show what was done, and the order would be given again.
+        # The report shows the effect, or a later order or a restart has undone
+        # it and the plan starts anew. A report from before that moment may not
+        # show the effect yet, and the order would be sent again.
         return True
     shown = entry.placement.model_version in view.loaded
     if entry.order.kind is engine.OrderKind.LOAD:
--- a/src/nutmeghook/internal/orders/planning.py
+++ b/src/nutmeghook/internal/orders/planning.py
@@ -1,7 +1,7 @@
-"""Which loads and unloads lead from what is loaded to what is wanted.
+"""Which loads and unloads lead from the loaded to the desired versions.
 
 The same configuration and the same reports give the same plan on every
-instance, so a new holder of the lease goes on where the old one stopped.
+instance, so a new holder of the lease continues where the old one stopped.
 """
 
 import collections
@@ -16,10 +16,11 @@
 from nutmeghook.internal.orders import fleet_reading
 
 MIN_REPLICAS = 2
-# The shares are of sessions, which don't all bring the same load.
+# Shares count sessions, and sessions differ in load.
 HEADROOM = 1.25
-# A surplus smaller than this part stays: shares move with each step of a
-# roll-out, and a load takes minutes and a grant of the weight store.
+# A surplus up to this share of the desired replicas stays loaded: shares change
+# with each step of a roll-out, and loading again takes minutes and a grant of
+# the weight store.
 SURPLUS_TOLERANCE = 0.5
 
 Engines = list[fleet_reading.EngineView]
@@ -35,11 +36,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Plan:
-    """What is missing and what is too much, most urgent first.
+    """Missing and superfluous replicas; loads are most urgent first.
 
     Attributes:
         loads: To be ordered as soon as limits allow.
-        withdrawn: To be unloaded once their work has ended.
+        withdrawn: To be unloaded once they have drained.
         surplus: To be unloaded if they stay surplus for a while.
     """
 
@@ -49,17 +50,17 @@
 
 
 def desired_replicas(*, engines: int, share: float) -> int:
-    """Returns how many of a model's engines should hold a version.
+    """Returns how many of a model's engines should have a version loaded.
 
-    At least two where there are two: an engine dies, or obeys a stray order
-    of a former holder, without the version becoming unreachable.
+    At least two where there are two, so that the version stays available if an
+    engine dies or carries out a late order of a former holder.
     """
     by_share = math.ceil(engines * share * HEADROOM)
     return min(engines, max(MIN_REPLICAS, by_share))
 
 
 def make_plan(snapshot: documents.Snapshot, engines: Engines) -> Plan:
-    """Returns the plan for what was read back."""
+    """Returns the plan for the reported state of the engines."""
     usable = [view for view in engines if view.usable]
     loads: list[tuple[float, Placement]] = []
     surplus: list[Placement] = []
@@ -116,8 +117,8 @@
     def fullness(view: fleet_reading.EngineView) -> tuple[int, int]:
         return len(view.loaded | view.loading), _rank(version, view)
 
-    # The best one is last in its data centre. Looking through all of them for
-    # each replica stopped the event loop for most of a second.
+    # The best engine is last in its data centre's queue. Searching all engines
+    # for each replica blocks the event loop for most of a second.
     queues = _by_data_centre(sorted(free, key=fullness, reverse=True))
     chosen: list[Placement] = []
     while queues and len(chosen) < missing:
@@ -133,7 +134,7 @@
 def _removals(
     version: engine.ModelVersion, holders: Engines, desired: int
 ) -> list[Placement]:
-    """Chooses replicas to give up, from the fullest data centre each time."""
+    """Chooses replicas to unload, each from the data centre with most."""
     if len(holders) - desired <= max(1, SURPLUS_TOLERANCE * desired):
         return []
     held = collections.Counter(view.data_centre for view in holders)
@@ -154,7 +155,7 @@
 
 
 def _by_data_centre(ordered: Engines) -> dict[str, Engines]:
-    """Parts engines by data centre, keeping their order."""
+    """Groups engines by data centre, keeping their order."""
     queues: dict[str, Engines] = {}
     for view in ordered:
         queues.setdefault(view.data_centre, []).append(view)
@@ -164,7 +165,7 @@
 def _pop_last(
     queues: dict[str, Engines], centre: str
 ) -> fleet_reading.EngineView:
-    """Takes out a data centre's last engine, and then an empty queue."""
+    """Removes a data centre's last engine, and the queue if it is empty."""
     view = queues[centre].pop()
     if not queues[centre]:
         del queues[centre]
@@ -183,5 +184,5 @@
 
 
 def _rank(version: engine.ModelVersion, view: fleet_reading.EngineView) -> int:
-    """Returns a rank that is the same on every instance."""
+    """Returns a hash that ranks engines alike on every instance."""
     return xxhash.xxh64_intdigest(f"{version} {view.address}".encode())
--- a/src/nutmeghook/internal/orders/readiness.py
+++ b/src/nutmeghook/internal/orders/readiness.py
@@ -11,15 +11,15 @@
 from nutmeghook.internal.orders import planning
 from nutmeghook.internal.routing import backends
 
-# A share may be carried by this part of what is planned for it: an engine that
-# was just replaced must not hold up a roll-out until it has loaded.
+# The share of the engines planned for a step that must be ready: an engine that
+# was just replaced must not delay a roll-out until it has loaded the version.
 READY_SHARE = 0.8
 _COUNT_LIFETIME = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _Counts:
-    """What the reports show at one moment."""
+    """Replicas and engines counted from the reports at one moment."""
 
     replicas: collections.Counter[engine.ModelVersion]
     engines: collections.Counter[str]
@@ -29,14 +29,14 @@
 class Readiness:
     """Counts replicas on the backend servers that this instance knows.
 
-    On an instance that reads only a part of the fleet's reports the counts
-    are of that part; the shares, which are compared, still hold.
+    An instance that reads only part of the fleet's reports counts that part
+    only; the ratio of replicas to engines still holds.
 
     Args:
         known: Returns all known backend servers.
-        clock: Counts are kept for a second on it, so that asking on each
-            request costs the same however many engines there are. Without
-            it they are made anew each time.
+        clock: Counts are cached for a second on it, so that the cost for each
+            request does not grow with the number of engines. Without it they
+            are made anew each time.
     """
 
     __slots__ = ("_clock", "_counts", "_known")
--- a/src/nutmeghook/internal/orders/report_pages.py
+++ b/src/nutmeghook/internal/orders/report_pages.py
@@ -1,4 +1,4 @@
-"""What is loaded on the engines of one cell, as its members tell it."""
+"""What is loaded on the engines of one cell, as its members report it."""
 
 import dataclasses
 import datetime
@@ -9,8 +9,8 @@
 from nutmeghook.internal.inner.generated import ttypes
 from nutmeghook.internal.routing import backends
 
-# A cell's reports are polled each 6 s at the longest and repeated to its
-# members each 5 s. An engine whose report is older than this gives none.
+# A cell polls its engines at least every 6 s and repeats the reports among its
+# members every 5 s. An older report is left out of the page.
 MAX_REPORT_AGE = datetime.timedelta(seconds=20)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 # Thrift's i64 is signed, and 0 stands for "no page".
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ReportedEngine:
-    """What an engine's report said.
+    """An engine's report without its load.
 
-    The load is left out: it changes all the time, and digests round it so
-    that an engine with little work can't be told from an idle one.
+    The load changes all the time, and load digests round it so that a lightly
+    loaded engine looks idle.
     """
 
     address: str
@@ -35,8 +35,8 @@
     """The engines of one cell.
 
     Attributes:
-        content_hash: Of `engines`.
-        oldest_at: When the oldest of the reports was measured, monotonic.
+        content_hash: Hash of `engines`.
+        oldest_at: Monotonic time at which the oldest report was measured.
     """
 
     engines: tuple[ReportedEngine, ...]
@@ -74,10 +74,10 @@
 def write_page(
     page: ReportPage, *, known_hash: int, now: datetime.timedelta
 ) -> ttypes.LoadedPage:
-    """Returns the answer to one who has the page of `known_hash`."""
+    """Returns the answer to a caller that has the page of `known_hash`."""
     message = ttypes.LoadedPage(
         content_hash=page.content_hash,
-        # Rounded up: younger than they are, reports would count too long.
+        # Rounded up, so that reports never look newer than they are.
         age_ms=-(-(now - page.oldest_at) // _MILLISECOND),
     )
     if known_hash == page.content_hash:
@@ -97,17 +97,17 @@
     known: ReportPage | None,
     asked_at: datetime.timedelta,
 ) -> ReportPage | None:
-    """Returns the page that an answer stands for.
+    """Returns the page that an answer holds or refers to.
 
     Args:
         message: The answer.
-        known: The page that the question named.
-        asked_at: When the question was sent. The age was true later, so this
-            errs on the old side.
+        known: The page whose hash was sent with the request.
+        asked_at: When the request was sent. The age was computed after that,
+            so the page never looks newer than it is.
 
     Returns:
-        None if the answer says "unchanged" of a page that was not named, or
-        its fields are out of range or don't fit together.
+        None if the answer says "unchanged" of another page than `known`, or
+        its fields are out of range or inconsistent.
     """
     if message.age_ms is None or message.age_ms < 0:
         return None
--- a/src/nutmeghook/internal/orders/service.py
+++ b/src/nutmeghook/internal/orders/service.py
@@ -1,4 +1,4 @@
-"""The orders' part of an instance: the controller and its lease."""
+"""The order controller of an instance, with its lease."""
 
 from collections.abc import Coroutine
 import random
@@ -20,7 +20,7 @@
 
 
 class Orders(leased_component.LeasedComponent):
-    """Gives orders to engines where this instance holds the lease."""
+    """Sends orders to engines while this instance holds the lease."""
 
     __slots__ = ("_controller",)
 
--- a/src/nutmeghook/internal/orders/weight_grants.py
+++ b/src/nutmeghook/internal/orders/weight_grants.py
@@ -1,4 +1,4 @@
-"""Leave of the weight store for downloads, paced over the whole fleet."""
+"""Download grants of the weight store, paced for the whole fleet."""
 
 import datetime
 import random
@@ -15,10 +15,10 @@
 
 
 class GrantPacer:
-    """Asks for grants no faster than allowed, and keeps unused tickets.
+    """Requests grants no faster than allowed, and keeps unused tickets.
 
-    Only the holder of the orders' lease asks, so pacing here paces the fleet.
-    A former holder that still asks is refused by the store like anybody.
+    Only the holder of the orders' lease requests grants, so pacing here paces
+    the fleet. A former holder that goes on is refused by the store's own limit.
     """
 
     __slots__ = (
@@ -53,7 +53,7 @@
         return max(datetime.timedelta(), wait)
 
     async def ticket_for(self, placement: planning.Placement) -> str | None:
-        """Returns a ticket, or None if there is none to be had now."""
+        """Returns a ticket, or None if the store can't grant one now."""
         kept = self._tickets.pop(placement, None)
         if kept is not None:
             return kept
@@ -74,11 +74,11 @@
         return ticket
 
     def return_ticket(self, placement: planning.Placement, ticket: str) -> None:
-        """Keeps a ticket whose order surely did not reach the engine."""
+        """Keeps a ticket whose order certainly did not reach the engine."""
         self._tickets[placement] = ticket
 
     def _back_off(self, error: Exception) -> None:
-        """Waits as long as the store asks, else longer each time."""
+        """Waits as long as the store asks, else doubles the delay."""
         wait = self._backoff
         if isinstance(error, failures.NotDoneError) and error.retry_after:
             wait = error.retry_after
--- a/tests/cover/orders_fixture.py
+++ b/tests/cover/orders_fixture.py
@@ -1,4 +1,4 @@
-"""Engines, their weight store and holders of orders' lease, for tests."""
+"""Engines, their weight store and holders of the orders' lease, for tests."""
 
 import asyncio
 import datetime
@@ -27,7 +27,7 @@
 
 
 class FakeLease(lease.Lease):
-    """A lease that the test gives and takes."""
+    """A lease whose token the test sets and removes."""
 
     def __init__(self, token=None):
         self.token = token
@@ -55,7 +55,7 @@
 
 
 class CountingWeights(memory_weights.MemoryWeights):
-    """Counts how often it is asked."""
+    """Counts the grants requested."""
 
     asked = 0
 
@@ -136,7 +136,7 @@
         )
 
     def instance(self, table, number):
-        """Returns an instance's part, with a lease of its own."""
+        """Returns the order controller of an instance, with its own lease."""
         myself = members.Member(
             inner_address=f"10.0.0.{number}:7000",
             incarnation=f"{number}",
@@ -165,7 +165,7 @@
         task.cancel()
 
     async def load_everywhere(self, model_version):
-        """Has each engine load a version, one a second, by earlier orders."""
+        """Makes each engine load a version, one a second, by older orders."""
         for one in self.engines.values():
             await one.order(
                 engine.Order(
--- a/tests/cover/test_orders_cells.py
+++ b/tests/cover/test_orders_cells.py
@@ -1,4 +1,4 @@
-"""The orders' holder learns of the engines from the routing's cells."""
+"""The holder of the orders' lease reads engines through routing's cells."""
 
 import asyncio
 import dataclasses
@@ -24,12 +24,12 @@
 
 SECOND = datetime.timedelta(seconds=1)
 V1, V2 = planning_case.version(1), planning_case.version(2)
-# More than fit into one cell of the region, so each centre is a cell.
+# More than fit into one cell of the region, so each data centre is a cell.
 CENTRES = {"c0": 7, "c1": 2}
 
 
 class Members(members_module.MemberView):
-    """All members, seen from one; the test changes the list."""
+    """All members as one of them sees them; the test changes the list."""
 
     def __init__(self, number, everyone):
         self.number = number
@@ -44,7 +44,7 @@
 
 
 class Engine:
-    """Gives its report, unless it is dead."""
+    """Returns its report, unless it is dead."""
 
     def __init__(self):
         self.loaded = (V1,)
@@ -58,7 +58,7 @@
 
 
 class Router:
-    """One instance: its directory and its side of the cells' reports."""
+    """One instance: its directory and its cell reports."""
 
     def __init__(self, fleet, number):
         self.members = Members(number, fleet.members)
@@ -82,7 +82,7 @@
 
 
 class Fleet(engine.EngineConnector, instances.InstanceList):
-    """Members in two data centres, and engines in these and perhaps others."""
+    """Members in two data centres, and engines there and in others."""
 
     def __init__(self, **engines):
         self.clock = clock_module.FakeClock()
@@ -122,7 +122,7 @@
         return Connection(self, address)
 
     def poll(self):
-        """Has each instance hear of its cell's engines, as routing does."""
+        """Gives each instance the reports of its cell, as routing does."""
         for router in self.routers:
             router.directory.apply_list(self.rows)
             router.cells.refresh()
@@ -137,7 +137,7 @@
                     )
 
     async def read(self, **wanted):
-        """Makes one reading; returns what was seen loaded, by address."""
+        """Reads the fleet once; returns the loaded versions by address."""
         self.read_directly.clear()
         reading = asyncio.ensure_future(self.reader.read(**wanted))
         while not reading.done():
@@ -145,7 +145,7 @@
         return {view.address: view.loaded for view in reading.result()}
 
     def is_seen(self, seen):
-        """Tells whether a reading shows what there is."""
+        """Tells whether a reading matches the engines."""
         return seen == {
             address: None if one.dead else frozenset(one.loaded)
             for address, one in self.engines.items()
@@ -158,7 +158,7 @@
 
 @dataclasses.dataclass
 class Connection:
-    """One engine, as the holder reads it by itself."""
+    """One engine that the holder reads directly."""
 
     fleet: Fleet
     address: str
@@ -185,9 +185,9 @@
 
 
 class CellReportsTest(unittest.TestCase):
-    """Each engine is known, whoever can tell of it."""
+    """Each engine's state is known, by a cell or by a direct read."""
 
-    def test_two_data_centres_tell_all_and_repeat_nothing(self):
+    def test_unchanged_pages_are_not_sent_again(self):
         async def scenario():
             fleet = Fleet(c0=40, c1=40)
             holder = fleet.members[0].inner_address
@@ -206,11 +206,11 @@
         _run(scenario)
 
     def test_a_data_centre_without_members(self):
-        """The last members of a data centre died; its engines go on.
+        """The last members of a data centre died, and its engines go on.
 
-        Nobody polls them, so the holder reads them itself: few in a pass,
-        in turn, and counts what earlier passes read. A withdrawal on all
-        other engines, which also have to be read, must not stop that.
+        No cell polls them, so the holder reads a limited number of them in
+        each pass and keeps the earlier reports. A withdrawal that needs direct
+        reads of all other engines must not starve them.
         """
 
         async def scenario(withdrawn):
@@ -230,8 +230,8 @@
     def test_a_member_moves_to_another_data_centre(self):
         """A data centre's second last member is replaced in another one.
 
-        Its cell changes, and what it told before is of engines that are no
-        longer its business. Then the last one moves too.
+        Its cell changes, and its earlier page covers engines of another cell.
+        Then the last member moves too.
         """
 
         async def scenario():
@@ -256,8 +256,8 @@
     def test_silent_members(self):
         """The member that was asked hangs; another of its cell answers.
 
-        Both in that pass, and the next pass begins with the other. When
-        both are silent, the holder reads their engines itself.
+        The other is asked in the same pass, and first in the next. When both
+        are silent, the holder reads their engines directly.
         """
 
         async def scenario(first, second):
@@ -277,17 +277,17 @@
         costs = []
         asyncio.run(scenario(7, 8))
         asyncio.run(scenario(8, 7))
-        # Either is the one that is asked first.
+        # One of the two scenarios freezes the member that is asked first.
         calls = [(c - fleet_reading.PAGE_COST) for c in costs[1::2]]
         one = fleet_reading.CALL_COST
         self.assertEqual(sorted(calls), [one, 2 * one])
 
     def test_an_older_page_does_not_hide_what_an_order_did(self):
-        """A load is read back as done; the cell has not polled since.
+        """A direct read shows a load; the cell has not polled since.
 
-        Believed, the cell's older page would have the load ordered again, on
-        another engine. And one that died since the poll, as the holder finds
-        when it reads it, is no replica.
+        By the cell's older page the load would be ordered again on another
+        engine, and an engine that the direct read found dead would count as a
+        replica.
         """
 
         async def scenario():
@@ -300,7 +300,7 @@
             self.assertTrue(fleet.is_seen(seen))
             self.assertTrue(fleet.is_seen(await fleet.read()))
             fleet.engines[loading].loaded = (V1,)
-            # A page is as old as its oldest report, here the dead one's.
+            # A page is as old as its oldest report, here the dead engine's.
             await fleet.clock.advance(report_pages.MAX_REPORT_AGE)
             fleet.poll()
             self.assertEqual((await fleet.read())[loading], {V1})
@@ -308,7 +308,7 @@
         _run(scenario)
 
     def test_an_engine_that_stopped_reporting_is_no_replica(self):
-        """An engine dies; its last report stands in its cell's directories."""
+        """An engine dies; its cell's directories keep its last report."""
 
         async def scenario():
             fleet = Fleet(c0=5, c1=5)
@@ -325,10 +325,10 @@
         _run(scenario)
 
     def test_second_hand_reports_show_no_engine_as_idle(self):
-        """A withdrawn version's last work runs on an otherwise idle engine.
+        """A withdrawn version's last generation runs alone on an engine.
 
-        Digests round one of 256 to nothing. Taken for idle, the engine would
-        be told to unload the version under its work.
+        Load digests round one of 256 slots to zero. If the engine counted as
+        idle, the version would be unloaded while it generates.
         """
 
         async def scenario():
--- a/tests/cover/test_orders_controller.py
+++ b/tests/cover/test_orders_controller.py
@@ -1,4 +1,4 @@
-"""Loads ordered from engines under failures of holders, engines and stores."""
+"""Loads are ordered despite failures of holders, engines and stores."""
 
 import asyncio
 import datetime
@@ -17,9 +17,9 @@
 
 
 class LoadTest(unittest.TestCase):
-    """A version in roll-out gets its replicas, whatever fails meanwhile."""
+    """A version in roll-out gets its replicas despite failures."""
 
-    def test_it_is_loaded_where_it_was_not(self):
+    def test_missing_replicas_are_loaded(self):
         async def scenario():
             fixture = orders_fixture.OrdersFixture(secret="s")
             await fixture.run(
@@ -34,9 +34,8 @@
     def test_answer_or_request_of_an_order_lost(self):
         """An order's answer is lost, or the order itself.
 
-        The holder can't tell which. It asks again under the same id: an
-        engine that had it goes on, one that had not begins; neither loads
-        twice, and the weight store is not asked for a second grant.
+        The holder can't tell which and sends the order again under its id.
+        No engine may load twice, and no second grant may be requested.
         """
 
         async def scenario(fault):
@@ -56,9 +55,8 @@
     def test_holder_killed_while_engines_load(self):
         """A holder orders two loads, which take ten seconds, and dies.
 
-        Reports don't show what is being loaded. Its successor can't know of
-        the two, and must not bring about more replicas than wanted: it waits,
-        reads back, and any order it gives meets the engine's own state.
+        Reports don't show loads in progress, so its successor can't know of
+        them. It must not cause more replicas than desired.
         """
 
         async def scenario():
@@ -83,9 +81,9 @@
     def test_engines_die_or_hang_while_they_load(self):
         """All engines that were ordered to load die, or stop answering.
 
-        They are as many as may load at once, and their orders stay open as
-        far as the holder knows. The version must get its replicas on other
-        engines, and not in a quarter of an hour.
+        Their orders stay open and use up the limit of concurrent loads. The
+        version must get its replicas on other engines before the load timeout
+        of a quarter of an hour.
         """
 
         async def scenario(**fault):
@@ -108,10 +106,10 @@
         asyncio.run(scenario(delay=3600 * SECOND))
 
     def test_engines_that_refuse_are_left_alone(self):
-        """Two engines check who orders, and the secret is not theirs.
+        """Two engines expect another secret and answer FORBIDDEN.
 
-        They answer FORBIDDEN each time. The version must get its replicas
-        elsewhere, and the two must not be asked again each pass.
+        The version must get its replicas elsewhere, and the two must not be
+        sent orders again in each pass.
         """
 
         async def scenario():
@@ -132,11 +130,10 @@
         orders_fixture.run(scenario)
 
     def test_weight_store_out_then_limiting(self):
-        """The weight store is out for a minute, then allows a grant in 10 s.
+        """The weight store is out for a minute, then grants one in 10 s.
 
-        Asking it again and again would use up, or prolong, what limits it.
-        Loads come at the rate that it allows, and it is asked little more
-        often than it grants.
+        Frequent requests would use up or prolong its rate limit. Loads must
+        come at the rate that it allows, with few more requests than grants.
         """
 
         async def scenario():
@@ -159,8 +156,8 @@
     def test_an_accepted_roll_out_does_not_wait_for_the_next_pass(self):
         """A roll-out is accepted just after a pass over a large fleet.
 
-        The next pass reads all reports again, and comes when that is
-        affordable: here after 30 s. The loads must not wait for it.
+        The next pass, which reads all reports again, comes after 30 s because
+        of its traffic. The loads must not wait for it.
         """
 
         async def scenario():
@@ -183,7 +180,8 @@
     def test_few_loads_at_once_one_grant_after_the_other(self):
         """Loads take minutes, and the weight store would grant all at once.
 
-        Every engine that loads serves worse meanwhile, so few do at a time.
+        An engine serves more slowly while it loads, so only few may load at a
+        time.
         """
 
         async def scenario():
@@ -200,7 +198,7 @@
                 asked.append(fixture.weights.asked)
             self.assertEqual(asked[-1], controller_module.MAX_CONCURRENT_LOADS)
             steps = [b - a for a, b in itertools.pairwise(asked)]
-            # A grant a second at most, and two seconds between the samples.
+            # At most one grant a second, and two seconds between samples.
             self.assertLessEqual(max(steps), 2)
 
         orders_fixture.run(scenario)
--- a/tests/cover/test_orders_holders.py
+++ b/tests/cover/test_orders_holders.py
@@ -17,10 +17,10 @@
     """Two instances believe that they hold the lease."""
 
     def test_paused_holder_meets_engines_that_check_the_token(self):
-        """A holder is paused, another takes over, the first wakes.
+        """A holder is paused, another takes over, the first resumes.
 
-        It still believes in its lease. The first engine that it orders has
-        heard of the newer token and says so; it must not try the others.
+        It still takes its lease for valid. The first engine that it sends an
+        order answers FENCED; it must not send orders to the others.
         """
 
         async def scenario():
@@ -49,11 +49,11 @@
         orders_fixture.run(scenario)
 
     def test_late_order_of_a_paused_holder_on_engines_that_ignore_tokens(self):
-        """The order of a paused holder leaves its process minutes late.
+        """The order of a paused holder is sent minutes late.
 
-        The engine ignores tokens and unloads a replica that is in use. With
-        one such order under way at most, another replica is left; and the
-        present holder reads back and loads again.
+        The engine ignores tokens and unloads a replica that is in use. As at
+        most one such order is open, another replica remains, and the present
+        holder reads the loss and loads again.
         """
 
         async def scenario():
@@ -77,7 +77,7 @@
         orders_fixture.run(scenario)
 
     def test_lease_lapsing_within_a_pass_stops_the_orders(self):
-        """The lease lapses while the holder waits for the weight store."""
+        """The lease expires while the holder waits for the weight store."""
 
         async def scenario():
             fixture = orders_fixture.OrdersFixture()
--- a/tests/cover/test_orders_pages.py
+++ b/tests/cover/test_orders_pages.py
@@ -1,4 +1,4 @@
-"""What one cell tells, and orders that are planned by it."""
+"""Report pages of cells, and orders that are planned by them."""
 
 import asyncio
 import copy
@@ -22,7 +22,7 @@
 
 
 class LatePages(cell_reports.ReportSource):
-    """Tells what was loaded on a floor's engines some time ago."""
+    """Reports what was loaded on a fixture's engines some time ago."""
 
     def __init__(self, fixture, *, lag_s):
         self._fixture = fixture
@@ -49,13 +49,13 @@
 
 
 class LatePagesTest(unittest.TestCase):
-    """The holder orders by what the cells told 20 s late."""
+    """The holder orders by pages that are 20 s late."""
 
     def test_no_load_is_ordered_twice(self):
         """A load is done, and the cells' pages don't show it yet.
 
-        Its engine says "done" when it is asked again. By the pages alone the
-        holder would take the load for undone since, and order it anew.
+        The engine answers "done" to the repeated order. By the pages alone the
+        holder would conclude that the load was undone, and order it again.
         """
 
         async def scenario():
@@ -74,8 +74,8 @@
     def test_a_load_that_is_done_makes_room_for_the_next(self):
         """Eight loads, four at once, of ten seconds each.
 
-        Engines with an order under way are read by the holder itself: the
-        second four must not wait for the pages to show the first.
+        The second four must not wait until the pages show the first four:
+        engines with an open order are read directly.
         """
 
         async def scenario():
@@ -94,12 +94,12 @@
 
         asyncio.run(scenario())
 
-    def test_a_load_that_was_undone_before_anyone_saw_it(self):
+    def test_a_load_undone_before_it_was_reported(self):
         """An order of a former holder unloads what was just loaded.
 
-        The engine goes on to say "done" to the load, and its reports never
-        show it. The load must be ordered anew, under another id, and not
-        when the order times out a quarter of an hour later.
+        The engine keeps answering "done" to the load, and its reports never
+        show it. The load must be ordered again under another id before the
+        order times out after a quarter of an hour.
         """
 
         async def scenario():
@@ -124,9 +124,9 @@
         asyncio.run(scenario())
 
     def test_a_withdrawn_version_goes_as_soon_as_its_engine_is_idle(self):
-        """Pages don't say that an engine is idle; it has to be asked itself.
+        """Pages don't say whether an engine is idle, so it is read directly.
 
-        Without that the version stays for twice the longest deadline.
+        Otherwise the version would stay for twice the longest deadline.
         """
 
         async def scenario():
@@ -156,10 +156,10 @@
 
 
 class PageTest(unittest.TestCase):
-    """Pages over the wire."""
+    """Encoding and decoding of pages."""
 
     @hypothesis.given(_REPORTED, strategies.integers(0, 19_000))
-    def test_they_arrive_as_they_were(self, reported, age_ms):
+    def test_pages_survive_encoding_and_decoding(self, reported, age_ms):
         now = 100 * SECOND
         age = datetime.timedelta(milliseconds=age_ms)
         known = [
@@ -176,7 +176,7 @@
             )
             for number, (loaded, leaving) in enumerate(reported)
         ]
-        # Polled now and then; its own cell tells of it, and sooner.
+        # Of another cell, which reports it more often than this one polls it.
         remote = backends.Backend(
             address="10.0.2.1:80",
             region="r",
@@ -202,7 +202,7 @@
             )
             self.assertEqual(got, page)
 
-    def test_what_does_not_fit_is_no_page(self):
+    def test_inconsistent_fields_are_rejected(self):
         page = ttypes.LoadedPage(
             content_hash=5,
             age_ms=0,
--- a/tests/cover/test_orders_planning.py
+++ b/tests/cover/test_orders_planning.py
@@ -1,4 +1,4 @@
-"""The wanted state of versions on engines, and the way to it."""
+"""The desired versions on engines, and the plans that lead to them."""
 
 import asyncio
 import dataclasses
@@ -75,7 +75,9 @@
     """Plans from any state of the engines."""
 
     @hypothesis.given(_ENGINES, _SHARES, _SHARES, _SHARES)
-    def test_carried_out_it_reaches_what_is_wanted(self, found, v1, v2, v3):
+    def test_a_carried_out_plan_reaches_the_desired_state(
+        self, found, v1, v2, v3
+    ):
         views = [
             _view(i, map(version, loaded), centre=centre)
             for i, (loaded, centre) in enumerate(found)
@@ -104,11 +106,11 @@
         self.assertEqual(set(plan.withdrawn), gone)
 
     def test_replicas_are_spread_and_ready_for_the_next_step(self):
-        """A roll-out is accepted at 1%; its version is loaded nowhere.
+        """A roll-out's version is loaded nowhere.
 
-        With a replica for its 1% only, its next step would send 5% of the
-        traffic to one engine. And the version that it replaces must be able
-        to take everything back at once.
+        With replicas for its present share only, its next step would overload
+        them: at 1% a single engine would get the 5% of the next step. The
+        version that it replaces must stay able to take all traffic back.
         """
         views = [_view(i, [version(1)], centre=f"c{i % 3}") for i in range(30)]
         config = snapshot(v1="serving:75", v2="rolling_out:25")
@@ -123,7 +125,7 @@
         later = snapshot(v1="serving:50", v2="rolling_out:50")
         self.assertEqual(planning.make_plan(later, views).surplus, ())
 
-    def test_a_version_that_nobody_names_is_left_alone(self):
+    def test_a_version_in_no_template_is_left_alone(self):
         """Operators loaded a version ahead of the roll-out they will accept."""
         views = [_view(i, [version(1), version(9)]) for i in range(4)]
         plan = planning.make_plan(snapshot(v1="serving:100"), views)
@@ -139,7 +141,7 @@
 
 
 class ReadinessTest(unittest.TestCase):
-    """Whether a version can carry the share it is to get."""
+    """Whether a version has the replicas for its next share."""
 
     def test_replicas_of_leaving_engines_do_not_count(self):
         def backend(number, *loaded, leaving=False):
--- a/tests/cover/test_orders_unloads.py
+++ b/tests/cover/test_orders_unloads.py
@@ -1,4 +1,4 @@
-"""Versions leave the engines after their work, and never in haste."""
+"""Versions are unloaded only after they have drained."""
 
 import asyncio
 import datetime
@@ -14,14 +14,14 @@
 
 
 class UnloadTest(unittest.TestCase):
-    """Withdrawn versions go, after their work."""
+    """Withdrawn and surplus replicas are unloaded in time."""
 
-    def test_work_of_a_withdrawn_version_ends_first(self):
+    def test_a_withdrawn_version_drains_first(self):
         """A version is withdrawn while an engine still generates with it.
 
-        Its caller is to get the whole answer. Reports don't say which version
-        the work is of; so the engine must have been idle, or the deadlines
-        past, before the version is unloaded.
+        Its caller must get the whole answer. Reports don't say which version is
+        in use, so the version is unloaded once the engine was idle or all
+        deadlines have passed.
         """
 
         async def scenario():
@@ -56,9 +56,9 @@
         orders_fixture.run(scenario)
 
     def test_stale_configuration_unloads_nothing(self):
-        """An instance cut off holds the lease of a store it can't reach.
+        """An instance that is cut off still holds the lease.
 
-        The withdrawal that it knows may have been taken back since.
+        The withdrawal in its configuration may have been reverted since.
         """
 
         async def scenario():
@@ -76,10 +76,9 @@
     def test_surplus_stays_for_a_while_then_goes_one_by_one(self):
         """A version's share went to zero, and it is still listed.
 
-        Sessions may be pinned to it, so two replicas stay, and a third as a
-        surplus too small to matter. The others go after five minutes, each
-        after the one before it is read back as gone: then an order that
-        arrives late takes one too many at most.
+        Sessions may be pinned to it, so two replicas stay, and a third because
+        so small a surplus is tolerated. The others go after five minutes, one
+        after the other, so that a late order removes one too many at most.
         """
 
         async def scenario():
