--- a/src/nutmeghook/platform/configuration.py
+++ b/src/nutmeghook/platform/configuration.py
@@ -7,7 +7,7 @@
 
 from nutmeghook.internal.routes import model
 
-# A day. No replica is slow for as long after its start.
+# One day; no replica stays cold for that long after its start.
 _MAX_COLD_S = 86_400.0
 _KINDS = {
     "idempotent": model.RouteKind.IDEMPOTENT,
@@ -37,7 +37,7 @@
     gap_target_ms: float = 1000.0
     # Names of models, smallest first.
     sizes: list[str] = []
-    # True where no key is asked for.
+    # True if callers need no API key.
     anonymous: bool = False
     home_regions: list[str] = []
 
--- a/src/nutmeghook/platform/headers.py
+++ b/src/nutmeghook/platform/headers.py
@@ -1,8 +1,8 @@
-"""Headers of the users' platform, read and written.
+"""Reads and writes the headers of the users' platform.
 
-Requests carry facts for the router, facts for the replica, and headers that
-only the router may set. A caller's copy of the last kind is dropped: passed
-on, it could reserve memory, pin prompts or choose a version in our name.
+Requests carry headers for the router, headers for the replica, and headers that
+only the router may set. A caller's copy of the last kind is dropped: forwarded,
+it could reserve memory, pin prompts or choose a version in the router's name.
 """
 
 import datetime
@@ -31,7 +31,7 @@
 KEY_SCHEME = "token"
 WRONG_REPLICA_STATUS = 421
 
-# Set by the router alone, or meant for it alone.
+# Set only by the router, or meant only for it.
 _NEVER_FORWARDED = http_headers.CONNECTION_FIELDS | {
     "authorization",
     "x-tenant",
@@ -46,15 +46,16 @@
     "kv-fetch",
     "wait-ms",
 }
-# Of one connection, or wrong once the body is framed anew.
+# Of one connection, wrong once the body is framed anew, or meant only for the
+# router.
 _NOT_RETURNED = http_headers.CONNECTION_FIELDS | {"x-replica-load"}
-# A day. No replica is slow for as long after its start.
+# One day; no replica stays cold for that long after its start.
 _MAX_COLD_MS = 86_400_000
 _IDLE_LIMIT = re.compile(r"timeout=(\d+)", re.IGNORECASE)
 
 
 class PlatformHeaders(wire.WireFormat):
-    """The platform's spelling of the relay's facts."""
+    """Translates between the platform's headers and the relay's facts."""
 
     __slots__ = ()
 
@@ -122,7 +123,7 @@
 def _forwarded(
     headers: wire.Headers, left_out: frozenset[str]
 ) -> list[tuple[str, str]]:
-    """Leaves out what concerns one connection, also by its own word."""
+    """Drops headers of one connection, also those that `Connection` names."""
     named = {
         part.strip().lower()
         for name, value in headers
--- a/src/nutmeghook/platform/replicas.py
+++ b/src/nutmeghook/platform/replicas.py
@@ -1,9 +1,8 @@
 """Decodes entries of the replica list.
 
-Anyone who may write to the store may write such a row, so nothing is taken on
-trust: a row that lacks a field, or in which one has another type or an absurd
-value, names no replica to use. No field has a default that would let a row
-pass for a replica that is ready.
+Anyone who may write to the store may write such a row, so each is validated: a
+row that lacks a field, or in which one has another type or an absurd value, is
+rejected. No field has a default that would let a row pass for a ready replica.
 """
 
 import re
@@ -17,12 +16,12 @@
 _STATES = frozenset({_READY, "draining"})
 _ADDRESS = re.compile(r"(?:\d{1,3}\.){3}\d{1,3}:\d{1,5}", re.ASCII)
 _MAX_PORT = 65535
-# Far beyond any engine's batch. A load is divided by it: an absurd number
-# would make a replica look empty whatever it carries.
+# Far beyond any engine's batch. Loads are divided by the slots, so an absurd
+# number would make a replica look empty under any load.
 _MAX_SLOTS = 1_000_000
-# A day. No replica is slow for as long after its start.
+# One day; no replica stays cold for that long after its start.
 _MAX_COLD_MS = 86_400_000.0
-# The year 2100. A start that is far ahead would let no later one take over.
+# The year 2100. A later start never replaces one that lies far in the future.
 _MAX_START_MS = 4_102_444_800_000
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -35,14 +34,15 @@
     # The data centre.
     zone: _Text
     version: _Text
-    # Requests that it works on at once.
+    # Requests that it serves concurrently.
     slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: str
-    # How much longer it is slow after its start.
+    # How much longer it stays cold (slow after its start).
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0.0, le=_MAX_COLD_MS)]
-    # Counts its own words; not used, but whoever leaves it out is no replica.
+    # The replica's counter of its updates. Not used, but every replica writes
+    # it, so a row without it is rejected.
     sequence: Annotated[int, msgspec.Meta(ge=0)]
-    # Unix milliseconds of its start; not every replica tells it.
+    # Start time in Unix milliseconds; not every replica gives it.
     born: Annotated[int, msgspec.Meta(ge=0, le=_MAX_START_MS)] | None = None
 
 
@@ -55,7 +55,7 @@
     """Returns the entry.
 
     Raises:
-        ValueError: It names no replica to use; the text says why.
+        ValueError: The row is rejected; the text says why.
     """
     try:
         wire = _DECODER.decode(value)
@@ -64,7 +64,7 @@
     if wire.state not in _STATES:
         raise ValueError(f"entry {replica_id} has the state {wire.state!r}")
     if not _is_address(wire.address):
-        raise ValueError(f"entry {replica_id} is at {wire.address!r}")
+        raise ValueError(f"entry {replica_id} has the address {wire.address!r}")
     return entries.ReplicaEntry(
         replica_id=replica_id,
         service=wire.service,
--- a/src/nutmeghook/platform/rollout_rows.py
+++ b/src/nutmeghook/platform/rollout_rows.py
@@ -1,4 +1,4 @@
-"""Decodes orders to roll out, and encodes how they stand."""
+"""Decodes roll-out orders and encodes their status."""
 
 import msgspec
 
@@ -17,9 +17,9 @@
 
 class _Order(msgspec.Struct, frozen=True, rename="camel"):
     service: str
-    # The version that replicas are to have in the end.
+    # The version that all replicas have at the end.
     to: str
-    # Seconds from the order to its end.
+    # Seconds from the order to the end of the roll-out.
     within_s: float
 
 
@@ -51,14 +51,14 @@
 
 
 class PlatformStatusRows(driver.StatusRows):
-    """The rows in which the operator reads how its orders stand."""
+    """The rows in which the operator reads the status of its orders."""
 
     __slots__ = ()
 
     def put(
         self, order: orders.RollOutOrder, state: orders.OrderState
     ) -> table.Put:
-        """Returns the write of the state."""
+        """Returns the write of an order's state."""
         status = _Status(
             service=order.service, to=order.version, state=_STATES[state]
         )
--- a/src/nutmeghook/platform/settings.py
+++ b/src/nutmeghook/platform/settings.py
@@ -11,7 +11,7 @@
 METRICS_PORT_VARIABLE = "NUTMEGHOOK_METRICS_PORT"
 DEFAULT_METRICS_PORT = 9464
 DEFAULT_FILE = "/etc/nutmeghook/local.toml"
-# Where the file does not say: the usual slow Ethernet.
+# Used if the file names no rate: that of Fast Ethernet.
 _DEFAULT_LINK_MBIT_PER_S = 100.0
 
 
@@ -21,11 +21,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class RetryBounds:
-    """How many repeats a service may get from all instances together.
+    """How many retries a service may get from all instances together.
 
     Attributes:
-        ratio: Repeats per request.
-        window: The span over which both are counted.
+        ratio: Retries per request.
+        window: The time over which both are counted.
     """
 
     ratio: float
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class InstanceSettings:
-    """What a process learns at its start.
+    """The settings of one instance.
 
     Attributes:
         instance_id: The instance's name.
@@ -45,16 +45,17 @@
         store_address: The platform's store.
         regions: The regions of data centres, this instance's among them.
         link_mbit_per_s: What the instance's network link carries.
-        change_time: Within it a change of the configuration, or the leaving of
-            a replica, has to be in force on all instances.
+        change_time: The time within which a change of the configuration, or
+            the leaving of a replica, must be in force on all instances.
         stop_time: From SIGTERM to SIGKILL.
-        session_time: Requests of a session further apart are strangers.
-        largest_bad_share: Of all requests of a service from an order to its
-            end, the most that a version which proves bad may get.
-        bad_allowance: So many requests it may get beside that share.
-        cold_overrun: In one second a cold replica may get so many times what
-            it bears,
-        cold_allowance: and so many requests more.
+        session_time: Requests of a session that are further apart than this
+            count as unrelated.
+        largest_bad_share: The largest share of a service's requests, from a
+            roll-out order to its end, that a bad version may get.
+        bad_allowance: Requests that it may get beyond that share.
+        cold_overrun: The multiple of its service's `cold_per_s` that a cold
+            replica may get in one second.
+        cold_allowance: Requests that it may get beyond that.
     """
 
     instance_id: str
@@ -166,7 +167,7 @@
 
     Args:
         text: The file's text.
-        metrics_port: A setting of our own, which the file doesn't hold.
+        metrics_port: The metrics port, which is not in the file.
 
     Raises:
         ExceptionGroup: One `SettingError` for each fault.
--- a/src/nutmeghook/platform/store.py
+++ b/src/nutmeghook/platform/store.py
@@ -11,10 +11,10 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.table_replication import source
 
-# The store answers in 4 ms; on its slow days some 60 times as long. A call
-# that takes longer than this is better made anew: the answer may be lost.
+# The store answers in 4 ms, and in some 60 times as long on slow days. A call
+# that takes longer is given up and can be repeated: its answer may be lost.
 CALL_TIMEOUT = datetime.timedelta(milliseconds=1200)
-# Beyond the time that a feed was asked to wait.
+# Added to the time that a feed call is asked to wait.
 FEED_TIMEOUT_MARGIN = datetime.timedelta(milliseconds=600)
 _ROWS_PER_PAGE = 500
 _HISTORY_GONE_STATUS = 410
@@ -33,7 +33,7 @@
 
 class _Rows(msgspec.Struct, frozen=True, rename="camel"):
     rows: list[_Row] = []
-    # The newest version of any row, up to which this answer is complete.
+    # The newest version of any row; the answer is complete up to it.
     row_version: int = 0
     now_ms: float = 0.0
     has_more: bool = False
@@ -61,7 +61,7 @@
 
 
 class _Transaction(msgspec.Struct, frozen=True, rename="camel"):
-    # Named a revision on the wire, though each entry is a row's condition.
+    # Called a revision on the wire; each entry is a condition on one row.
     expected_rev: list[_Expected]
     write: list[_Write]
     remove: list[_RowRef]
@@ -71,7 +71,7 @@
 
 
 class StoreClient:
-    """Calls to the store; one for the whole process.
+    """Makes the calls to the store; one client serves the whole process.
 
     Attributes:
         address: Where the store is, `ip:port`.
@@ -88,7 +88,7 @@
     async def get(
         self, path: str, query: dict[str, str], *, timeout: datetime.timedelta
     ) -> _Rows:
-        """Makes a call that changes nothing."""
+        """Makes a read-only call."""
         status, body = await self._call(
             "GET", f"{path}?{urllib.parse.urlencode(query)}", None, timeout
         )
@@ -147,7 +147,7 @@
 class StoreRows(table_module.TableService):
     """Rows of all tables, each under the key `TABLE/KEY`.
 
-    Only rows of nameless parts are read and written.
+    Only rows whose part is empty are read and written.
     """
 
     __slots__ = ("_client",)
@@ -158,7 +158,7 @@
     async def read(self, key: str) -> table_module.Row | None:
         """Returns the row, or None where there is none."""
         table, row_key = _split_key(key)
-        # The end of a range is left out of it; no key lies between these.
+        # The end of a range is exclusive; no key lies between these two.
         rows = await _range(
             self._client, table, first=row_key, end=row_key + "\0", limit=1
         )
@@ -209,7 +209,7 @@
 
 
 class PlatformTable(source.FollowedTable):
-    """One table of the store, to be followed; its keys are the rows' own."""
+    """One table of the store, for replication; keys lack the table's name."""
 
     __slots__ = ("_client", "_name")
 
@@ -223,7 +223,7 @@
         return self._name
 
     async def read_all(self) -> source.Page:
-        """Returns all rows as of one moment, or of a few close ones.
+        """Returns all rows, read page by page.
 
         Later pages may be newer than the first; the revision returned is the
         first page's, so the feed repeats whatever changed in between.
--- a/src/nutmeghook/platform/tables.py
+++ b/src/nutmeghook/platform/tables.py
@@ -1,4 +1,4 @@
-"""Feeds rows of the platform's tables into the router."""
+"""Applies rows of the platform's tables to the router's state."""
 
 from nutmeghook.internal.observe import logs
 from nutmeghook.internal.replicas import directory as directory_module
@@ -15,13 +15,13 @@
 OPERATOR_TABLE = "op"
 REPLICA_TABLE = "servers"
 CONFIGURATION_KEY = "config"
-# Before the name of the data centre; the row's value says nothing.
+# Followed by the data centre's name; the row's value is not used.
 EVACUATION_PREFIX = "evacuate/"
 _FROM_STORE = "store"
 
 
 class OperatorRows(follower.TableListener):
-    """Takes in the operator's configuration, orders and evacuations."""
+    """Applies the operator's configuration, orders and evacuations."""
 
     __slots__ = ("_configuration", "_evacuations", "_orders")
 
@@ -39,7 +39,7 @@
     def replace(
         self, rows: tuple[source.FollowedRow, ...], revision: int
     ) -> None:
-        """Takes in the whole table; an order that is not in it has ended."""
+        """Applies the whole table; an order missing from it has ended."""
         present = {row.key for row in rows if not row.deleted}
         for order in self._orders.all():
             if rollout_rows.ORDER_PREFIX + order.service not in present:
@@ -52,7 +52,7 @@
         self.change(rows)
 
     def change(self, rows: tuple[source.FollowedRow, ...]) -> None:
-        """Takes in changes; a malformed row leaves what is in force."""
+        """Applies changes; a malformed row is logged and changes nothing."""
         for row in rows:
             try:
                 self._apply(row)
@@ -81,7 +81,7 @@
 
 
 class ReplicaRows(follower.TableListener):
-    """Takes in the replica list."""
+    """Applies the replica list."""
 
     __slots__ = ("_directory",)
 
@@ -91,12 +91,12 @@
     def replace(
         self, rows: tuple[source.FollowedRow, ...], revision: int
     ) -> None:
-        """Takes in the whole list."""
+        """Applies the whole list."""
         found = [self._entry(row) for row in rows if not row.deleted]
         self._directory.replace(e for e in found if e is not None)
 
     def change(self, rows: tuple[source.FollowedRow, ...]) -> None:
-        """Takes in changes."""
+        """Applies changes."""
         for row in rows:
             if row.deleted:
                 self._directory.remove(row.key)
@@ -106,7 +106,7 @@
                 self._directory.put(entry)
 
     def _entry(self, row: source.FollowedRow) -> entries.ReplicaEntry | None:
-        """Decodes a row; one that names no replica costs only itself."""
+        """Decodes a row; an invalid one affects only its own replica."""
         try:
             return replicas_wire.decode(row.key, row.value, row.version)
         except ValueError as error:
--- a/tests/cover/platform_case.py
+++ b/tests/cover/platform_case.py
@@ -1,4 +1,4 @@
-"""Stand-ins over loopback connections, as the adapters' tests need them."""
+"""Stand-ins over loopback connections, for the tests of the adapters."""
 
 import datetime
 import unittest
@@ -52,7 +52,7 @@
         *,
         answer_timeout: datetime.timedelta = http_exchange.ANSWER_TIMEOUT,
     ) -> http_exchange.HttpExchange:
-        """Returns calls to a stand-in."""
+        """Returns an HTTP exchange with a stand-in."""
         return http_exchange.HttpExchange(
             session=self.session,
             address=self.addresses.named(name).address,
@@ -61,7 +61,7 @@
         )
 
     async def control(self, name: str, what: str, **body: object) -> bytes:
-        """Calls a stand-in's control side."""
+        """Calls a stand-in's control interface."""
         url = f"{self.addresses.named(name).control}/{what}"
         async with self.session.post(url, json=body) as response:
             answer = await response.read()
--- a/tests/cover/test_platform_engine.py
+++ b/tests/cover/test_platform_engine.py
@@ -1,4 +1,4 @@
-"""The adapter of model engines: streams, cuts and orders."""
+"""The adapter of model engines: streams, broken connections and orders."""
 
 import contextlib
 
@@ -14,17 +14,17 @@
 
 
 class EngineTest(platform_case.FleetCase):
-    """Model engines: streams, cuts, orders."""
+    """Model engines: streams, broken connections, orders."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.connect()
 
     def connect(self):
-        """Connects anew, for calls after the engine cut all connections.
+        """Opens a new session, for calls after the engine cut all connections.
 
-        On a kept connection that it cut, a call's outcome is unknown, or a
-        new connection is made if the cut was noticed before: a race.
+        On a kept connection that was cut the outcome depends on a race: it is
+        unknown, unless the cut was noticed first and a new connection made.
         """
         session = http_exchange.open_session()
         self.addAsyncCleanup(session.close)
@@ -54,10 +54,10 @@
         )
 
     async def test_a_cut_stream_is_resumed_without_a_gap(self):
-        """The caller sees two pieces that make one whole answer.
+        """The connection breaks after five tokens, and the caller resumes.
 
-        The connection breaks after five tokens; asked again from token 5 on,
-        the engine goes on with the same run and does not start another.
+        The engine must continue the same run from token 5, without a gap and
+        without starting another run.
         """
         await self.control(
             "engine", "settings", cut_next_streams=1, cut_after_tokens=5
@@ -75,10 +75,10 @@
         self.assertEqual(len(await self.log("engine")), 1)
 
     async def test_a_stream_left_early_is_not_read_by_the_next_request(self):
-        """The caller sees its own answer, though another was left half-read.
+        """The first stream is closed after one chunk.
 
-        The first stream is closed after one chunk. Its connection must not
-        carry the second request, whose reader would find the first's chunks.
+        Its connection must not be used for the second request, which would
+        read the first stream's chunks.
         """
         first = self.engine.generate(self.generation())
         async with contextlib.aclosing(first):
@@ -91,7 +91,7 @@
         answer = answers.read_answer("".join(c.text for c in chunks))
         self.assertEqual((answer.marker, answer.whole), ("w2", True))
 
-    async def test_a_crossed_chunk_shows_its_attempt(self):
+    async def test_a_chunk_of_another_attempt_is_recognised(self):
         await self.control("engine", "settings", crossed_next_streams=1)
         chunks = await self.read()
         strange = [c for c in chunks if c.attempt_id != "req-1/1"]
@@ -100,7 +100,7 @@
             answers.read_answer("".join(c.text for c in chunks))
 
     async def test_whole_streams_share_one_connection(self):
-        """Ten generations in turn need one connection, not ten."""
+        """Ten consecutive generations use one connection."""
         opened = []
         trace = aiohttp.TraceConfig()
 
@@ -118,7 +118,10 @@
         self.assertEqual(len(opened), 1)
 
     async def test_refusals_are_not_in_the_engine_log(self):
-        """The caller sees "not done": wrong version, full queue, no memory."""
+        """Wrong version, full queue, lost run: the call fails as not done.
+
+        None of them may have run.
+        """
         await self.control("engine", "settings", capacity=1, queue_limit=0)
         running = self.engine.generate(self.generation(attempt_id="req-0/1"))
         async with contextlib.aclosing(running):
@@ -149,11 +152,10 @@
         self.assertIs(rest[-1].finish, engine.FinishReason.CANCELLED)
 
     async def test_orders_of_a_lapsed_holder_are_fenced_or_not(self):
-        """The holder sees "fenced", unless the engine ignores the token.
+        """A new holder loads a version with token 8, the old unloads it with 7.
 
-        A new holder loads the version with token 8. The old one wakes and
-        unloads it with token 7: refused by a fencing engine, done by the
-        other kind, which is why its orders state targets.
+        An engine that checks tokens refuses the old order; one that ignores
+        them carries it out.
         """
         state = engine.OrderState
         await self.control("engine", "settings", load_ms=0, secret="s")
@@ -169,7 +171,7 @@
             platform_case.SMALL_2, (await self.engine.load_report()).loaded
         )
 
-    async def test_caches_move_and_events_tell(self):
+    async def test_a_cache_is_exported_and_imported(self):
         await self.read(session="s")
         event = (await self.cache_events_published())[0]
         content = await self.engine.export_cache(event.prefix_hash)
--- a/tests/cover/test_platform_instances.py
+++ b/tests/cover/test_platform_instances.py
@@ -58,7 +58,7 @@
 
 
 class ChangesTest(unittest.TestCase):
-    """What is put together from changes is the list itself."""
+    """A list built from changes equals the list itself."""
 
     @hypothesis.settings(max_examples=25)
     @hypothesis.given(STEPS)
@@ -80,7 +80,7 @@
                 elif what == "remove":
                     memory.remove(line(number).address)
                 elif what == "lose":
-                    # A server of the platform that knows no earlier list.
+                    # A server of the platform that has no earlier list.
                     stand_in._changes.__init__()
                 else:
                     got = await adapter.list_instances()
@@ -89,7 +89,7 @@
 
 
 class MalformedListTest(unittest.IsolatedAsyncioTestCase):
-    """Services that don't know of changes, or get them wrong."""
+    """Services that don't send changes, or send wrong ones."""
 
     async def adapter(self, *answers):
         """Returns an adapter for a service with these answers, in order."""
@@ -128,17 +128,16 @@
         )
         self.assertEqual(len(await adapter.list_instances()), 2)
         self.assertEqual(await adapter.list_instances(), [line(2)])
-        # "Not modified" to a question without condition says nothing.
+        # "Not modified" is no valid answer to an unconditional request.
         with self.assertRaises(failures.NotDoneError):
             await adapter.list_instances()
         self.assertEqual(self.asked, ["", "", ""])
 
-    async def test_changes_that_do_not_fit_are_not_believed(self):
-        """The caller gets the whole list, read anew, in the same call.
+    async def test_inconsistent_changes_are_not_applied(self):
+        """The service sends changes to another list, then leaves out a line.
 
-        The service answers with the changes of another list than was asked
-        about, then with changes that leave out a line. Believed, a line would
-        be missing, or live, for as long as the tag stays the same.
+        Applied, they would leave a line missing or live for as long as the tag
+        stays the same. The whole list is read again in the same call.
         """
         whole = {"instances": [line(1), line(2), line(3)]}
         other_list = {"instances": [line(3)], "since": '"z"', "total": 2}
@@ -160,9 +159,10 @@
         )
 
     async def test_a_failed_read_keeps_what_is_known(self):
-        """The caller sees the failure; the next read goes on from there.
+        """After a failed read the next one continues from the known list.
 
-        An emptied list comes through as it is: the routing judges it.
+        An emptied list is returned as it is: whether it is a fault is for
+        routing to decide.
         """
         added = {"instances": [line(2)], "since": '"a"', "total": 2}
         both = [line(1).address, line(2).address]
@@ -187,14 +187,14 @@
 
 
 class SharedListTest(unittest.IsolatedAsyncioTestCase):
-    """Several parts of a process, one read."""
+    """Several components of a process share one read."""
 
     async def test_only_a_list_that_is_too_old_is_read_again(self):
-        """Other parts cost no reads while routing reads, and see its faults.
+        """A view reads only if routing's last read is too old.
 
-        Routing reads at 0 s, the list changes, a view of 5 s asks at 5 s and
-        gets the old list, at 6 s the new one. Then the list goes out: the
-        view serves the last list until it is 5 s old, and then says so.
+        Routing reads at 0 s and the list changes; a view of 5 s returns the old
+        list at 5 s and the new one at 6 s. Then the list service fails: the
+        view returns the last list until it is 5 s old, and then fails too.
         """
         clock = clock_module.FakeClock()
         memory = memory_instances.MemoryInstances(clock=clock)
--- a/tests/cover/test_platform_malformed.py
+++ b/tests/cover/test_platform_malformed.py
@@ -19,7 +19,7 @@
 
 
 class MalformedServerTest(unittest.IsolatedAsyncioTestCase):
-    """Other sides that answer what the page of interfaces rules out."""
+    """Servers whose answers the page of interfaces rules out."""
 
     async def serve(self, answer) -> str:
         """Serves a handler and returns its address."""
@@ -31,12 +31,12 @@
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         return f"127.0.0.1:{runner.addresses[0][1]}"
 
-    async def test_what_does_not_say_not_run_proves_nothing(self):
-        """The caller sees "unknown" for writes, and the answer as it is.
+    async def test_an_answer_without_not_run_proves_nothing(self):
+        """A proxy before the service answers with a page or a redirection.
 
-        Something between us and the service answers with an error page, a
-        page that is not JSON, or a redirection. The redirection is not
-        followed: that would make the call again elsewhere.
+        The outcome of a write is unknown then, and a plain service's answer is
+        passed on unchanged. Following the redirection would make the call
+        again elsewhere.
         """
         calls = []
         for status, body in (
@@ -87,11 +87,11 @@
             with self.assertRaises(failures.OutcomeUnknownError):
                 await anext(chunks)
 
-    async def test_chunks_come_whole_however_the_bytes_are_cut(self):
-        """The caller sees the same chunks, and "unknown" without a last one.
+    async def test_chunks_are_the_same_however_bytes_are_split(self):
+        """A stream arrives in pieces of any size, cut short, or without end.
 
-        The lines come byte by byte, all at once, or in pieces of seven
-        bytes; then without the last chunk; then as one endless line.
+        The chunks must be the same however the bytes are split. Without the
+        last chunk, or with one endless line, the outcome is unknown.
         """
         chunks = [
             engine.Chunk(
@@ -142,7 +142,7 @@
         self.assertEqual(seen, expected)
 
     async def test_a_late_end_of_the_body_costs_no_connection(self):
-        """Two generations share a connection though the end comes late."""
+        """Two generations share a connection though the body ends late."""
         connections = set()
         last = engine.Chunk(
             attempt_id="a",
--- a/tests/cover/test_platform_plain.py
+++ b/tests/cover/test_platform_plain.py
@@ -1,4 +1,4 @@
-"""The adapter of plain services: run at most once, refusals that are true."""
+"""The adapter of plain services: at most one run, truthful refusals."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class PlainTest(platform_case.FleetCase):
-    """Plain services: run at most once, and the log proves it."""
+    """Plain services run a call at most once, as their log shows."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -29,11 +29,11 @@
         )
 
     async def test_a_call_cut_after_the_effect_runs_once(self):
-        """The caller sees "unknown" for each method; each ran once.
+        """The service does the work and breaks the connection.
 
-        The service does the work and breaks the connection. The HTTP library
-        would send PUT, DELETE and GET again by itself, which must not happen:
-        the same booking would be made twice.
+        The HTTP library would repeat PUT, DELETE and GET by itself, and the
+        same booking would be made twice. Each call must run once and its
+        outcome must be unknown.
         """
         for method in ("POST", "PUT", "DELETE", "GET"):
             await self.control("registry", "faults", lose_next_answers=1)
@@ -43,7 +43,7 @@
                 runs = [run["request_id"] for run in await self.log("registry")]
                 self.assertEqual(runs.count(method), 1)
 
-    async def test_refusals_that_say_not_run_are_true(self):
+    async def test_a_refused_call_did_not_run(self):
         await self.control("registry", "refuse", refuse_next=1)
         with self.assertRaises(failures.NotDoneError) as caught:
             await self.call()
--- a/tests/cover/test_platform_stores.py
+++ b/tests/cover/test_platform_stores.py
@@ -22,7 +22,7 @@
 from nutmeghook.standins import fleet
 from tests.cover import platform_case
 
-# Any text that JSON and a URL can carry; not only what our own keys use.
+# Any text that JSON and a URL can carry, not only that of our own keys.
 KEYS = strategies.text(
     strategies.characters(exclude_categories=("Cs",)), max_size=6
 )
@@ -32,10 +32,10 @@
     """The table service, the object store and the smaller services."""
 
     async def test_an_answer_lost_after_the_effect_is_unknown(self):
-        """The caller sees "unknown" twice; the row tells what happened.
+        """The connection breaks once before the commit and once after it.
 
-        The connection breaks once after the commit and once before it. A
-        repeat of the first with its condition must fail, not apply again.
+        Both outcomes are unknown to the caller. A repeat of the applied commit
+        must fail by its condition instead of applying again.
         """
         service = http_table.HttpTable(exchange=self.exchange("table"))
         first = table.Transaction(
@@ -56,10 +56,11 @@
         self.assertEqual(repeated.current, (row,))
 
     async def test_concurrent_increments_are_neither_lost_nor_doubled(self):
-        """Eight callers count up one row; some outcomes are lost.
+        """Eight callers increment one row, and some answers are lost.
 
-        Each reads the row and commits one more on condition of its version.
-        Every sure success is in the sum once; an unknown one at most once.
+        Each reads the row and commits the next number if its version is
+        unchanged. A confirmed commit must count once, an unknown one at most
+        once.
         """
         service = http_table.HttpTable(exchange=self.exchange("table"))
         await self.control(
@@ -92,11 +93,11 @@
         self.assertGreaterEqual(total, outcomes[True])
         self.assertLessEqual(total, outcomes[True] + 7)
 
-    async def test_each_way_of_being_down_is_told_rightly(self):
-        """The caller sees "not done" only where that is proved.
+    async def test_each_kind_of_outage_is_classified(self):
+        """A failure counts as not done only if that is certain.
 
-        A read never has an effect. A commit surely had none if the service
-        said so or could not be reached; cut off or silent, nobody knows.
+        A read never has an effect. A commit had none if the service said so or
+        could not be reached; if it was cut off or timed out, that is unknown.
         """
         for mode, expected in (
             ("refusing", failures.NotDoneError),
@@ -118,7 +119,7 @@
         await self.control("table", "faults", down="up")
         self.assertIsNone(await service.read("k"))
 
-    async def test_rate_limits_come_with_a_time_to_return(self):
+    async def test_a_rate_limit_carries_retry_after(self):
         store = http_weights.HttpWeights(exchange=self.exchange("weights"))
         self.assertIsNone(await store.describe(platform_case.SMALL_1))
         self.assertEqual(
@@ -162,7 +163,7 @@
 
 
 class RoundTripTest(unittest.TestCase):
-    """Whatever the keys and contents are, they come back unchanged."""
+    """Any keys and contents are stored and read unchanged."""
 
     @hypothesis.settings(max_examples=5)
     @hypothesis.given(
--- a/tests/cover/test_users_platform_decoding.py
+++ b/tests/cover/test_users_platform_decoding.py
@@ -60,9 +60,9 @@
         self.assertEqual(loaded.largest_bad_share, 0.15)
 
     def test_every_fault_is_named_at_once(self):
-        """An operator's file has several faults.
-        All come in one message; mending one at a time would take a start
-        each.
+        """Several faults in a file are reported together.
+
+        Otherwise each would take another start of the process to find.
         """
         text = GOOD_SETTINGS.replace('ip = "10.1.0.40"', "ip = 7")
         text = text.replace("10.200.1.7:8223", "somewhere")
@@ -132,7 +132,7 @@
 
 
 class ReplicaEntryTest(unittest.TestCase):
-    """Only a whole row of a known state names a replica to use."""
+    """Only a complete row of a known state is accepted."""
 
     def test_a_whole_row_is_read(self):
         entry = replicas.decode(
@@ -143,7 +143,7 @@
         self.assertEqual(entry.started_ms, 1_700_000_000_123)
         self.assertFalse(entry.leaving)
 
-    def test_a_replica_need_not_tell_its_start(self):
+    def test_the_start_time_is_optional(self):
         entry = replicas.decode("id", platform_rows.replica_row())
         self.assertEqual(entry.started_ms, 0)
 
@@ -151,26 +151,27 @@
         row = platform_rows.replica_row(state="draining")
         self.assertTrue(replicas.decode("id", row).leaving)
 
-    def test_an_unknown_state_names_no_replica(self):
+    def test_an_unknown_state_is_rejected(self):
         for state in ("something new", "", "READY"):
             self.assert_refused(state=state)
 
-    def test_a_row_without_one_of_its_fields_names_no_replica(self):
-        """Another writer left a field out.
-        A default would let its row pass for a replica that is ready, and
-        callers' requests would be sent to wherever it points.
+    def test_a_row_without_one_of_its_fields_is_rejected(self):
+        """Another writer left out a field.
+
+        With a default its row would pass for a ready replica, and requests
+        would be sent to the address that it names.
         """
         for name in platform_rows.REPLICA_FIELDS:
             self.assert_refused(**{name: None})
 
-    def test_a_field_of_another_type_names_no_replica(self):
+    def test_a_field_of_another_type_is_rejected(self):
         for name in platform_rows.REPLICA_FIELDS:
             for value in ([], {}, True, [1]):
                 self.assert_refused(**{name: value})
         for born in ("1700000000123", 1.5, -1, True, [], 10**13, 2**64):
             self.assert_refused(born=born)
 
-    def test_absurd_numbers_name_no_replica(self):
+    def test_absurd_numbers_are_rejected(self):
         for slots in (0, -1, 10**30, 1.5):
             self.assert_refused(slots=slots)
         for cold_left_ms in (-1, 1e300):
@@ -183,7 +184,7 @@
             self.assert_refused(address=address)
 
     def assert_refused(self, **changes) -> None:
-        """Asserts that a row with these changes names no replica."""
+        """Asserts that a row with these changes is rejected."""
         row = platform_rows.replica_row(**changes)
         with self.subTest(changes=changes), self.assertRaises(ValueError):
             replicas.decode("id", row)
@@ -206,7 +207,7 @@
             [("5c", 800), ("91", 410)],
         )
 
-    def test_a_refusal_is_the_replica_s_own_word_only(self):
+    def test_only_a_replica_s_own_refusal_counts_as_not_run(self):
         for status, sent, not_run in (
             (503, [("X-Not-Executed", "1")], True),
             (421, [], True),
