--- a/tests/cover/test_guarantees_permission.py
+++ b/tests/cover/test_guarantees_permission.py
@@ -183,10 +183,10 @@
 
     def test_requests_under_way_are_dropped(self):
         """Instances cancel what is under way when the change is applied."""
-        revoke = permission_scenario.PermissionScenario.revoke
+        unpatched_revoke = permission_scenario.PermissionScenario.revoke
 
         async def revoke_and_drop(scenario, *, through):
-            await revoke(scenario, through=through)
+            await unpatched_revoke(scenario, through=through)
             for instance in scenario.instances.values():
                 for task in instance.calls:
                     task.cancel()
