--- a/src/nutmeghook/internal/config/planning.py
+++ b/src/nutmeghook/internal/config/planning.py
@@ -1,4 +1,4 @@
-"""Works out which documents an edit replaces, on the state as it stands."""
+"""Determines which documents an edit replaces in a given state."""
 
 import functools
 
@@ -34,7 +34,7 @@
 
     Raises:
         StaleRevisionError: Another change came first.
-        errors.CodedError: The edit can't be made on this state.
+        errors.CodedError: The edit can't be applied to this state.
     """
     return _plan(edit, state)
 
@@ -43,7 +43,9 @@
 def _plan(
     edit: edits.Edit, state: state_module.ConfigState
 ) -> edits.Replacement:
-    raise TypeError(f"edit is a {type(edit).__name__}; give one of edits.Edit")
+    raise TypeError(
+        f"edit is a {type(edit).__name__}; expected one of edits.Edit"
+    )
 
 
 @_plan.register
@@ -65,7 +67,7 @@
 def _(
     edit: edits.PutFleet, state: state_module.ConfigState
 ) -> edits.Replacement:
-    _check(state, edits.FLEET_DOCUMENT, edit.expected_revision)
+    _check_revision(state, edits.FLEET_DOCUMENT, edit.expected_revision)
     return edits.Replacement(fleet=edit.fleet)
 
 
@@ -74,7 +76,7 @@
     edit: edits.PutTeam, state: state_module.ConfigState
 ) -> edits.Replacement:
     document = edits.team_document(edit.team.name)
-    _check(state, document, edit.expected_revision)
+    _check_revision(state, document, edit.expected_revision)
     return edits.Replacement(teams=(edit.team,))
 
 
@@ -84,7 +86,7 @@
 ) -> edits.Replacement:
     template = edit.template
     document = edits.template_document(template.team, template.name)
-    _check(state, document, edit.expected_revision)
+    _check_revision(state, document, edit.expected_revision)
     return edits.Replacement(templates=(template,))
 
 
@@ -94,7 +96,7 @@
 ) -> edits.Replacement:
     _template(state, edit.team, edit.name)
     document = edits.template_document(edit.team, edit.name)
-    _check(state, document, edit.expected_revision)
+    _check_revision(state, document, edit.expected_revision)
     removed = edits.TemplateName(team=edit.team, name=edit.name)
     return edits.Replacement(removed_templates=(removed,))
 
@@ -152,7 +154,7 @@
         documents.VersionState.SERVING,
         documents.VersionState.ROLLING_OUT,
     ):
-        raise shares.refused(
+        raise shares.invalid_template(
             f"{edit.model_version} is in template {template.name} already; "
             f"use set_roll_out_share to move a roll-out"
         )
@@ -172,7 +174,7 @@
 def _(
     edit: edits.SetRollOutShare, state: state_module.ConfigState
 ) -> edits.Replacement:
-    template = _rolling(state, edit)
+    template = _template_in_roll_out(state, edit)
     entry_state = documents.VersionState.ROLLING_OUT
     if edit.share_percent >= edits.FULL_SHARE_PERCENT:
         entry_state = documents.VersionState.SERVING
@@ -189,13 +191,13 @@
 def _(
     edit: edits.RollBackVersion, state: state_module.ConfigState
 ) -> edits.Replacement:
-    template = _rolling(state, edit)
+    template = _template_in_roll_out(state, edit)
     return edits.Replacement(
         templates=(shares.withdrawn_from(template, edit.model_version),)
     )
 
 
-def _check(
+def _check_revision(
     state: state_module.ConfigState, document: str, expected_revision: int
 ) -> None:
     current = state.revision_of(document)
@@ -223,7 +225,7 @@
     return template
 
 
-def _rolling(
+def _template_in_roll_out(
     state: state_module.ConfigState,
     edit: edits.SetRollOutShare | edits.RollBackVersion,
 ) -> documents.Template:
@@ -231,9 +233,9 @@
     if shares.state_of(template, edit.model_version) is not (
         documents.VersionState.ROLLING_OUT
     ):
-        raise shares.refused(
+        raise shares.invalid_template(
             f"{edit.model_version} is not rolling out in template "
-            f"{template.name}; `show` tells what stands"
+            f"{template.name}; `show` prints the present state"
         )
     return template
 
