--- a/src/nutmeghook/internal/assembly/cascades.py
+++ b/src/nutmeghook/internal/assembly/cascades.py
@@ -1,4 +1,4 @@
-"""The cascades' part of an instance: the policy, and who learns for all."""
+"""The cascade policy of an instance, and its learning under a lease."""
 
 from collections.abc import Coroutine
 import random
@@ -20,7 +20,7 @@
 
 
 class Cascades(leased_component.LeasedComponent):
-    """Reads plans on every instance; learns where the lease is held.
+    """Reads plans on every instance; learns on the holder of the lease.
 
     Attributes:
         policy: For the dispatcher.
--- a/src/nutmeghook/internal/assembly/gauges.py
+++ b/src/nutmeghook/internal/assembly/gauges.py
@@ -1,4 +1,4 @@
-"""Sets the gauges of an instance's state when it is scraped."""
+"""Sets the gauges of an instance's state at each scrape."""
 
 import collections
 
@@ -8,13 +8,13 @@
 from nutmeghook.internal.observe import metrics as metrics_module
 from nutmeghook.internal.suspects import registry as registry_module
 
-# Shown while the revision was never known to be the newest, as after a start
-# during an outage; an alarm on age then fires as it should.
+# Shown while the revision was never confirmed as the newest, as after a start
+# during an outage, so that an alarm on the age fires.
 NEVER_CONFIRMED_S = 1e9
 
 
 class Gauges:
-    """Reads the state of the parts; nothing is measured between scrapes."""
+    """Reads the instance's state; nothing is measured between scrapes."""
 
     __slots__ = ("_config", "_ledger", "_members", "_metrics", "_suspects")
 
@@ -34,7 +34,7 @@
         self._ledger = ledger
 
     def refresh(self) -> None:
-        """Sets all gauges to what is so now."""
+        """Sets all gauges to the present state."""
         age = self._config.confirmed_age()
         self._metrics.set("config_revision", self._config.snapshot.revision)
         self._metrics.set(
--- a/src/nutmeghook/internal/assembly/inner_endpoint.py
+++ b/src/nutmeghook/internal/assembly/inner_endpoint.py
@@ -1,4 +1,4 @@
-"""An instance's side towards other instances: TCP, UDP and membership."""
+"""An instance's endpoint for other instances: TCP, UDP and membership."""
 
 import datetime
 import random
@@ -21,10 +21,10 @@
 
 
 class InnerEndpoint:
-    """Listens on one port number over TCP and UDP, and keeps the members.
+    """Listens on one port number over TCP and UDP, and runs the membership.
 
     Attributes:
-        membership: Set by `start`: a member's address must be known first.
+        membership: Set by `start`, as it needs the instance's address.
         address: `ip:port` of both sockets; set by `start`.
     """
 
@@ -88,10 +88,10 @@
         )
 
     async def _bind(self) -> None:
-        """Takes one port number for both.
+        """Binds TCP and UDP to the same port number.
 
-        Where the system is to choose (port 0), the number that TCP got may
-        be taken over UDP; another is tried then.
+        If the system chooses it (port 0), the number that TCP got may be in use
+        over UDP; another is tried then.
         """
         host, _, port = self._settings.text("inner_address").rpartition(":")
         for tries_left in reversed(range(_PORT_TRIES)):
@@ -114,7 +114,7 @@
                 return
 
     async def close(self) -> None:
-        """Tells the others that this process ends, and closes all."""
+        """Announces the end to the others and closes all connections."""
         self.membership.announce_end()
         await self._server.close(grace=_CLOSE_GRACE)
         await self.caller.close(grace=_CLOSE_GRACE)
--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -1,4 +1,4 @@
-"""One entry instance: all parts, built in the order of their needs."""
+"""One entry instance: all components, built in order of dependency."""
 
 import asyncio
 import datetime
@@ -49,14 +49,15 @@
 from nutmeghook.internal.suspects import rows
 from nutmeghook.internal.table_replication import peer_sampling
 
-# One read of the platform's list serves all parts; these take one this old.
+# All components share the reads of the platform's instance list. These are the
+# oldest lists that membership and orders accept.
 _MEMBERSHIP_LIST_AGE = datetime.timedelta(seconds=3)
 _ORDERS_LIST_AGE = datetime.timedelta(seconds=1.5)
 _LEDGER_DRAIN = datetime.timedelta(seconds=5)
 
 
 class Instance:
-    """Builds the parts, runs them and takes them down in order."""
+    """Builds the components, runs them and stops them in order."""
 
     __slots__ = (
         "_cascades",
@@ -105,11 +106,11 @@
 
     @property
     def inner_address(self) -> str:
-        """Where other instances reach this one; known once it started."""
+        """The address for other instances; known once it has started."""
         return self._inner.address
 
     async def start(self) -> str:
-        """Listens on both sides; returns the callers' address."""
+        """Listens for instances and callers; returns the callers' address."""
         await self._inner.start(
             ids=self.identifiers,
             instance_list=self._instances.recent(_MEMBERSHIP_LIST_AGE),
@@ -325,7 +326,7 @@
         )
 
     async def run(self) -> None:
-        """Runs what works in the background until cancelled."""
+        """Runs the background tasks until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.members.run())
             tasks.create_task(self.config.distributor.run())
@@ -351,7 +352,7 @@
         )
 
     def _sample_members(self, *, local: int, remote: float) -> list[str]:
-        """Returns where some other instances listen."""
+        """Returns the inner addresses of some other instances."""
         others = [m for m in self.members.members() if m != self.members.myself]
         sampler = peer_sampling.PeerSampler(
             data_centre=self._settings.text("data_centre"),
@@ -373,7 +374,7 @@
         )
 
     async def leave(self) -> None:
-        """Stops taking requests, finishes all, hands over what it held."""
+        """Stops accepting requests, drains them and releases the leases."""
         self.members.announce_leaving()
         await shutdown.shut_down(
             clock=self._clock,
--- a/src/nutmeghook/internal/assembly/observation.py
+++ b/src/nutmeghook/internal/assembly/observation.py
@@ -1,4 +1,4 @@
-"""The paths by which an instance is observed."""
+"""The HTTP paths for metrics and events of an instance."""
 
 from aiohttp import hdrs
 from aiohttp import web
@@ -22,7 +22,7 @@
     gatherer: gathering.EventsGatherer,
     principals: principals_module.PrincipalFinder,
 ) -> None:
-    """Adds `/metrics` and the time line's events."""
+    """Adds `/metrics` and the path of the time line's events."""
 
     async def show_metrics(request: web.Request) -> web.Response:
         gauges.refresh()
@@ -32,7 +32,7 @@
     async def show_events(request: web.Request) -> web.Response:
         try:
             principal = principals.find(request.headers)
-            # Events name the requests of all teams.
+            # Events show the requests of all teams.
             principal.check_may_read("")
         except errors.CodedError as error:
             return replies.error_response(error, request_id="")
--- a/src/nutmeghook/internal/assembly/platform_clients.py
+++ b/src/nutmeghook/internal/assembly/platform_clients.py
@@ -1,4 +1,4 @@
-"""The platform's adapters of one instance, built from its settings."""
+"""The platform adapters of one instance, built from its settings."""
 
 import dataclasses
 import urllib.parse
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class PlatformClients:
-    """Every adapter; `close` when the instance ends."""
+    """All adapters; to be closed when the instance ends."""
 
     table: table.TableService
     objects: objects.ObjectStore
@@ -43,7 +43,7 @@
 
 
 def open_clients(settings: loading.Settings) -> PlatformClients:
-    """Builds the adapters; nothing connects before its first use."""
+    """Builds the adapters, which connect on first use."""
     shared = http_exchange.open_session()
     single_use = http_exchange.open_session(reuse_connections=False)
 
--- a/src/nutmeghook/internal/assembly/relay_assembly.py
+++ b/src/nutmeghook/internal/assembly/relay_assembly.py
@@ -1,4 +1,4 @@
-"""Puts the way of a request to a replica and back together."""
+"""Builds the relay of requests to replicas."""
 
 from collections.abc import Callable
 import dataclasses
@@ -33,11 +33,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class RelayDependencies:
-    """What a request's way rests on.
+    """The components that the relay uses.
 
     Attributes:
         data_centre: Where this instance runs.
-        region_of: Returns a data centre's region; None if it is not known.
+        region_of: Returns a data centre's region, or None if it is unknown.
     """
 
     configuration: in_force_module.ConfigurationInForce
@@ -56,7 +56,7 @@
 
 
 def build(dependencies: RelayDependencies) -> request_relay.RequestRelay:
-    """Returns the way of requests, with all that decides on it."""
+    """Returns the relay with all its parts."""
     times = generation_times.GenerationTimes()
     chooser = choice.ReplicaChooser(
         directory=dependencies.directory,
--- a/src/nutmeghook/internal/assembly/rollouts.py
+++ b/src/nutmeghook/internal/assembly/rollouts.py
@@ -1,4 +1,4 @@
-"""The roll-outs' part of an instance: leave, and the controller's lease."""
+"""Roll-outs of an instance: exposure allowance, controller and lease."""
 
 from collections.abc import Coroutine
 import random
@@ -19,10 +19,10 @@
 
 
 class RollOuts(leased_component.LeasedComponent):
-    """Runs roll-outs where this instance holds their lease.
+    """Runs roll-outs while this instance holds their lease.
 
     Attributes:
-        gate: For the choice of versions, on every instance.
+        gate: Used by the choice of versions, on every instance.
     """
 
     __slots__ = ("_controller", "gate")
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -1,4 +1,4 @@
-"""Puts a router for the users' platform together."""
+"""Builds and runs a router for the users' platform."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -39,14 +39,14 @@
 from nutmeghook.platform import tables
 
 METRICS_PATH = "/metrics"
-# Part of the fleet's retry ratio that instances use: what they count a little
-# differently from the platform must not lead over it.
+# The part of the fleet's retry ratio that instances use. The rest allows for
+# small differences between their counts and the platform's.
 _RETRY_RATIO_FACTOR = 0.9
 _RETRY_BURST = 2
-# After SIGTERM callers are still sent here until the balancer has missed two
-# answers, which it asks for a second apart.
+# After SIGTERM the balancer sends callers here until two of its checks, which
+# are a second apart, have failed.
 _BALANCER_LAG = datetime.timedelta(seconds=2.4)
-# Kept back from the time until SIGKILL, to close and end by ourselves.
+# Reserved from the time until SIGKILL for closing connections and exiting.
 _STOP_RESERVE = datetime.timedelta(milliseconds=700)
 _POLL = datetime.timedelta(milliseconds=50)
 
@@ -58,8 +58,8 @@
 
     Attributes:
         configuration: The configuration in force.
-        directory: The replicas known.
-        leaving: It was told to stop.
+        directory: The known replicas.
+        leaving: The process was asked to stop.
         metrics_address: Where metrics are served; empty before the start.
     """
 
@@ -147,7 +147,7 @@
             clock=clock,
         )
         self._runners: list[web.ServerRunner] = []
-        # Set once `run` has built what it takes to have peers.
+        # Set by `run`.
         self._peers: router_peers.RouterPeers | None = None
 
     def _build_relay(self) -> request_relay.RequestRelay:
@@ -177,8 +177,8 @@
     def is_ready(self) -> bool:
         """Tells whether callers should be sent here.
 
-        Once ready it stays so until it leaves: what it knows only gets older
-        while the store is out, and all instances grow old alike.
+        Once ready it stays so until it leaves: during a store outage its state
+        gets stale, but equally so on all instances.
         """
         self._was_ready = self._was_ready or (
             self.configuration.current is not None
@@ -198,10 +198,10 @@
         )
 
     def apply(self, settings: settings_module.InstanceSettings) -> None:
-        """Puts changed settings in force, as far as a running process can.
+        """Applies changed settings, as far as a running process can.
 
-        Addresses that it listens on and its place stay as at the start; the
-        platform starts a process anew to change those.
+        Listening addresses and the data centre stay as at the start; the
+        platform restarts the process to change those.
         """
         self._settings = settings
         self._store.address = settings.store_address
@@ -212,7 +212,7 @@
         )
 
     async def run(self) -> None:
-        """Follows the platform's tables until cancelled."""
+        """Replicates the platform's tables until cancelled."""
         operator_rows = tables.OperatorRows(
             configuration=self.configuration,
             orders=self.orders,
@@ -262,12 +262,11 @@
             tasks.create_task(self._quarantine_rows().run())
 
     async def leave(self) -> None:
-        """Finishes what is under way, as far as the time until SIGKILL lasts.
+        """Drains requests, as far as the time until SIGKILL allows.
 
-        The balancer sends callers here until it has missed two answers, so
-        the door stays open for that long and everything is served; each
-        answer closes its connection. A request taken any later could run
-        into SIGKILL.
+        The balancer sends callers here until two of its checks have failed, so
+        new requests are served for that long; each answer closes its
+        connection. A request accepted later could be cut off by SIGKILL.
         """
         end = self._clock.monotonic() + self._settings.stop_time - _STOP_RESERVE
         self.leaving = True
@@ -317,7 +316,7 @@
         )
 
     def _hold_list_deletions(self) -> None:
-        """Holds deletions back after a store outage; entries lapse in it."""
+        """Holds deletions back after a store outage; entries expire in it."""
         self.directory.hold_deletions(
             self._clock.monotonic() + directory_module.LAPSE_GRACE
         )
--- a/src/nutmeghook/internal/assembly/router_peers.py
+++ b/src/nutmeghook/internal/assembly/router_peers.py
@@ -1,4 +1,4 @@
-"""A router's side towards its peers: registration, sockets, gossip."""
+"""A router's connection to its peers: registration, sockets, gossip."""
 
 import asyncio
 import datetime
@@ -31,7 +31,7 @@
 from nutmeghook.internal.version_plans import rollouts as rollouts_module
 
 _RETRY = datetime.timedelta(seconds=1)
-# One line of log; seldom enough to be nothing beside requests' own lines.
+# One log line each; negligible beside the lines of requests.
 _TRAFFIC_LOG_PERIOD = datetime.timedelta(seconds=10)
 _CLOSE_GRACE = datetime.timedelta(milliseconds=200)
 
@@ -39,11 +39,11 @@
 class RouterPeers:
     """Gossips with the peers, once this instance is registered.
 
-    Without peers an instance is alone with the store, as it is until the
-    store has answered it once: everything works, at more calls.
+    Until the store has answered once, an instance has no peers. It works
+    without them, with more calls to the store.
 
     Attributes:
-        traffic: What went between this instance and its peers.
+        traffic: Traffic between this instance and its peers.
     """
 
     __slots__ = (
@@ -102,17 +102,17 @@
 
     @property
     def fleet_size(self) -> int:
-        """How many instances were heard of lately, this one included."""
+        """Number of instances seen recently, this one included."""
         if self._gossip is None:
             return 1
         return len(self._gossip.live_addresses()) + 1
 
     def is_behind(self, name: str) -> bool:
-        """Tells whether a peer was heard lately to know more of a table."""
+        """Tells whether a peer recently reported a newer revision."""
         return self._gossip is not None and self._gossip.is_behind(name)
 
     async def follow_once(self, name: str) -> None:
-        """Reads a table once, or waits a little if peers read it."""
+        """Reads a table once, or waits briefly if peers read it."""
         await gossip_module.follow_once(
             self._tables[name], self._gossip, self._clock
         )
@@ -177,7 +177,7 @@
             )
 
     async def _note_traffic(self) -> None:
-        """Logs from time to time what was sent to peers, until cancelled."""
+        """Logs the bytes sent to peers periodically, until cancelled."""
         while True:
             await self._clock.sleep(_TRAFFIC_LOG_PERIOD)
             kinds = self.traffic.kinds()
@@ -191,7 +191,7 @@
         messages: sealed_messages.SealedMessages,
         gossip: gossip_module.TableGossip,
     ) -> tuple[gossip_senders.GossipSender, ...]:
-        """Returns what tells peers of things that are not in tables."""
+        """Returns the senders of state that is not in tables."""
         common = {
             "messages": messages,
             "clock": self._clock,
--- a/src/nutmeghook/internal/assembly/router_process.py
+++ b/src/nutmeghook/internal/assembly/router_process.py
@@ -13,8 +13,7 @@
 from nutmeghook.internal.observe import logs
 from nutmeghook.platform import settings as settings_module
 
-# The settings file may change without a signal; a look at it costs next to
-# nothing.
+# The settings file may change without a signal, and reading it is cheap.
 _SETTINGS_POLL_PERIOD = datetime.timedelta(seconds=2)
 
 LoadSettings = Callable[[], settings_module.InstanceSettings]
@@ -69,8 +68,8 @@
         task.cancel()
     await asyncio.wait({running, reloading, stopping})
     await router.close()
-    # Once more: what ended it was logged seconds before, ahead of all that was
-    # still under way, and a collector that keeps the end of a log lost it.
+    # The failure is repeated here: it was logged before the drain, and a log
+    # collector that keeps only the last lines loses it.
     logs.note(
         "process:ended",
         failed=failure is not None,
--- a/src/nutmeghook/internal/assembly/send_limits.py
+++ b/src/nutmeghook/internal/assembly/send_limits.py
@@ -1,4 +1,4 @@
-"""Puts together what keeps requests from replicas."""
+"""Builds the limits on sending requests to replicas."""
 
 from collections.abc import Callable
 
@@ -14,16 +14,16 @@
 
 
 class SendLimits:
-    """What this instance may not send, and where it learns that.
+    """The limits on what this instance may send, and their sources.
 
     Args:
         settings: Returns the settings in force.
         configuration: The configuration in force.
-        directory: The replicas known.
+        directory: The known replicas.
         clock: Measures time.
 
     Attributes:
-        evacuations: The data centres that are being emptied.
+        evacuations: The data centres that are being evacuated.
         cold_senders: Tells where this instance may send to cold replicas.
         gate: Asked before each request is sent.
     """
--- a/src/nutmeghook/internal/assembly/serving.py
+++ b/src/nutmeghook/internal/assembly/serving.py
@@ -25,9 +25,9 @@
 async def serve(settings: loading.Settings) -> int:
     """Serves until SIGTERM or SIGINT; returns the process's exit status.
 
-    A background part that ends by an exception ends the instance, after a
-    drain: the platform replaces instances, and one that has lost a part
-    would serve with, for example, an old configuration for ever.
+    If a background task fails, the instance drains and ends: the platform
+    replaces instances, and one without that task could, for example, serve an
+    old configuration for ever.
     """
     instance = instance_module.Instance(
         settings=settings, clock=clock.SystemClock()
--- a/src/nutmeghook/internal/assembly/waiting.py
+++ b/src/nutmeghook/internal/assembly/waiting.py
@@ -1,4 +1,4 @@
-"""What the parts of an instance know that a shift has to look at."""
+"""Conditions of an instance that need an operator's attention."""
 
 import datetime
 
@@ -12,13 +12,13 @@
 from nutmeghook.internal.rollout import decisions
 from nutmeghook.internal.rollout import pool as pool_module
 
-# Changes are to be in force everywhere within this time. An instance that
-# was not confirmed for longer may lack one.
+# Changes must be in force on all instances within this time. An instance whose
+# configuration was not confirmed for longer may lack one.
 MAX_CONFIRMED_AGE = datetime.timedelta(seconds=4)
 
 
 class UnconfirmedConfiguration(status.WaitingSource):
-    """Tells that this instance can't know whether a newer change exists."""
+    """Reports that a newer configuration may exist."""
 
     __slots__ = ("_view",)
 
@@ -26,7 +26,7 @@
         self._view = view
 
     async def waiting(self, team: str | None) -> list[str]:
-        """Returns a sentence while the confirmed age is too large."""
+        """Returns a sentence while the last confirmation is too old."""
         age = self._view.confirmed_age()
         if age is None:
             return ["the configuration of this instance was never confirmed"]
@@ -39,7 +39,7 @@
 
 
 class StoresOut(status.WaitingSource):
-    """Tells which stores this instance takes to be out."""
+    """Reports the stores that this instance considers out."""
 
     __slots__ = ("_ledger",)
 
@@ -57,7 +57,7 @@
 
 
 class BillsWaiting(status.WaitingSource):
-    """Tells administrators of bills that are not in the log yet."""
+    """Reports to administrators the bills that are not in the log yet."""
 
     __slots__ = ("_ledger",)
 
@@ -65,9 +65,9 @@
         self._ledger = ledger
 
     async def waiting(self, team: str | None) -> list[str]:
-        """Returns a sentence while this instance's bills wait."""
+        """Returns a sentence while bills of this instance wait."""
         count = self._ledger.bills_waiting()
-        # They hold bills of all teams, and only administrators can act.
+        # The objects hold bills of all teams, and only administrators can act.
         if team is not None or count == 0:
             return []
         return [
@@ -77,11 +77,11 @@
 
 
 class RollOutsWaiting(status.WaitingSource):
-    """Tells which roll-outs stand still until ratings come.
+    """Reports the roll-outs that are stopped until ratings arrive.
 
-    It reads the row of the roll-outs: only the holder of their lease has them
-    in memory, and any instance may be asked. Ratings of the last ten seconds
-    may be missing from the row.
+    Any instance may be asked, and only the holder of the roll-outs' lease has
+    them in memory, so this reads their row in the table. Ratings of the last
+    ten seconds may be missing there.
     """
 
     __slots__ = ("_table", "_view")
--- a/tests/cover/test_router_task_failure.py
+++ b/tests/cover/test_router_task_failure.py
@@ -1,4 +1,4 @@
-"""A router process of which a background part fails."""
+"""A router process in which a background task fails."""
 
 import io
 import unittest
@@ -10,7 +10,7 @@
 
 
 class FailingRouter:
-    """Serves, until its background part fails."""
+    """Serves until its background task fails."""
 
     def __init__(self, **_):
         self.listener = mock.Mock(address="here")
@@ -31,9 +31,9 @@
 
 class TaskFailureTest(unittest.IsolatedAsyncioTestCase):
     async def test_the_last_line_says_what_ended_the_process(self):
-        """A background part fails, and the process finishes what is under way
-        before it ends. Whoever collects its log keeps the last lines only, and
-        they told that a part had failed, not which or why.
+        """A background task fails, and the process drains before it ends. Log
+        collectors may keep only the last lines, so the last one must show the
+        failure.
         """
         lines = []
         writer = mock.Mock(side_effect=lambda message: lines.append(message))
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -1,4 +1,4 @@
-"""`admin status` names what a shift has to look at, on any instance."""
+"""`admin status` shows on any instance what needs attention."""
 
 import asyncio
 import datetime
@@ -38,10 +38,9 @@
         return found
 
     async def test_an_outage_and_the_bills_behind_it_are_named(self):
-        """The table service goes down, and an answer is billed in the object
-        store, which fails after it. Status names both outages while they last
-        and the bill until it is in the log. A team is not told of bills, as
-        it can do nothing about them.
+        """The table service fails, an answer is billed in the object store, and
+        that fails too. Status must show both outages while they last, and the
+        bill until it is in the log; the bill to administrators only.
         """
         self.assertEqual(await self.sentences(), [])
         ledger = self.instance.ledger
@@ -90,10 +89,9 @@
 
 class RollOutWaitingTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_roll_out_at_its_cap_is_named_by_every_instance(self):
-        """The rating service rates nothing, the cap fills, and the roll-out
-        stands still. An operator asks an instance that does not drive
-        roll-outs and is told so; other teams are not. When ratings come it
-        is over.
+        """The rating service rates nothing, so the roll-out stops at its cap of
+        unrated answers. Instances that don't drive roll-outs must show that to
+        the team, and no longer once ratings arrive.
         """
         asyncio.get_running_loop().set_debug(False)
         fleet = rollout_fleet.RolloutFleet()
