--- a/src/nutmeghook/internal/dependencies/engine.py
+++ b/src/nutmeghook/internal/dependencies/engine.py
@@ -96,7 +96,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of its load, some time after it was so.
+    """An engine's report of its load, taken some time before.
 
     Attributes:
         loaded: The versions that it can serve now.
@@ -104,7 +104,7 @@
         waiting: Generations in its queue.
         capacity: Generations that its batch can hold.
         age_ms: How old the figures were when they were sent.
-        leaving: It is shutting down and wants no new work.
+        leaving: It is shutting down and takes no new work.
     """
 
     loaded: tuple[ModelVersion, ...]
@@ -116,7 +116,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an engine can be told; each states a target, not a step."""
+    """Kinds of orders to an engine; each states a target, not a step."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -124,13 +124,13 @@
 
 
 class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """One order to an engine; repeating it does no harm.
+    """One order to an engine; orders are idempotent.
 
     Attributes:
         fencing_token: Never less than that of any earlier holder's order.
         target: The version to load or unload, or the role's name.
-        secret: Shown to engines that check who orders; may be empty.
-        ticket: For `LOAD`, the weight store's leave to download; empty where
+        secret: Checked by engines that authenticate orders; may be empty.
+        ticket: For `LOAD`, the weight store's permission to download; empty if
             the engine needs none.
     """
 
@@ -143,7 +143,7 @@
 
 
 class OrderState(enum.Enum):
-    """What became of an order."""
+    """The state of an order on its engine."""
 
     DONE = "done"
     IN_PROGRESS = "in_progress"
@@ -176,15 +176,15 @@
     async def generate_batches(
         self, generation: Generation, *, check_send: SendCheck | None = None
     ) -> AsyncIterator[list[Chunk]]:
-        """Does the same, with chunks that come at once in one list.
+        """Does the same, with chunks that arrive together in one list.
 
         For adapters whose connection hands over several chunks together: it
         saves the relay a step and a write for each of them.
 
         Args:
             generation: What to generate.
-            check_send: Called once all that takes time is done, in the very
-                step that hands the request's first byte over.
+            check_send: Called after everything that takes time, in the same
+                step of the event loop that writes the request's first byte.
         """
         if check_send is not None:
             check_send()
@@ -202,7 +202,7 @@
 
     @abc.abstractmethod
     async def order(self, order: Order) -> OrderState:
-        """Gives an order, or asks how an earlier one with its id stands."""
+        """Sends an order, or asks for the state of one sent under its id."""
 
     @abc.abstractmethod
     async def cache_events(self, after_sequence: int) -> list[CacheEvent]:
@@ -214,7 +214,7 @@
 
     @abc.abstractmethod
     async def import_cache(self, prefix_hash: str, content: bytes) -> None:
-        """Gives the engine the KV cache of a prefix."""
+        """Sends the KV cache of a prefix to the engine."""
 
 
 class EngineConnector(abc.ABC):
--- a/src/nutmeghook/internal/dependencies/failures.py
+++ b/src/nutmeghook/internal/dependencies/failures.py
@@ -15,11 +15,11 @@
 class NotDoneError(PlatformError):
     """The call had, and will have, no effect.
 
-    Raised only where that is provable: no byte of the call was written, or
-    the other side said that it refused before doing anything.
+    Raised only if that is certain: no byte of the call was written, or the
+    other side answered that it refused before doing anything.
 
     Attributes:
-        retry_after: When the other side asked to be called again, if it did.
+        retry_after: Delay before a retry, if the other side gave one.
         overloaded: The other side refused because of its load or rate limit.
         leaving: The other side refused because it is shutting down.
     """
@@ -39,7 +39,7 @@
 
 
 class WithheldError(NotDoneError):
-    """This side did not send the call: it may not be sent any more."""
+    """The call was not sent, as it is no longer permitted."""
 
 
 class OutcomeUnknownError(PlatformError):
--- a/src/nutmeghook/internal/dependencies/instances.py
+++ b/src/nutmeghook/internal/dependencies/instances.py
@@ -15,7 +15,7 @@
 
 
 class InstanceState(enum.Enum):
-    """What the platform knows of an instance; it learns of deaths late."""
+    """An instance's state in the platform, which learns of deaths late."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,7 +25,7 @@
     """One line of the list.
 
     Attributes:
-        address: `ip:port` of the HTTP side that callers or we connect to.
+        address: `ip:port` of its HTTP listener.
         inner_address: `ip:port` of the inner protocol; empty unless ENTRY.
         region: For example `hu-central`.
         data_centre: For example `hu-central-1`.
@@ -42,7 +42,7 @@
 
 
 class InstanceList(abc.ABC):
-    """Live and leaving instances, seconds behind the truth."""
+    """Live and leaving instances, some seconds out of date."""
 
     @abc.abstractmethod
     async def list_instances(self) -> list[ListedInstance]:
--- a/src/nutmeghook/internal/dependencies/plain.py
+++ b/src/nutmeghook/internal/dependencies/plain.py
@@ -9,7 +9,7 @@
     """One call to a plain service.
 
     Attributes:
-        request_id: Sent along, so that the service's log can name it.
+        request_id: Sent along for the service's log.
         path: Absolute path with the query, for example `/bookings?crew=7`.
     """
 
--- a/src/nutmeghook/internal/dependencies/ratings.py
+++ b/src/nutmeghook/internal/dependencies/ratings.py
@@ -11,7 +11,7 @@
 
 
 class RatingTask(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer handed in to be rated."""
+    """An answer submitted for rating."""
 
     request_id: str
     team: str
@@ -44,29 +44,29 @@
 
     @abc.abstractmethod
     async def submit(self, tasks: list[RatingTask]) -> None:
-        """Hands in answers; one request and stage is rated only once."""
+        """Submits answers; each request and stage is rated only once."""
 
     @abc.abstractmethod
     async def ratings_after(
         self, cursor: int, *, limit: int = 1000
     ) -> list[Rating]:
-        """Returns the ratings behind a cursor, in order."""
+        """Returns the ratings after a cursor, in order."""
 
 
 async def read_new(
     service: RatingService, cursor: int, *, max_pages: int
 ) -> list[Rating]:
-    """Reads the ratings behind a cursor, page by page.
+    """Reads the ratings after a cursor, page by page.
 
     Args:
-        service: Where from.
+        service: The rating service.
         cursor: The last rating that the caller has.
-        max_pages: Of 1000 ratings each; what is behind them is left for the
-            next time.
+        max_pages: The most pages of 1000 ratings to read; later ratings are
+            left for the next call.
 
     Returns:
-        The ratings in order. If the service fails, those read before: none
-        or some, so that a caller goes on with its other work.
+        The ratings in order. If the service fails, the ratings read before the
+        failure, possibly none, so that the caller can go on with other work.
     """
     found: list[Rating] = []
     for _ in range(max_pages):
--- a/src/nutmeghook/internal/dependencies/shared_instances.py
+++ b/src/nutmeghook/internal/dependencies/shared_instances.py
@@ -1,4 +1,4 @@
-"""One reader of the instance list for all parts of a process."""
+"""One reader of the instance list for all components of a process."""
 
 import dataclasses
 import datetime
@@ -9,19 +9,19 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _LastRead:
-    """A list, and when it was asked for."""
+    """A list, and when it was requested."""
 
     listed: tuple[instances.ListedInstance, ...]
     asked_at: datetime.timedelta
 
 
 class SharedInstanceList(instances.InstanceList):
-    """Passes each read on, and keeps the answer for `recent` views.
+    """Forwards each read, and keeps the answer for `recent` views.
 
-    The part that reads most often (routing, each second) gets this object.
-    The others get views, and so cost nothing as long as that part reads.
-    Lists are handed on as they are, also empty ones: whether one is a fault
-    is for each part to judge.
+    The component that reads most often (routing, each second) gets this object.
+    The others get views, which add no reads as long as routing reads. Lists are
+    returned unchanged, also empty ones: each component decides whether an empty
+    list is a fault.
     """
 
     __slots__ = ("_clock", "_instance_list", "_last")
@@ -46,7 +46,7 @@
         return listed
 
     def recent(self, max_age: datetime.timedelta) -> instances.InstanceList:
-        """Returns a view that reads only if the last read is older.
+        """Returns a view that reads only if the last list is too old.
 
         Raises:
             ValueError: `max_age` is not over 0.
@@ -58,7 +58,7 @@
     def last_within(
         self, max_age: datetime.timedelta
     ) -> list[instances.ListedInstance] | None:
-        """Returns the last list if it was asked for lately."""
+        """Returns the last list if it was requested within `max_age`."""
         if self._last is None:
             return None
         if self._clock.monotonic() - self._last.asked_at > max_age:
@@ -67,7 +67,7 @@
 
 
 class _RecentInstanceList(instances.InstanceList):
-    """Reads only where nobody did lately."""
+    """Reads the list only if the shared one is too old."""
 
     __slots__ = ("_max_age", "_shared")
 
--- a/src/nutmeghook/internal/dependencies/table.py
+++ b/src/nutmeghook/internal/dependencies/table.py
@@ -16,7 +16,7 @@
 
 
 class Condition(msgspec.Struct, frozen=True, kw_only=True):
-    """Holds if the row is at this version; `ABSENT_VERSION` if missing."""
+    """Holds if the row has this version; `ABSENT_VERSION` if missing."""
 
     key: str
     version: int
@@ -38,7 +38,7 @@
 
 
 class CommitResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What a commit did.
+    """The result of a commit.
 
     Attributes:
         committed: All writes took effect; otherwise none did.
--- a/src/nutmeghook/internal/dependencies/weights.py
+++ b/src/nutmeghook/internal/dependencies/weights.py
@@ -15,7 +15,7 @@
 
 
 class WeightStore(abc.ABC):
-    """Holds the versions' weights; engines download from it when told to.
+    """Holds the versions' weights, which engines download when ordered to.
 
     It limits how often downloads may start and raises
     `failures.NotDoneError` with `overloaded` and `retry_after` beyond that.
--- a/src/nutmeghook/internal/foundation/clock.py
+++ b/src/nutmeghook/internal/foundation/clock.py
@@ -1,4 +1,4 @@
-"""The passing of time, as an interface that tests can drive by hand."""
+"""An interface to clocks, with a fake that tests advance by hand."""
 
 import abc
 import asyncio
@@ -52,13 +52,13 @@
             timer.cancel()
             if not work.done():
                 work.cancel()
-                # As `asyncio.timeout` does: what the work does on its way
-                # out has happened by the time that the caller goes on.
+                # As `asyncio.timeout` does: the cancelled work has cleaned up
+                # before the caller goes on.
                 await asyncio.wait({work})
 
 
 class SystemClock(Clock):
-    """The machine's own clocks."""
+    """The clocks of the machine."""
 
     __slots__ = ()
 
@@ -83,7 +83,7 @@
 
 
 class FakeClock(Clock):
-    """A clock that stands still until a test advances it."""
+    """A clock that moves only when a test advances it."""
 
     __slots__ = ("_elapsed", "_order", "_sleepers", "_start")
 
@@ -122,7 +122,7 @@
         await waker
 
     async def advance(self, duration: datetime.timedelta) -> None:
-        """Moves time on, waking each sleeper at its own moment, in order."""
+        """Advances the time, waking each sleeper in order at its moment."""
         end = self._elapsed + duration
         await self._settle()
         while self._sleepers and self._sleepers[0][0] <= end:
@@ -134,7 +134,7 @@
         self._elapsed = end
 
     async def _settle(self) -> None:
-        # Woken tasks may start others; a fixed number of turns lets chains of
-        # awaits run to their next sleep. In-process fakes need no more.
+        # Woken tasks may start others. This fixed number of turns of the event
+        # loop suffices for in-process fakes to run to their next sleep.
         for _ in range(50):
             await asyncio.sleep(0)
--- a/src/nutmeghook/internal/foundation/codes.py
+++ b/src/nutmeghook/internal/foundation/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes: what a caller is told, and whether work ran.
+"""Numbered result codes: the outcome of a request, and whether work ran.
 
 The table in docs/RESULT_CODES.md is checked against this module.
 """
--- a/src/nutmeghook/internal/foundation/errors.py
+++ b/src/nutmeghook/internal/foundation/errors.py
@@ -1,4 +1,4 @@
-"""The one error type that carries a result code to its caller."""
+"""The error type that carries a result code to the caller."""
 
 import datetime
 
@@ -6,15 +6,15 @@
 
 
 class CodedError(Exception):
-    """An outcome other than success, with what the caller must know.
+    """An outcome other than success, as reported to the caller.
 
     Attributes:
         code: The numbered result.
         detail: What was wrong, with the value, and what to do about it.
-        retry_after: When to come back; None where it would not help.
-        run_state: Whether the work ran. It is the code's own state unless
-            the raiser knows better (for example a failover that ended before
-            anything was sent).
+        retry_after: Delay before a retry; None if a retry would not help.
+        run_state: Whether the work ran. It is the code's own state unless the
+            raiser has more exact knowledge (for example of a failover that
+            ended before anything was sent).
     """
 
     def __init__(
--- a/src/nutmeghook/internal/foundation/event_loop.py
+++ b/src/nutmeghook/internal/foundation/event_loop.py
@@ -9,10 +9,10 @@
 
 _T = TypeVar("_T")
 
-# Instances may not use io_uring. libuv sets up a ring in each event loop
-# unless this variable is "0" when the loop is made; the libuv in uvloop 0.23
-# does so whatever it says, hence the upper bound on uvloop in pyproject.toml.
-# A test looks for rings in a serving process.
+# Instances may not use io_uring. libuv sets up a ring in each event loop unless
+# this variable is "0" when the loop is created. The libuv in uvloop 0.23
+# ignores it, hence the upper bound on uvloop in pyproject.toml. A test looks
+# for rings in a serving process.
 _IO_URING_VARIABLE = "UV_USE_IO_URING"
 
 
--- a/src/nutmeghook/internal/foundation/http_headers.py
+++ b/src/nutmeghook/internal/foundation/http_headers.py
@@ -1,8 +1,8 @@
 """HTTP header fields that belong to one connection (RFC 9110, 7.6.1)."""
 
-# Whoever passes a message on leaves these out, and the library sets what it
-# needs anew: a forwarded `transfer-encoding` or `content-length` would tell
-# the next server another end of the message than it has.
+# A proxy drops these from a message that it forwards, and the HTTP library sets
+# those that it needs: a forwarded `transfer-encoding` or `content-length` could
+# give the next server a wrong end of the message.
 CONNECTION_FIELDS = frozenset(
     {
         "connection",
--- a/src/nutmeghook/internal/foundation/identifiers.py
+++ b/src/nutmeghook/internal/foundation/identifiers.py
@@ -5,7 +5,7 @@
 
 
 class IdentifierSource:
-    """Mints ids that name the process incarnation which made them.
+    """Creates ids that contain the incarnation of the process.
 
     The incarnation is random, so a restarted instance at the same address
     never repeats an id of its predecessor.
--- a/src/nutmeghook/internal/foundation/identities.py
+++ b/src/nutmeghook/internal/foundation/identities.py
@@ -1,4 +1,4 @@
-"""What a request is, whoever gets it and at whichever attempt."""
+"""The identity of a request over all its attempts and instances."""
 
 import hashlib
 
@@ -7,15 +7,15 @@
 
 
 def identity_of(*, path: str, caller: str, body: bytes) -> bytes:
-    """Returns the same few bytes for each copy of a request.
+    """Returns the same bytes for each copy of a request.
 
-    A caller's id of an attempt differs at each of them. The hash is one that
-    nobody can find another's request to, so that no caller has requests of
-    others taken for its own.
+    The caller's attempt id differs between copies and is not used. The hash is
+    cryptographic, so that no caller can construct a request with the identity
+    of another caller's request.
 
     Args:
         path: Host, path and query.
-        caller: Who sends it; empty if nobody is named.
+        caller: The caller; empty if none is named.
         body: The whole body.
     """
     digest = hashlib.blake2b(digest_size=IDENTITY_BYTES)
--- a/src/nutmeghook/internal/settings/flags.py
+++ b/src/nutmeghook/internal/settings/flags.py
@@ -1,4 +1,4 @@
-"""Gives a command one flag for each setting, with help, from the list."""
+"""Adds a flag with help to a command for each setting in `specs`."""
 
 from collections.abc import Callable
 import functools
@@ -14,13 +14,13 @@
 def with_setting_flags(
     command: Callable[..., None],
 ) -> Callable[..., None]:
-    """Replaces `**flags` by a parameter a setting, for fire to read.
+    """Replaces `**flags` by one parameter for each setting.
 
-    fire builds flags and help from a function's signature and docstring.
-    Writing 25 parameters by hand would be a second list of settings beside
-    `specs`, and lists that stand twice drift apart. Values stay text: fire
-    would turn `1,2` into a tuple and `0x1` into a number. The docstring's
-    line on `**flags` gives way to a line a setting.
+    fire builds flags and help from a function's signature and docstring. They
+    are generated, as 25 parameters written by hand would be a second list of
+    settings and could differ from `specs`. Values stay text: fire would turn
+    `1,2` into a tuple and `0x1` into a number. The docstring's line on
+    `**flags` is replaced by one line for each setting.
     """
     own = [
         parameter
--- a/src/nutmeghook/internal/settings/loading.py
+++ b/src/nutmeghook/internal/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads and checks settings; reports all faults at once."""
+"""Reads and validates settings; reports all errors together."""
 
 from collections.abc import Mapping
 import ipaddress
@@ -14,7 +14,7 @@
 
 
 class Settings:
-    """Checked values, read by a setting's name.
+    """Validated values, read by a setting's name.
 
     The getters are typed by kind; asking for a setting that is not in the
     list is a programming error and raises KeyError.
@@ -99,7 +99,7 @@
     environment: Mapping[str, str],
     settings: tuple[specs.Spec, ...],
 ) -> list[SettingError]:
-    """Finds misspelt flags; a misspelt variable would be silently unused."""
+    """Finds unknown flags; unknown environment variables are ignored."""
     names = {spec.name for spec in settings}
     return [
         SettingError(f"{name} is not a setting; run 'nutmeghook serve --help'")
--- a/src/nutmeghook/internal/settings/specs.py
+++ b/src/nutmeghook/internal/settings/specs.py
@@ -1,4 +1,4 @@
-"""Every setting of `nutmeghook serve`: the one list that all else reads.
+"""Every setting of `nutmeghook serve`.
 
 Flags, environment variables, checks, `--print-settings` and the table in
 docs/SETTINGS.md come from here.
@@ -9,7 +9,7 @@
 
 
 class Kind(enum.Enum):
-    """What a setting's text must look like."""
+    """The format of a setting's text."""
 
     TEXT = "text"
     ADDRESS = "ip:port"
@@ -23,9 +23,9 @@
     """One setting.
 
     Attributes:
-        name: As a field; the flag has dashes, the variable is
-            `NUTMEGHOOK_` and capitals.
-        default: Text; None where the setting must be given.
+        name: The name with underscores. The flag has dashes instead; the
+            variable is in capitals after `NUTMEGHOOK_`.
+        default: The default as text; None if the setting must be given.
         minimum: Smallest value of a count.
         maximum: Largest value of a count.
         secret: Masked wherever settings are printed.
--- a/tests/cover/test_clock.py
+++ b/tests/cover/test_clock.py
@@ -1,4 +1,4 @@
-"""The fake clock behaves as a clock, so that tests on it can be believed."""
+"""The fake clock behaves like a real one, so that tests can rely on it."""
 
 import asyncio
 import datetime
@@ -11,7 +11,7 @@
 
 
 class FakeClockTest(unittest.TestCase):
-    """Order and moments of waking."""
+    """Sleepers wake in order and in time."""
 
     @hypothesis.given(
         strategies.lists(strategies.integers(1, 1000), min_size=1)
--- a/tests/cover/test_ratings_reading.py
+++ b/tests/cover/test_ratings_reading.py
@@ -14,7 +14,7 @@
 
 
 class PagedService(ratings.RatingService):
-    """Has so many ratings, and fails from a call on."""
+    """Has `count` ratings, and fails after a number of calls."""
 
     def __init__(self, *, count, calls_before_failure):
         self._count = count
@@ -55,9 +55,9 @@
     def test_what_is_read_follows_the_cursor_without_a_gap(
         self, count, cursor, calls
     ):
-        """The rating service goes out between two pages. What was read until
-        then must be used, in order and without a gap: a rating that is passed
-        over would count as unrated, and the roll-out would wait for it.
+        """The rating service fails between two pages. The ratings read before
+        must be returned in order and without a gap: a skipped one would count
+        as unrated, and the roll-out would wait for it.
         """
         service = PagedService(count=count, calls_before_failure=calls)
         found = asyncio.run(
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked at once and whole, and never show a secret."""
+"""All settings are validated together, and secrets are never shown."""
 
 import pathlib
 import unittest
@@ -32,7 +32,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Loading, faults, printing."""
+    """Loading, validation and printing."""
 
     def test_flag_beats_variable_beats_default(self):
         settings = loading.load(
@@ -77,8 +77,8 @@
         self.assertNotIn("s3cr3t", str(caught.exception.exceptions))
 
     def test_every_setting_is_read_by_something(self):
-        """An operator sets a limit, the check passes, and nothing happens:
-        the setting is on the list, but no part reads it (three were so).
+        """A listed setting that no code reads passes validation and has no
+        effect.
         """
         package = ROOT / "src" / "nutmeghook"
         code = "".join(
