--- a/tests/cover/test_orders_holders.py
+++ b/tests/cover/test_orders_holders.py
@@ -1,4 +1,4 @@
-"""Orders of two instances that both believe that they hold the lease."""
+"""Orders of two instances that both take the lease for their own."""
 
 import asyncio
 import datetime
@@ -14,7 +14,7 @@
 
 
 class HolderTest(unittest.TestCase):
-    """Two instances believe that they hold the lease."""
+    """Two instances act as holder of the lease."""
 
     def test_paused_holder_meets_engines_that_check_the_token(self):
         """A holder is paused, another takes over, the first resumes.
--- a/tests/cover/test_platform_engine.py
+++ b/tests/cover/test_platform_engine.py
@@ -42,7 +42,7 @@
             return [chunk async for chunk in chunks]
 
     async def order(self, kind: str, token: int, **more: str):
-        """Gives an order about the second version."""
+        """Sends an order for the second version."""
         return await self.engine.order(
             engine.Order(
                 order_id=f"{kind}-{token}",
@@ -94,8 +94,8 @@
     async def test_a_chunk_of_another_attempt_is_recognised(self):
         await self.control("engine", "settings", crossed_next_streams=1)
         chunks = await self.read()
-        strange = [c for c in chunks if c.attempt_id != "req-1/1"]
-        self.assertEqual(len(strange), 1)
+        foreign = [c for c in chunks if c.attempt_id != "req-1/1"]
+        self.assertEqual(len(foreign), 1)
         with self.assertRaises(answers.DamagedAnswerError):
             answers.read_answer("".join(c.text for c in chunks))
 
