--- a/src/nutmeghook/cli.py
+++ b/src/nutmeghook/cli.py
@@ -51,7 +51,7 @@
             print_settings: Print the settings in force, secrets masked.
             **flags: One flag a setting.
         """
-        settings = _checked(flags)
+        settings = _load_settings(flags)
         if print_settings.lower() in ("true", "1"):
             print("\n".join(settings.printable_lines()))
             return
@@ -65,7 +65,7 @@
         Args:
             **flags: One flag a setting.
         """
-        settings = _checked(flags)
+        settings = _load_settings(flags)
         print("\n".join(settings.printable_lines()))
         print("all settings are good")
 
@@ -119,7 +119,7 @@
             request: The request's id.
             log_files: Log files or folders of them, one instance a file.
         """
-        log_reports.tell_story(request=request, logs=log_files)
+        log_reports.print_story(request=request, logs=log_files)
 
     @decorators.SetParseFn(str)
     def endings(self, *log_files: str) -> None:
@@ -131,7 +131,7 @@
         Args:
             log_files: Log files or folders of them, one instance a file.
         """
-        log_reports.tell_endings(logs=log_files)
+        log_reports.print_endings(logs=log_files)
 
     @decorators.SetParseFn(str)
     def slow_replicas(self, *log_files: str) -> None:
@@ -144,7 +144,7 @@
         Args:
             log_files: Log files or folders of them, one instance a file.
         """
-        log_reports.tell_slow_replicas(logs=log_files)
+        log_reports.print_slow_replicas(logs=log_files)
 
     def load(
         self,
@@ -244,7 +244,7 @@
     return [part for part in str(addresses).split(",") if part]
 
 
-def _checked(flags: dict[str, str]) -> loading.Settings:
+def _load_settings(flags: dict[str, str]) -> loading.Settings:
     """Loads settings; on faults prints them all and ends the process."""
     given = {name: text for name, text in flags.items() if text is not None}
     try:
--- a/src/nutmeghook/experiment/load.py
+++ b/src/nutmeghook/experiment/load.py
@@ -15,7 +15,7 @@
 from nutmeghook.experiment import history as history_module
 from nutmeghook.experiment import report
 from nutmeghook.experiment import workload
-from nutmeghook.internal.administration import running
+from nutmeghook.internal.administration import command_runner
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.settings import loading
 
@@ -105,7 +105,7 @@
             faults.append(ValueError(f"{name} is {value}; give more than 0"))
     if not settings.token:
         faults.append(
-            ValueError(f"token is empty; set {running.TOKEN_VARIABLE}")
+            ValueError(f"token is empty; set {command_runner.TOKEN_VARIABLE}")
         )
     if not settings.addresses:
         faults.append(ValueError("addresses is empty; give ip:port"))
@@ -193,7 +193,7 @@
 def main(settings: LoadSettings) -> None:
     """Checks the settings, sends the load and prints one JSON line."""
     if not settings.token:
-        token = os.environ.get(running.TOKEN_VARIABLE, "")
+        token = os.environ.get(command_runner.TOKEN_VARIABLE, "")
         settings = msgspec.structs.replace(settings, token=token)
     try:
         checked(settings)
--- a/src/nutmeghook/internal/administration/application.py
+++ b/src/nutmeghook/internal/administration/application.py
@@ -68,18 +68,22 @@
     def add_routes(self, application: web.Application) -> None:
         """Adds all paths."""
         router = application.router
-        router.add_post("/operations", self._answered(self._submit))
-        router.add_get("/operations/{id}", self._answered(self._outcome))
-        router.add_post("/operations/{id}/settle", self._answered(self._settle))
-        router.add_post("/drafts", self._answered(self._draft))
-        router.add_get("/documents", self._answered(self._list))
-        router.add_get("/documents/{name:.+}", self._answered(self._document))
-        router.add_get("/changes", self._answered(self._history))
-        router.add_get("/changes/{revision}", self._answered(self._change))
-        router.add_get("/status", self._answered(self._status))
-        router.add_get("/usage", self._answered(self._usage))
-
-    def _answered(
+        router.add_post("/operations", self._coded_handler(self._submit))
+        router.add_get("/operations/{id}", self._coded_handler(self._outcome))
+        router.add_post(
+            "/operations/{id}/settle", self._coded_handler(self._settle)
+        )
+        router.add_post("/drafts", self._coded_handler(self._draft))
+        router.add_get("/documents", self._coded_handler(self._list))
+        router.add_get(
+            "/documents/{name:.+}", self._coded_handler(self._document)
+        )
+        router.add_get("/changes", self._coded_handler(self._history))
+        router.add_get("/changes/{revision}", self._coded_handler(self._change))
+        router.add_get("/status", self._coded_handler(self._status))
+        router.add_get("/usage", self._coded_handler(self._usage))
+
+    def _coded_handler(
         self, handler: _Handler
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
         """Finds who asks, and gives each error its coded body."""
@@ -108,7 +112,7 @@
         self, request: web.Request, principal: principals.Principal
     ) -> bodies.OperationAnswer:
         body = bodies.decode(await request.read(), bodies.SubmitBody)
-        principal.check_may_make(body.edit)
+        principal.check_may_edit(body.edit)
         operation = operations.Operation(
             operation_id=_operation_id(
                 request.headers.get(OPERATION_HEADER, ""), OPERATION_HEADER
@@ -167,7 +171,7 @@
         self, request: web.Request, principal: principals.Principal
     ) -> bodies.DraftAnswer:
         body = bodies.decode(await request.read(), bodies.DraftBody)
-        principal.check_may_make(body.edit)
+        principal.check_may_edit(body.edit)
         draft = await self._config.accepter.draft(body.edit)
         return bodies.DraftAnswer(
             revision=draft.revision,
@@ -195,7 +199,7 @@
             principal,
             document=request.query.get("document", ""),
             before=_number(request.query.get("before", "0"), "before"),
-            limit=min(max(limit, 1), queries_module.MOST_CHANGES),
+            limit=min(max(limit, 1), queries_module.MAX_CHANGES),
         )
 
     async def _change(
--- a/src/nutmeghook/internal/administration/client.py
+++ b/src/nutmeghook/internal/administration/client.py
@@ -17,8 +17,8 @@
 _T = TypeVar("_T")
 # More than an accept with the store slow and instances that do not confirm.
 _CALL_TIMEOUT = datetime.timedelta(seconds=30)
-_PAUSE = datetime.timedelta(seconds=1)
-_TRIES = 4
+_RETRY_DELAY = datetime.timedelta(seconds=1)
+_MAX_ATTEMPTS = 4
 
 
 class RefusedError(Exception):
@@ -77,13 +77,13 @@
             NoAnswerError: All tries went unanswered.
         """
         headers = {application.OPERATION_HEADER: operation_id}
-        for _ in range(_TRIES - 1):
+        for _ in range(_MAX_ATTEMPTS - 1):
             try:
                 return await self._post(
                     "/operations", body, bodies.OperationAnswer, headers
                 )
             except NoAnswerError:
-                await self._clock.sleep(_PAUSE)
+                await self._clock.sleep(_RETRY_DELAY)
             except RefusedError as error:
                 if error.body.error.retry_after_ms is None:
                     raise
--- a/src/nutmeghook/internal/administration/running.py
+++ b/src/nutmeghook/internal/administration/command_runner.py
@@ -48,7 +48,7 @@
 
 
 @decorators.SetParseFn(str)
-class _TextFlags(type):
+class _StringFlags(type):
     """Has Fire read the flags of a class's constructor as text.
 
     Fire looks for the decorator's mark on the class, not on `__init__`, and
@@ -60,7 +60,7 @@
     __slots__ = ()
 
 
-class CommandRunner(metaclass=_TextFlags):
+class CommandRunner(metaclass=_StringFlags):
     """Makes the call behind a command and prints what came of it."""
 
     __slots__ = ("_json", "_token", "_url")
--- a/src/nutmeghook/internal/administration/commands.py
+++ b/src/nutmeghook/internal/administration/commands.py
@@ -3,8 +3,8 @@
 import secrets
 
 from nutmeghook.internal.administration import arguments
-from nutmeghook.internal.administration import reading_commands
-from nutmeghook.internal.administration import running
+from nutmeghook.internal.administration import command_runner
+from nutmeghook.internal.administration import read_only_commands
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.config import edits
 from nutmeghook.internal.config import schema as schema_module
@@ -13,12 +13,12 @@
 _TOKEN_BYTES = 32
 
 
-async def _plain(edit: edits.Edit) -> edits.Edit:
+async def _ready_edit(edit: edits.Edit) -> edits.Edit:
     """Returns an edit that needs nothing read first."""
     return edit
 
 
-class AdministrationCommands(reading_commands.ReadingCommands):
+class AdministrationCommands(read_only_commands.ReadOnlyCommands):
     """Reads and changes the configuration.
 
     Reading: status, list, show, history, change, outcome, bills, draft, schema.
@@ -34,7 +34,7 @@
 
     __slots__ = ()
 
-    @running.command
+    @command_runner.command
     def put(self, file: str, reason: str, operation_id: str = "") -> None:
         """Replaces the document in a file that `show` printed.
 
@@ -46,10 +46,12 @@
             operation_id: To repeat an earlier try; else a new one.
         """
         self._change(
-            lambda c: _plain(arguments.edit_in_file(file)), reason, operation_id
+            lambda c: _ready_edit(arguments.edit_in_file(file)),
+            reason,
+            operation_id,
         )
 
-    @running.command
+    @command_runner.command
     def load(self, file: str, reason: str, operation_id: str = "") -> None:
         """Replaces all documents named in a configuration file, at once.
 
@@ -59,7 +61,7 @@
             operation_id: To repeat an earlier try; else a new one.
         """
 
-        async def edit(client: running.Client) -> edits.Edit:
+        async def edit(client: command_runner.Client) -> edits.Edit:
             listed = await client.list_documents()
             found = arguments.read_file(file, schema_module.ConfigurationFile)
             return edits.ImportDocuments(
@@ -71,7 +73,7 @@
 
         self._change(edit, reason, operation_id)
 
-    @running.command
+    @command_runner.command
     def set(
         self, template: str, reason: str, operation_id: str = "", **parameters
     ) -> None:
@@ -87,7 +89,7 @@
             **parameters: See docs/configuration-format.md.
         """
 
-        async def edit(client: running.Client) -> edits.Edit:
+        async def edit(client: command_runner.Client) -> edits.Edit:
             read = await client.document(arguments.document(template))
             return edits.PutTemplate(
                 template=arguments.with_parameters(read.template, parameters),
@@ -96,7 +98,7 @@
 
         self._change(edit, reason, operation_id)
 
-    @running.command
+    @command_runner.command
     def withdraw(
         self,
         version: str,
@@ -122,9 +124,9 @@
             template=name,
             allow_unusable=arguments.is_true(allow_unusable),
         )
-        self._change(lambda c: _plain(edit), reason, operation_id)
+        self._change(lambda c: _ready_edit(edit), reason, operation_id)
 
-    @running.command
+    @command_runner.command
     def roll_out(
         self, template: str, version: str, reason: str, operation_id: str = ""
     ) -> None:
@@ -142,9 +144,9 @@
             template=name,
             model_version=arguments.model_version(version),
         )
-        self._change(lambda c: _plain(edit), reason, operation_id)
+        self._change(lambda c: _ready_edit(edit), reason, operation_id)
 
-    @running.command
+    @command_runner.command
     def advance(
         self,
         template: str,
@@ -165,7 +167,7 @@
         team, name = arguments.team_and_name(template)
         model_version = arguments.model_version(version)
 
-        async def edit(client: running.Client) -> edits.Edit:
+        async def edit(client: command_runner.Client) -> edits.Edit:
             if share_percent:
                 share = arguments.share_percent(share_percent)
             else:
@@ -182,7 +184,7 @@
 
         self._change(edit, reason, operation_id)
 
-    @running.command
+    @command_runner.command
     def roll_back(
         self, template: str, version: str, reason: str, operation_id: str = ""
     ) -> None:
@@ -200,9 +202,9 @@
             template=name,
             model_version=arguments.model_version(version),
         )
-        self._change(lambda c: _plain(edit), reason, operation_id)
+        self._change(lambda c: _ready_edit(edit), reason, operation_id)
 
-    @running.command
+    @command_runner.command
     def remove_template(
         self, template: str, reason: str, operation_id: str = ""
     ) -> None:
@@ -215,7 +217,7 @@
         """
         team, name = arguments.team_and_name(template)
 
-        async def edit(client: running.Client) -> edits.Edit:
+        async def edit(client: command_runner.Client) -> edits.Edit:
             read = await client.document(arguments.document(template))
             return edits.RemoveTemplate(
                 team=team, name=name, expected_revision=read.revision
@@ -223,7 +225,7 @@
 
         self._change(edit, reason, operation_id)
 
-    @running.command
+    @command_runner.command
     def put_token(self, team: str, name: str, role: str, reason: str) -> None:
         """Mints a token, prints its text once, and adds or replaces it.
 
@@ -242,9 +244,9 @@
             name=name, role=arguments.role(role), sha256=tokens.digest(text)
         )
         edit = edits.PutToken(team=team, token=entry)
-        self._change(lambda c: _plain(edit), reason, "")
+        self._change(lambda c: _ready_edit(edit), reason, "")
 
-    @running.command
+    @command_runner.command
     def remove_token(
         self, team: str, name: str, reason: str, operation_id: str = ""
     ) -> None:
@@ -257,4 +259,4 @@
             operation_id: To repeat an earlier try; else a new one.
         """
         edit = edits.RemoveToken(team=team, name=name)
-        self._change(lambda c: _plain(edit), reason, operation_id)
+        self._change(lambda c: _ready_edit(edit), reason, operation_id)
--- a/src/nutmeghook/internal/administration/principals.py
+++ b/src/nutmeghook/internal/administration/principals.py
@@ -14,14 +14,16 @@
 BOOTSTRAP_NAME = "bootstrap"
 DEFAULT_PLATFORM_TEAM = "platform"
 _BEARER = "bearer "
-_READING = frozenset(
+_READER_ROLES = frozenset(
     {
         documents.Role.VIEWER,
         documents.Role.OPERATOR,
         documents.Role.ADMINISTRATOR,
     }
 )
-_OPERATING = frozenset({documents.Role.OPERATOR, documents.Role.ADMINISTRATOR})
+_OPERATOR_ROLES = frozenset(
+    {documents.Role.OPERATOR, documents.Role.ADMINISTRATOR}
+)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -29,16 +31,16 @@
     """A token's team, name and role.
 
     Attributes:
-        of_platform: Its team is the platform's own.
-        administers: Holds the administrator's role in the platform's own
+        is_of_platform: Its team is the platform's own.
+        is_administrator: Holds the administrator's role in the platform's own
             team; in any other team that role is worth an operator's.
     """
 
     team: str
     name: str
     role: documents.Role
-    of_platform: bool
-    administers: bool
+    is_of_platform: bool
+    is_administrator: bool
 
     @property
     def author(self) -> rows.Author:
@@ -51,9 +53,9 @@
         Raises:
             errors.CodedError: `NOT_ALLOWED`.
         """
-        if self.administers:
+        if self.is_administrator:
             return
-        if team != self.team or self.role not in _READING:
+        if team != self.team or self.role not in _READER_ROLES:
             raise _not_allowed(self, f"read what is of team {team!r}")
 
     def check_may_settle(self) -> None:
@@ -62,20 +64,20 @@
         Raises:
             errors.CodedError: `NOT_ALLOWED`.
         """
-        if self.role not in _OPERATING:
+        if self.role not in _OPERATOR_ROLES:
             raise _not_allowed(self, "settle operations")
 
-    def check_may_make(self, edit: edits.Edit) -> None:
+    def check_may_edit(self, edit: edits.Edit) -> None:
         """Checks that the principal may make an edit.
 
         Raises:
             errors.CodedError: `NOT_ALLOWED`.
         """
-        if self.administers:
+        if self.is_administrator:
             return
-        if self.role not in _OPERATING:
+        if self.role not in _OPERATOR_ROLES:
             raise _not_allowed(self, "change anything")
-        team = _operators_team(edit)
+        team = _operator_team(edit)
         if team is None:
             raise _not_allowed(
                 self, "make this edit; it is for the platform's administrators"
@@ -84,7 +86,7 @@
             raise _not_allowed(self, f"change what is of team {team!r}")
         # An operator of the platform's team that could mint a token of an
         # administrator, or replace one, would be an administrator.
-        if self.of_platform and isinstance(
+        if self.is_of_platform and isinstance(
             edit, edits.PutToken | edits.RemoveToken
         ):
             raise _not_allowed(self, "change the platform's own tokens")
@@ -141,25 +143,25 @@
                 team=self._platform_team,
                 name=BOOTSTRAP_NAME,
                 role=documents.Role.ADMINISTRATOR,
-                of_platform=True,
-                administers=True,
+                is_of_platform=True,
+                is_administrator=True,
             )
         holder = self._tokens.find(token_text)
         if holder is None:
             return None
-        of_platform = holder.team.name == self._platform_team
+        is_of_platform = holder.team.name == self._platform_team
         return Principal(
             team=holder.team.name,
             name=holder.token_name,
             role=holder.role,
-            of_platform=of_platform,
-            administers=(
-                of_platform and holder.role is documents.Role.ADMINISTRATOR
+            is_of_platform=is_of_platform,
+            is_administrator=(
+                is_of_platform and holder.role is documents.Role.ADMINISTRATOR
             ),
         )
 
 
-def _operators_team(edit: edits.Edit) -> str | None:
+def _operator_team(edit: edits.Edit) -> str | None:
     """Returns the team whose operators may make an edit; None for none.
 
     What a team may use (its models, weight and routes) is not the team's own
--- a/src/nutmeghook/internal/administration/queries.py
+++ b/src/nutmeghook/internal/administration/queries.py
@@ -19,13 +19,13 @@
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.ledger import bills as bills_module
 
-MOST_CHANGES = 200
+MAX_CHANGES = 200
 _STATUS_CHANGES = 5
 _STATUS_WAIT = datetime.timedelta(seconds=1)
-_READ_AT_ONCE = 200
+_CHANGES_PER_PAGE = 200
 # A team whose last change is long ago must not have one call read the log of
 # all teams to its start.
-_MOST_PAGES = 5
+_MAX_PAGES = 5
 
 
 class Queries:
@@ -103,10 +103,10 @@
         """
         revision = before - 1 if before else self._config.replica.revision
         found: list[bodies.HistoryItem] = []
-        for _ in range(_MOST_PAGES):
+        for _ in range(_MAX_PAGES):
             if revision <= 0 or len(found) >= limit:
                 break
-            start = max(0, revision - _READ_AT_ONCE)
+            start = max(0, revision - _CHANGES_PER_PAGE)
             changes = await self._changes(start, revision)
             items = [_item(principal, change) for change in changes[::-1]]
             found += [i for i in items if _matches(i, document)]
@@ -233,7 +233,7 @@
 
 def _may_see(principal: principals.Principal, document: str) -> bool:
     team = _team_of(document)
-    return principal.administers or team in (None, principal.team)
+    return principal.is_administrator or team in (None, principal.team)
 
 
 def _team_of(document: str) -> str | None:
--- a/src/nutmeghook/internal/administration/reading_commands.py
+++ b/src/nutmeghook/internal/administration/read_only_commands.py
@@ -1,22 +1,22 @@
 """The `nutmeghook admin` commands that change nothing."""
 
 from nutmeghook.internal.administration import arguments
+from nutmeghook.internal.administration import command_runner
 from nutmeghook.internal.administration import rendering
-from nutmeghook.internal.administration import running
 from nutmeghook.internal.config import schema as schema_module
 
 
-class ReadingCommands(running.CommandRunner):
+class ReadOnlyCommands(command_runner.CommandRunner):
     """Shows what is in force, what changed, and what became of a change."""
 
     __slots__ = ()
 
-    @running.command
+    @command_runner.command
     def status(self) -> None:
         """Shows what is in force where, what rolls, what waits."""
         self._show(lambda c: c.status(), rendering.status)
 
-    @running.command
+    @command_runner.command
     def bills(self) -> None:
         """Shows what each team's requests used and cost, each billed once.
 
@@ -24,12 +24,12 @@
         """
         self._show(lambda c: c.usage(), rendering.usage)
 
-    @running.command
+    @command_runner.command
     def list(self) -> None:
         """Lists the documents with their revisions."""
         self._show(lambda c: c.list_documents(), rendering.documents)
 
-    @running.command
+    @command_runner.command
     def show(self, document: str) -> None:
         """Prints a document; `put` takes the printed form back.
 
@@ -41,7 +41,7 @@
             rendering.document,
         )
 
-    @running.command
+    @command_runner.command
     def history(
         self, document: str = "", before: str = "0", limit: str = "20"
     ) -> None:
@@ -61,7 +61,7 @@
             rendering.history,
         )
 
-    @running.command
+    @command_runner.command
     def change(self, revision: str) -> None:
         """Shows field by field what an accepted change changed.
 
@@ -71,7 +71,7 @@
         number = arguments.whole_number(revision, "revision")
         self._show(lambda c: c.change(number), rendering.change)
 
-    @running.command
+    @command_runner.command
     def outcome(self, operation_id: str) -> None:
         """Tells for good what became of a change: accepted, or never.
 
@@ -80,7 +80,7 @@
         """
         self._show(lambda c: c.settle(operation_id), rendering.operation)
 
-    @running.command
+    @command_runner.command
     def draft(self, file: str) -> None:
         """Checks a file as `put` would, without changing anything.
 
@@ -91,7 +91,7 @@
             lambda c: c.draft(arguments.edit_in_file(file)), rendering.draft
         )
 
-    @running.command
+    @command_runner.command
     def schema(self) -> None:
         """Prints the JSON schema of a configuration file."""
         print(schema_module.configuration_file_schema())
--- a/src/nutmeghook/internal/administration/rendering.py
+++ b/src/nutmeghook/internal/administration/rendering.py
@@ -9,8 +9,8 @@
 from nutmeghook.internal.config import faults
 from nutmeghook.internal.config import in_force
 
-_MOST_ADDRESSES = 6
-_MOST_ROWS = 8
+_MAX_ADDRESSES = 6
+_MAX_ROWS = 8
 _MICROS_PER_EURO = 1_000_000
 
 
@@ -131,9 +131,9 @@
 def _section(title: str, lines: list[str]) -> list[str]:
     if not lines:
         return [f"{title}: none"]
-    shown = [f"  {line}" for line in lines[:_MOST_ROWS]]
-    if len(lines) > _MOST_ROWS:
-        shown.append(f"  and {len(lines) - _MOST_ROWS} more; see --json")
+    shown = [f"  {line}" for line in lines[:_MAX_ROWS]]
+    if len(lines) > _MAX_ROWS:
+        shown.append(f"  and {len(lines) - _MAX_ROWS} more; see --json")
     return [f"{title}:", *shown]
 
 
@@ -141,8 +141,8 @@
     total = len(where.in_force) + len(where.unconfirmed)
     lines = [f"in force on {len(where.in_force)} of {total} instances"]
     if where.unconfirmed:
-        named = ", ".join(where.unconfirmed[:_MOST_ADDRESSES])
-        more = len(where.unconfirmed) - _MOST_ADDRESSES
+        named = ", ".join(where.unconfirmed[:_MAX_ADDRESSES])
+        more = len(where.unconfirmed) - _MAX_ADDRESSES
         if more > 0:
             named += f" and {more} more"
         lines.append(f"not yet confirmed by {named}")
--- a/src/nutmeghook/internal/administration/status.py
+++ b/src/nutmeghook/internal/administration/status.py
@@ -72,9 +72,9 @@
     templates = [
         template
         for template in snapshot.templates.values()
-        if principal.administers or template.team == principal.team
+        if principal.is_administrator or template.team == principal.team
     ]
-    team = None if principal.administers else principal.team
+    team = None if principal.is_administrator else principal.team
     age = replica.confirmed_age()
     return StatusAnswer(
         revision=snapshot.revision,
@@ -83,8 +83,8 @@
         rolling=_rolling(templates),
         withdrawn=_withdrawn(snapshot.fleet, templates),
         waiting=(
-            *_unconfirmed(where),
-            *_faulty(snapshot, team),
+            *_unconfirmed_texts(where),
+            *_fault_texts(snapshot, team),
             *[t for source in sources for t in await source.waiting(team)],
         ),
         changes=changes,
@@ -107,7 +107,7 @@
     return tuple(
         RollingItem(
             template=f"{template.team}/{template.name}",
-            model_version=_named(stage, entry),
+            model_version=_version_text(stage, entry),
             share_percent=entry.share_percent,
             next_percent=next_step_percent(
                 template.roll_out, entry.share_percent
@@ -123,16 +123,16 @@
 def _withdrawn(
     fleet: documents.Fleet, templates: list[documents.Template]
 ) -> tuple[WithdrawnItem, ...]:
-    everywhere = [
+    fleet_wide = [
         WithdrawnItem(document=edits.FLEET_DOCUMENT, model_version=str(named))
         for named in fleet.withdrawn
     ]
     # Those of the fleet are listed once, not again for each template.
-    known = {item.model_version for item in everywhere}
-    here = [
+    known = {item.model_version for item in fleet_wide}
+    in_templates = [
         WithdrawnItem(
             document=edits.template_document(template.team, template.name),
-            model_version=_named(stage, entry),
+            model_version=_version_text(stage, entry),
         )
         for template in templates
         for stage in template.stages
@@ -140,19 +140,19 @@
         if entry.state is documents.VersionState.WITHDRAWN
     ]
     return (
-        *everywhere,
-        *(item for item in here if item.model_version not in known),
+        *fleet_wide,
+        *(item for item in in_templates if item.model_version not in known),
     )
 
 
-def _unconfirmed(where: in_force.InForce) -> list[str]:
+def _unconfirmed_texts(where: in_force.InForce) -> list[str]:
     return [
         f"{address} has not confirmed revision {where.revision}"
         for address in where.unconfirmed
     ]
 
 
-def _faulty(snapshot: documents.Snapshot, team: str | None) -> list[str]:
+def _fault_texts(snapshot: documents.Snapshot, team: str | None) -> list[str]:
     mine = () if team is None else (f"template/{team}/", f"team/{team}.")
     return [
         str(fault)
@@ -161,5 +161,5 @@
     ]
 
 
-def _named(stage: documents.Stage, entry: documents.VersionEntry) -> str:
+def _version_text(stage: documents.Stage, entry: documents.VersionEntry) -> str:
     return str(engine.ModelVersion(model=stage.model, version=entry.version))
--- a/src/nutmeghook/internal/commands/log_reports.py
+++ b/src/nutmeghook/internal/commands/log_reports.py
@@ -14,37 +14,37 @@
 EXIT_NO_LOGS = 2
 
 
-def tell_story(*, request: str, logs: Sequence[str]) -> None:
+def print_story(*, request: str, logs: Sequence[str]) -> None:
     """Prints a request's way; ends with status 1 if no line names it."""
     files = _files(logs)
     story = story_module.gather(files, request)
-    _print_faults(files)
-    if not story.visits:
+    _print_read_errors(files)
+    if not story.traces:
         print(f"no line names request {request!r}", file=sys.stderr)
         sys.exit(EXIT_NOTHING_FOUND)
-    print("\n".join(story_text.lines_of(story)))
+    print("\n".join(story_text.text_lines(story)))
 
 
-def tell_endings(*, logs: Sequence[str]) -> None:
+def print_endings(*, logs: Sequence[str]) -> None:
     """Prints what became of requests; status 1 if none is in the logs."""
     files = _files(logs)
     endings = endings_table.count(files.lines())
-    _print_faults(files)
+    _print_read_errors(files)
     if not endings.rows and not endings.open_requests:
         print("no line tells of a request", file=sys.stderr)
         sys.exit(EXIT_NOTHING_FOUND)
     print("\n".join(endings_table.text_lines(endings)))
 
 
-def tell_slow_replicas(*, logs: Sequence[str]) -> None:
+def print_slow_replicas(*, logs: Sequence[str]) -> None:
     """Prints which replicas were slow; status 1 if no line tells of waits."""
     files = _files(logs)
     report = slow_replicas.report(files.lines())
-    _print_faults(files)
+    _print_read_errors(files)
     if not report.waits:
         print("no line tells of an attempt's length", file=sys.stderr)
         sys.exit(EXIT_NOTHING_FOUND)
-    print("\n".join(slow_replicas_text.lines_of(report, files.names())))
+    print("\n".join(slow_replicas_text.text_lines(report, files.names())))
 
 
 def _files(logs: Sequence[str]) -> log_reading.LogFiles:
@@ -54,9 +54,9 @@
     return log_reading.LogFiles(paths=logs)
 
 
-def _print_faults(files: log_reading.LogFiles) -> None:
+def _print_read_errors(files: log_reading.LogFiles) -> None:
     """Says what could not be read; the rest is told all the same."""
-    for path, fault in sorted(files.faults.items()):
+    for path, fault in sorted(files.read_errors.items()):
         print(f"# {path}: {fault}", file=sys.stderr)
     for path, count in sorted(files.unreadable_lines.items()):
         if count:
--- a/src/nutmeghook/internal/commands/timeline.py
+++ b/src/nutmeghook/internal/commands/timeline.py
@@ -8,7 +8,7 @@
 import aiohttp
 import msgspec
 
-from nutmeghook.internal.administration import running
+from nutmeghook.internal.administration import command_runner
 from nutmeghook.internal.assembly import observation
 from nutmeghook.internal.observe import timeline
 
@@ -35,8 +35,8 @@
 
 def run(*, about: str, html: str, url: str, token: str) -> None:
     """Prints the time line, and draws it if a page is asked for."""
-    url = url or os.environ.get(running.URL_VARIABLE, "")
-    token = token or os.environ.get(running.TOKEN_VARIABLE, "")
+    url = url or os.environ.get(command_runner.URL_VARIABLE, "")
+    token = token or os.environ.get(command_runner.TOKEN_VARIABLE, "")
     try:
         processes = asyncio.run(fetch(url, token))
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
@@ -44,7 +44,7 @@
         sys.exit(EXIT_NO_ANSWER)
     entries = timeline.merge(processes)
     if about:
-        entries = timeline.about(entries, about)
+        entries = timeline.filter_by_subject(entries, about)
     print("\n".join(timeline.text_lines(entries)))
     for process in processes:
         print(
--- a/src/nutmeghook/internal/observe/attempt_waits.py
+++ b/src/nutmeghook/internal/observe/attempt_waits.py
@@ -9,9 +9,9 @@
 import dataclasses
 from typing import TypeVar
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_reading
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
 # Answers from here on are refusals and failures, which may come at once.
 _FIRST_FAILED_STATUS = 400
@@ -37,7 +37,7 @@
             which it expects nothing.
         waited_ms: Until the answer began; at least that if there was none.
         is_answered: An answer began.
-        is_left: The replica was given up as silent or dark.
+        is_abandoned: The replica was given up as silent or dark.
         running: What the replica said that it runs.
         waiting: What it said that it has waiting.
     """
@@ -55,7 +55,7 @@
     forecast_ms: float
     waited_ms: float
     is_answered: bool
-    is_left: bool
+    is_abandoned: bool
     running: int | None
     waiting: int | None
 
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Gathered:
+class _LinesBySubject:
     """Lines by what they are about."""
 
     attempts: dict[_AttemptKey, list[tuple[float, log_records.AttemptRecord]]]
@@ -76,15 +76,15 @@
 
 def gather(lines: Iterable[log_reading.Line]) -> list[Wait]:
     """Returns all waits, by when they began."""
-    gathered = _gathered(lines)
+    grouped = _group_lines(lines)
     waits = [
         wait
-        for (source, request, _), events in gathered.attempts.items()
+        for (source, request, _), events in grouped.attempts.items()
         for wait in _waits(
-            source, events, sorted(gathered.ends.get((source, request), []))
+            source, events, sorted(grouped.ends.get((source, request), []))
         )
     ]
-    waits = _with_services(waits, gathered.services)
+    waits = _with_services(waits, grouped.services)
     return sorted(waits, key=_order)
 
 
@@ -92,24 +92,24 @@
     return wait.sent_s, wait.instance, wait.request, wait.attempt
 
 
-def _gathered(lines: Iterable[log_reading.Line]) -> _Gathered:
-    gathered = _Gathered({}, {}, {})
+def _group_lines(lines: Iterable[log_reading.Line]) -> _LinesBySubject:
+    grouped = _LinesBySubject({}, {}, {})
     for line in lines:
         record = line.record
         if isinstance(record, log_records.AttemptRecord):
             key = line.source, record.request, record.attempt
-            events = gathered.attempts.setdefault(key, [])
+            events = grouped.attempts.setdefault(key, [])
             events.append((line.at_s, record))
         elif isinstance(record, log_records.RequestEnded):
-            ends = gathered.ends.setdefault((line.source, record.request), [])
+            ends = grouped.ends.setdefault((line.source, record.request), [])
             ends.append((line.at_s, record.route))
         elif (
-            isinstance(record, belief_records.ReplicaChange)
+            isinstance(record, state_records.ReplicaChange)
             and record.service is not None
         ):
-            known = gathered.services.get(record.replica, record.service)
-            gathered.services[record.replica] = min(known, record.service)
-    return gathered
+            known = grouped.services.get(record.replica, record.service)
+            grouped.services[record.replica] = min(known, record.service)
+    return grouped
 
 
 def _waits(
@@ -118,7 +118,7 @@
     ends: list[tuple[float, str]],
 ) -> Iterator[Wait]:
     """Yields an attempt's wait; several if callers gave one id repeatedly."""
-    sents = sorted(
+    sendings = sorted(
         (
             (at_s, record)
             for at_s, record in events
@@ -126,8 +126,8 @@
         ),
         key=lambda sent: (sent[0], sent[1].replica),
     )
-    for number, (at_s, sent) in enumerate(sents):
-        next_s = sents[number + 1][0] if number + 1 < len(sents) else None
+    for number, (at_s, sent) in enumerate(sendings):
+        next_s = sendings[number + 1][0] if number + 1 < len(sendings) else None
         later = sorted(
             (event for event in events if _is_within(event[0], at_s, next_s)),
             key=lambda event: (event[0], event[1].event),
@@ -163,8 +163,8 @@
     else:
         if failed is not None and failed[1].outcome == _NOT_SENT:
             return None
-        over = left or failed or end
-        waited_ms = (over[0] - sent_s) * 1000.0 if over else None
+        last_event = left or failed or end
+        waited_ms = (last_event[0] - sent_s) * 1000.0 if last_event else None
     if waited_ms is None:
         return None
     return Wait(
@@ -181,7 +181,7 @@
         forecast_ms=(sent.waiting_ms or 0.0) + (sent.reading_ms or 0.0),
         waited_ms=waited_ms,
         is_answered=answer is not None,
-        is_left=left is not None,
+        is_abandoned=left is not None,
         running=running,
         waiting=waiting,
     )
@@ -204,22 +204,25 @@
     came late are listed. Told apart from the others by that, they would have
     nothing to be compared with.
     """
-    by_work: dict[tuple[str, str], set[str]] = {}
+    services_by_workload: dict[tuple[str, str], set[str]] = {}
     for wait in waits:
         if wait.replica in services:
-            names = by_work.setdefault(_work(wait), set())
+            names = services_by_workload.setdefault(_workload(wait), set())
             names.add(services[wait.replica])
-    only = {
-        work: min(names) for work, names in by_work.items() if len(names) == 1
+    unambiguous = {
+        workload: min(names)
+        for workload, names in services_by_workload.items()
+        if len(names) == 1
     }
     return [
         dataclasses.replace(
             wait,
-            service=services.get(wait.replica) or only.get(_work(wait), ""),
+            service=services.get(wait.replica)
+            or unambiguous.get(_workload(wait), ""),
         )
         for wait in waits
     ]
 
 
-def _work(wait: Wait) -> tuple[str, str]:
+def _workload(wait: Wait) -> tuple[str, str]:
     return wait.model, "" if wait.model else wait.route
--- a/src/nutmeghook/internal/observe/endings_table.py
+++ b/src/nutmeghook/internal/observe/endings_table.py
@@ -18,11 +18,11 @@
     "last",
     "one of them",
 )
-_NOTHING = "-"
+_EMPTY_CELL = "-"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
-class Kind:
+class RowKey:
     """What requests of one row have in common."""
 
     route: str
@@ -46,15 +46,15 @@
     Attributes:
         requests: How many ended so.
         cut: How many of them with an answer that had begun and broke off.
-        unsaid: Of how many the log doesn't say so.
+        unknown_cuts: Of how many the log doesn't say so.
         first_s: When the first of them ended.
         last_s: When the last of them ended.
     """
 
-    kind: Kind
+    key: RowKey
     requests: int = 0
     cut: int = 0
-    unsaid: int = 0
+    unknown_cuts: int = 0
     first_s: float
     last_s: float
     example: Example
@@ -63,7 +63,7 @@
         """Counts one more."""
         self.requests += 1
         self.cut += bool(record.cut)
-        self.unsaid += record.cut is None
+        self.unknown_cuts += record.cut is None
         self.first_s = min(self.first_s, at_s)
         self.last_s = max(self.last_s, at_s)
         self.example = min(self.example, _example(record, at_s))
@@ -84,20 +84,20 @@
 
 def count(lines: Iterable[log_reading.Line]) -> Endings:
     """Counts the endings among the lines of all logs."""
-    rows: dict[Kind, Row] = {}
-    still_open: set[tuple[log_reading.Source, str]] = set()
+    rows: dict[RowKey, Row] = {}
+    unfinished: set[tuple[log_reading.Source, str]] = set()
     for line in lines:
         record = line.record
         if not isinstance(record, log_records.RequestRecord):
             continue
         if isinstance(record, log_records.RequestEnded):
             _row(rows, record, line.at_s).add(record, line.at_s)
-            still_open.discard((line.source, record.request))
+            unfinished.discard((line.source, record.request))
         else:
-            still_open.add((line.source, record.request))
+            unfinished.add((line.source, record.request))
     return Endings(
         rows=sorted(rows.values(), key=_rank),
-        open_requests=sorted({request for _, request in still_open}),
+        open_requests=sorted({request for _, request in unfinished}),
     )
 
 
@@ -114,7 +114,7 @@
         ).rstrip()
         for row in cells
     ]
-    if any(row.unsaid for row in endings.rows):
+    if any(row.unknown_cuts for row in endings.rows):
         lines.append("# ?: not all of these lines say if an answer was cut")
     if endings.open_requests:
         first = record_text.printable(endings.open_requests[0])
@@ -126,13 +126,13 @@
 
 
 def _row(
-    rows: dict[Kind, Row], record: log_records.RequestEnded, at_s: float
+    rows: dict[RowKey, Row], record: log_records.RequestEnded, at_s: float
 ) -> Row:
-    kind = Kind(route=record.route, code=record.code, reason=record.outcome)
-    row = rows.get(kind)
+    key = RowKey(route=record.route, code=record.code, reason=record.outcome)
+    row = rows.get(key)
     if row is None:
-        row = rows[kind] = Row(
-            kind=kind,
+        row = rows[key] = Row(
+            key=key,
             first_s=at_s,
             last_s=at_s,
             example=_example(record, at_s),
@@ -148,25 +148,25 @@
     )
 
 
-def _rank(row: Row) -> tuple[int, bool, bool, int, Kind]:
+def _rank(row: Row) -> tuple[int, bool, bool, int, RowKey]:
     return (
         -row.cut,
-        row.kind.code == codes.Code.OK.number,
-        row.kind.code == codes.Code.CALLER_GONE.number,
+        row.key.code == codes.Code.OK.number,
+        row.key.code == codes.Code.CALLER_GONE.number,
         -row.requests,
-        row.kind,
+        row.key,
     )
 
 
 def _cells(row: Row) -> tuple[str, ...]:
-    unsure = "?" if row.unsaid else ""
+    unsure_mark = "?" if row.unknown_cuts else ""
     return (
-        row.kind.route or _NOTHING,
-        f"{row.kind.code} {record_text.code_name(row.kind.code)}".rstrip(),
-        row.kind.reason,
+        row.key.route or _EMPTY_CELL,
+        f"{row.key.code} {record_text.code_name(row.key.code)}".rstrip(),
+        row.key.reason,
         str(row.requests),
-        f"{row.cut}{unsure}",
+        f"{row.cut}{unsure_mark}",
         record_text.wall_time(row.first_s),
         record_text.wall_time(row.last_s),
-        row.example.request or _NOTHING,
+        row.example.request or _EMPTY_CELL,
     )
--- a/src/nutmeghook/internal/observe/gathering.py
+++ b/src/nutmeghook/internal/observe/gathering.py
@@ -18,8 +18,8 @@
 
 # A page of 1,000 events is about 200 KB, far below the largest frame.
 EVENTS_PER_PAGE = 1000
-MOST_PAGES = 100
-PEERS_AT_ONCE = 8
+MAX_PAGES = 100
+MAX_CONCURRENT_PEERS = 8
 _TIMEOUT = datetime.timedelta(seconds=2)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 _encoder = msgspec.msgpack.Encoder()
@@ -62,7 +62,7 @@
         An instance that can't be reached is left out; its events are still
         on it, and a later call finds them if it comes back.
         """
-        slots = asyncio.Semaphore(PEERS_AT_ONCE)
+        slots = asyncio.Semaphore(MAX_CONCURRENT_PEERS)
 
         async def fetch(
             member: members_module.Member,
@@ -84,7 +84,7 @@
         gathered: list[events_module.Event] = []
         best = _ClockReading(offset_ms=0.0, uncertainty_ms=float("inf"))
         incarnation = member.incarnation
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             after = gathered[-1].sequence if gathered else 0
             page, reading = await self._pull(member, after)
             best = min(best, reading, key=lambda r: r.uncertainty_ms)
--- a/src/nutmeghook/internal/observe/log_decoding.py
+++ b/src/nutmeghook/internal/observe/log_decoding.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
 
 class UnreadableLineError(Exception):
@@ -24,43 +24,43 @@
     "attempt:lost": log_records.AttemptLost,
     "request:ended": log_records.RequestEnded,
     "request:fault": log_records.RequestFault,
-    "configuration:in_force": belief_records.ConfigurationInForce,
-    "replica:listed": belief_records.ReplicaChange,
-    "replica:leaving": belief_records.ReplicaChange,
-    "replica:gone": belief_records.ReplicaChange,
-    "replica:outdated_entry": belief_records.ReplicaChange,
-    "replica:replaced": belief_records.ReplicaChange,
-    REPLICA_COLD: belief_records.ReplicaChange,
-    "data_centre:evacuated": belief_records.EvacuationChange,
-    "data_centre:taken_back": belief_records.EvacuationChange,
-    "roll_out:ordered": belief_records.RollOutChange,
-    "roll_out:order_withdrawn": belief_records.RollOutChange,
-    "roll_out:plan": belief_records.RollOutChange,
-    "roll_out:decided": belief_records.RollOutChange,
-    "roll_out:store_failed": belief_records.RollOutChange,
-    "roll_out:bad_row": belief_records.RollOutChange,
-    "roll_out:bad_news": belief_records.RollOutChange,
-    STORE_AWAY: belief_records.StoreChange,
-    STORE_BACK: belief_records.StoreChange,
-    "store:history_gone": belief_records.StoreChange,
-    STARTED: belief_records.ProcessChange,
-    "process:leaving": belief_records.ProcessChange,
-    "process:closing": belief_records.ProcessChange,
-    "process:ended": belief_records.ProcessChange,
-    "process:part_failed": belief_records.ProcessChange,
-    "settings:applied": belief_records.ProcessChange,
-    "settings:wrong": belief_records.ProcessChange,
-    "log:dropped": belief_records.LinesDropped,
+    "configuration:in_force": state_records.ConfigurationInForce,
+    "replica:listed": state_records.ReplicaChange,
+    "replica:leaving": state_records.ReplicaChange,
+    "replica:gone": state_records.ReplicaChange,
+    "replica:outdated_entry": state_records.ReplicaChange,
+    "replica:replaced": state_records.ReplicaChange,
+    REPLICA_COLD: state_records.ReplicaChange,
+    "data_centre:evacuated": state_records.EvacuationChange,
+    "data_centre:taken_back": state_records.EvacuationChange,
+    "roll_out:ordered": state_records.RollOutChange,
+    "roll_out:order_withdrawn": state_records.RollOutChange,
+    "roll_out:plan": state_records.RollOutChange,
+    "roll_out:decided": state_records.RollOutChange,
+    "roll_out:store_failed": state_records.RollOutChange,
+    "roll_out:bad_row": state_records.RollOutChange,
+    "roll_out:bad_news": state_records.RollOutChange,
+    STORE_AWAY: state_records.StoreChange,
+    STORE_BACK: state_records.StoreChange,
+    "store:history_gone": state_records.StoreChange,
+    STARTED: state_records.ProcessChange,
+    "process:leaving": state_records.ProcessChange,
+    "process:closing": state_records.ProcessChange,
+    "process:ended": state_records.ProcessChange,
+    "process:part_failed": state_records.ProcessChange,
+    "settings:applied": state_records.ProcessChange,
+    "settings:wrong": state_records.ProcessChange,
+    "log:dropped": state_records.LinesDropped,
 }
 
 
-class _Head(log_records.Record, frozen=True, kw_only=True):
+class _LineHeader(log_records.Record, frozen=True, kw_only=True):
     """What tells a line's type; anything may stand in unknown lines."""
 
     request: object = None
 
 
-_HEAD_DECODER = msgspec.json.Decoder(_Head)
+_HEADER_DECODER = msgspec.json.Decoder(_LineHeader)
 _DECODERS = {name: msgspec.json.Decoder(type_) for name, type_ in TYPES.items()}
 
 
@@ -71,17 +71,19 @@
         UnreadableLineError: It holds none, or one with wrong fields.
     """
     try:
-        head = _HEAD_DECODER.decode(text)
-        decoder = _DECODERS.get(head.event)
+        header = _HEADER_DECODER.decode(text)
+        decoder = _DECODERS.get(header.event)
         if decoder is not None:
             return decoder.decode(text)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise UnreadableLineError(str(error)) from error
-    if isinstance(head.request, str):
+    if isinstance(header.request, str):
         return log_records.OtherRequestRecord(
-            event=head.event,
-            timestamp_s=head.timestamp_s,
-            request=head.request,
+            event=header.event,
+            timestamp_s=header.timestamp_s,
+            request=header.request,
             text=text.decode(errors="replace"),
         )
-    return log_records.Record(event=head.event, timestamp_s=head.timestamp_s)
+    return log_records.Record(
+        event=header.event, timestamp_s=header.timestamp_s
+    )
--- a/src/nutmeghook/internal/observe/log_reading.py
+++ b/src/nutmeghook/internal/observe/log_reading.py
@@ -7,14 +7,14 @@
 import pathlib
 import re
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_decoding
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
 # Collectors put a time and the instance's name before the object, often with
 # marks around them: `26.39 edge-1 {`, `router-1 | {`, `[pod/router-1] {`.
-_MARKS = "[]|: \t"
-_NAME = re.compile(r"[A-Za-z][\w./-]*")
+_PREFIX_PUNCTUATION = "[]|: \t"
+_INSTANCE_NAME = re.compile(r"[A-Za-z][\w./-]*")
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
@@ -69,19 +69,19 @@
 
     Attributes:
         unreadable_lines: How many by file, as of its last reading.
-        faults: Files and folders that could not be read, and why.
+        read_errors: Files and folders that could not be read, and why.
         summaries: Of the sources read so far.
     """
 
-    __slots__ = ("_paths", "faults", "summaries", "unreadable_lines")
+    __slots__ = ("_paths", "read_errors", "summaries", "unreadable_lines")
 
     def __init__(self, *, paths: Iterable[str]):
         self.unreadable_lines: dict[str, int] = {}
-        self.faults: dict[str, str] = {}
+        self.read_errors: dict[str, str] = {}
         self.summaries: dict[Source, Summary] = {}
-        self._paths = self._found(paths)
+        self._paths = self._find_files(paths)
 
-    def _found(self, paths: Iterable[str]) -> list[pathlib.Path]:
+    def _find_files(self, paths: Iterable[str]) -> list[pathlib.Path]:
         """Returns all files, each once, in an order of its own."""
         found: dict[pathlib.Path, pathlib.Path] = {}
         for path in sorted({pathlib.Path(path) for path in paths}):
@@ -118,7 +118,7 @@
                         continue
                     yield line
         except OSError as error:
-            self.faults[str(path)] = error.strerror or str(error)
+            self.read_errors[str(path)] = error.strerror or str(error)
         self.unreadable_lines[str(path)] = unreadable
         self.summaries.update(summaries)
 
@@ -145,22 +145,22 @@
         raise log_decoding.UnreadableLineError("no object")
     record = log_decoding.decode(raw[len(prefix) :])
     source = Source(path=path, name=_name_in(prefix))
-    known = summaries.get(source)
+    summary = summaries.get(source)
     at_s = record.timestamp_s
     if at_s is None:
-        at_s = known.last_s if known else 0.0
-    if known is None or not known.first_s:
-        known = summaries.setdefault(source, Summary(first_s=0.0, last_s=0.0))
-        known.first_s = at_s
-    known.last_s = at_s
-    if isinstance(record, belief_records.LinesDropped):
-        known.dropped_lines += record.lines
+        at_s = summary.last_s if summary else 0.0
+    if summary is None or not summary.first_s:
+        summary = summaries.setdefault(source, Summary(first_s=0.0, last_s=0.0))
+        summary.first_s = at_s
+    summary.last_s = at_s
+    if isinstance(record, state_records.LinesDropped):
+        summary.dropped_lines += record.lines
     return Line(source=source, number=number, at_s=at_s, record=record)
 
 
 def _name_in(prefix: bytes) -> str:
     """Returns the instance's name before an object; empty if there is none."""
     words = prefix.decode(errors="replace").split()
-    named = [word.strip(_MARKS) for word in words]
-    names = [word for word in named if _NAME.fullmatch(word)]
+    named = [word.strip(_PREFIX_PUNCTUATION) for word in words]
+    names = [word for word in named if _INSTANCE_NAME.fullmatch(word)]
     return names[-1] if names else ""
--- a/src/nutmeghook/internal/observe/log_writer.py
+++ b/src/nutmeghook/internal/observe/log_writer.py
@@ -10,7 +10,7 @@
 MAX_WAITING_BYTES = 1024 * 1024
 # Lines of a moment are written together: a system call each would cost more
 # than the lines themselves.
-_FLUSH_EVERY_S = 0.05
+_FLUSH_PERIOD_S = 0.05
 _MAX_WRITE_BYTES = 64 * 1024
 # Each line is an event by itself, not part of a nested task. These two fields
 # are a third of a line, and a collector that keeps the end of a log then kept
@@ -61,7 +61,7 @@
         self._waiting.append(line)
         self._waiting_bytes += len(line)
         if self._timer is None:
-            self._timer = self._loop.call_later(_FLUSH_EVERY_S, self.flush)
+            self._timer = self._loop.call_later(_FLUSH_PERIOD_S, self.flush)
 
     def flush(self) -> None:
         """Writes what the reader takes now."""
@@ -81,4 +81,4 @@
         self._waiting = [rest] if rest else []
         self._waiting_bytes = len(rest)
         if rest and self._timer is None:
-            self._timer = self._loop.call_later(_FLUSH_EVERY_S, self.flush)
+            self._timer = self._loop.call_later(_FLUSH_PERIOD_S, self.flush)
--- a/src/nutmeghook/internal/observe/logs.py
+++ b/src/nutmeghook/internal/observe/logs.py
@@ -28,14 +28,14 @@
 
 def note(event: str, **fields: object) -> None:
     """Logs one event; fields with secret names or bearer tokens are hidden."""
-    eliot.log_message(message_type=event, **_cleaned(fields))
+    eliot.log_message(message_type=event, **_redact_fields(fields))
 
 
-def _cleaned(fields: dict[str, object]) -> dict[str, object]:
-    return {name: _clean(name, value) for name, value in fields.items()}
+def _redact_fields(fields: dict[str, object]) -> dict[str, object]:
+    return {name: _redact(name, value) for name, value in fields.items()}
 
 
-def _clean(name: str, value: object) -> object:
+def _redact(name: str, value: object) -> object:
     if name.lower() in _SECRET_FIELDS:
         return HIDDEN
     if isinstance(value, str):
--- a/src/nutmeghook/internal/observe/metrics.py
+++ b/src/nutmeghook/internal/observe/metrics.py
@@ -271,10 +271,10 @@
 
 
 def _registry(
-    of_collectors: Iterable[collectors.Collector],
+    included: Iterable[collectors.Collector],
 ) -> aioprometheus.Registry:
     registry = aioprometheus.Registry()
-    for collector in of_collectors:
+    for collector in included:
         registry.register(collector)
     return registry
 
--- a/src/nutmeghook/internal/observe/record_text.py
+++ b/src/nutmeghook/internal/observe/record_text.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from nutmeghook.internal.foundation import codes
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
 _CODE_NAMES = {code.number: code.name for code in codes.Code}
-_OF_ALL = frozenset({"event", "timestamp_s"})
+_COMMON_FIELDS = frozenset({"event", "timestamp_s"})
 
 
 def wall_time(at_s: float) -> str:
@@ -41,24 +41,24 @@
 
 
 @functools.singledispatch
-def of(record: log_records.Record) -> str:
+def describe(record: log_records.Record) -> str:
     """Returns what a record says; of any type, its fields as they are."""
     return f"{record.event}{_details(record)}"
 
 
-@of.register
+@describe.register
 def _sent(record: log_records.AttemptSent) -> str:
     detail = _details(record, "request", "attempt", "replica")
     return f"attempt {record.attempt} sent to {record.replica}{detail}"
 
 
-@of.register
+@describe.register
 def _answered(record: log_records.AttemptAnswered) -> str:
     detail = _details(record, "request", "attempt", "replica")
     return f"attempt {record.attempt} answered by {record.replica}{detail}"
 
 
-@of.register
+@describe.register
 def _weak(record: log_records.AttemptWeak) -> str:
     detail = _details(record, "request", "model", "next_model")
     return (
@@ -67,12 +67,12 @@
     )
 
 
-@of.register
+@describe.register
 def _failed(record: log_records.AttemptFailed) -> str:
     return f"attempt {record.attempt} failed, {record.outcome}: {record.error}"
 
 
-@of.register
+@describe.register
 def _left(record: log_records.AttemptLeft) -> str:
     state = "accepts no connection" if record.dark else "is silent"
     text = f"attempt {record.attempt} left: {record.replica} {state}"
@@ -83,7 +83,7 @@
     return text
 
 
-@of.register
+@describe.register
 def _lost(record: log_records.AttemptLost) -> str:
     detail = _details(record, "request", "attempt", "replica", "replica_now")
     return (
@@ -92,7 +92,7 @@
     )
 
 
-@of.register
+@describe.register
 def _ended(record: log_records.RequestEnded) -> str:
     detail = _details(record, "request", "code", "outcome", "cut")
     code = f"{record.code} {code_name(record.code)}".rstrip()
@@ -100,13 +100,13 @@
     return f"ended {code}: {record.outcome}; {state}{detail}"
 
 
-@of.register
+@describe.register
 def _other(record: log_records.OtherRequestRecord) -> str:
     return f"{record.event} {record.text.strip()}"
 
 
-@of.register
-def _in_force(record: belief_records.ConfigurationInForce) -> str:
+@describe.register
+def _in_force(record: state_records.ConfigurationInForce) -> str:
     detail = _details(record, "version")
     return f"configuration {record.version} put in force{detail}"
 
@@ -122,7 +122,9 @@
     fields = [
         f"{name}={_short(value)}"
         for name, value in msgspec.structs.asdict(record).items()
-        if value is not None and name not in _OF_ALL and name not in left_out
+        if value is not None
+        and name not in _COMMON_FIELDS
+        and name not in left_out
     ]
     return f" ({' '.join(fields)})" if fields else ""
 
--- a/src/nutmeghook/internal/observe/slow_spells.py
+++ b/src/nutmeghook/internal/observe/slow_periods.py
@@ -20,30 +20,32 @@
 
 
 def find(
-    waits: Sequence[RelativeWait], limits: Limits, *, looked_at: int
+    waits: Sequence[RelativeWait], limits: Limits, *, total_waits: int
 ) -> list[Sequence[RelativeWait]]:
     """Returns the spells among waits of one origin.
 
     Args:
         waits: All of one replica, or all of one instance, by time.
         limits: From when on waits are long.
-        looked_at: How many waits are looked at in all, where chance may show
+        total_waits: How many waits are looked at in all, where chance may show
             something.
     """
     # Proved before the ends are moved: the best ends make chance look better.
-    proved = [
+    significant = [
         run
-        for run in _joined(waits, _runs(waits, limits), limits)
-        if is_proved(waits[run.start : run.stop], limits, looked_at=looked_at)
+        for run in _merged(waits, _runs(waits, limits), limits)
+        if is_significant(
+            waits[run.start : run.stop], limits, total_waits=total_waits
+        )
     ]
     return [
         waits[run.start : run.stop]
-        for run in _joined(waits, _sharpened(waits, proved, limits), limits)
+        for run in _merged(waits, _refined(waits, significant, limits), limits)
     ]
 
 
-def is_proved(
-    spell: Sequence[RelativeWait], limits: Limits, *, looked_at: int
+def is_significant(
+    period: Sequence[RelativeWait], limits: Limits, *, total_waits: int
 ) -> bool:
     """Returns if so many long waits are no chance.
 
@@ -52,35 +54,37 @@
     here are at most; a spell may begin at any of the waits looked at. Where
     long waits are common, it takes more of them to prove something.
     """
-    if len(spell) < limits.window_answers:
+    if len(period) < limits.window_answers:
         return False
-    share = sum(wait.factor > limits.factor for wait in spell) / len(spell)
-    usual = statistics.fmean(wait.usual_share for wait in spell)
-    if share <= usual:
+    share = sum(wait.factor > limits.factor for wait in period) / len(period)
+    baseline = statistics.fmean(wait.baseline_long_share for wait in period)
+    if share <= baseline:
         return False
-    information = share * math.log(share / usual)
+    information = share * math.log(share / baseline)
     if share < 1.0:
-        information += (1 - share) * math.log((1 - share) / (1 - usual))
-    return len(spell) * information > math.log(looked_at / limits.doubt)
+        information += (1 - share) * math.log((1 - share) / (1 - baseline))
+    return len(period) * information > math.log(
+        total_waits / limits.false_alarm_probability
+    )
 
 
 def _runs(waits: Sequence[RelativeWait], limits: Limits) -> Iterator[range]:
     """Yields the places of each run beyond the factor."""
     half = limits.window_answers // 2
     first = None
-    for place in range(len(waits)):
-        around = waits[max(0, place - half) : place + half + 1]
-        middle = statistics.median(wait.factor for wait in around)
-        if middle > limits.factor:
-            first = place if first is None else first
+    for index in range(len(waits)):
+        around = waits[max(0, index - half) : index + half + 1]
+        median_factor = statistics.median(wait.factor for wait in around)
+        if median_factor > limits.factor:
+            first = index if first is None else first
         elif first is not None:
-            yield range(first, place)
+            yield range(first, index)
             first = None
     if first is not None:
         yield range(first, len(waits))
 
 
-def _sharpened(
+def _refined(
     waits: Sequence[RelativeWait], runs: Sequence[range], limits: Limits
 ) -> Iterator[range]:
     """Yields the runs with their best ends, none within another."""
@@ -91,22 +95,22 @@
             max(begin, run.start - limits.window_answers),
             min(next_first, run.stop + limits.window_answers),
         )
-        sharpened = _with_best_ends(waits, run, around)
-        begin = sharpened.stop
-        yield sharpened
+        refined = _with_best_ends(waits, run, around)
+        begin = refined.stop
+        yield refined
 
 
-def _joined(
+def _merged(
     waits: Sequence[RelativeWait], runs: Iterable[range], limits: Limits
 ) -> list[range]:
     """Makes one of runs with no pause between them."""
-    joined: list[range] = []
+    merged: list[range] = []
     for run in runs:
-        if joined and not _is_pause(waits[joined[-1].stop : run.start], limits):
-            joined[-1] = range(joined[-1].start, run.stop)
+        if merged and not _is_pause(waits[merged[-1].stop : run.start], limits):
+            merged[-1] = range(merged[-1].start, run.stop)
         else:
-            joined.append(run)
-    return joined
+            merged.append(run)
+    return merged
 
 
 def _is_pause(between: Sequence[RelativeWait], limits: Limits) -> bool:
@@ -121,8 +125,8 @@
         return False
     if len(between) >= limits.window_answers:
         return True
-    middle = statistics.median(wait.factor for wait in between)
-    return middle < math.sqrt(limits.factor)
+    median_factor = statistics.median(wait.factor for wait in between)
+    return median_factor < math.sqrt(limits.factor)
 
 
 def _with_best_ends(
@@ -134,22 +138,22 @@
     against it where that is nearer to the usual than to the spell's median.
     The ends are where the sum of it is highest.
     """
-    middle = statistics.median(waits[place].factor for place in run)
-    most = math.log(middle)
+    median_factor = statistics.median(waits[index].factor for index in run)
+    max_score = math.log(median_factor)
     inside = run[len(run) // 2]
 
-    def votes(wait: RelativeWait) -> float:
+    def scores(wait: RelativeWait) -> float:
         # One wait, however long, is one event.
-        return min(max(math.log(wait.factor), 0.0), most) - most / 2.0
+        return min(max(math.log(wait.factor), 0.0), max_score) - max_score / 2.0
 
-    before = [votes(wait) for wait in reversed(waits[around.start : inside])]
-    after = [votes(wait) for wait in waits[inside + 1 : around.stop]]
+    before = [scores(wait) for wait in reversed(waits[around.start : inside])]
+    after = [scores(wait) for wait in waits[inside + 1 : around.stop]]
     return range(
         inside - _best_length(before), inside + 1 + _best_length(after)
     )
 
 
-def _best_length(votes: Sequence[float]) -> int:
+def _best_length(scores: Sequence[float]) -> int:
     """Returns of how many of the first votes the sum is highest."""
-    sums = [0.0, *itertools.accumulate(votes)]
+    sums = [0.0, *itertools.accumulate(scores)]
     return sums.index(max(sums))
--- a/src/nutmeghook/internal/observe/slow_replicas.py
+++ b/src/nutmeghook/internal/observe/slow_replicas.py
@@ -9,7 +9,7 @@
 from nutmeghook.internal.observe import attempt_waits
 from nutmeghook.internal.observe import log_reading
 from nutmeghook.internal.observe import relative_waits
-from nutmeghook.internal.observe import slow_spells
+from nutmeghook.internal.observe import slow_periods
 
 RelativeWait = relative_waits.RelativeWait
 Limits = relative_waits.Limits
@@ -17,12 +17,12 @@
 # An instance is slow itself if it waits long on at least so many replicas, and
 # on at least this share of those that it asks: one slow replica, or two, may be
 # all that a small fleet's instance asks for some time.
-_FEWEST_REPLICAS = 3
-_SHARE_OF_REPLICAS = 0.5
+_MIN_SLOW_REPLICAS = 3
+_MIN_SLOW_SHARE = 0.5
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class ReplicaSpell:
+class SlowReplicaPeriod:
     """A replica that was slow for some time.
 
     Attributes:
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class InstanceSpell:
+class SlowInstancePeriod:
     """An instance that waited long on all replicas: it is slow itself."""
 
     instance: log_reading.Source
@@ -58,7 +58,7 @@
         waits: How many waits there are.
         compared: How many of them could be compared.
         slow: Spells of slow replicas, by their beginning.
-        of_versions: Spells of replicas whose version's others were as slow.
+        slow_versions: Spells of replicas whose version's others were as slow.
         instances: Spells of instances that are slow themselves.
         too_few: Replicas with too few answers that could be compared, and how
             many they had.
@@ -66,9 +66,9 @@
 
     waits: int
     compared: int
-    slow: list[ReplicaSpell]
-    of_versions: list[ReplicaSpell]
-    instances: list[InstanceSpell]
+    slow: list[SlowReplicaPeriod]
+    slow_versions: list[SlowReplicaPeriod]
+    instances: list[SlowInstancePeriod]
     too_few: dict[str, int]
 
 
@@ -81,16 +81,18 @@
     measured = relative_waits.measure(waits, limits)
     instances = _slow_instances(measured, limits)
     # What a slow instance saw tells nothing of replicas.
-    untrue = {id(wait) for spell in instances for wait in spell.waits}
-    trusted = [wait for wait in measured if id(wait) not in untrue]
-    spells = _slow_replicas(trusted, limits)
-    by_version = [spell for spell in spells if _is_of_version(spell, limits)]
+    excluded = {id(wait) for period in instances for wait in period.waits}
+    trusted = [wait for wait in measured if id(wait) not in excluded]
+    periods = _slow_replicas(trusted, limits)
+    slow_versions = [
+        period for period in periods if _is_slow_version(period, limits)
+    ]
     counts = collections.Counter(wait.wait.replica for wait in trusted)
     return Report(
         waits=len(waits),
         compared=len(measured),
-        slow=[spell for spell in spells if spell not in by_version],
-        of_versions=by_version,
+        slow=[period for period in periods if period not in slow_versions],
+        slow_versions=slow_versions,
         instances=instances,
         too_few={
             replica: counts[replica]
@@ -102,32 +104,34 @@
 
 def _slow_instances(
     measured: Sequence[RelativeWait], limits: Limits
-) -> list[InstanceSpell]:
+) -> list[SlowInstancePeriod]:
     by_instance = collections.defaultdict(list)
     for wait in measured:
         by_instance[wait.wait.instance].append(wait)
     return [
-        InstanceSpell(instance=instance, waits=spell)
+        SlowInstancePeriod(instance=instance, waits=period)
         for instance, waits in sorted(by_instance.items())
-        for spell in slow_spells.find(waits, limits, looked_at=len(measured))
-        if _is_on_all_replicas(spell, limits)
+        for period in slow_periods.find(
+            waits, limits, total_waits=len(measured)
+        )
+        if _is_on_all_replicas(period, limits)
     ]
 
 
-def _is_on_all_replicas(spell: Sequence[RelativeWait], limits: Limits) -> bool:
+def _is_on_all_replicas(period: Sequence[RelativeWait], limits: Limits) -> bool:
     factors = collections.defaultdict(list)
-    for wait in spell:
+    for wait in period:
         factors[wait.wait.replica].append(wait.factor)
     slow = sum(
         statistics.median(of_replica) > limits.factor
         for of_replica in factors.values()
     )
-    return slow >= max(_FEWEST_REPLICAS, _SHARE_OF_REPLICAS * len(factors))
+    return slow >= max(_MIN_SLOW_REPLICAS, _MIN_SLOW_SHARE * len(factors))
 
 
 def _slow_replicas(
     trusted: Sequence[RelativeWait], limits: Limits
-) -> list[ReplicaSpell]:
+) -> list[SlowReplicaPeriod]:
     """Returns the spells of all replicas, each over all of its models.
 
     A replica reads for all models from one queue; each wait is compared within
@@ -136,21 +140,22 @@
     by_replica = collections.defaultdict(list)
     for wait in trusted:
         by_replica[wait.wait.replica].append(wait)
-    spells = [
-        _spell(spell, trusted, limits)
+    periods = [
+        _period(period, trusted, limits)
         for waits in by_replica.values()
-        for spell in slow_spells.find(waits, limits, looked_at=len(trusted))
+        for period in slow_periods.find(waits, limits, total_waits=len(trusted))
     ]
     return sorted(
-        spells, key=lambda spell: (spell.waits[0].wait.sent_s, spell.replica)
+        periods,
+        key=lambda period: (period.waits[0].wait.sent_s, period.replica),
     )
 
 
-def _spell(
+def _period(
     waits: Sequence[RelativeWait],
     trusted: Sequence[RelativeWait],
     limits: Limits,
-) -> ReplicaSpell:
+) -> SlowReplicaPeriod:
     first, last = waits[0].wait, waits[-1].wait
     others = [
         other
@@ -163,14 +168,15 @@
         other.factor for other in others if other.wait.version == first.version
     ]
     enough = len(factors) >= limits.window_answers
-    return ReplicaSpell(
+    return SlowReplicaPeriod(
         waits=waits,
         others=others,
         others_factor=statistics.median(factors) if enough else None,
     )
 
 
-def _is_of_version(spell: ReplicaSpell, limits: Limits) -> bool:
+def _is_slow_version(period: SlowReplicaPeriod, limits: Limits) -> bool:
     return (
-        spell.others_factor is not None and spell.others_factor > limits.factor
+        period.others_factor is not None
+        and period.others_factor > limits.factor
     )
--- a/src/nutmeghook/internal/observe/slow_replicas_text.py
+++ b/src/nutmeghook/internal/observe/slow_replicas_text.py
@@ -14,10 +14,10 @@
 RelativeWait = relative_waits.RelativeWait
 
 # As many ids as fit a line; the longest waits tell most.
-_REQUESTS_NAMED = 5
+_MAX_REQUESTS_SHOWN = 5
 
 
-def lines_of(
+def text_lines(
     report: slow_replicas.Report, names: Mapping[log_reading.Source, str]
 ) -> list[str]:
     """Returns the report, a spell in a few lines each.
@@ -27,16 +27,16 @@
         names: A short name for each instance.
     """
     lines: list[str] = []
-    for spell in report.slow:
-        lines += _replica(spell, names)
-    for spell in report.of_versions:
-        lines += _replica(spell, names)
+    for period in report.slow:
+        lines += _replica(period, names)
+    for period in report.slow_versions:
+        lines += _replica(period, names)
         lines.append(
             "  not this replica alone: the others of its version were"
-            f" {spell.others_factor:.1f} times the usual"
+            f" {period.others_factor:.1f} times the usual"
         )
-    for spell in report.instances:
-        lines += _instance(spell, names)
+    for period in report.instances:
+        lines += _instance(period, names)
     if not lines:
         lines.append("no replica was slow")
     lines += _notes(report)
@@ -44,39 +44,39 @@
 
 
 def _replica(
-    spell: slow_replicas.ReplicaSpell,
+    period: slow_replicas.SlowReplicaPeriod,
     names: Mapping[log_reading.Source, str],
 ) -> Iterator[str]:
-    first = spell.waits[0].wait
-    models = sorted({wait.wait.model for wait in spell.waits} - {""})
-    models_text = f" ({_joined(models)})" if models else ""
+    first = period.waits[0].wait
+    models = sorted({wait.wait.model for wait in period.waits} - {""})
+    models_text = f" ({_comma_separated(models)})" if models else ""
     yield (
-        f"replica {spell.replica} of {first.service or '-'}{models_text} was"
-        f" slow, {_when(spell.waits)}, {_how_much(spell.waits)}"
+        f"replica {period.replica} of {first.service or '-'}{models_text} was"
+        f" slow, {_time_range(period.waits)}, {_factor_text(period.waits)}"
     )
-    if spell.others_factor is None:
+    if period.others_factor is None:
         yield "  too few answers of other replicas of its version to compare"
-    yield from _details(spell.waits, names)
+    yield from _details(period.waits, names)
     yield (
-        f"  its load by its own word: {_load(spell.waits)}; the others':"
-        f" {_load(spell.others)}"
+        f"  its load by its own word: {_load(period.waits)}; the others':"
+        f" {_load(period.others)}"
     )
 
 
 def _instance(
-    spell: slow_replicas.InstanceSpell,
+    period: slow_replicas.SlowInstancePeriod,
     names: Mapping[log_reading.Source, str],
 ) -> Iterator[str]:
-    replicas = {wait.wait.replica for wait in spell.waits}
+    replicas = {wait.wait.replica for wait in period.waits}
     yield (
-        f"instance {names.get(spell.instance, spell.instance.path)} saw all"
-        f" replicas slow ({len(replicas)}), {_when(spell.waits)},"
-        f" {_how_much(spell.waits)}"
+        f"instance {names.get(period.instance, period.instance.path)} saw all"
+        f" replicas slow ({len(replicas)}), {_time_range(period.waits)},"
+        f" {_factor_text(period.waits)}"
     )
-    yield from _details(spell.waits, names)
+    yield from _details(period.waits, names)
 
 
-def _when(waits: Sequence[RelativeWait]) -> str:
+def _time_range(waits: Sequence[RelativeWait]) -> str:
     first_s, last_s = waits[0].wait.sent_s, waits[-1].wait.sent_s
     return (
         f"{record_text.wall_time(first_s)} to {record_text.wall_time(last_s)}"
@@ -84,7 +84,7 @@
     )
 
 
-def _how_much(waits: Sequence[RelativeWait]) -> str:
+def _factor_text(waits: Sequence[RelativeWait]) -> str:
     factor = statistics.median(wait.factor for wait in waits)
     waited_ms = statistics.median(wait.wait.waited_ms for wait in waits)
     expected_ms = statistics.median(wait.expected_ms for wait in waits)
@@ -99,7 +99,7 @@
 ) -> Iterator[str]:
     inner = [wait.wait for wait in waits]
     seen_by = sorted({names.get(w.instance, w.instance.path) for w in inner})
-    left = sum(wait.is_left for wait in inner)
+    left = sum(wait.is_abandoned for wait in inner)
     unanswered = sum(not wait.is_answered for wait in inner)
     yield (
         f"  {len(inner)} requests in that time, {unanswered} without an answer,"
@@ -111,10 +111,10 @@
         {w.configuration for w in inner if w.configuration is not None}
     )
     yield (
-        f"  configuration {_joined(configurations)};"
-        f" version {_joined(versions)}"
+        f"  configuration {_comma_separated(configurations)};"
+        f" version {_comma_separated(versions)}"
     )
-    longest = sorted(waits, key=_by_delay)[:_REQUESTS_NAMED]
+    longest = sorted(waits, key=_by_delay)[:_MAX_REQUESTS_SHOWN]
     yield f"  waited there: {' '.join(_requests(longest))}"
 
 
@@ -139,7 +139,7 @@
     )
 
 
-def _joined(values: Iterable[object]) -> str:
+def _comma_separated(values: Iterable[object]) -> str:
     return ", ".join(str(value) for value in values) or "-"
 
 
--- a/src/nutmeghook/internal/observe/story.py
+++ b/src/nutmeghook/internal/observe/story.py
@@ -4,24 +4,24 @@
 import dataclasses
 import heapq
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_decoding
 from nutmeghook.internal.observe import log_reading
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
 Line = log_reading.Line
 
 # Lines that bear on every request of their instance.
-_BEARS_ON_ALL = (
-    belief_records.ConfigurationInForce,
-    belief_records.EvacuationChange,
-    belief_records.LinesDropped,
-    belief_records.ProcessChange,
-    belief_records.RollOutChange,
-    belief_records.StoreChange,
+_RELEVANT_TO_ALL = (
+    state_records.ConfigurationInForce,
+    state_records.EvacuationChange,
+    state_records.LinesDropped,
+    state_records.ProcessChange,
+    state_records.RollOutChange,
+    state_records.StoreChange,
 )
 
-_NAMING_REPLICAS = (
+_REPLICA_RECORDS = (
     log_records.AttemptSent,
     log_records.AttemptAnswered,
     log_records.AttemptLeft,
@@ -29,42 +29,42 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Visit:
+class InstanceTrace:
     """What one instance did with a request, and believed meanwhile.
 
     Attributes:
         instance: Its name.
-        own: The lines about the request, as they were logged.
+        request_lines: The lines about the request, as they were logged.
         replicas: Those of the request's attempts.
         arrived_s: When it arrived, or its first line if that is not known.
         until_s: When its last line was logged. Of a request without an end,
             when the process started again, or the log's end.
         log: What is known of the instance's log as a whole.
-        beliefs: Lines between arrival and end that bear on the request.
-        earlier: The newest line from before the arrival about each subject
-            that bears on the request.
-        knows_start: The process's start, before the arrival, is in the log.
+        state_changes: Lines between arrival and end that bear on the request.
+        earlier_state: The newest line from before the arrival about each
+            subject that bears on the request.
+        has_start: The process's start, before the arrival, is in the log.
         services: Those of the replicas of its attempts, as far as was logged.
     """
 
     instance: str
-    own: list[Line]
+    request_lines: list[Line]
     replicas: frozenset[str]
     arrived_s: float
     until_s: float
     log: log_reading.Summary
-    beliefs: list[Line] = dataclasses.field(default_factory=list)
-    earlier: dict[str, Line] = dataclasses.field(default_factory=dict)
-    knows_start: bool = False
+    state_changes: list[Line] = dataclasses.field(default_factory=list)
+    earlier_state: dict[str, Line] = dataclasses.field(default_factory=dict)
+    has_start: bool = False
     services: set[str] = dataclasses.field(default_factory=set)
 
     @property
     def records(self) -> list[log_records.RequestRecord]:
         """The request's records."""
-        return [line.record for line in self.own]
+        return [line.record for line in self.request_lines]
 
     @property
-    def knows_arrival(self) -> bool:
+    def has_arrival(self) -> bool:
         """Tells whether some line says when the request arrived."""
         return any(
             isinstance(record, log_records.RequestEnded)
@@ -78,7 +78,7 @@
         return isinstance(self.records[-1], log_records.RequestEnded)
 
     @property
-    def let_in_by(self) -> int | None:
+    def admitted_by(self) -> int | None:
         """The configuration that let the request in, if a line says so."""
         ends = [
             r for r in self.records if isinstance(r, log_records.RequestEnded)
@@ -110,125 +110,138 @@
 
     def lines(self) -> list[Line]:
         """Returns all lines from the arrival on, as they were logged."""
-        return sorted(self.own + self.beliefs, key=lambda line: line.number)
+        return sorted(
+            self.request_lines + self.state_changes,
+            key=lambda line: line.number,
+        )
 
-    def take(self, line: Line) -> None:
+    def add_line(self, line: Line) -> None:
         """Takes in another line of the instance, if it bears on the request."""
         record = line.record
-        if not self._bears(record) or line.at_s > self.until_s:
+        if not self._is_relevant(record) or line.at_s > self.until_s:
             return
-        if isinstance(record, belief_records.ReplicaChange) and record.service:
+        if isinstance(record, state_records.ReplicaChange) and record.service:
             self.services.add(record.service)
         is_start = record.event == log_decoding.STARTED
         if line.at_s >= self.arrived_s:
-            self.beliefs.append(line)
-            if is_start and line.number > self.own[-1].number:
+            self.state_changes.append(line)
+            if is_start and line.number > self.request_lines[-1].number:
                 # What comes now is another process's, without this request.
                 self.until_s = line.at_s
             return
         if is_start:
-            self.knows_start = True
-            self.earlier.clear()
+            self.has_start = True
+            self.earlier_state.clear()
         subject = _subject(record)
         if subject is not None:
-            self.earlier[subject] = line
+            self.earlier_state[subject] = line
 
-    def _bears(self, record: log_records.Record) -> bool:
-        if isinstance(record, belief_records.ReplicaChange):
+    def _is_relevant(self, record: log_records.Record) -> bool:
+        if isinstance(record, state_records.ReplicaChange):
             return record.replica in self.replicas
-        return isinstance(record, _BEARS_ON_ALL)
+        return isinstance(record, _RELEVANT_TO_ALL)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Story:
-    """A request's way over all instances; no visits if no line names it."""
+class RequestTrace:
+    """A request's way over all instances; no traces if no line names it."""
 
     request: str
-    visits: list[Visit]
+    traces: list[InstanceTrace]
 
-    def lines(self) -> list[tuple[Visit, Line]]:
+    def lines(self) -> list[tuple[InstanceTrace, Line]]:
         """Returns all lines from the arrival on, in order of time.
 
         Lines of one instance keep the order in which it logged them, also
         where its wall clock was set back.
         """
-        ways = [
-            [(visit, line) for line in visit.lines()] for visit in self.visits
+        by_instance = [
+            [(trace, line) for line in trace.lines()] for trace in self.traces
         ]
-        return list(heapq.merge(*ways, key=lambda pair: pair[1].at_s))
+        return list(heapq.merge(*by_instance, key=lambda pair: pair[1].at_s))
 
 
-def gather(files: log_reading.LogFiles, request: str) -> Story:
+def gather(files: log_reading.LogFiles, request: str) -> RequestTrace:
     """Reads a request's story.
 
     The files are read twice: what bears on a request, and from when to when,
     is known only once its own lines are.
     """
-    own: dict[log_reading.Source, list[Line]] = {}
+    request_lines: dict[log_reading.Source, list[Line]] = {}
     for line in files.lines():
         record = line.record
         if (
             isinstance(record, log_records.RequestRecord)
             and record.request == request
         ):
-            own.setdefault(line.source, []).append(line)
+            request_lines.setdefault(line.source, []).append(line)
     names = files.names()
-    visits = {
-        source: _visit(names[source], own[source], files.summaries[source])
-        for source in sorted(own, key=lambda source: (names[source], source))
+    traces = {
+        source: _trace(
+            names[source], request_lines[source], files.summaries[source]
+        )
+        for source in sorted(
+            request_lines, key=lambda source: (names[source], source)
+        )
     }
-    if visits:
-        _add_beliefs(visits, files.lines({source.path for source in own}))
-    return Story(request=request, visits=list(visits.values()))
+    if traces:
+        _add_state_changes(
+            traces,
+            files.lines({source.path for source in request_lines}),
+        )
+    return RequestTrace(request=request, traces=list(traces.values()))
 
 
-def _visit(name: str, own: list[Line], log: log_reading.Summary) -> Visit:
+def _trace(
+    name: str, request_lines: list[Line], log: log_reading.Summary
+) -> InstanceTrace:
     arrivals = [
         line.at_s - line.record.duration_ms / 1000.0
-        for line in own
+        for line in request_lines
         if isinstance(line.record, log_records.RequestEnded)
         and line.record.duration_ms is not None
     ]
-    visit = Visit(
+    trace = InstanceTrace(
         instance=name,
-        own=own,
+        request_lines=request_lines,
         replicas=frozenset(
             line.record.replica
-            for line in own
-            if isinstance(line.record, _NAMING_REPLICAS)
+            for line in request_lines
+            if isinstance(line.record, _REPLICA_RECORDS)
         ),
-        arrived_s=min([*arrivals, own[0].at_s]),
-        until_s=own[-1].at_s,
+        arrived_s=min([*arrivals, request_lines[0].at_s]),
+        until_s=request_lines[-1].at_s,
         log=log,
     )
-    if not visit.is_ended:
-        visit.until_s = max(log.last_s, visit.until_s)
-    return visit
+    if not trace.is_ended:
+        trace.until_s = max(log.last_s, trace.until_s)
+    return trace
 
 
-def _add_beliefs(
-    visits: dict[log_reading.Source, Visit], lines: Iterable[Line]
+def _add_state_changes(
+    traces: dict[log_reading.Source, InstanceTrace],
+    lines: Iterable[Line],
 ) -> None:
     for line in lines:
-        visit = visits.get(line.source)
-        if visit is not None:
-            visit.take(line)
+        trace = traces.get(line.source)
+        if trace is not None:
+            trace.add_line(line)
 
 
 def _subject(record: log_records.Record) -> str | None:
     """Returns what a newer line about the same says anew."""
-    if isinstance(record, belief_records.ConfigurationInForce):
+    if isinstance(record, state_records.ConfigurationInForce):
         return "configuration"
     if record.event in (log_decoding.STORE_AWAY, log_decoding.STORE_BACK):
         return "store"
     if record.event == log_decoding.REPLICA_COLD:
         return f"{record.event} {record.replica}"
-    if isinstance(record, belief_records.ReplicaChange):
+    if isinstance(record, state_records.ReplicaChange):
         return f"replica {record.replica}"
-    if isinstance(record, belief_records.EvacuationChange):
+    if isinstance(record, state_records.EvacuationChange):
         return f"data centre {record.data_centre}"
-    if isinstance(record, belief_records.ProcessChange):
+    if isinstance(record, state_records.ProcessChange):
         return record.event.partition(":")[0]
-    if isinstance(record, belief_records.RollOutChange) and record.service:
+    if isinstance(record, state_records.RollOutChange) and record.service:
         return f"{record.event} {record.service}"
     return None
--- a/src/nutmeghook/internal/observe/story_text.py
+++ b/src/nutmeghook/internal/observe/story_text.py
@@ -3,46 +3,46 @@
 from collections.abc import Iterator
 import heapq
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_decoding
 from nutmeghook.internal.observe import log_records
 from nutmeghook.internal.observe import record_text
+from nutmeghook.internal.observe import state_records
 from nutmeghook.internal.observe import story as story_module
 
 # Stands before what an instance believed, not did.
-_BELIEF = "| "
+_STATE_PREFIX = "| "
 
 
-def lines_of(story: story_module.Story) -> list[str]:
+def text_lines(story: story_module.RequestTrace) -> list[str]:
     """Returns the story, with times relative to its first line."""
-    if not story.visits:
+    if not story.traces:
         return []
-    start_s = min(visit.arrived_s for visit in story.visits)
+    start_s = min(trace.arrived_s for trace in story.traces)
     lines = [
         f"request {story.request}, times from {record_text.wall_time(start_s)}"
     ]
-    if len(story.visits) > 1:
+    if len(story.traces) > 1:
         lines.append(
-            f"# on {len(story.visits)} instances, each by its own clock"
+            f"# on {len(story.traces)} instances, each by its own clock"
         )
-    for visit in story.visits:
-        notes = [*_gaps(visit), *_earlier(visit)]
-        lines += [f"# {visit.instance}: {note}" for note in notes]
+    for trace in story.traces:
+        notes = [*_gaps(trace), *_earlier_state(trace)]
+        lines += [f"# {trace.instance}: {note}" for note in notes]
     lines += _entries(story, start_s)
     return [record_text.printable(line) for line in lines]
 
 
-def _entries(story: story_module.Story, start_s: float) -> list[str]:
+def _entries(story: story_module.RequestTrace, start_s: float) -> list[str]:
     arrivals = sorted(
-        (visit.arrived_s, visit.instance, _arrival(visit))
-        for visit in story.visits
-        if visit.knows_arrival
+        (trace.arrived_s, trace.instance, _arrival(trace))
+        for trace in story.traces
+        if trace.has_arrival
     )
     entries = [
-        (line.at_s, visit.instance, _text(visit, line.record))
-        for visit, line in story.lines()
+        (line.at_s, trace.instance, _text(trace, line.record))
+        for trace, line in story.lines()
     ]
-    width = max(len(visit.instance) for visit in story.visits)
+    width = max(len(trace.instance) for trace in story.traces)
     return [
         f"{(at_s - start_s) * 1000.0:12.1f} ms  {instance:{width}}  {text}"
         for at_s, instance, text in heapq.merge(
@@ -51,18 +51,18 @@
     ]
 
 
-def _arrival(visit: story_module.Visit) -> str:
-    if visit.let_in_by is None:
+def _arrival(trace: story_module.InstanceTrace) -> str:
+    if trace.admitted_by is None:
         return "arrived"
-    return f"arrived, let in by configuration {visit.let_in_by}"
+    return f"arrived, let in by configuration {trace.admitted_by}"
 
 
-def _text(visit: story_module.Visit, record: log_records.Record) -> str:
+def _text(trace: story_module.InstanceTrace, record: log_records.Record) -> str:
     if isinstance(record, log_records.RequestRecord):
-        return record_text.of(record)
-    text = _BELIEF + record_text.of(record)
-    admitted = visit.let_in_by
-    if not isinstance(record, belief_records.ConfigurationInForce):
+        return record_text.describe(record)
+    text = _STATE_PREFIX + record_text.describe(record)
+    admitted = trace.admitted_by
+    if not isinstance(record, state_records.ConfigurationInForce):
         return text
     if admitted is None:
         return f"{text}; not logged which one let the request in"
@@ -71,54 +71,56 @@
     return f"{text}; another than {admitted}, which let the request in"
 
 
-def _gaps(visit: story_module.Visit) -> Iterator[str]:
+def _gaps(trace: story_module.InstanceTrace) -> Iterator[str]:
     """Says what is missing of a visit, and why."""
-    ahead_s = visit.arrived_s - visit.log.first_s
+    ahead_s = trace.arrived_s - trace.log.first_s
     if ahead_s < 0:
         yield (
             f"log begins {_span(-ahead_s)} after the request arrived; what was"
             " logged before is missing"
         )
-    elif not visit.knows_start:
+    elif not trace.has_start:
         yield (
             f"log begins {_span(ahead_s)} before the request's first line, not"
             " with the process's start"
         )
-    if not visit.knows_arrival:
+    if not trace.has_arrival:
         yield "the request's arrival is not logged; times from its first line"
-    if visit.missing_attempts:
-        numbers = ", ".join(str(number) for number in visit.missing_attempts)
+    if trace.missing_attempts:
+        numbers = ", ".join(str(number) for number in trace.missing_attempts)
         yield f"no line of the sending of attempt {numbers}"
-    if not visit.is_ended:
-        rest_s = visit.until_s - visit.own[-1].at_s
+    if not trace.is_ended:
+        rest_s = trace.until_s - trace.request_lines[-1].at_s
         yield (
             "no line of the request's end until the log's own or the process's"
             f" next start, {_span(rest_s)} after its last line"
         )
-    if visit.log.dropped_lines:
+    if trace.log.dropped_lines:
         yield (
-            f"{visit.log.dropped_lines} lines of the log were left out, its"
+            f"{trace.log.dropped_lines} lines of the log were left out, its"
             " reader was too slow"
         )
 
 
-def _earlier(visit: story_module.Visit) -> Iterator[str]:
+def _earlier_state(trace: story_module.InstanceTrace) -> Iterator[str]:
     """Says what was believed when the request arrived."""
-    for line in sorted(visit.earlier.values(), key=lambda line: line.number):
+    for line in sorted(
+        trace.earlier_state.values(), key=lambda line: line.number
+    ):
         record = line.record
-        if _concerns_others(visit, record) or _is_over(record):
+        if _concerns_others(trace, record) or _is_over(record):
             continue
-        before_s = visit.arrived_s - line.at_s
-        yield f"{_span(before_s)} before: {record_text.of(record)}"
+        before_s = trace.arrived_s - line.at_s
+        yield f"{_span(before_s)} before: {record_text.describe(record)}"
 
 
 def _concerns_others(
-    visit: story_module.Visit, record: log_records.Record
+    trace: story_module.InstanceTrace, record: log_records.Record
 ) -> bool:
     return (
-        isinstance(record, belief_records.RollOutChange)
-        and bool(visit.services)
-        and record.service not in visit.services
+        isinstance(record, state_records.RollOutChange)
+        and bool(trace.services)
+        and record.service not in trace.services
     )
 
 
--- a/src/nutmeghook/internal/observe/timeline.py
+++ b/src/nutmeghook/internal/observe/timeline.py
@@ -63,15 +63,17 @@
     return entries
 
 
-def about(entries: list[Entry], subject: str) -> list[Entry]:
+def filter_by_subject(entries: list[Entry], subject: str) -> list[Entry]:
     """Keeps what concerns a request, operation, version or lease.
 
     Gaps stay: the missing events might have been about the subject.
     """
-    return [e for e in entries if e.event is None or _names(e.event, subject)]
+    return [
+        e for e in entries if e.event is None or _is_about(e.event, subject)
+    ]
 
 
-def _names(event: events.Event, subject: str) -> bool:
+def _is_about(event: events.Event, subject: str) -> bool:
     if event.subject.startswith(subject):
         return True
     return subject in event.detail.values()
@@ -116,7 +118,7 @@
 _LANE_PX = 70
 _LEFT_PX = 260
 _WIDTH_PX = 1400
-_MOST_DRAWN = 20_000
+_MAX_DRAWN = 20_000
 
 
 def html_page(entries: list[Entry], *, title: str) -> str:
@@ -125,7 +127,7 @@
     The newest entries are drawn where there are very many; the heading says
     how many were left out.
     """
-    left_out = max(0, len(entries) - _MOST_DRAWN)
+    left_out = max(0, len(entries) - _MAX_DRAWN)
     shown = entries[left_out:]
     lanes = sorted({entry.process for entry in shown})
     start_ms = shown[0].at_ms if shown else 0.0
--- a/tests/cover/test_attempt_waits.py
+++ b/tests/cover/test_attempt_waits.py
@@ -70,7 +70,7 @@
     def test_a_replica_left_was_waited_for_until_then(self):
         (wait,) = self.waits(log_lines.sent(5.0), left(3005.0))
         self.assertAlmostEqual(wait.waited_ms, 3000.0, delta=0.1)
-        self.assertTrue(wait.is_left)
+        self.assertTrue(wait.is_abandoned)
         self.assertFalse(wait.is_answered)
 
     def test_a_request_that_ended_unanswered_waited_until_then(self):
--- a/tests/cover/test_cli.py
+++ b/tests/cover/test_cli.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from nutmeghook import cli
-from nutmeghook.internal.administration import running
+from nutmeghook.internal.administration import command_runner
 from nutmeghook.internal.commands import log_reports
 from tests import log_lines
 
@@ -70,7 +70,7 @@
         1.1, and the operator refused as unknown.
         """
         client = mock.Mock(side_effect=ValueError("no server"))
-        with mock.patch.object(running, "Client", client):
+        with mock.patch.object(command_runner, "Client", client):
             printed("admin", "status", "--url=http://10.0.0.1", "--token=1.10")
         self.assertEqual(client.call_args.kwargs["token"], "1.10")
 
--- a/tests/cover/test_endings_table.py
+++ b/tests/cover/test_endings_table.py
@@ -70,7 +70,7 @@
     def test_a_log_that_does_not_tell_of_cuts_counts_as_unsure(self):
         path = self.write("a.log", [ended(1.0, cut=None), ended(2.0)])
         (row,) = counted(path).rows
-        self.assertEqual((row.cut, row.unsaid, row.requests), (0, 1, 2))
+        self.assertEqual((row.cut, row.unknown_cuts, row.requests), (0, 1, 2))
         self.assertIn(" 0? ", endings_table.text_lines(counted(path))[1])
 
     @hypothesis.given(
--- a/tests/cover/test_log_reading.py
+++ b/tests/cover/test_log_reading.py
@@ -9,10 +9,10 @@
 import hypothesis
 from hypothesis import strategies
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_decoding
 from nutmeghook.internal.observe import log_reading
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 from tests import log_lines
 
 SOURCES = pathlib.Path(__file__).parents[2] / "src" / "nutmeghook"
@@ -94,7 +94,7 @@
         missing = str(self.folder / "missing.log")
         files = self.read(missing, path)
         self.assertEqual(len(self.lines), 1)
-        self.assertEqual(list(files.faults), [missing])
+        self.assertEqual(list(files.read_errors), [missing])
 
     def test_a_line_without_a_time_has_that_of_the_one_before(self):
         files = self.read(
@@ -135,7 +135,7 @@
         """
         logged = logged_fields()
         for event, kind in log_decoding.TYPES.items():
-            if kind is belief_records.LinesDropped:
+            if kind is state_records.LinesDropped:
                 # Added by the writer itself.
                 continue
             fields = {*kind.__struct_fields__} - OF_ALL_LINES
@@ -150,7 +150,7 @@
         for event, kind in log_decoding.TYPES.items():
             by_kind[kind] |= logged[event]
         for kind, names in by_kind.items():
-            if kind is belief_records.LinesDropped or None in names:
+            if kind is state_records.LinesDropped or None in names:
                 continue
             fields = {*kind.__struct_fields__} - OF_ALL_LINES
             with self.subTest(kind=kind.__name__):
--- a/tests/cover/test_settings.py
+++ b/tests/cover/test_settings.py
@@ -94,7 +94,7 @@
         self.assertEqual(written, page.page())
 
     def test_logs_hide_tokens(self):
-        cleaned = logs._cleaned(
+        cleaned = logs._redact_fields(
             {"token": "abc", "detail": "Authorization: Bearer abc, more"}
         )
         self.assertNotIn("abc", str(cleaned))
--- a/tests/cover/test_slow_replicas.py
+++ b/tests/cover/test_slow_replicas.py
@@ -19,14 +19,14 @@
 from tests import slow_replica_logs
 
 Fleet = slow_replica_logs.Fleet
-Sent = slow_replica_logs.Sent
+SentRequest = slow_replica_logs.SentRequest
 Limits = relative_waits.Limits
 
 SPELL_S = 6.5
 SEEDS = strategies.integers(0, 2**32)
 # A fleet's logs take about half a second each, and no seed is simpler than
 # another: to look for a smaller one only takes long.
-FEW = hypothesis.settings(
+FEW_EXAMPLES = hypothesis.settings(
     max_examples=8,
     phases=[hypothesis.Phase.explicit, hypothesis.Phase.generate],
 )
@@ -35,7 +35,7 @@
 def slow_between(begin_s: float, end_s: float, *, times: float, replica: int):
     """Returns the slowness of a fleet in which one replica is slow."""
 
-    def slowness(sent: Sent) -> float:
+    def slowness(sent: SentRequest) -> float:
         is_slow = sent.replica == replica and begin_s <= sent.at_s < end_s
         return times if is_slow else 1.0
 
@@ -54,25 +54,25 @@
     ) -> None:
         """Checks that this spell was found within a second, and no other."""
         self.assertEqual(
-            [spell.replica for spell in report.slow], [f"i-{replica}"]
+            [period.replica for period in report.slow], [f"i-{replica}"]
         )
-        (spell,) = report.slow
-        first_s = spell.waits[0].wait.sent_s - log_lines.START_S
-        last_s = spell.waits[-1].wait.sent_s - log_lines.START_S
+        (period,) = report.slow
+        first_s = period.waits[0].wait.sent_s - log_lines.START_S
+        last_s = period.waits[-1].wait.sent_s - log_lines.START_S
         self.assertLess(abs(first_s - begin_s), 1.0)
         self.assertLess(abs(last_s - end_s), 1.0)
-        self.assertEqual((report.of_versions, report.instances), ([], []))
+        self.assertEqual((report.slow_versions, report.instances), ([], []))
 
-    def assert_calm(self, report: slow_replicas.Report) -> None:
+    def assert_nothing_slow(self, report: slow_replicas.Report) -> None:
         """Checks that nothing is called slow, though all is compared."""
         self.assertEqual(
-            (report.slow, report.of_versions, report.instances), ([], [], [])
+            (report.slow, report.slow_versions, report.instances), ([], [], [])
         )
         self.assertGreater(report.compared, 0.99 * report.waits)
 
 
-class FoundTest(SlowReplicasCase):
-    @FEW
+class DetectionTest(SlowReplicasCase):
+    @FEW_EXAMPLES
     @hypothesis.given(
         SEEDS, strategies.integers(0, 30), strategies.floats(3.0, 7.0)
     )
@@ -93,8 +93,8 @@
         )
         report = slow_replicas.report(fleet.lines())
         self.assert_found(report, replica, begin_s, end_s)
-        spell = report.slow[0].waits
-        factor = statistics.median(wait.factor for wait in spell)
+        period = report.slow[0].waits
+        factor = statistics.median(wait.factor for wait in period)
         self.assertTrue(3.5 < factor < 7.0, factor)
 
     def test_limits_are_flat_at_half_and_double(self):
@@ -102,18 +102,22 @@
         found, and calm logs stay calm. A replica that takes eight times as
         long, as the doubled factor is five.
         """
-        usual = Limits()
+        default_limits = Limits()
         slow = Fleet(
             seed=1, slowness=slow_between(8.0, 14.5, times=8.0, replica=4)
         ).lines()
-        calm = Fleet(seed=2).lines()
+        steady = Fleet(seed=2).lines()
         for field in dataclasses.fields(Limits):
-            value = getattr(usual, field.name)
+            value = getattr(default_limits, field.name)
             for times in (0.5, 1.0, 2.0):
                 changed = type(value)(value * times)
-                limits = dataclasses.replace(usual, **{field.name: changed})
+                limits = dataclasses.replace(
+                    default_limits, **{field.name: changed}
+                )
                 with self.subTest(field=field.name, value=changed):
-                    self.assert_calm(slow_replicas.report(calm, limits))
+                    self.assert_nothing_slow(
+                        slow_replicas.report(steady, limits)
+                    )
                     report = slow_replicas.report(slow, limits)
                     self.assert_found(report, 4, 8.0, 14.5)
 
@@ -135,7 +139,7 @@
         """
         fleet = Fleet(
             seed=13,
-            asked_by=lambda replica, instance: 4 if replica == 2 else instance,
+            sent_by=lambda replica, instance: 4 if replica == 2 else instance,
             slowness=slow_between(8.0, 14.5, times=5.0, replica=2),
         )
         self.assert_found(slow_replicas.report(fleet.lines()), 2, 8.0, 14.5)
@@ -178,10 +182,10 @@
         report = slow_replicas.report(lines)
         self.assert_found(report, 2, 8.0, 14.5)
         inner = [wait.wait for wait in report.slow[0].waits]
-        self.assertGreater(sum(wait.is_left for wait in inner), 20)
+        self.assertGreater(sum(wait.is_abandoned for wait in inner), 20)
         self.assertGreater(sum(not wait.is_answered for wait in inner), 20)
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(strategies.randoms(use_true_random=False))
     def test_the_order_of_files_and_lines_does_not_matter(self, source):
         fleet = Fleet(
@@ -202,25 +206,25 @@
             source.shuffle(paths)
             files = log_reading.LogFiles(paths=paths)
             report = slow_replicas.report(files.lines())
-            text = slow_replicas_text.lines_of(report, files.names())
+            text = slow_replicas_text.text_lines(report, files.names())
         self.assert_found(report, 2, 3.0, 8.0)
         plain_names = {
             log_reading.Source(path=f"edge-{n}.log", name=""): f"edge-{n}"
             for n in range(5)
         }
         self.assertEqual(
-            text, slow_replicas_text.lines_of(in_order, plain_names)
+            text, slow_replicas_text.text_lines(in_order, plain_names)
         )
 
 
-class NotFoundTest(SlowReplicasCase):
-    @FEW
+class FalseAlarmTest(SlowReplicasCase):
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS, strategies.sampled_from([0.3, 0.5, 1.0]))
     def test_calm_logs_name_nothing(self, seed, spread):
         fleet = Fleet(seed=seed, spread=spread)
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_an_overload_of_all_is_no_slow_replica(self, seed):
         """All replicas take six times as long for some seconds. To name them
@@ -230,9 +234,9 @@
             seed=seed,
             slowness=lambda sent: 6.0 if 8.3 < sent.at_s < 15.1 else 1.0,
         )
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_long_prompts_make_no_replica_slow(self, seed):
         """One replica gets prompts ten times as long, and one of a new
@@ -243,9 +247,9 @@
             version=lambda replica: "v2" if replica == 7 else "v1",
             prompt_factor=lambda sent: 10.0 if sent.replica in (3, 7) else 1.0,
         )
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_a_far_replica_of_a_quick_service_is_not_slow(self, seed):
         """Lookups take 2 ms, and 12 ms where the replica is in another data
@@ -259,9 +263,9 @@
             answers_per_replica_s=20.0,
             slowness=lambda sent: 6.0 if sent.replica == 3 else 1.0,
         )
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_an_instance_slow_itself_is_told_as_such(self, seed):
         """One of ten instances is starved and sees every answer late. It is
@@ -269,19 +273,19 @@
         ever; by most of their answers they would be called slow.
         """
 
-        def asked_by(replica: int, instance: int) -> int:
+        def sent_by(replica: int, instance: int) -> int:
             return 4 if replica < 3 and instance < 8 else instance
 
         fleet = Fleet(
             seed=seed,
             instances=10,
-            asked_by=asked_by,
+            sent_by=sent_by,
             slowness=lambda sent: 6.0 if sent.instance == 4 else 1.0,
         )
         report = slow_replicas.report(fleet.lines())
-        self.assertEqual((report.slow, report.of_versions), ([], []))
+        self.assertEqual((report.slow, report.slow_versions), ([], []))
         self.assertEqual(
-            {spell.instance.path for spell in report.instances},
+            {period.instance.path for period in report.instances},
             {"edge-4.log"},
         )
 
@@ -297,10 +301,10 @@
         report = slow_replicas.report(fleet.lines())
         self.assertEqual(report.slow, [])
         self.assertEqual(
-            {spell.replica for spell in report.of_versions},
+            {period.replica for period in report.slow_versions},
             {f"i-{replica}" for replica in range(4)},
         )
-        text = "\n".join(slow_replicas_text.lines_of(report, {}))
+        text = "\n".join(slow_replicas_text.text_lines(report, {}))
         self.assertIn("not this replica alone", text)
 
     def test_few_answers_prove_nothing(self):
@@ -330,7 +334,7 @@
         self.assertEqual(report.too_few, {"i-few": 2})
         self.assertIn(
             "# too few answers to tell of 1 replicas: i-few (2)",
-            slow_replicas_text.lines_of(report, {}),
+            slow_replicas_text.text_lines(report, {}),
         )
 
 
@@ -347,7 +351,7 @@
             self.write(f"{name}.log", texts)
         files = log_reading.LogFiles(paths=[str(self.folder)])
         report = slow_replicas.report(files.lines())
-        text = slow_replicas_text.lines_of(report, files.names())
+        text = slow_replicas_text.text_lines(report, files.names())
         self.assertRegex(
             text[0],
             r"replica i-2 of s \(large, small\) was slow, 2023-11-14 22:13:2\d"
--- a/tests/cover/test_story.py
+++ b/tests/cover/test_story.py
@@ -71,10 +71,10 @@
 ]
 
 
-def told(*paths: str, request: str = REQUEST) -> list[str]:
+def story_lines(*paths: str, request: str = REQUEST) -> list[str]:
     """Returns a request's story as text."""
     files = log_reading.LogFiles(paths=paths)
-    return story_text.lines_of(story_module.gather(files, request))
+    return story_text.text_lines(story_module.gather(files, request))
 
 
 class StoryTest(log_lines.LogCase):
@@ -88,7 +88,7 @@
             "edge-1.log", [f" 1.5 edge-1 {text}" for text in CUT_STREAM]
         )
         self.assertEqual(
-            told(path),
+            story_lines(path),
             [
                 f"request {REQUEST}, times from 2023-11-14 22:13:20.000+00:00",
                 "# edge-1: 9.000 s before: process:started (instance=edge-1"
@@ -125,7 +125,7 @@
         before, and so was its first attempt sent.
         """
         path = self.write("edge-1.log", CUT_STREAM[-6:])
-        text = "\n".join(told(path))
+        text = "\n".join(story_lines(path))
         self.assertIn("log begins 0.160 s after the request arrived", text)
         self.assertIn("no line of the sending of attempt 1", text)
 
@@ -141,7 +141,7 @@
                 line("configuration:in_force", 3010.0, version=40),
             ],
         )
-        lines = told(path)
+        lines = story_lines(path)
         self.assertIn("no line of the request's end", "\n".join(lines))
         self.assertIn("| process:started", lines[-1])
 
@@ -158,7 +158,7 @@
                 line("configuration:in_force", 50.0, version=40, before=39),
             ],
         )
-        last = told(path)[-1]
+        last = story_lines(path)[-1]
         self.assertIn("not logged which one let the request in", last)
 
     def test_a_store_that_is_away_stays_so_while_other_news_come(self):
@@ -172,7 +172,9 @@
                 ended(20.0),
             ],
         )
-        self.assertIn("0.090 s before: store:away", "\n".join(told(path)))
+        self.assertIn(
+            "0.090 s before: store:away", "\n".join(story_lines(path))
+        )
 
     def test_what_a_former_process_believed_is_not_told(self):
         """The instance started again before the request came. The replica
@@ -187,28 +189,28 @@
                 ended(20.0),
             ],
         )
-        text = "\n".join(told(path))
+        text = "\n".join(story_lines(path))
         self.assertIn("0.050 s before: process:started", text)
         self.assertNotIn("replica:listed", text)
 
     def test_no_line_of_the_request_is_no_story(self):
         path = self.write("edge-1.log", CUT_STREAM)
-        self.assertEqual(told(path, request="unheard"), [])
+        self.assertEqual(story_lines(path, request="unheard"), [])
 
     def test_what_others_wrote_can_not_move_the_terminals_cursor(self):
         path = self.write("a.log", [ended(1.0, outcome="a\x1b[2Jb\nc\u202e")])
-        text = "\n".join(told(path))
+        text = "\n".join(story_lines(path))
         self.assertIn("a\\x1b[2Jb\\nc\\u202e", text)
 
     def test_a_request_seen_by_two_instances_is_told_in_order_of_time(self):
         self.write("edge-1.log", [sent(9.0), ended(20.0)])
         self.write("edge-2.log", [sent(8.0), ended(30.0, duration_ms=30)])
-        lines = told(str(self.folder))
+        lines = story_lines(str(self.folder))
         self.assertIn("on 2 instances", lines[1])
-        tellers = [text.split()[2] for text in lines if text.startswith(" ")]
+        instances = [text.split()[2] for text in lines if text.startswith(" ")]
         # Both arrive at once; what follows crosses.
         self.assertEqual(
-            tellers,
+            instances,
             ["edge-1", "edge-2", "edge-2", "edge-1", "edge-1", "edge-2"],
         )
 
@@ -254,10 +256,10 @@
     def test_any_order_of_files_tells_the_same(self, logs_by_name, random):
         with tempfile.TemporaryDirectory() as folder:
             paths = _written(folder, logs_by_name)
-            in_order = told(*paths)
+            in_order = story_lines(*paths)
             random.shuffle(paths)
-            self.assertEqual(told(*paths), in_order)
-            self.assertEqual(told(folder), in_order)
+            self.assertEqual(story_lines(*paths), in_order)
+            self.assertEqual(story_lines(folder), in_order)
 
     @hypothesis.given(fleet_logs())
     def test_attempts_of_an_instance_stay_in_order(self, logs_by_name):
@@ -269,10 +271,10 @@
             story = story_module.gather(
                 log_reading.LogFiles(paths=[folder]), REQUEST
             )
-        attempts = {visit.instance: [] for visit in story.visits}
-        for visit, told_line in story.lines():
-            if isinstance(told_line.record, log_records.AttemptSent):
-                attempts[visit.instance].append(told_line.record.attempt)
+        attempts = {trace.instance: [] for trace in story.traces}
+        for trace, logged in story.lines():
+            if isinstance(logged.record, log_records.AttemptSent):
+                attempts[trace.instance].append(logged.record.attempt)
         for name, numbers in attempts.items():
             self.assertEqual(numbers, sorted(numbers))
             kept = "".join(logs_by_name[name])
@@ -290,7 +292,7 @@
     return paths
 
 
-def _gathered(lines: list[str]) -> story_module.Story:
+def _gathered(lines: list[str]) -> story_module.RequestTrace:
     """Returns a request's story; every line must be readable."""
     with tempfile.TemporaryDirectory() as folder:
         _written(folder, {"edge-1": lines})
@@ -314,14 +316,14 @@
         self.addCleanup(eliot.remove_destination, messages.append)
         await self.ask(model.RouteKind.STREAM, body=b"prompt")
         story = _gathered([json.dumps(message) for message in messages])
-        (visit,) = story.visits
-        kinds = [type(record) for record in visit.records]
+        (trace,) = story.traces
+        kinds = [type(record) for record in trace.records]
         self.assertEqual(kinds[0], log_records.AttemptSent)
         self.assertEqual(kinds[-1], log_records.RequestEnded)
         self.assertIn(log_records.AttemptFailed, kinds)
-        self.assertEqual(visit.missing_attempts, [])
-        self.assertEqual(visit.let_in_by, 1)
-        self.assertIn("was CUT", story_text.lines_of(story)[-1])
+        self.assertEqual(trace.missing_attempts, [])
+        self.assertEqual(trace.admitted_by, 1)
+        self.assertIn("was CUT", story_text.text_lines(story)[-1])
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_timeline.py
+++ b/tests/cover/test_timeline.py
@@ -80,7 +80,7 @@
                 )
             ]
         )
-        followed = timeline.about(entries, "req-8")
+        followed = timeline.filter_by_subject(entries, "req-8")
         self.assertEqual(len(followed), 3)
         page = timeline.html_page(entries, title="<t>")
         self.assertNotIn("<b>", page)
--- a/tests/slow_replica_logs.py
+++ b/tests/slow_replica_logs.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Sent:
+class SentRequest:
     """What a request's wait may depend on."""
 
     at_s: float
@@ -21,7 +21,7 @@
     version: str
 
 
-def as_usual(sent: Sent) -> float:
+def unchanged(sent: SentRequest) -> float:
     """All replicas are alike."""
     del sent
     return 1.0
@@ -36,7 +36,7 @@
         prompt_factor: How many times longer than others a request's prompt
             is, which its forecast knows.
         version: A replica's.
-        asked_by: The instance that asks a replica, given one by chance.
+        sent_by: The instance that asks a replica, given one by chance.
         spread: Of the waits' logarithms around what they would be.
         base_ms: What a request takes besides what is forecast.
         plain: A plain service, of which nothing is forecast.
@@ -50,10 +50,10 @@
     spread: float = 0.5
     base_ms: float = 30.0
     plain: bool = False
-    slowness: Callable[[Sent], float] = as_usual
-    prompt_factor: Callable[[Sent], float] = as_usual
+    slowness: Callable[[SentRequest], float] = unchanged
+    prompt_factor: Callable[[SentRequest], float] = unchanged
     version: Callable[[int], str] = lambda _replica: "v1"
-    asked_by: Callable[[int, int], int] = lambda _replica, instance: instance
+    sent_by: Callable[[int, int], int] = lambda _replica, instance: instance
 
     def texts(self) -> dict[str, list[str]]:
         """Returns the log lines of each instance, by its name."""
@@ -64,10 +64,10 @@
         )
         for number in range(count):
             replica = source.randrange(self.replicas)
-            sent = Sent(
+            sent = SentRequest(
                 at_s=source.uniform(0.0, self.duration_s),
                 replica=replica,
-                instance=self.asked_by(
+                instance=self.sent_by(
                     replica, source.randrange(self.instances)
                 ),
                 version=self.version(replica),
@@ -98,7 +98,7 @@
         ]
 
     def _request(
-        self, source: random.Random, number: int, sent: Sent
+        self, source: random.Random, number: int, sent: SentRequest
     ) -> list[str]:
         """Returns the lines of a request.
 
@@ -106,7 +106,7 @@
         forecasts are wrong for all must make no replica slow.
         """
         model = None if self.plain else source.choice(["small", "large"])
-        usual_ms = self.base_ms
+        normal_ms = self.base_ms
         forecast = {}
         if model is not None:
             long = self.prompt_factor(sent)
@@ -115,17 +115,17 @@
                 "reading_ms": round(long * source.lognormvariate(4.0, 1.0)),
                 "kept": 0.5,
             }
-            usual_ms += 1.4 * (forecast["waiting_ms"] + forecast["reading_ms"])
+            normal_ms += 1.4 * (forecast["waiting_ms"] + forecast["reading_ms"])
         noise = source.lognormvariate(0.0, self.spread)
-        after_ms = usual_ms * noise * self.slowness(sent)
-        about = {
+        after_ms = normal_ms * noise * self.slowness(sent)
+        common = {
             "request": f"r-{number}",
             "replica": f"i-{sent.replica}",
             "version": sent.version,
         }
         at_ms = sent.at_s * 1000.0
         return [
-            log_lines.sent(at_ms, model=model, **about, **forecast),
+            log_lines.sent(at_ms, model=model, **common, **forecast),
             log_lines.line(
                 "attempt:answered",
                 at_ms + after_ms,
@@ -134,7 +134,7 @@
                 after_ms=round(after_ms),
                 replica_running=3,
                 replica_waiting=0,
-                **about,
+                **common,
             ),
-            log_lines.ended(at_ms + after_ms + 10.0, request=about["request"]),
+            log_lines.ended(at_ms + after_ms + 10.0, request=common["request"]),
         ]
