--- a/src/nutmeghook/internal/observe/attempt_waits.py
+++ b/src/nutmeghook/internal/observe/attempt_waits.py
@@ -1,7 +1,7 @@
-"""How long attempts waited for their replicas, joined from log lines.
+"""Joins log lines into how long each attempt waited for its replica.
 
-A line of an attempt's sending says what was expected, another one of the same
-instance what came of it. Neither files nor lines need to be in any order.
+The `attempt:sent` line holds the forecast; a later line of the same instance
+holds the result. Files and lines may come in any order.
 """
 
 from collections.abc import Iterable
@@ -13,9 +13,9 @@
 from nutmeghook.internal.observe import log_records
 from nutmeghook.internal.observe import state_records
 
-# Answers from here on are refusals and failures, which may come at once.
+# Statuses from here on are refusals and failures, which may come at once.
 _FIRST_FAILED_STATUS = 400
-# Nothing was written, so that nothing waited for the replica.
+# The outcome of an attempt that wrote nothing, and so did not wait.
 _NOT_SENT = "NotSentError"
 
 _Key = tuple[log_reading.Source, str]
@@ -28,18 +28,18 @@
     """One attempt that was answered, or waited without an answer.
 
     Attributes:
-        instance: The one that sent it.
-        service: The replica's, as far as some log says so.
-        model: The model asked for; empty for plain services.
-        route: The request's; empty if its end is not in the log.
+        instance: The instance that sent the attempt.
+        service: The replica's service; empty if no log names it.
+        model: The requested model; empty for plain services.
+        route: The request's route; empty if its end is not in the log.
         sent_s: When it was sent, by the instance's wall clock.
-        forecast_ms: What the instance expected; 0 for plain services, of
-            which it expects nothing.
-        waited_ms: Until the answer began; at least that if there was none.
+        forecast_ms: The instance's forecast; 0 for plain services, which have
+            none.
+        waited_ms: Until the answer began; a lower bound if there was none.
         is_answered: An answer began.
-        is_abandoned: The replica was given up as silent or dark.
-        running: What the replica said that it runs.
-        waiting: What it said that it has waiting.
+        is_abandoned: The replica was given up as silent or unreachable.
+        running: How many requests the replica reported to run.
+        waiting: How many it reported to have queued.
     """
 
     instance: log_reading.Source
@@ -61,13 +61,13 @@
 
     @property
     def group(self) -> tuple[str, str]:
-        """What it may be compared within: the service and the model."""
+        """Waits are compared within a group: the service and the model."""
         return self.service, self.model
 
 
 @dataclasses.dataclass(slots=True)
 class _LinesBySubject:
-    """Lines by what they are about."""
+    """Lines by attempt, by request and by replica."""
 
     attempts: dict[_AttemptKey, list[tuple[float, log_records.AttemptRecord]]]
     ends: dict[_Key, list[tuple[float, str]]]
@@ -75,7 +75,7 @@
 
 
 def gather(lines: Iterable[log_reading.Line]) -> list[Wait]:
-    """Returns all waits, by when they began."""
+    """Returns all waits, ordered by when they began."""
     grouped = _group_lines(lines)
     waits = [
         wait
@@ -117,7 +117,7 @@
     events: list[tuple[float, log_records.AttemptRecord]],
     ends: list[tuple[float, str]],
 ) -> Iterator[Wait]:
-    """Yields an attempt's wait; several if callers gave one id repeatedly."""
+    """Yields an attempt's waits; several if callers reused a request id."""
     sendings = sorted(
         (
             (at_s, record)
@@ -149,7 +149,7 @@
     later: list[tuple[float, log_records.AttemptRecord]],
     end: tuple[float, str] | None,
 ) -> Wait | None:
-    """Returns a wait; None if nothing is known of its length."""
+    """Returns a wait; None if its length is not known."""
     answer = _first(later, log_records.AttemptAnswered)
     left = _first(later, log_records.AttemptLeft)
     failed = _first(later, log_records.AttemptFailed)
@@ -198,11 +198,12 @@
 
 
 def _with_services(waits: list[Wait], services: dict[str, str]) -> list[Wait]:
-    """Fills in services; of replicas no log lists, by what is asked there.
+    """Fills in the waits' services.
 
-    The failure: collectors keep a log's end, where only the replicas that
-    came late are listed. Told apart from the others by that, they would have
-    nothing to be compared with.
+    A replica that no log lists gets the service that alone has waits of the
+    same model, or of the same route for plain services. Collectors that keep
+    only a log's end lose the `replica:listed` lines of earlier replicas;
+    without this the replicas listed later would have none to be compared with.
     """
     services_by_workload: dict[tuple[str, str], set[str]] = {}
     for wait in waits:
--- a/src/nutmeghook/internal/observe/endings_table.py
+++ b/src/nutmeghook/internal/observe/endings_table.py
@@ -1,4 +1,4 @@
-"""What became of requests, counted by route, result code and reason."""
+"""Counts how requests ended, by route, result code and reason."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
 class RowKey:
-    """What requests of one row have in common."""
+    """What the requests of one row have in common."""
 
     route: str
     code: int
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
 class Example:
-    """A request to tell the story of; the first of the cut ones is best."""
+    """A request to show; the smallest is preferred: the first cut answer."""
 
     whole: bool
     at_s: float
@@ -41,12 +41,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Row:
-    """One kind of ending.
+    """One way in which requests ended.
 
     Attributes:
-        requests: How many ended so.
-        cut: How many of them with an answer that had begun and broke off.
-        unknown_cuts: Of how many the log doesn't say so.
+        requests: How many requests ended in this way.
+        cut: How many of them had an answer that began and broke off.
+        unknown_cuts: For how many the log lacks the field `cut`.
         first_s: When the first of them ended.
         last_s: When the last of them ended.
     """
@@ -60,7 +60,7 @@
     example: Example
 
     def add(self, record: log_records.RequestEnded, at_s: float) -> None:
-        """Counts one more."""
+        """Counts one more request."""
         self.requests += 1
         self.cut += bool(record.cut)
         self.unknown_cuts += record.cut is None
@@ -74,8 +74,9 @@
     """All endings.
 
     Attributes:
-        rows: Those with cut answers first, then by what else went wrong.
-        open_requests: Requests with a line of an attempt but none of an end.
+        rows: Most cut answers first, then failures, callers that left, and
+            successes.
+        open_requests: Requests with a line of an attempt but none of the end.
     """
 
     rows: list[Row]
@@ -102,7 +103,7 @@
 
 
 def text_lines(endings: Endings) -> list[str]:
-    """Returns the table, columns aligned, and what is to be known of it."""
+    """Returns the table with aligned columns, and notes on it."""
     cells = [_HEADINGS, *(_cells(row) for row in endings.rows)]
     cells = [[record_text.printable(cell) for cell in row] for row in cells]
     widths = [
--- a/src/nutmeghook/internal/observe/events.py
+++ b/src/nutmeghook/internal/observe/events.py
@@ -1,4 +1,4 @@
-"""Typed events of one process, kept in a bounded ring for the time line."""
+"""Typed events of one process, kept in a bounded ring for the timeline."""
 
 import collections
 import datetime
@@ -10,7 +10,7 @@
 
 
 class EventKind(enum.Enum):
-    """What happened; the value is the name shown on the time line."""
+    """What happened; the value is the name shown on the timeline."""
 
     PROCESS_STARTED = "process started"
     DRAIN_STARTED = "drain started"
@@ -49,10 +49,11 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """One entry of the time line.
+    """One entry of the timeline.
 
     Attributes:
-        sequence: Counts up by one a process; a jump shows lost entries.
+        sequence: Increases by one per event of the process; a gap shows lost
+            events.
         monotonic_ms: The process's own monotonic clock.
         wall_ms: Milliseconds since the epoch, by the process's wall clock.
         kind: What happened.
@@ -69,7 +70,7 @@
 
 
 class EventRing:
-    """Keeps the newest events; the oldest fall out, which shows as a gap."""
+    """Keeps the newest events; dropped ones show as a gap in the sequence."""
 
     __slots__ = ("_clock", "_entries", "_sequence")
 
@@ -87,7 +88,7 @@
         self._sequence = 0
 
     def record(self, kind: EventKind, subject: str, **detail: str) -> None:
-        """Adds an event that happens now."""
+        """Adds an event with the current time."""
         self._sequence += 1
         milliseconds = datetime.timedelta(milliseconds=1)
         self._entries.append(
--- a/src/nutmeghook/internal/observe/gathering.py
+++ b/src/nutmeghook/internal/observe/gathering.py
@@ -1,7 +1,7 @@
-"""Gathers the events of all instances for one time line.
+"""Gathers the events of all instances for one timeline.
 
-An operator may reach no more than the balancer, so the instance that is
-asked fetches from the others over the inner protocol.
+An operator may be able to reach only the load balancer, so the instance that
+is asked fetches the events of the others over the inner protocol.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.observe import timeline
 
-# A page of 1,000 events is about 200 KB, far below the largest frame.
+# A page of 1,000 events is about 200 KB, far below the frame size limit.
 EVENTS_PER_PAGE = 1000
 MAX_PAGES = 100
 MAX_CONCURRENT_PEERS = 8
@@ -27,7 +27,7 @@
 
 
 class EventsGatherer:
-    """Answers other instances' pulls, and pulls from all of them."""
+    """Serves this instance's events, and fetches those of all instances."""
 
     __slots__ = ("_caller", "_clock", "_members", "_ring")
 
@@ -57,10 +57,10 @@
         )
 
     async def gather(self) -> list[timeline.ProcessEvents]:
-        """Returns what every reachable instance kept.
+        """Returns the kept events of every reachable instance.
 
-        An instance that can't be reached is left out; its events are still
-        on it, and a later call finds them if it comes back.
+        An unreachable instance is left out; it keeps its events for a later
+        call.
         """
         slots = asyncio.Semaphore(MAX_CONCURRENT_PEERS)
 
@@ -115,8 +115,8 @@
             member.inner_address, request, timeout=_TIMEOUT
         )
         round_trip_ms = (self._clock.monotonic() - started) / _MILLISECOND
-        # The peer read its clock somewhere within the round trip; the middle
-        # is wrong by half of it at most.
+        # The peer read its clock at some time within the round trip, so that
+        # its middle is wrong by at most half the round trip.
         middle_ms = asked_ms + round_trip_ms / 2
         return page, _ClockReading(
             offset_ms=middle_ms - page.wall_ms,
@@ -125,7 +125,7 @@
 
 
 class _ClockReading(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a peer's wall clock is off, and how sure that is."""
+    """A peer's wall clock offset, and its uncertainty."""
 
     offset_ms: float
     uncertainty_ms: float
--- a/src/nutmeghook/internal/observe/log_decoding.py
+++ b/src/nutmeghook/internal/observe/log_decoding.py
@@ -55,7 +55,7 @@
 
 
 class _LineHeader(log_records.Record, frozen=True, kw_only=True):
-    """What tells a line's type; anything may stand in unknown lines."""
+    """What selects a line's type; unknown events may have any `request`."""
 
     request: object = None
 
@@ -68,7 +68,7 @@
     """Returns the record that a JSON object holds.
 
     Raises:
-        UnreadableLineError: It holds none, or one with wrong fields.
+        UnreadableLineError: It is no record, or one with invalid fields.
     """
     try:
         header = _HEADER_DECODER.decode(text)
--- a/src/nutmeghook/internal/observe/log_reading.py
+++ b/src/nutmeghook/internal/observe/log_reading.py
@@ -1,4 +1,4 @@
-"""Reads log files of many instances, line by line."""
+"""Reads the log files of many instances, line by line."""
 
 import collections
 from collections.abc import Iterable
@@ -12,17 +12,17 @@
 from nutmeghook.internal.observe import state_records
 
 # Collectors put a time and the instance's name before the object, often with
-# marks around them: `26.39 edge-1 {`, `router-1 | {`, `[pod/router-1] {`.
+# punctuation: `26.39 edge-1 {`, `router-1 | {`, `[pod/router-1] {`.
 _PREFIX_PUNCTUATION = "[]|: \t"
 _INSTANCE_NAME = re.compile(r"[A-Za-z][\w./-]*")
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True, order=True)
 class Source:
-    """Whose lines these are.
+    """An instance's log.
 
-    One file holds one instance's lines. Where a collector put several
-    instances into a file, the names before their lines tell them apart.
+    A file holds one instance's lines, or those of several if a collector put
+    the instance's name before each line.
 
     Attributes:
         path: The file.
@@ -38,9 +38,9 @@
     """One readable line.
 
     Attributes:
-        number: Its place in the file.
-        at_s: The instance's wall clock; of a line without a time, that of the
-            one before.
+        number: Its line number in the file.
+        at_s: The instance's wall clock; for a line without a time, the time of
+            the source's previous line.
     """
 
     source: Source
@@ -51,12 +51,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Summary:
-    """What is known of a source as a whole.
+    """What is known about a source as a whole.
 
     Attributes:
         first_s: The time of its first line.
         last_s: The time of its last line.
-        dropped_lines: Lines that the instance reports to have left out.
+        dropped_lines: Lines that the instance reports to have dropped.
     """
 
     first_s: float
@@ -68,9 +68,9 @@
     """Files of log lines; they may be read more than once.
 
     Attributes:
-        unreadable_lines: How many by file, as of its last reading.
-        read_errors: Files and folders that could not be read, and why.
-        summaries: Of the sources read so far.
+        unreadable_lines: Their count by file, as of its last reading.
+        read_errors: Why a file or folder could not be read, by its path.
+        summaries: The sources read so far.
     """
 
     __slots__ = ("_paths", "read_errors", "summaries", "unreadable_lines")
@@ -82,7 +82,7 @@
         self._paths = self._find_files(paths)
 
     def _find_files(self, paths: Iterable[str]) -> list[pathlib.Path]:
-        """Returns all files, each once, in an order of its own."""
+        """Returns all files, each once, sorted by path."""
         found: dict[pathlib.Path, pathlib.Path] = {}
         for path in sorted({pathlib.Path(path) for path in paths}):
             files = [path]
@@ -93,10 +93,10 @@
         return sorted(found.values())
 
     def lines(self, paths: Iterable[str] | None = None) -> Iterator[Line]:
-        """Reads the files one after the other.
+        """Reads the files one after another.
 
         Args:
-            paths: Only these of them; all if None.
+            paths: The files to read; all if None.
         """
         wanted = None if paths is None else set(paths)
         for path in self._paths:
@@ -123,7 +123,7 @@
         self.summaries.update(summaries)
 
     def names(self) -> dict[Source, str]:
-        """Returns a short name for each source; its path where names clash."""
+        """Returns a short name for each source, with its path if not unique."""
         shortest = {
             source: source.name or pathlib.Path(source.path).stem
             for source in self.summaries
@@ -159,7 +159,7 @@
 
 
 def _name_in(prefix: bytes) -> str:
-    """Returns the instance's name before an object; empty if there is none."""
+    """Returns the instance's name in a prefix; empty if there is none."""
     words = prefix.decode(errors="replace").split()
     named = [word.strip(_PREFIX_PUNCTUATION) for word in words]
     names = [word for word in named if _INSTANCE_NAME.fullmatch(word)]
--- a/src/nutmeghook/internal/observe/log_records.py
+++ b/src/nutmeghook/internal/observe/log_records.py
@@ -1,7 +1,7 @@
 """The relay's log lines about requests, as typed records.
 
-Fields are named as the code that logs them names them. Those that a line may
-lack, or that older programs did not log, are None.
+Fields have the names under which they are logged. Those that a line may lack,
+or that older versions did not log, are None.
 """
 
 import msgspec
@@ -12,8 +12,8 @@
 
     Attributes:
         event: What happened.
-        timestamp_s: The instance's wall clock; the one line that the log's
-            writer adds by itself has none.
+        timestamp_s: The instance's wall clock; missing only in `log:dropped`,
+            which the log writer adds by itself.
     """
 
     event: str = msgspec.field(name="message_type")
@@ -33,7 +33,7 @@
 
 
 class AttemptSent(AttemptRecord, frozen=True, kw_only=True):
-    """An attempt was sent, and what was expected of it."""
+    """An attempt was sent, with its forecast."""
 
     replica: str
     version: str | None = None
@@ -58,7 +58,7 @@
 
 
 class AttemptWeak(RequestRecord, frozen=True, kw_only=True):
-    """A weak answer was dropped for a larger model's."""
+    """An answer of low confidence was replaced by a larger model's."""
 
     confidence: float | None = None
     model: str | None = None
@@ -77,7 +77,7 @@
 
 
 class AttemptLeft(AttemptRecord, frozen=True, kw_only=True):
-    """A silent replica was given up for another one."""
+    """A silent or unreachable replica was given up for another one."""
 
     replica: str
     dark: bool | None = None
@@ -86,12 +86,12 @@
 
 
 class AttemptLost(AttemptRecord, frozen=True, kw_only=True):
-    """An attempt's connection was lost, and its replica asked if it ended.
+    """An attempt's connection was lost, and its replica was probed.
 
     Attributes:
         identity: The same for all copies of a request.
-        begun: The replica was at work on it.
-        replica_now: How the replica met a new connection.
+        begun: The replica had begun to work on it.
+        replica_now: How the replica responded to a new connection.
     """
 
     identity: str
@@ -101,13 +101,13 @@
 
 
 class RequestFault(RequestRecord, frozen=True, kw_only=True):
-    """A fault of the program ended the request."""
+    """An internal error ended the request."""
 
     trace: str | None = None
 
 
 class RequestEnded(RequestRecord, frozen=True, kw_only=True):
-    """A request's end.
+    """A request ended.
 
     Attributes:
         cut: An answer that had begun was broken off.
@@ -125,7 +125,7 @@
 
 
 class OtherRequestRecord(RequestRecord, frozen=True, kw_only=True):
-    """A line about a request that this program has no type for.
+    """A line about a request, of an event without a type here.
 
     Attributes:
         text: The line as it was logged.
--- a/src/nutmeghook/internal/observe/log_writer.py
+++ b/src/nutmeghook/internal/observe/log_writer.py
@@ -1,32 +1,33 @@
-"""Writes log lines to a stream without ever waiting for its reader."""
+"""Writes log lines to a descriptor without blocking on its reader."""
 
 import asyncio
 import os
 
 import msgspec
 
-# Lines that wait for a slow reader; beyond it new ones are counted and left
-# out. 1 MiB is some seconds of lines at ten times the planned load.
+# The buffer for a slow reader; beyond it new lines are dropped and counted.
+# 1 MiB holds some seconds of lines at ten times the planned load.
 MAX_WAITING_BYTES = 1024 * 1024
-# Lines of a moment are written together: a system call each would cost more
-# than the lines themselves.
+# Lines are written in batches: a system call for each would cost more than
+# the line itself.
 _FLUSH_PERIOD_S = 0.05
 _MAX_WRITE_BYTES = 64 * 1024
-# Each line is an event by itself, not part of a nested task. These two fields
-# are a third of a line, and a collector that keeps the end of a log then kept
-# too little of it to see what became of a request.
+# Lines are single events, not parts of eliot tasks. These two fields would be
+# a third of a line, so that a collector that keeps only the end of a log would
+# keep fewer lines, too few to follow a request.
 _UNUSED_FIELDS = frozenset({"task_uuid", "task_level"})
 
 
 class BoundedLogWriter:
-    """Takes log messages as a destination of eliot's.
+    """An eliot destination with a bounded buffer.
 
-    The failure: whoever reads the process's output stops reading. A write
-    that waits then stops every request; so the descriptor never waits, and
-    what finds no room is counted and reported once there is room again.
+    If the reader of the process's output stops reading, a blocking write
+    would stop every request. So the descriptor is non-blocking; lines for
+    which the buffer has no room are dropped, counted, and reported in a
+    `log:dropped` line once there is room again.
 
     Attributes:
-        dropped: Lines left out since the last report of it.
+        dropped: Lines dropped since the last `log:dropped` line.
     """
 
     __slots__ = (
@@ -48,7 +49,7 @@
         self.dropped = 0
 
     def __call__(self, message: dict[str, object]) -> None:
-        """Takes in one message."""
+        """Adds one message to the buffer."""
         kept = {
             name: value
             for name, value in message.items()
@@ -64,7 +65,7 @@
             self._timer = self._loop.call_later(_FLUSH_PERIOD_S, self.flush)
 
     def flush(self) -> None:
-        """Writes what the reader takes now."""
+        """Writes as much as the descriptor accepts now."""
         self._timer = None
         if self.dropped and self._waiting_bytes < MAX_WAITING_BYTES // 2:
             dropped, self.dropped = self.dropped, 0
@@ -75,7 +76,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader is gone for good; nobody is left to tell.
+            # The reader is gone for good; the lines are discarded.
             written = len(data)
         rest = data[written:]
         self._waiting = [rest] if rest else []
--- a/src/nutmeghook/internal/observe/logs.py
+++ b/src/nutmeghook/internal/observe/logs.py
@@ -1,4 +1,4 @@
-"""JSON lines by eliot, without secrets."""
+"""Logs JSON lines through eliot, with secrets removed."""
 
 from collections.abc import Callable
 import re
@@ -7,8 +7,8 @@
 
 import eliot
 
-# A caller's token that slips into a message (an echoed header, a URL) must
-# not reach the log: whoever reads logs could then act as that caller.
+# A caller's token in a message (an echoed header, a URL) must not reach the
+# log: readers of the log could then act as that caller.
 _BEARER = re.compile(r"(?i)bearer\s+[^\s\"',]+")
 _SECRET_FIELDS = frozenset(
     {"authorization", "token", "secret", "credential", "password"}
@@ -22,12 +22,12 @@
 
 
 def start_with(destination: Callable[[dict[str, object]], None]) -> None:
-    """Sends all log lines to a destination of our own."""
+    """Sends all log messages to an eliot destination."""
     eliot.add_destinations(destination)
 
 
 def note(event: str, **fields: object) -> None:
-    """Logs one event; fields with secret names or bearer tokens are hidden."""
+    """Logs one event, without secret fields and bearer tokens."""
     eliot.log_message(message_type=event, **_redact_fields(fields))
 
 
--- a/src/nutmeghook/internal/observe/metrics.py
+++ b/src/nutmeghook/internal/observe/metrics.py
@@ -1,6 +1,6 @@
 """All metrics of an instance, with names and units in one place.
 
-docs/METRICS.md is checked against `PAGE_ROWS`.
+docs/METRICS.md is checked against `page()`.
 """
 
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 
 
 class MetricKind(enum.Enum):
-    """What a metric is to its collector."""
+    """The Prometheus type of a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -212,7 +212,7 @@
 
 
 class Metrics:
-    """The collectors of one instance, found by name."""
+    """The collectors of one instance, by name."""
 
     __slots__ = ("_by_name",)
 
@@ -234,12 +234,11 @@
         self._by_name[name].observe(labels, value)
 
     def render(self, accepts: Sequence[str]) -> tuple[bytes, dict[str, str]]:
-        """Returns the page for a collector, and its headers.
+        """Returns the page in the Prometheus text format, and its headers.
 
-        The failure: a collector kept the first 4,000 bytes of each page, all
-        of them descriptions of metrics without a value and buckets of
-        histograms, and no count of how requests ended. So metrics without a
-        value are left out, and what is counted stands before histograms.
+        Metrics without a value are left out, and histograms come last: a
+        scraper that keeps only the first 4,000 bytes of a page would otherwise
+        get descriptions and buckets, but no count of how requests ended.
 
         Args:
             accepts: The request's Accept headers.
@@ -254,8 +253,8 @@
 
 def _collector(spec: MetricSpec) -> collectors.Collector:
     name = PREFIX + spec.name
-    # Without a registry of their own, collectors of one name could exist only
-    # once in a process.
+    # In the default registry a name can be used only once per process, which
+    # a second instance in the process would need.
     registry = aioprometheus.Registry()
     if spec.kind is MetricKind.COUNTER:
         return aioprometheus.Counter(name, spec.meaning, registry=registry)
--- a/src/nutmeghook/internal/observe/record_text.py
+++ b/src/nutmeghook/internal/observe/record_text.py
@@ -1,4 +1,4 @@
-"""What log records say, in words."""
+"""Log records as readable text."""
 
 import datetime
 import functools
@@ -14,7 +14,7 @@
 
 
 def wall_time(at_s: float) -> str:
-    """Returns a wall clock's time in UTC."""
+    """Returns a Unix time as text in UTC."""
     try:
         moment = datetime.datetime.fromtimestamp(at_s, tz=datetime.UTC)
     except (ValueError, OverflowError, OSError):
@@ -23,10 +23,10 @@
 
 
 def printable(text: str) -> str:
-    """Returns a text on one line that moves no terminal's cursor.
+    """Returns a text with its unprintable characters escaped.
 
-    The failure: request ids come from callers, errors from replicas. A
-    control sequence in one of them would write over what an operator reads.
+    Request ids come from callers and errors from replicas; a control sequence
+    in one of them could overwrite other output on an operator's terminal.
     """
     if text.isprintable():
         return text
@@ -42,7 +42,7 @@
 
 @functools.singledispatch
 def describe(record: log_records.Record) -> str:
-    """Returns what a record says; of any type, its fields as they are."""
+    """Returns a record as text; by default, its event and its fields."""
     return f"{record.event}{_details(record)}"
 
 
@@ -118,7 +118,7 @@
 
 
 def _details(record: log_records.Record, *left_out: str) -> str:
-    """Returns a record's other fields that have a value, in parentheses."""
+    """Returns the other fields that have a value, in parentheses."""
     fields = [
         f"{name}={_short(value)}"
         for name, value in msgspec.structs.asdict(record).items()
--- a/src/nutmeghook/internal/observe/relative_waits.py
+++ b/src/nutmeghook/internal/observe/relative_waits.py
@@ -1,11 +1,10 @@
-"""Measures waits against what was usual at the same time elsewhere.
-
-One measure for all replicas: how long a wait was, over what was to be
-expected. To be expected is what the instance forecast (waiting and reading
-there; nothing for plain services) and what comes on top of that on the route
-usually. This is then divided by the same measure's median over the other
-replicas of the service and model in the same stretch of time: an overload of
-all, or forecasts that are wrong for all, make no replica slow.
+"""Compares waits with those on other replicas at the same time.
+
+A wait is first divided by its expected length: the instance's forecast
+(queueing and prefill; nothing for plain services) plus the route's median
+overhead. This ratio is then divided by its median over the other replicas of
+the service and model in the same time interval, so that an overload of all
+replicas, or forecasts that are wrong for all, make no replica slow.
 """
 
 import bisect
@@ -19,35 +18,36 @@
 Wait = attempt_waits.Wait
 
 _MIN_OVERHEAD_MS = 1.0
-# Lines hold whole milliseconds; what rounds to none took about so long.
+# Log lines hold whole milliseconds; a wait that was rounded to 0 took about
+# this long.
 _MIN_WAIT_MS = 0.5
-# Stretches are doubled until enough answers are in them, so often at most.
+# How often an interval with too few answers may be doubled.
 _MAX_DOUBLINGS = 5
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Limits:
-    """From when on a replica is called slow.
+    """The thresholds for reporting a replica as slow.
 
-    Half or double of each finds the same on generated logs in which a replica
-    is eight times as slow (tests/cover/test_slow_replicas).
+    With any of them halved or doubled, a replica that is eight times as slow is
+    still found in generated logs (tests/cover/test_slow_replicas).
 
     Attributes:
-        factor: Beyond so many times the usual a wait is long. Half of the five
-            times that are to be found, so that most waits there are beyond it
-            although they differ.
-        window_answers: So many answers in a row have a median of their own. As
-            few as let a spell of some seconds on one replica be seen, and more
-            than come late together by chance.
-        tolerance_ms: Added to what was waited and expected, before they are
-            compared. A far data centre or rounding may double a wait of a few
-            milliseconds, which nobody notices.
-        interval_s: Answers within this time are compared. Short beside an
-            overload's coming and going, long enough for some of each replica.
-        min_others: Answers of other replicas that a median is taken of;
-            its error is then about a fifth of the waits' spread.
-        false_alarm_probability: How likely one replica may be named though all are alike, over
-            all of the logs, if each wait is an event of its own.
+        factor: A wait of more than this many times the baseline is long. Half
+            of the slowdown that has to be found, five times, so that most
+            waits on such a replica are long although they vary.
+        window_answers: The number of consecutive answers in a moving median.
+            Few enough to detect a slow period of some seconds on one replica,
+            more than are late together by chance.
+        tolerance_ms: Added to the actual and the expected wait before they are
+            compared: a remote data centre or rounding may double a wait of a
+            few milliseconds without any effect for callers.
+        interval_s: Answers within this time are compared. Shorter than an
+            overload's rise and fall, long enough for answers of each replica.
+        min_others: The fewest answers of other replicas that a median is taken
+            of; its error is then about a fifth of the waits' spread.
+        false_alarm_probability: The probability, over all logs, of reporting a
+            replica although all are alike, if waits are independent.
     """
 
     factor: float = 2.5
@@ -60,11 +60,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class RelativeWait:
-    """A wait against the usual.
+    """A wait compared with the baseline.
 
     Attributes:
-        expected_ms: What the wait would have been elsewhere.
-        factor: The wait over that, differences that nobody notices apart.
+        expected_ms: The wait to be expected on other replicas at that time.
+        factor: The wait divided by `expected_ms`, both with `tolerance_ms`
+            added.
         baseline_long_share: The share of long waits among those of the other
             replicas at that time.
     """
@@ -82,7 +83,7 @@
 
 
 class _IntervalRatios:
-    """The paces of one service and model, by stretches of time."""
+    """The ratios of actual to expected wait of a group, by interval."""
 
     __slots__ = ("_baselines", "_limits", "_ratios", "_sorted")
 
@@ -95,14 +96,14 @@
         self._baselines: dict[tuple[int, int, str], _Baseline | None] = {}
 
     def add(self, wait: Wait, ratio: float) -> None:
-        """Takes in an answer; all of them before the first is judged."""
+        """Adds an answer; all have to be added before `baseline` is called."""
         entry = ratio, wait.replica
         for doubling in range(_MAX_DOUBLINGS + 1):
             key = doubling, self._number(wait.sent_s, doubling)
             self._ratios[key].append(entry)
 
     def baseline(self, wait: Wait) -> _Baseline | None:
-        """Returns what was usual on other replicas; None if too few tell."""
+        """Returns the other replicas' baseline; None for too few answers."""
         for doubling in range(_MAX_DOUBLINGS + 1):
             number = self._number(wait.sent_s, doubling)
             key = doubling, number, wait.replica
@@ -129,19 +130,19 @@
         if len(others) < self._limits.min_others:
             return None
         median_ratio = statistics.median(others)
-        # They are in order, so that medians and counts over and over are cheap.
+        # The ratios are sorted once, so that medians and counts are cheap.
         long = len(others) - bisect.bisect_right(
             others, self._limits.factor * median_ratio
         )
-        # One more of each kind: few answers don't prove that none is long.
+        # Laplace smoothing: few answers don't prove that none is long.
         return _Baseline(median_ratio, (long + 1) / (len(others) + 2))
 
 
 def measure(waits: Sequence[Wait], limits: Limits) -> list[RelativeWait]:
     """Returns the waits that can be compared, in their order.
 
-    A wait without an answer lasted at least as long as it is known of. It is
-    taken only if that is long already; a shorter one tells nothing.
+    The length of a wait without an answer is a lower bound, so such a wait is
+    included only if that bound is already long.
     """
     expected_waits = _ExpectedWaits(waits, limits)
     intervals: dict[tuple[str, str], _IntervalRatios] = {}
@@ -183,13 +184,12 @@
 
 
 class _ExpectedWaits:
-    """What was to be expected of waits, by forecasts and routes.
+    """Expected waits: the forecast plus the route's median overhead.
 
-    The failure: forecasts leave out the network, and of an idle replica are
-    a millisecond or none. Against them alone, quick answers look hundreds of
-    times too late and drown what a slow replica does. So what usually comes
-    on top on the route is added; of a generation's route with few answers,
-    what does for its model.
+    Forecasts leave out the network, and are 1 ms or 0 for an idle replica.
+    Compared with them alone, quick answers would look hundreds of times too
+    late and hide a slow replica. The median overhead of the model is used for
+    a route with too few answers.
     """
 
     __slots__ = ("_overhead_ms",)
@@ -208,7 +208,7 @@
         }
 
     def of(self, wait: Wait) -> float | None:
-        """Returns it in milliseconds; None if too few answers tell."""
+        """Returns the expected milliseconds; None for too few answers."""
         for kind in _group_keys(wait):
             overhead_ms = self._overhead_ms.get(kind)
             if overhead_ms is not None:
--- a/src/nutmeghook/internal/observe/request_meter.py
+++ b/src/nutmeghook/internal/observe/request_meter.py
@@ -1,4 +1,4 @@
-"""Feeds the request path's figures into the metrics."""
+"""Records the dispatcher's measurements in the metrics."""
 
 import datetime
 
@@ -9,7 +9,7 @@
 
 
 class MetricsMeter(meter.Meter):
-    """Counts into one instance's metrics."""
+    """A meter that updates one instance's metrics."""
 
     __slots__ = ("_metrics",)
 
@@ -38,7 +38,7 @@
     def first_token(
         self, *, team: str, template: str, duration: datetime.timedelta
     ) -> None:
-        """Notes the time to the first token."""
+        """Records the time to the first token."""
         self._metrics.observe(
             "first_token_seconds",
             duration.total_seconds(),
--- a/src/nutmeghook/internal/observe/slow_periods.py
+++ b/src/nutmeghook/internal/observe/slow_periods.py
@@ -1,9 +1,9 @@
-"""Finds from when to when waits of one origin were long.
+"""Finds the periods in which the waits of one replica or instance were long.
 
-A spell is where the median of the answers around each answer is beyond the
-limits' factor. Its ends are then moved, by less than a window, to where they
-divide long waits from usual ones best: a median over few answers is beyond the
-factor some answers too early or too late by chance.
+A period is a run of waits whose moving median exceeds the limits' factor. Its
+ends are then moved, by at most a window, to where they best divide long waits
+from normal ones: a median over few answers exceeds the factor some answers
+too early or too late by chance.
 """
 
 from collections.abc import Iterable
@@ -22,15 +22,15 @@
 def find(
     waits: Sequence[RelativeWait], limits: Limits, *, total_waits: int
 ) -> list[Sequence[RelativeWait]]:
-    """Returns the spells among waits of one origin.
+    """Returns the slow periods among the waits.
 
     Args:
         waits: All of one replica, or all of one instance, by time.
-        limits: From when on waits are long.
-        total_waits: How many waits are looked at in all, where chance may show
-            something.
+        limits: When waits are long.
+        total_waits: The number of waits of all replicas or instances, each of
+            which may begin a period by chance.
     """
-    # Proved before the ends are moved: the best ends make chance look better.
+    # Tested before the ends are moved: best ends overstate the significance.
     significant = [
         run
         for run in _merged(waits, _runs(waits, limits), limits)
@@ -47,12 +47,12 @@
 def is_significant(
     period: Sequence[RelativeWait], limits: Limits, *, total_waits: int
 ) -> bool:
-    """Returns if so many long waits are no chance.
+    """Returns whether so many long waits are unlikely to be chance.
 
-    If all replicas were alike, a wait would be long as often as the others'
-    are at that time. Chernoff's bound says how likely as many long ones as
-    here are at most; a spell may begin at any of the waits looked at. Where
-    long waits are common, it takes more of them to prove something.
+    If all replicas were alike, a wait would be long with the probability of
+    the others' waits at that time. The Chernoff bound on the probability of
+    this many long waits is multiplied by the number of waits at which a period
+    may begin. Where long waits are common, more of them are needed.
     """
     if len(period) < limits.window_answers:
         return False
@@ -69,7 +69,7 @@
 
 
 def _runs(waits: Sequence[RelativeWait], limits: Limits) -> Iterator[range]:
-    """Yields the places of each run beyond the factor."""
+    """Yields the index range of each run above the factor."""
     half = limits.window_answers // 2
     first = None
     for index in range(len(waits)):
@@ -87,7 +87,7 @@
 def _refined(
     waits: Sequence[RelativeWait], runs: Sequence[range], limits: Limits
 ) -> Iterator[range]:
-    """Yields the runs with their best ends, none within another."""
+    """Yields the runs with their best ends, without overlaps."""
     begin = 0
     for number, run in enumerate(runs, start=1):
         next_first = runs[number].start if number < len(runs) else len(waits)
@@ -103,7 +103,7 @@
 def _merged(
     waits: Sequence[RelativeWait], runs: Iterable[range], limits: Limits
 ) -> list[range]:
-    """Makes one of runs with no pause between them."""
+    """Merges runs that have no pause between them."""
     merged: list[range] = []
     for run in runs:
         if merged and not _is_pause(waits[merged[-1].stop : run.start], limits):
@@ -114,12 +114,12 @@
 
 
 def _is_pause(between: Sequence[RelativeWait], limits: Limits) -> bool:
-    """Returns if a replica was as usual between two runs.
+    """Returns whether waits were normal between two runs.
 
-    The failure: a few quick answers in a row, by chance, part a spell in two.
+    A few quick answers in a row, by chance, must not split a period in two.
     Less than half a window of them can't move a median by themselves; more,
-    but less than a window, are a pause if they are nearer to the usual than to
-    the factor.
+    but less than a window, are a pause if their median is nearer to the
+    baseline than to the factor, on a logarithmic scale.
     """
     if len(between) < limits.window_answers // 2:
         return False
@@ -134,26 +134,26 @@
 ) -> range:
     """Returns a run with the most probable ends within the waits around it.
 
-    Each wait speaks for being in the spell by its factor's logarithm, or
-    against it where that is nearer to the usual than to the spell's median.
-    The ends are where the sum of it is highest.
+    A wait's score is its factor's logarithm, less half of that of the run's
+    median: negative where it is nearer to the baseline than to the median. The
+    ends are those with the highest sum of scores.
     """
     median_factor = statistics.median(waits[index].factor for index in run)
     max_score = math.log(median_factor)
     inside = run[len(run) // 2]
 
-    def scores(wait: RelativeWait) -> float:
-        # One wait, however long, is one event.
+    def score(wait: RelativeWait) -> float:
+        # Limited, so that a single very long wait doesn't move the end.
         return min(max(math.log(wait.factor), 0.0), max_score) - max_score / 2.0
 
-    before = [scores(wait) for wait in reversed(waits[around.start : inside])]
-    after = [scores(wait) for wait in waits[inside + 1 : around.stop]]
+    before = [score(wait) for wait in reversed(waits[around.start : inside])]
+    after = [score(wait) for wait in waits[inside + 1 : around.stop]]
     return range(
         inside - _best_length(before), inside + 1 + _best_length(after)
     )
 
 
 def _best_length(scores: Sequence[float]) -> int:
-    """Returns of how many of the first votes the sum is highest."""
+    """Returns the length of the prefix of scores with the highest sum."""
     sums = [0.0, *itertools.accumulate(scores)]
     return sums.index(max(sums))
--- a/src/nutmeghook/internal/observe/slow_replicas.py
+++ b/src/nutmeghook/internal/observe/slow_replicas.py
@@ -1,4 +1,4 @@
-"""Which replicas were slow, from when to when, over all instances' logs."""
+"""Finds slow replicas and their slow periods in all instances' logs."""
 
 import collections
 from collections.abc import Iterable
@@ -14,22 +14,22 @@
 RelativeWait = relative_waits.RelativeWait
 Limits = relative_waits.Limits
 
-# An instance is slow itself if it waits long on at least so many replicas, and
-# on at least this share of those that it asks: one slow replica, or two, may be
-# all that a small fleet's instance asks for some time.
+# An instance is slow itself if its waits are long on at least this many
+# replicas, and on at least this share of those that it sends to: an instance of
+# a small fleet may for some time send to one or two slow replicas only.
 _MIN_SLOW_REPLICAS = 3
 _MIN_SLOW_SHARE = 0.5
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class SlowReplicaPeriod:
-    """A replica that was slow for some time.
+    """A period in which a replica was slow.
 
     Attributes:
-        waits: Those of the spell, by time.
-        others: Those of the service's other replicas in that time.
-        others_factor: The median of the other replicas of its version in that
-            time, against all replicas; None if too few answers tell.
+        waits: The replica's waits in the period, by time.
+        others: Those on the service's other replicas in the period.
+        others_factor: The median factor on the other replicas of its version
+            in the period; None for too few answers.
     """
 
     waits: Sequence[RelativeWait]
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class SlowInstancePeriod:
-    """An instance that waited long on all replicas: it is slow itself."""
+    """A period in which an instance was slow, by its waits on all replicas."""
 
     instance: log_reading.Source
     waits: Sequence[RelativeWait]
@@ -52,16 +52,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Report:
-    """What the logs tell of slow replicas.
+    """What the logs tell about slow replicas.
 
     Attributes:
         waits: How many waits there are.
         compared: How many of them could be compared.
-        slow: Spells of slow replicas, by their beginning.
-        slow_versions: Spells of replicas whose version's others were as slow.
-        instances: Spells of instances that are slow themselves.
-        too_few: Replicas with too few answers that could be compared, and how
-            many they had.
+        slow: Periods of slow replicas, by their beginning.
+        slow_versions: Periods of replicas whose version was as slow on its
+            other replicas.
+        instances: Periods of instances that were slow themselves.
+        too_few: The number of answers that could be compared, by replica, for
+            replicas with too few of them.
     """
 
     waits: int
@@ -80,7 +81,7 @@
     waits = attempt_waits.gather(lines)
     measured = relative_waits.measure(waits, limits)
     instances = _slow_instances(measured, limits)
-    # What a slow instance saw tells nothing of replicas.
+    # The waits of a slow instance tell nothing about replicas.
     excluded = {id(wait) for period in instances for wait in period.waits}
     trusted = [wait for wait in measured if id(wait) not in excluded]
     periods = _slow_replicas(trusted, limits)
@@ -132,10 +133,10 @@
 def _slow_replicas(
     trusted: Sequence[RelativeWait], limits: Limits
 ) -> list[SlowReplicaPeriod]:
-    """Returns the spells of all replicas, each over all of its models.
+    """Returns the slow periods of all replicas, each over all of its models.
 
-    A replica reads for all models from one queue; each wait is compared within
-    its own model, and all of them tell of the replica.
+    A replica serves all models from one queue; each wait is compared within
+    its own model, and the waits of all models count for the replica.
     """
     by_replica = collections.defaultdict(list)
     for wait in trusted:
--- a/src/nutmeghook/internal/observe/slow_replicas_text.py
+++ b/src/nutmeghook/internal/observe/slow_replicas_text.py
@@ -1,4 +1,4 @@
-"""Tells in words which replicas were slow."""
+"""The report on slow replicas as lines of text."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -13,14 +13,14 @@
 
 RelativeWait = relative_waits.RelativeWait
 
-# As many ids as fit a line; the longest waits tell most.
+# As many request ids as fit a line; those with the longest waits.
 _MAX_REQUESTS_SHOWN = 5
 
 
 def text_lines(
     report: slow_replicas.Report, names: Mapping[log_reading.Source, str]
 ) -> list[str]:
-    """Returns the report, a spell in a few lines each.
+    """Returns the report, with a few lines for each slow period.
 
     Args:
         report: What was found.
@@ -128,7 +128,7 @@
 
 
 def _load(waits: Sequence[RelativeWait]) -> str:
-    """Returns the median of what replicas say they run and have waiting."""
+    """Returns the medians of the requests running and queued, as reported."""
     running = [w.wait.running for w in waits if w.wait.running is not None]
     waiting = [w.wait.waiting for w in waits if w.wait.waiting is not None]
     if not running or not waiting:
--- a/src/nutmeghook/internal/observe/state_records.py
+++ b/src/nutmeghook/internal/observe/state_records.py
@@ -1,4 +1,4 @@
-"""The log lines about what an instance believes, as typed records."""
+"""Log lines about an instance and its view of the fleet, as typed records."""
 
 from nutmeghook.internal.observe import log_records
 
@@ -14,7 +14,7 @@
 
 
 class ReplicaChange(Record, frozen=True, kw_only=True):
-    """What is believed of a replica changed."""
+    """The instance's view of a replica changed."""
 
     replica: str
     service: str | None = None
@@ -28,13 +28,13 @@
 
 
 class EvacuationChange(Record, frozen=True, kw_only=True):
-    """A data centre is emptied, or in use again."""
+    """A data centre was evacuated, or restored."""
 
     data_centre: str
 
 
 class RollOutChange(Record, frozen=True, kw_only=True):
-    """Something became known of a roll-out."""
+    """A roll-out's state, or what is known of it, changed."""
 
     service: str | None = None
     order: int | str | None = None
@@ -47,14 +47,14 @@
 
 
 class StoreChange(Record, frozen=True, kw_only=True):
-    """The store was lost, found again, or has dropped changes."""
+    """The store became unreachable or reachable, or has dropped changes."""
 
     error: str | None = None
     table: str | None = None
 
 
 class ProcessChange(Record, frozen=True, kw_only=True):
-    """The process started, stops, or got new settings."""
+    """The process started, is stopping, or got new settings."""
 
     instance: str | None = None
     data_centre: str | None = None
@@ -69,6 +69,6 @@
 
 
 class LinesDropped(Record, frozen=True, kw_only=True):
-    """Lines found no room since the last report of it."""
+    """Lines were dropped for a full buffer since the last such line."""
 
     lines: int
--- a/src/nutmeghook/internal/observe/story.py
+++ b/src/nutmeghook/internal/observe/story.py
@@ -1,4 +1,4 @@
-"""Gathers a request's whole way from the log lines of all instances."""
+"""Collects all log lines about one request from all instances' logs."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -11,7 +11,7 @@
 
 Line = log_reading.Line
 
-# Lines that bear on every request of their instance.
+# Lines that concern every request of their instance.
 _RELEVANT_TO_ALL = (
     state_records.ConfigurationInForce,
     state_records.EvacuationChange,
@@ -30,21 +30,22 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class InstanceTrace:
-    """What one instance did with a request, and believed meanwhile.
+    """An instance's lines about a request, and about its own state then.
 
     Attributes:
-        instance: Its name.
-        request_lines: The lines about the request, as they were logged.
-        replicas: Those of the request's attempts.
-        arrived_s: When it arrived, or its first line if that is not known.
-        until_s: When its last line was logged. Of a request without an end,
-            when the process started again, or the log's end.
-        log: What is known of the instance's log as a whole.
-        state_changes: Lines between arrival and end that bear on the request.
-        earlier_state: The newest line from before the arrival about each
-            subject that bears on the request.
+        instance: The instance's name.
+        request_lines: The lines about the request, in the order logged.
+        replicas: The replicas of the request's attempts.
+        arrived_s: When the request arrived; if not known, the time of its
+            first line.
+        until_s: The time of the request's last line. For a request without an
+            end, when the process started again, or the log's end.
+        log: A summary of the instance's log.
+        state_changes: Other lines between arrival and end that are relevant
+            to the request.
+        earlier_state: The newest relevant line before the arrival, by subject.
         has_start: The process's start, before the arrival, is in the log.
-        services: Those of the replicas of its attempts, as far as was logged.
+        services: The services of the replicas, as far as they were logged.
     """
 
     instance: str
@@ -65,7 +66,7 @@
 
     @property
     def has_arrival(self) -> bool:
-        """Tells whether some line says when the request arrived."""
+        """Whether some line tells when the request arrived."""
         return any(
             isinstance(record, log_records.RequestEnded)
             and record.duration_ms is not None
@@ -74,16 +75,16 @@
 
     @property
     def is_ended(self) -> bool:
-        """Tells whether the request's last line is that of its end."""
+        """Whether the request's last line is that of its end."""
         return isinstance(self.records[-1], log_records.RequestEnded)
 
     @property
     def admitted_by(self) -> int | None:
-        """The configuration that let the request in, if a line says so."""
+        """The configuration that admitted the request; None if not logged."""
         ends = [
             r for r in self.records if isinstance(r, log_records.RequestEnded)
         ]
-        # Later attempts name the one that is in force by then.
+        # Later attempts name the configuration in force by then.
         first = [
             record
             for record in self.records
@@ -97,7 +98,7 @@
 
     @property
     def missing_attempts(self) -> list[int]:
-        """The attempts that were made and whose sending is not in the log."""
+        """The numbers of attempts that lack a line of their sending."""
         sent, known = set(), set()
         for record in self.records:
             if isinstance(record, log_records.AttemptRecord):
@@ -109,14 +110,14 @@
         return [n for n in range(1, max(known, default=0) + 1) if n not in sent]
 
     def lines(self) -> list[Line]:
-        """Returns all lines from the arrival on, as they were logged."""
+        """Returns all lines from the arrival on, in the order logged."""
         return sorted(
             self.request_lines + self.state_changes,
             key=lambda line: line.number,
         )
 
     def add_line(self, line: Line) -> None:
-        """Takes in another line of the instance, if it bears on the request."""
+        """Adds another line of the instance, if relevant to the request."""
         record = line.record
         if not self._is_relevant(record) or line.at_s > self.until_s:
             return
@@ -126,7 +127,7 @@
         if line.at_s >= self.arrived_s:
             self.state_changes.append(line)
             if is_start and line.number > self.request_lines[-1].number:
-                # What comes now is another process's, without this request.
+                # Later lines are by a new process without this request.
                 self.until_s = line.at_s
             return
         if is_start:
@@ -144,7 +145,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RequestTrace:
-    """A request's way over all instances; no traces if no line names it."""
+    """A request's traces on all instances; none if no line names it."""
 
     request: str
     traces: list[InstanceTrace]
@@ -162,10 +163,10 @@
 
 
 def gather(files: log_reading.LogFiles, request: str) -> RequestTrace:
-    """Reads a request's story.
+    """Reads a request's traces.
 
-    The files are read twice: what bears on a request, and from when to when,
-    is known only once its own lines are.
+    The files are read twice: which other lines are relevant, and in which
+    period, is known only from the request's own lines.
     """
     request_lines: dict[log_reading.Source, list[Line]] = {}
     for line in files.lines():
@@ -229,7 +230,7 @@
 
 
 def _subject(record: log_records.Record) -> str | None:
-    """Returns what a newer line about the same says anew."""
+    """Returns the subject whose earlier line this record replaces."""
     if isinstance(record, state_records.ConfigurationInForce):
         return "configuration"
     if record.event in (log_decoding.STORE_AWAY, log_decoding.STORE_BACK):
--- a/src/nutmeghook/internal/observe/story_text.py
+++ b/src/nutmeghook/internal/observe/story_text.py
@@ -1,4 +1,4 @@
-"""A request's story as lines of text."""
+"""A request's traces as lines of text."""
 
 from collections.abc import Iterator
 import heapq
@@ -9,12 +9,12 @@
 from nutmeghook.internal.observe import state_records
 from nutmeghook.internal.observe import story as story_module
 
-# Stands before what an instance believed, not did.
+# Marks lines about an instance's state, rather than about the request.
 _STATE_PREFIX = "| "
 
 
 def text_lines(story: story_module.RequestTrace) -> list[str]:
-    """Returns the story, with times relative to its first line."""
+    """Returns the traces, with times relative to the request's arrival."""
     if not story.traces:
         return []
     start_s = min(trace.arrived_s for trace in story.traces)
@@ -72,7 +72,7 @@
 
 
 def _gaps(trace: story_module.InstanceTrace) -> Iterator[str]:
-    """Says what is missing of a visit, and why."""
+    """Yields notes on what a trace lacks, and why."""
     ahead_s = trace.arrived_s - trace.log.first_s
     if ahead_s < 0:
         yield (
@@ -103,7 +103,7 @@
 
 
 def _earlier_state(trace: story_module.InstanceTrace) -> Iterator[str]:
-    """Says what was believed when the request arrived."""
+    """Yields the instance's state when the request arrived."""
     for line in sorted(
         trace.earlier_state.values(), key=lambda line: line.number
     ):
--- a/src/nutmeghook/internal/observe/timeline.py
+++ b/src/nutmeghook/internal/observe/timeline.py
@@ -1,4 +1,4 @@
-"""One time line out of the events of several processes."""
+"""Merges the events of several processes into one timeline."""
 
 from collections.abc import Iterable
 import html
@@ -9,12 +9,14 @@
 
 
 class ProcessEvents(msgspec.Struct, frozen=True, kw_only=True):
-    """What one process kept, and how its wall clock differs.
+    """The events that one process kept, and its wall clock's offset.
 
     Attributes:
         process: Its inner address and incarnation.
-        offset_ms: To be added to its wall times to get the gatherer's.
-        uncertainty_ms: Half of the round trip in which that was measured.
+        offset_ms: Added to its wall times, gives those of the instance that
+            gathered the events.
+        uncertainty_ms: Half of the round trip in which the offset was
+            measured.
     """
 
     process: str
@@ -24,7 +26,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True):
-    """One line: an event, or a gap where a process lost events.
+    """One line: an event, or a gap in a process's events.
 
     Attributes:
         lost: How many events are missing just before this moment.
@@ -37,7 +39,7 @@
 
 
 def merge(processes: Iterable[ProcessEvents]) -> list[Entry]:
-    """Puts all events in order of corrected time, with gaps where lost."""
+    """Orders all events by corrected time, with entries for gaps."""
     entries: list[Entry] = []
     for process in processes:
         entries.extend(_entries_of(process))
@@ -64,7 +66,7 @@
 
 
 def filter_by_subject(entries: list[Entry], subject: str) -> list[Entry]:
-    """Keeps what concerns a request, operation, version or lease.
+    """Keeps the entries about a request, operation, version or lease.
 
     Gaps stay: the missing events might have been about the subject.
     """
@@ -80,7 +82,7 @@
 
 
 def text_lines(entries: list[Entry]) -> list[str]:
-    """Returns a line an entry, times relative to the first."""
+    """Returns one line per entry, with times relative to the first."""
     if not entries:
         return []
     start_ms = entries[0].at_ms
@@ -122,10 +124,10 @@
 
 
 def html_page(entries: list[Entry], *, title: str) -> str:
-    """Draws the time line as one page without outside parts.
+    """Draws the timeline as one page without external resources.
 
-    The newest entries are drawn where there are very many; the heading says
-    how many were left out.
+    Only the newest `_MAX_DRAWN` entries are drawn; the heading says how many
+    were left out.
     """
     left_out = max(0, len(entries) - _MAX_DRAWN)
     shown = entries[left_out:]
@@ -136,7 +138,7 @@
     rows = {lane: row for row, lane in enumerate(lanes)}
     for index, entry in enumerate(shown):
         x = _LEFT_PX + (entry.at_ms - start_ms) / span_ms * _WIDTH_PX
-        # Events of one moment are spread over the lane's height.
+        # Spreads simultaneous events over the lane's height.
         y = rows[entry.process] * _LANE_PX + 8 + (index * 7) % (_LANE_PX - 16)
         parts.append(_mark(entry, x, y, start_ms))
     height = max(1, len(lanes)) * _LANE_PX
