--- a/src/nutmeghook/cli.py
+++ b/src/nutmeghook/cli.py
@@ -1,7 +1,7 @@
 """The `nutmeghook` command.
 
-The experiment's modules are loaded by the commands that need them: a serving
-instance has 128 MB, and would hold stand-ins and checks that it never uses.
+Modules of `experiment` are imported only by the commands that need them: a
+serving instance has 128 MB, too little for stand-ins and checks without use.
 """
 
 import importlib
@@ -28,9 +28,9 @@
 class Commands:
     """A model-aware router for versions and cascades.
 
-    Start an instance with `serve`, administer it with `admin`, and read what
-    happened over all instances with `timeline`, or from their log files with
-    `endings`, `story` and `slow_replicas`. Every command explains itself:
+    Start an instance with `serve`, administer it with `admin`, and see what
+    happened on all instances with `timeline`, or from their log files with
+    `endings`, `story` and `slow_replicas`. For the help of a command, see
     `nutmeghook COMMAND --help`.
     """
 
@@ -49,7 +49,7 @@
 
         Args:
             print_settings: Print the settings in force, secrets masked.
-            **flags: One flag a setting.
+            **flags: One flag per setting.
         """
         settings = _load_settings(flags)
         if print_settings.lower() in ("true", "1"):
@@ -63,7 +63,7 @@
         """Checks all settings and prints every fault, without starting.
 
         Args:
-            **flags: One flag a setting.
+            **flags: One flag per setting.
         """
         settings = _load_settings(flags)
         print("\n".join(settings.printable_lines()))
@@ -73,11 +73,11 @@
     def check_platform_settings(self, file: str = "") -> None:
         """Checks the settings file of the users' platform.
 
-        Prints every fault at once, with what is wanted; else what the router
-        would use. Fields that it doesn't know are ignored.
+        Prints every fault with what is expected, or else the settings that the
+        router would use. Unknown fields are ignored.
 
         Args:
-            file: The file; else the one that NUTMEGHOOK_NODE_FILE names.
+            file: The file; by default, the one that NUTMEGHOOK_NODE_FILE names.
         """
         environment = dict(os.environ)
         if file:
@@ -95,25 +95,26 @@
     def timeline(
         self, about: str = "", html: str = "", url: str = "", token: str = ""
     ) -> None:
-        """Prints what happened on all instances, in order of time.
+        """Prints the events of all instances, in order of time.
 
-        Clocks are corrected by the time that asking each instance took. An
-        instance keeps its newest events only; what fell out shows as a gap.
+        Clock offsets are estimated from the round trip to each instance. An
+        instance keeps only its newest events; dropped ones are shown as a gap.
 
         Args:
-            about: Only what concerns this request, operation or version.
-            html: Also draw it, into this file.
-            url: Any instance or the balancer; else NUTMEGHOOK_ADMIN_URL.
-            token: An administrator's token; else NUTMEGHOOK_TOKEN.
+            about: Only events about this request, operation or version.
+            html: Also draw the timeline, as a page in this file.
+            url: Any instance or the load balancer; by default,
+                NUTMEGHOOK_ADMIN_URL.
+            token: An administrator's token; by default, NUTMEGHOOK_TOKEN.
         """
         timeline.run(about=about, html=html, url=url, token=token)
 
     @decorators.SetParseFn(str)
     def story(self, request: str, *log_files: str) -> None:
-        """Prints a request's whole way, from the log lines of all instances.
+        """Prints a request's history, from the log lines of all instances.
 
-        What each instance believed meanwhile stands beside what it did,
-        behind a bar. Lines may have a time and the instance's name in front.
+        Lines about an instance's own state at that time are marked by a bar.
+        Log lines may have a time and the instance's name as a prefix.
 
         Args:
             request: The request's id.
@@ -123,10 +124,10 @@
 
     @decorators.SetParseFn(str)
     def endings(self, *log_files: str) -> None:
-        """Prints what became of requests, by route, code and reason.
+        """Prints how requests ended, by route, code and reason.
 
-        Answers that were cut come first. Each row names one request, whose
-        way `story` tells.
+        Answers that were cut come first. Each row names one request, which
+        `story` can show.
 
         Args:
             log_files: Log files or folders of them, one instance a file.
@@ -138,8 +139,8 @@
         """Prints which replicas were slow, from when to when, and how much.
 
         Each is compared with the others of its service and model at the same
-        time. Names the requests that waited there, whose way `story` tells,
-        and instances that saw all replicas slow.
+        time. Also names requests that waited there, which `story` can show,
+        and instances on which all replicas seemed slow.
 
         Args:
             log_files: Log files or folders of them, one instance a file.
@@ -163,13 +164,13 @@
 
         Args:
             template: The template that requests name as their model.
-            addresses: Instances or a balancer, ip:port, with commas.
-            token: A caller's token; else NUTMEGHOOK_TOKEN.
-            rate_per_s: Requests started a second.
-            duration_s: For how long.
-            streamed: Ask for streams.
-            prompt_words: Size of the prompts.
-            max_tokens: Largest answer.
+            addresses: Instances or a load balancer, ip:port, comma-separated.
+            token: A caller's token; by default, NUTMEGHOOK_TOKEN.
+            rate_per_s: Requests started per second.
+            duration_s: How long requests are started.
+            streamed: Request streamed answers.
+            prompt_words: Words in a prompt.
+            max_tokens: The most tokens of an answer.
         """
         load = importlib.import_module("nutmeghook.experiment.load")
         load.main(
@@ -188,15 +189,15 @@
     def demo(
         self, folder: str = "out/demo", works: int = 2200, seed: int = 1
     ) -> None:
-        """Runs the whole system on stand-ins, with faults, and judges it.
+        """Runs the whole system on stand-ins, with faults, and checks it.
 
-        Ends with one JSON line, and with status 1 if something that must
-        hold did not.
+        Prints one JSON line at the end; the exit status is 1 if a check
+        failed.
 
         Args:
-            folder: Where logs, the history and the time line go.
-            works: How many pieces of work callers ask for.
-            seed: Of the work drawn.
+            folder: Where logs, the history and the timeline are written.
+            works: The number of pieces of work that callers request.
+            seed: The random seed of the work.
         """
         demo = importlib.import_module("nutmeghook.experiment.demo")
         demo.main(folder=folder, works=works, seed=seed)
@@ -204,11 +205,11 @@
     def platform_demo(self, seed: int = 1) -> None:
         """Runs routers on a stand-in of the users' platform, with faults.
 
-        Ends with one JSON line, and with status 1 if something that must
-        hold did not.
+        Prints one JSON line at the end; the exit status is 1 if a check
+        failed.
 
         Args:
-            seed: Of the load and the replicas' faults.
+            seed: The random seed of the load and the replicas' faults.
         """
         trial = importlib.import_module("nutmeghook.experiment.platform_trial")
         sys.exit(trial.main(seed=seed))
@@ -220,15 +221,15 @@
         routers: int = 4,
         keep: str = "",
     ) -> None:
-        """Plays troubles drawn from a seed against routers as processes.
+        """Runs router processes under faults drawn at random from a seed.
 
-        Ends with one JSON line, and with status 1 if something that must
-        hold did not.
+        Prints one JSON line at the end; the exit status is 1 if a check
+        failed.
 
         Args:
-            seed: Of the troubles and of the load.
-            seconds: For how long troubles begin.
-            routers: Processes.
+            seed: The random seed of the faults and of the load.
+            seconds: How long faults are started.
+            routers: The number of router processes.
             keep: A folder for the routers' logs; empty to drop them.
         """
         soak = importlib.import_module("nutmeghook.experiment.soak")
@@ -238,14 +239,14 @@
 
 
 def _split(addresses: object) -> list[str]:
-    """Reads a list with commas, which fire may have made a tuple."""
+    """Splits a comma-separated list, which fire may have parsed already."""
     if isinstance(addresses, tuple):
         return [str(address) for address in addresses]
     return [part for part in str(addresses).split(",") if part]
 
 
 def _load_settings(flags: dict[str, str]) -> loading.Settings:
-    """Loads settings; on faults prints them all and ends the process."""
+    """Loads settings; prints all faults, if any, and ends the process."""
     given = {name: text for name, text in flags.items() if text is not None}
     try:
         return loading.load(flags=given, environment=os.environ)
@@ -257,6 +258,6 @@
 
 def main() -> None:
     """Runs the command line."""
-    # fire shows long help in a pager, which it starts as a process.
+    # Without it, fire starts a pager process for long help.
     os.environ.setdefault("PAGER", "-")
     fire.Fire(Commands(), name="nutmeghook")
--- a/src/nutmeghook/internal/administration/application.py
+++ b/src/nutmeghook/internal/administration/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application that operators talk to, mounted under `/admin/v1`."""
+"""The HTTP application of the administration API, under `/admin/v1`."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -27,8 +27,8 @@
 MAX_REASON_CHARS = 500
 MAX_WAIT_MS = 30_000
 _ACCEPT_TIMEOUT = datetime.timedelta(seconds=8)
-# Longer than an accept takes in good times: whoever asks for an outcome
-# meanwhile lets it finish instead of abandoning it.
+# Longer than an accept normally takes, so that settling an operation that is
+# still being accepted lets it finish instead of abandoning it.
 _SETTLE_GRACE = datetime.timedelta(seconds=3)
 _OPERATION_ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{7,99}")
 _NUMBER = re.compile(r"[0-9]{1,12}")
@@ -47,7 +47,7 @@
 
 
 class AdministrationHandlers:
-    """The handlers of the paths that operators use."""
+    """The handlers of the administration API."""
 
     __slots__ = ("_config", "_principals", "_queries")
 
@@ -86,7 +86,7 @@
     def _coded_handler(
         self, handler: _Handler
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
-        """Finds who asks, and gives each error its coded body."""
+        """Wraps a handler with authentication and coded error bodies."""
 
         async def handle(request: web.Request) -> web.Response:
             try:
@@ -156,7 +156,11 @@
     async def _answer(
         self, record: rows.OperationRecord, *, wait_ms: int
     ) -> bodies.OperationAnswer:
-        """Tells where an accepted change is in force; raises for others."""
+        """Reports where an accepted change is in force.
+
+        Raises:
+            RefusedError: The operation was not accepted.
+        """
         if record.outcome is not rows.Outcome.ACCEPTED:
             raise RefusedError(record=record)
         if self._config.replica.revision < record.revision:
--- a/src/nutmeghook/internal/administration/arguments.py
+++ b/src/nutmeghook/internal/administration/arguments.py
@@ -1,4 +1,4 @@
-"""Reads the arguments of the `nutmeghook admin` commands."""
+"""Parses the arguments of the `nutmeghook admin` commands."""
 
 import pathlib
 import sys
@@ -19,23 +19,23 @@
 
 
 class UsageError(Exception):
-    """An argument is wrong; the message tells what to do."""
+    """An argument is invalid; the message says what to give."""
 
 
 def is_true(text: str) -> bool:
-    """Reads a switch; a flag without a value counts as set."""
+    """Parses a switch; a flag without a value counts as set."""
     return text.lower() in _TRUE
 
 
 def whole_number(text: str, name: str) -> int:
-    """Reads a whole number that is 0 or more."""
+    """Parses a whole number that is 0 or more."""
     if not text.isascii() or not text.isdigit():
         raise UsageError(f"{name} is {text!r}; give a whole number")
     return int(text)
 
 
 def share_percent(text: str) -> float:
-    """Reads a share."""
+    """Parses a share in percent."""
     try:
         return float(text)
     except ValueError as error:
@@ -45,7 +45,7 @@
 
 
 def model_version(text: str) -> engine.ModelVersion:
-    """Reads `MODEL@VERSION`."""
+    """Parses `MODEL@VERSION`."""
     try:
         return engine.ModelVersion.parse(text)
     except ValueError as error:
@@ -53,7 +53,7 @@
 
 
 def role(text: str) -> documents.Role:
-    """Reads a role's name."""
+    """Parses a role's name."""
     try:
         return documents.Role(text.lower())
     except ValueError as error:
@@ -78,7 +78,7 @@
 
 
 def read_file(path: str, content_type: type[_T]) -> _T:
-    """Reads a JSON file strictly; `-` is standard input."""
+    """Reads a JSON file, rejecting unknown fields; `-` is standard input."""
     if path == "-":
         content = sys.stdin.buffer.read()
     else:
--- a/src/nutmeghook/internal/administration/bodies.py
+++ b/src/nutmeghook/internal/administration/bodies.py
@@ -1,4 +1,4 @@
-"""The JSON bodies of the administration API, and their strict reading."""
+"""The JSON bodies of the administration API, and their strict decoding."""
 
 from collections.abc import Iterator
 import datetime
@@ -20,10 +20,10 @@
 
 
 class SubmitBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for a change.
+    """Requests a change.
 
     Attributes:
-        reason: Why, for the audit and for whoever loses a race to it.
+        reason: Why, for the history and for the author of a conflicting edit.
         wait_ms: How long to wait for it to be in force on all instances.
     """
 
@@ -33,13 +33,13 @@
 
 
 class DraftBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks what a change would do."""
+    """Requests a dry run of a change."""
 
     edit: edits.Edit
 
 
 class DraftAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What a change would do on this revision, and what is wrong with it."""
+    """What a change would do to this revision, and its faults."""
 
     revision: int
     faults: tuple[faults.FieldFault, ...]
@@ -58,8 +58,8 @@
 
     Attributes:
         document: Its name, for example `template/agency/dossier`.
-        revision: What an edit of it has to expect.
-        configuration_revision: The whole configuration's.
+        revision: The document's revision, which an edit of it has to expect.
+        configuration_revision: The revision of the whole configuration.
     """
 
     document: str
@@ -99,7 +99,7 @@
     """Accepted changes, newest first.
 
     Attributes:
-        continue_before: Give this as `before` to go on; 0 at the end.
+        continue_before: The next page's `before`; 0 if there is none.
     """
 
     changes: tuple[HistoryItem, ...]
@@ -107,14 +107,14 @@
 
 
 class ChangeAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """An accepted change with all that it changed."""
+    """An accepted change with its differences."""
 
     change: HistoryItem
     differences: tuple[faults.Difference, ...]
 
 
 class UsageItem(msgspec.Struct, frozen=True, kw_only=True):
-    """What one team's requests used; money in millionths of a euro."""
+    """The usage of one team's requests; money in millionths of a euro."""
 
     team: str
     requests: int
@@ -125,7 +125,7 @@
 
 
 class UsageAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The totals of all bills that are kept, each bill counted once."""
+    """The totals of all retained bills, each bill counted once."""
 
     teams: tuple[UsageItem, ...]
 
@@ -153,12 +153,12 @@
 
 
 def decode(content: bytes, body_type: type[_T]) -> _T:
-    """Reads a body strictly.
+    """Decodes a body, rejecting unknown fields.
 
-    Rows are read leniently, for releases that run side by side, so the
-    documents' types let unknown fields pass. An operator's misspelt field
-    must not: it would be dropped in silence and its default be in force. The
-    unknown ones are found by comparing with what was understood.
+    The documents' types accept unknown fields, because rows are shared by
+    releases that run side by side. In an operator's input a misspelt field
+    would be dropped silently and its default be in force, so unknown fields
+    are found by comparing the input with the decoded body.
 
     Raises:
         errors.CodedError: `BAD_JSON`, or `BAD_FIELD` naming every unknown
--- a/src/nutmeghook/internal/administration/client.py
+++ b/src/nutmeghook/internal/administration/client.py
@@ -1,4 +1,4 @@
-"""Calls the administration API of any instance."""
+"""A client of the administration API of any instance."""
 
 import datetime
 from typing import TypeVar
@@ -15,7 +15,7 @@
 from nutmeghook.internal.foundation import codes
 
 _T = TypeVar("_T")
-# More than an accept with the store slow and instances that do not confirm.
+# Longer than an accept with a slow store and instances that do not confirm.
 _CALL_TIMEOUT = datetime.timedelta(seconds=30)
 _RETRY_DELAY = datetime.timedelta(seconds=1)
 _MAX_ATTEMPTS = 4
@@ -37,7 +37,10 @@
 
 
 class AdministrationClient:
-    """Calls one address, which may be a balancer's; use as a context."""
+    """Calls one address, which may be a load balancer's.
+
+    Used as an asynchronous context manager.
+    """
 
     __slots__ = ("_base_url", "_clock", "_headers", "_session")
 
@@ -67,14 +70,14 @@
     async def submit(
         self, operation_id: str, body: bodies.SubmitBody
     ) -> bodies.OperationAnswer:
-        """Asks for a change, again under the same id if no answer comes.
+        """Requests a change, with retries under the same operation id.
 
-        The id makes that safe: a change accepted by a call whose answer was
-        lost is not made twice, its outcome is returned.
+        The id makes that idempotent: if a call was accepted but its answer was
+        lost, the retry returns that outcome.
 
         Raises:
-            RefusedError: It was not accepted, or that is not known yet.
-            NoAnswerError: All tries went unanswered.
+            RefusedError: It was not accepted, or its outcome is not known yet.
+            NoAnswerError: The last attempt got no answer.
         """
         headers = {application.OPERATION_HEADER: operation_id}
         for _ in range(_MAX_ATTEMPTS - 1):
@@ -123,7 +126,7 @@
         )
 
     async def draft(self, edit: edits.Edit) -> bodies.DraftAnswer:
-        """Asks what a change would do."""
+        """Returns what a change would do, without making it."""
         body = bodies.DraftBody(edit=edit)
         return await self._post("/drafts", body, bodies.DraftAnswer, {})
 
@@ -150,7 +153,7 @@
         return await self._get(f"/changes/{revision}", bodies.ChangeAnswer)
 
     async def status(self) -> status_module.StatusAnswer:
-        """Returns what a shift hands over."""
+        """Returns the status for the next shift."""
         return await self._get("/status", status_module.StatusAnswer)
 
     async def usage(self) -> bodies.UsageAnswer:
@@ -197,7 +200,7 @@
     try:
         body = msgspec.json.decode(answer, type=bodies.ErrorBody)
     except msgspec.MsgspecError:
-        # A balancer's own error page: nothing is known of what is behind it.
+        # A load balancer's error page; an instance may have got the request.
         return NoAnswerError(f"HTTP {status} that is not nutmeghook's")
     return RefusedError(status=status, body=body)
 
--- a/src/nutmeghook/internal/administration/command_runner.py
+++ b/src/nutmeghook/internal/administration/command_runner.py
@@ -1,4 +1,4 @@
-"""What all `nutmeghook admin` commands share: one call and its answer."""
+"""The base of the `nutmeghook admin` commands: calls the API and prints."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -30,10 +30,10 @@
 
 
 def command(method: Callable[..., None]) -> Callable[..., None]:
-    """Makes a method a command.
+    """Turns a method into a command.
 
-    Its arguments arrive as text: Fire would guess at types and turn version
-    1.10 into the number 1.1. Wrong ones end it with a message.
+    Its arguments are passed as text: Fire would otherwise infer types and turn
+    version 1.10 into the number 1.1. Invalid ones end it with a message.
     """
 
     @functools.wraps(method)
@@ -49,19 +49,19 @@
 
 @decorators.SetParseFn(str)
 class _StringFlags(type):
-    """Has Fire read the flags of a class's constructor as text.
+    """Makes Fire pass the flags of a class's constructor as text.
 
-    Fire looks for the decorator's mark on the class, not on `__init__`, and
-    shows a mark that is the class's own attribute in the help, as a group
-    FIRE_METADATA. On the metaclass Fire finds it and does not list it. Without
-    any mark a token such as 1.10 would be sent as 1.1.
+    Fire looks up the decorator's metadata on the class, not on `__init__`, and
+    would list metadata that is the class's own attribute in the help, as a
+    group FIRE_METADATA. It finds the metaclass's attribute, but does not list
+    it. Without the metadata a token such as 1.10 would be sent as 1.1.
     """
 
     __slots__ = ()
 
 
 class CommandRunner(metaclass=_StringFlags):
-    """Makes the call behind a command and prints what came of it."""
+    """Calls the administration API for a command and prints the result."""
 
     __slots__ = ("_json", "_token", "_url")
 
@@ -93,7 +93,8 @@
         operation_id: str,
     ) -> None:
         chosen = operation_id or f"op-{secrets.token_hex(8)}"
-        # Before anything is sent: whatever happens next, this id finds out.
+        # Printed before anything is sent, so that the outcome can be asked for
+        # if no answer comes.
         print(f"operation {chosen}", file=sys.stderr)
 
         async def submit(client: Client) -> bodies.OperationAnswer:
--- a/src/nutmeghook/internal/administration/commands.py
+++ b/src/nutmeghook/internal/administration/commands.py
@@ -14,7 +14,7 @@
 
 
 async def _ready_edit(edit: edits.Edit) -> edits.Edit:
-    """Returns an edit that needs nothing read first."""
+    """Returns an edit that needs no document from the API."""
     return edit
 
 
--- a/src/nutmeghook/internal/administration/principals.py
+++ b/src/nutmeghook/internal/administration/principals.py
@@ -1,4 +1,4 @@
-"""Who makes an administration call, and what that one may do."""
+"""Authentication and authorisation of administration calls."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -31,9 +31,9 @@
     """A token's team, name and role.
 
     Attributes:
-        is_of_platform: Its team is the platform's own.
-        is_administrator: Holds the administrator's role in the platform's own
-            team; in any other team that role is worth an operator's.
+        is_of_platform: Its team is the platform team.
+        is_administrator: It has the administrator's role in the platform team;
+            in other teams that role permits as much as an operator's.
     """
 
     team: str
@@ -44,7 +44,7 @@
 
     @property
     def author(self) -> rows.Author:
-        """The principal as changes name it."""
+        """The principal as the author of changes."""
         return rows.Author(team=self.team, name=self.name)
 
     def check_may_read(self, team: str) -> None:
@@ -84,8 +84,8 @@
             )
         if team != self.team:
             raise _not_allowed(self, f"change what is of team {team!r}")
-        # An operator of the platform's team that could mint a token of an
-        # administrator, or replace one, would be an administrator.
+        # An operator of the platform team could otherwise create or replace an
+        # administrator's token, and so become an administrator.
         if self.is_of_platform and isinstance(
             edit, edits.PutToken | edits.RemoveToken
         ):
@@ -104,25 +104,25 @@
         platform_team: str = DEFAULT_PLATFORM_TEAM,
         bootstrap_sha256: str = "",
     ):
-        """Sets where tokens are looked up.
+        """Initialises the finder.
 
         Args:
-            tokens: Of the configuration in force.
-            platform_team: The team whose administrators may change all.
-            bootstrap_sha256: Hash of a token from the settings that may
-                change all, for the first import and for the day when all
-                other tokens are lost; empty for none.
+            tokens: The tokens of the configuration in force.
+            platform_team: The team whose administrators may change everything.
+            bootstrap_sha256: The hash of a token from the settings that may
+                change everything, for the first import and if all other tokens
+                are lost; empty for none.
         """
         self._tokens = tokens
         self._platform_team = platform_team
         self._bootstrap_sha256 = bootstrap_sha256
 
     def find(self, headers: Mapping[str, str]) -> Principal:
-        """Returns whose token a request bears.
+        """Returns the principal of a request's token.
 
         Raises:
-            errors.CodedError: `BAD_TOKEN`, without telling a missing token
-                from a wrong one.
+            errors.CodedError: `BAD_TOKEN`, the same for a missing token and
+                an invalid one.
         """
         authorization = headers.get("Authorization", "")
         if authorization[: len(_BEARER)].lower() == _BEARER:
@@ -164,8 +164,8 @@
 def _operator_team(edit: edits.Edit) -> str | None:
     """Returns the team whose operators may make an edit; None for none.
 
-    What a team may use (its models, weight and routes) is not the team's own
-    to change, so whole team documents are for administrators.
+    A team may not change its own entitlements (models, weight and routes), so
+    only administrators may replace whole team documents.
     """
     if isinstance(edit, edits.PutTemplate):
         return edit.template.team
--- a/src/nutmeghook/internal/administration/queries.py
+++ b/src/nutmeghook/internal/administration/queries.py
@@ -1,4 +1,4 @@
-"""Reads for operators: documents, history and status."""
+"""Queries of the administration API: documents, history and status."""
 
 import datetime
 
@@ -23,13 +23,13 @@
 _STATUS_CHANGES = 5
 _STATUS_WAIT = datetime.timedelta(seconds=1)
 _CHANGES_PER_PAGE = 200
-# A team whose last change is long ago must not have one call read the log of
-# all teams to its start.
+# Limits a call for a team whose last change is long ago, which would otherwise
+# read the whole change log of all teams.
 _MAX_PAGES = 5
 
 
 class Queries:
-    """Answers questions of operators, each as far as its principal may see."""
+    """Answers queries with what the principal may see."""
 
     __slots__ = ("_bills", "_config", "_sources")
 
@@ -93,7 +93,7 @@
         """Returns accepted changes, newest first.
 
         Args:
-            principal: Sees what touches its own team or the fleet.
+            principal: Sees the changes of its own team or the fleet.
             document: Only changes of this document; empty for all.
             before: Only changes below this revision; 0 for the newest.
             limit: The most to return.
@@ -121,7 +121,7 @@
     async def change(
         self, principal: principals.Principal, revision: int
     ) -> bodies.ChangeAnswer:
-        """Returns what an accepted change changed.
+        """Returns an accepted change with its differences.
 
         Raises:
             errors.CodedError: `NOT_FOUND` or `STORE_OUT`.
@@ -141,9 +141,9 @@
     async def status(
         self, principal: principals.Principal
     ) -> status_module.StatusAnswer:
-        """Returns what the next shift has to know.
+        """Returns the status for the next shift.
 
-        It works while the store is out, without the newest changes.
+        While the store is unreachable, the newest changes are left out.
         """
         principal.check_may_read(principal.team)
         replica = self._config.replica
@@ -169,8 +169,8 @@
         """Returns the totals of all bills, for administrators.
 
         Raises:
-            errors.CodedError: `NOT_ALLOWED`; `STORE_OUT` where a bill can't
-                be read, because totals without it would be wrong.
+            errors.CodedError: `NOT_ALLOWED`; `STORE_OUT` if a bill can't be
+                read, because totals without it would be wrong.
         """
         principal.check_may_read("")
         if self._bills is None:
--- a/src/nutmeghook/internal/administration/read_only_commands.py
+++ b/src/nutmeghook/internal/administration/read_only_commands.py
@@ -7,20 +7,20 @@
 
 
 class ReadOnlyCommands(command_runner.CommandRunner):
-    """Shows what is in force, what changed, and what became of a change."""
+    """Shows the configuration in force, changes and their outcomes."""
 
     __slots__ = ()
 
     @command_runner.command
     def status(self) -> None:
-        """Shows what is in force where, what rolls, what waits."""
+        """Shows what is in force where, roll-outs, and what needs attention."""
         self._show(lambda c: c.status(), rendering.status)
 
     @command_runner.command
     def bills(self) -> None:
         """Shows what each team's requests used and cost, each billed once.
 
-        For administrators. Reads all bills that are kept, wherever they are.
+        For administrators. Reads all retained bills, wherever they are stored.
         """
         self._show(lambda c: c.usage(), rendering.usage)
 
@@ -73,10 +73,10 @@
 
     @command_runner.command
     def outcome(self, operation_id: str) -> None:
-        """Tells for good what became of a change: accepted, or never.
+        """Makes a change's outcome final and shows it: accepted, or not.
 
         Args:
-            operation_id: As printed when the change was asked for.
+            operation_id: As printed when the change was requested.
         """
         self._show(lambda c: c.settle(operation_id), rendering.operation)
 
--- a/src/nutmeghook/internal/administration/rendering.py
+++ b/src/nutmeghook/internal/administration/rendering.py
@@ -15,7 +15,7 @@
 
 
 def operation(answer: bodies.OperationAnswer) -> str:
-    """Returns an accepted operation with where it is in force."""
+    """Returns an accepted operation and where it is in force."""
     record = answer.operation
     lines = [
         f"{record.outcome.value}: operation {record.operation_id}",
@@ -27,7 +27,7 @@
 
 
 def error(body: bodies.ErrorBody) -> str:
-    """Returns an error with every fault, or with the change that won."""
+    """Returns an error with every fault, or with the conflicting change."""
     fields = body.error
     lines = [f"{fields.code} {fields.name}: {fields.message}"]
     record = body.operation
@@ -45,7 +45,7 @@
 
 
 def draft(answer: bodies.DraftAnswer) -> str:
-    """Returns what a change would do and what is wrong with it."""
+    """Returns what a change would do, and its faults."""
     lines = [f"on revision {answer.revision} this would change:"]
     lines += _differences(answer.differences)
     if answer.faults:
@@ -57,14 +57,14 @@
 
 
 def documents(answer: bodies.ListAnswer) -> str:
-    """Returns the documents, one a line."""
+    """Returns the documents, one per line."""
     lines = [f"configuration revision {answer.configuration_revision}"]
     lines += [f"{d.revision:>8}  {d.document}" for d in answer.documents]
     return "\n".join(lines)
 
 
 def document(answer: bodies.DocumentAnswer) -> str:
-    """Returns a document as indented JSON that `put` takes back."""
+    """Returns a document as indented JSON, which `put` accepts."""
     plain = {
         name: value
         for name, value in msgspec.to_builtins(answer).items()
@@ -74,7 +74,7 @@
 
 
 def history(answer: bodies.HistoryAnswer) -> str:
-    """Returns the changes, one a line."""
+    """Returns the changes, one per line."""
     lines = [_change(item) for item in answer.changes]
     if answer.continue_before:
         lines.append(f"go on with --before {answer.continue_before}")
@@ -82,13 +82,13 @@
 
 
 def change(answer: bodies.ChangeAnswer) -> str:
-    """Returns one change with its differences."""
+    """Returns a change with its differences."""
     lines = [_change(answer.change), *_differences(answer.differences)]
     return "\n".join(lines)
 
 
 def status(answer: status_module.StatusAnswer) -> str:
-    """Returns what a shift hands over."""
+    """Returns the status for the next shift."""
     age = "never confirmed as the newest"
     if answer.confirmed_age_ms is not None:
         age = f"confirmed as the newest {answer.confirmed_age_ms} ms ago"
@@ -114,7 +114,7 @@
 
 
 def usage(answer: bodies.UsageAnswer) -> str:
-    """Returns the totals, a team a line."""
+    """Returns the totals, one team per line."""
     lines = [
         f"{'requests':>9} {'prompt tokens':>13} {'output tokens':>13} "
         f"{'cost EUR':>12} {'spent EUR':>12}  team"
--- a/src/nutmeghook/internal/administration/status.py
+++ b/src/nutmeghook/internal/administration/status.py
@@ -1,4 +1,4 @@
-"""What a shift hands over to the next: one answer that fits a screen."""
+"""The status that a shift of operators hands over to the next."""
 
 import abc
 import datetime
@@ -18,7 +18,7 @@
 
 
 class RollingItem(msgspec.Struct, frozen=True, kw_only=True):
-    """A version in roll-out; `next_percent` is its policy's next step."""
+    """A version being rolled out; `next_percent` is its policy's next step."""
 
     template: str
     model_version: str
@@ -27,7 +27,7 @@
 
 
 class WithdrawnItem(msgspec.Struct, frozen=True, kw_only=True):
-    """A version withdrawn in one template; all of them, if it is the fleet."""
+    """A version withdrawn in one template, or in the whole fleet."""
 
     document: str
     model_version: str
@@ -37,9 +37,9 @@
     """Where the configuration is in force, and what is under way.
 
     Attributes:
-        confirmed_age_ms: How long ago the answering instance's revision was
+        confirmed_age_ms: Time since the answering instance's revision was last
             known to be the newest; None if never.
-        waiting: What someone has to look at, a sentence each.
+        waiting: What operators have to look at, a sentence each.
     """
 
     revision: int
@@ -52,11 +52,11 @@
 
 
 class WaitingSource(abc.ABC):
-    """Another part that knows of something operators have to look at."""
+    """A component that reports what operators have to look at."""
 
     @abc.abstractmethod
     async def waiting(self, team: str | None) -> list[str]:
-        """Returns a sentence each; for all teams if `team` is None."""
+        """Returns one sentence per item; for all teams if `team` is None."""
 
 
 async def build(
@@ -67,7 +67,7 @@
     changes: tuple[bodies.HistoryItem, ...],
     sources: tuple[WaitingSource, ...],
 ) -> StatusAnswer:
-    """Returns the status as a principal may see it."""
+    """Returns the status as far as a principal may see it."""
     snapshot = replica.snapshot
     templates = [
         template
@@ -94,7 +94,7 @@
 def next_step_percent(
     policy: documents.RollOutPolicy, share_percent: float
 ) -> float:
-    """Returns the first step above a share; 100 behind the last."""
+    """Returns the first step above a share; 100 after the last."""
     for step in policy.steps_percent:
         if step > share_percent:
             return step
@@ -127,7 +127,7 @@
         WithdrawnItem(document=edits.FLEET_DOCUMENT, model_version=str(named))
         for named in fleet.withdrawn
     ]
-    # Those of the fleet are listed once, not again for each template.
+    # Versions withdrawn in the fleet are not repeated for each template.
     known = {item.model_version for item in fleet_wide}
     in_templates = [
         WithdrawnItem(
--- a/src/nutmeghook/internal/commands/__init__.py
+++ b/src/nutmeghook/internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of `nutmeghook` beside `serve` and `admin`."""
+"""Commands of `nutmeghook` other than `serve` and `admin`."""
--- a/src/nutmeghook/internal/commands/log_reports.py
+++ b/src/nutmeghook/internal/commands/log_reports.py
@@ -1,4 +1,4 @@
-"""What log files tell: `nutmeghook story`, `endings` and `slow_replicas`."""
+"""Reports on log files: `nutmeghook story`, `endings`, `slow_replicas`."""
 
 from collections.abc import Sequence
 import sys
@@ -15,7 +15,7 @@
 
 
 def print_story(*, request: str, logs: Sequence[str]) -> None:
-    """Prints a request's way; ends with status 1 if no line names it."""
+    """Prints a request's history; exits with 1 if no line names it."""
     files = _files(logs)
     story = story_module.gather(files, request)
     _print_read_errors(files)
@@ -26,7 +26,7 @@
 
 
 def print_endings(*, logs: Sequence[str]) -> None:
-    """Prints what became of requests; status 1 if none is in the logs."""
+    """Prints how requests ended; exits with 1 if the logs hold none."""
     files = _files(logs)
     endings = endings_table.count(files.lines())
     _print_read_errors(files)
@@ -37,7 +37,7 @@
 
 
 def print_slow_replicas(*, logs: Sequence[str]) -> None:
-    """Prints which replicas were slow; status 1 if no line tells of waits."""
+    """Prints which replicas were slow; exits with 1 if no wait is logged."""
     files = _files(logs)
     report = slow_replicas.report(files.lines())
     _print_read_errors(files)
@@ -55,7 +55,7 @@
 
 
 def _print_read_errors(files: log_reading.LogFiles) -> None:
-    """Says what could not be read; the rest is told all the same."""
+    """Prints what could not be read; the rest is reported all the same."""
     for path, fault in sorted(files.read_errors.items()):
         print(f"# {path}: {fault}", file=sys.stderr)
     for path, count in sorted(files.unreadable_lines.items()):
--- a/src/nutmeghook/internal/commands/timeline.py
+++ b/src/nutmeghook/internal/commands/timeline.py
@@ -1,4 +1,4 @@
-"""`nutmeghook timeline`: what happened, over all instances."""
+"""`nutmeghook timeline`: the events of all instances."""
 
 import asyncio
 import os
@@ -17,7 +17,7 @@
 
 
 async def fetch(url: str, token: str) -> list[timeline.ProcessEvents]:
-    """Asks any instance for the events of all that it can reach."""
+    """Asks an instance for the events of all instances that it can reach."""
     async with (
         aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=_TIMEOUT_S)
@@ -34,7 +34,7 @@
 
 
 def run(*, about: str, html: str, url: str, token: str) -> None:
-    """Prints the time line, and draws it if a page is asked for."""
+    """Prints the timeline, and writes it as a page if `html` names a file."""
     url = url or os.environ.get(command_runner.URL_VARIABLE, "")
     token = token or os.environ.get(command_runner.TOKEN_VARIABLE, "")
     try:
