--- a/tests/cover/test_administration_commands.py
+++ b/tests/cover/test_administration_commands.py
@@ -37,7 +37,7 @@
 
 
 class Server:
-    """One instance's administration API in a thread of its own."""
+    """One instance's administration API in a separate thread."""
 
     def __init__(self):
         self.clock = clock_module.SystemClock()
@@ -81,7 +81,7 @@
             tokens=tokens.TokenIndex(config=parts.replica),
             bootstrap_sha256=tokens.digest(BOOTSTRAP),
         )
-        whole = web.Application(middlewares=[self._losing])
+        whole = web.Application(middlewares=[self._drop_replies])
         whole.add_subapp(
             application.PREFIX,
             application.build_application(
@@ -102,7 +102,7 @@
         await runner.cleanup()
 
     @web.middleware
-    async def _losing(self, request, handler):
+    async def _drop_replies(self, request, handler):
         response = await handler(request)
         if self.lose_replies and request.method == "POST":
             self.lose_replies -= 1
@@ -111,7 +111,7 @@
 
 
 class AdministrationCommandsTest(unittest.TestCase):
-    """One shift's work, from the first import to the hand-over."""
+    """An operator's work, from the first import to the hand-over."""
 
     def setUp(self):
         self.server = Server()
@@ -149,7 +149,7 @@
         self.assertEqual(code, 0, err)
         self.assertIn("in force on 1 of 1 instances", out)
 
-    def test_a_shift_edits_rolls_out_withdraws_and_hands_over(self):
+    def test_an_operator_edits_rolls_out_withdraws_and_hands_over(self):
         self.load_example()
         template = "agency/dossier-review"
         done = [
@@ -169,12 +169,10 @@
         _, change, _ = self.admin("change", "2")
         self.assertIn("quality_target: 0.95 -> 0.9", change)
 
-    def test_a_put_of_what_was_read_before_shows_the_change_that_won(self):
-        """The caller sees: refused, with the other's reason and values.
-
-        Two shifts print the same template. The first sets its deadline. The
-        second puts its own edited copy: it is refused, because putting it
-        would undo the first one's change without anyone having decided so.
+    def test_a_put_of_a_stale_copy_shows_the_conflicting_change(self):
+        """Two operators print the same template. The first sets its deadline;
+        the second puts an edited copy, which would undo that change. It is
+        refused, with the first one's reason and values.
         """
         self.load_example()
         _, printed, _ = self.admin("show", "agency/dossier-review")
@@ -196,12 +194,10 @@
         self.assertIn("deadline_ms: 60000 -> 9000", err)
         self.assertEqual(draft, "")
 
-    def test_a_lost_answer_is_asked_for_again_and_made_once(self):
-        """The caller sees: accepted, once.
-
-        The change is committed, then the connection breaks before the answer.
-        The client sends the same operation id again and gets the first
-        outcome; the history shows one change.
+    def test_a_lost_answer_is_retried_and_the_change_made_once(self):
+        """The change is committed, but the connection breaks before the
+        answer. The client retries with the same operation id and gets the
+        first outcome; the history shows one change.
         """
         self.load_example()
         self.server.lose_replies = 1
@@ -213,7 +209,7 @@
         _, history, _ = self.admin("history")
         self.assertEqual(len(history.splitlines()), 2)
 
-    def test_tokens_open_what_their_role_and_team_allow(self):
+    def test_tokens_allow_what_their_role_and_team_permit(self):
         self.load_example()
         second = self.file({"teams": [{"name": "siamroster"}]})
         self.admin("load", second, "--reason=second customer")
@@ -274,7 +270,7 @@
         self.assertIn("quality_target is 2.0; give 0 to 1", err)
 
     def put_bills(self, object_name: str, *keys: str) -> None:
-        """Puts bills where they wait for the table service."""
+        """Puts bills in the object store, as while the table service is out."""
         batch = records.BillBatch(
             partition=0,
             records=tuple(
@@ -290,11 +286,9 @@
         )
 
     def test_bills_are_totalled_once_each_for_administrators_only(self):
-        """The operator sees: each bill once, or no totals at all.
-
-        A bill was put in the object store twice, as by an instance whose
-        first put was in doubt. It counts once. While a store is out the
-        totals would lack bills, so they are refused.
+        """A bill is in the object store twice, as after an in-doubt write. It
+        counts once. While a store is unreachable the totals would lack bills,
+        so they are refused.
         """
         self.load_example()
         self.put_bills("a/1", "k1", "k2")
--- a/tests/cover/test_attempt_waits.py
+++ b/tests/cover/test_attempt_waits.py
@@ -1,4 +1,4 @@
-"""How long attempts waited, joined from lines in any order."""
+"""Attempts' waits are joined from log lines in any order."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 def answered(at_ms: float, after_ms: float, **changes) -> str:
-    """Returns the line of an answer's beginning."""
+    """Returns the line logged when an answer begins."""
     fields = {
         "request": log_lines.REQUEST,
         "attempt": 1,
@@ -21,7 +21,7 @@
 
 
 def left(at_ms: float) -> str:
-    """Returns the line of a silent replica's being given up."""
+    """Returns the line logged when a silent replica is given up."""
     return log_lines.line(
         "attempt:left",
         at_ms,
@@ -34,7 +34,7 @@
 
 
 def failed(at_ms: float, outcome: str) -> str:
-    """Returns the line of an attempt's failure."""
+    """Returns the line logged when an attempt fails."""
     return log_lines.line(
         "attempt:failed",
         at_ms,
@@ -52,7 +52,7 @@
         files = log_reading.LogFiles(paths=[path])
         return attempt_waits.gather(files.lines())
 
-    def test_an_answer_is_joined_with_what_was_expected(self):
+    def test_an_answer_is_joined_with_its_forecast(self):
         (wait,) = self.waits(
             log_lines.ended(70.0, route="chat"),
             answered(60.0, 55, replica_running=4, replica_waiting=2),
@@ -67,18 +67,18 @@
         self.assertEqual(wait.configuration, 36)
         self.assertTrue(wait.is_answered)
 
-    def test_a_replica_left_was_waited_for_until_then(self):
+    def test_an_abandoned_replica_counts_with_the_time_waited(self):
         (wait,) = self.waits(log_lines.sent(5.0), left(3005.0))
         self.assertAlmostEqual(wait.waited_ms, 3000.0, delta=0.1)
         self.assertTrue(wait.is_abandoned)
         self.assertFalse(wait.is_answered)
 
-    def test_a_request_that_ended_unanswered_waited_until_then(self):
+    def test_an_unanswered_request_waited_until_its_end(self):
         (wait,) = self.waits(log_lines.sent(5.0), log_lines.ended(405.0))
         self.assertAlmostEqual(wait.waited_ms, 400.0, delta=0.1)
         self.assertFalse(wait.is_answered)
 
-    def test_an_attempt_that_failed_waited_until_then(self):
+    def test_a_failed_attempt_waited_until_its_failure(self):
         (wait,) = self.waits(
             log_lines.sent(5.0),
             failed(5005.0, "UnknownOutcomeError"),
@@ -87,9 +87,9 @@
         self.assertAlmostEqual(wait.waited_ms, 5000.0, delta=0.1)
         self.assertFalse(wait.is_answered)
 
-    def test_failures_tell_of_no_wait(self):
-        """A replica answers 500, or takes no connection, at once. Counted as
-        quick answers they would hide how slow the others are.
+    def test_failures_are_not_counted_as_waits(self):
+        """A replica answers 500, or refuses connections, at once. Counted as
+        quick answers, these would hide how slow the other answers are.
         """
         sent = log_lines.sent(5.0)
         end = log_lines.ended(9.0)
@@ -98,9 +98,9 @@
         self.assertEqual(self.waits(sent), [])
         self.assertEqual(self.waits(answered(6.0, 1), end), [])
 
-    def test_an_id_given_twice_is_two_waits(self):
-        """A caller gives its second request the id of the first. Each answer
-        belongs to the sending before it.
+    def test_a_reused_request_id_gives_two_waits(self):
+        """A caller reuses its first request's id for the second. Each answer
+        belongs to the latest `attempt:sent` line before it.
         """
         waits = self.waits(
             answered(1090.0, 90),
@@ -113,9 +113,9 @@
             [("i-1", 55), ("i-2", 90)],
         )
 
-    def test_a_short_wait_without_an_answer_tells_nothing(self):
+    def test_a_short_wait_without_an_answer_is_left_out(self):
         """A caller leaves after 5 ms, another one after 5 s, where answers
-        take 50 ms. The first one's wait was not quick, it was not ended.
+        take 50 ms. The first wait must not count as a quick answer.
         """
         texts = []
         for number in range(80):
@@ -135,7 +135,7 @@
         )
         unanswered = [wait for wait in measured if not wait.wait.is_answered]
         self.assertEqual([wait.wait.request for wait in unanswered], ["long"])
-        # 20 ms more each: (5000 + 20) / (50 + 20).
+        # With a tolerance of 20 ms: (5000 + 20) / (50 + 20).
         self.assertAlmostEqual(unanswered[0].factor, 71.7, delta=0.1)
         self.assertEqual(len(measured), 81)
 
--- a/tests/cover/test_cli.py
+++ b/tests/cover/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as a new operator meets it."""
+"""The command line: help, flags, exit statuses and printed errors."""
 
 import contextlib
 import io
@@ -46,8 +46,8 @@
 
 class CommandLineTest(unittest.TestCase):
     def test_help_names_every_command(self):
-        """A new operator asks for help and has to find all commands. Given
-        the class and not an instance, fire listed `admin` alone.
+        """The help has to list all commands. Given the class instead of an
+        instance, fire lists `admin` alone.
         """
         text, status = printed("--help")
         self.assertEqual(status, 0)
@@ -55,9 +55,8 @@
             self.assertIn(f"\n     {command}\n", text)
 
     def test_help_of_admin_shows_nothing_of_the_library(self):
-        """An operator asks for help and sees a group FIRE_METADATA, which is
-        no command: fire listed the attribute in which it keeps how the
-        class's flags are read.
+        """Fire stores how a class's flags are parsed in an attribute, and
+        lists it in the help as a group FIRE_METADATA if it is the class's own.
         """
         text, status = printed("admin", "--help")
         self.assertEqual(status, 0)
@@ -65,24 +64,24 @@
         self.assertNotIn("GROUP", text)
         self.assertNotIn("FIRE", text)
 
-    def test_a_token_that_looks_like_a_number_stays_as_it_is(self):
-        """An operator's token is 1.10. Read as a number it would be sent as
-        1.1, and the operator refused as unknown.
+    def test_a_token_that_looks_like_a_number_stays_text(self):
+        """Parsed as a number, the token 1.10 would be sent as 1.1, and the
+        operator be refused.
         """
         client = mock.Mock(side_effect=ValueError("no server"))
         with mock.patch.object(command_runner, "Client", client):
             printed("admin", "status", "--url=http://10.0.0.1", "--token=1.10")
         self.assertEqual(client.call_args.kwargs["token"], "1.10")
 
-    def test_wrong_settings_end_before_anything_starts(self):
+    def test_wrong_settings_end_the_command_before_it_starts(self):
         text, status = printed("serve", "--listen-address=nowhere")
         self.assertEqual(status, cli.EXIT_WRONG_SETTINGS)
         self.assertIn("wrong setting: listen_address is 'nowhere'", text)
         self.assertIn("wrong setting: table_url is not set", text)
 
     def test_a_wrong_settings_file_of_the_platform_is_explained(self):
-        """An operator checks a file with two faults before it goes out.
-        Both are named with what is wanted, and the status is 2.
+        """A file with two faults is checked. Both are printed with what is
+        expected, and the exit status is 2.
         """
         with tempfile.NamedTemporaryFile("w") as file:
             file.write('nodeName = 1\nip = "10.0.0.1"\n')
@@ -96,9 +95,9 @@
 class LogCommandsTest(log_lines.LogCase):
     """What commands about log files print, and their exit statuses."""
 
-    def test_a_request_id_that_looks_like_a_number_stays_as_it_is(self):
-        """A request's id is 1e5. Read as a number it would be looked for as
-        100000.0, and its story not be found.
+    def test_a_request_id_that_looks_like_a_number_stays_text(self):
+        """Parsed as a number, the request id 1e5 would be searched for as
+        100000.0 and not be found.
         """
         path = self.write("edge-1.log", [log_lines.ended(9.0, request="1e5")])
         text, status = printed("story", "1e5", path)
@@ -106,8 +105,8 @@
         self.assertIn("ended 1000 OK: answered", text)
 
     def test_endings_are_printed_beside_unreadable_lines_and_files(self):
-        """One log was cut in the middle of a line, another one is not there.
-        Both are told, and so is what the rest holds.
+        """One log ends in the middle of a line, another one is missing. Both
+        are reported, and so are the endings in the other lines.
         """
         path = self.write("edge-1.log", [log_lines.ended(9.0), '{"request":"'])
         text, status = printed("endings", path, f"{path}.missing")
@@ -116,9 +115,9 @@
         self.assertIn(f"{path}: 1 lines unreadable", text)
         self.assertIn(f"{path}.missing: No such file", text)
 
-    def test_slow_replicas_are_told_beside_unreadable_lines(self):
-        """A log was cut in the middle of a line. What it still tells is
-        little, and little proves nothing.
+    def test_slow_replicas_are_printed_beside_unreadable_lines(self):
+        """A log ends in the middle of a line. It is reported, and the single
+        long wait in the log is too little to call a replica slow.
         """
         path = self.write(
             "edge-1.log",
@@ -142,7 +141,7 @@
         self.assertIn("too few answers to tell of 1 replicas: i-1 (0)", text)
         self.assertIn(f"{path}: 1 lines unreadable", text)
 
-    def test_nothing_found_ends_with_a_status_of_its_own(self):
+    def test_nothing_found_ends_with_its_own_exit_status(self):
         path = self.write("edge-1.log", [log_lines.ended(9.0)])
         empty = self.write("empty.log", [])
         for arguments, wanted in (
--- a/tests/cover/test_docs.py
+++ b/tests/cover/test_docs.py
@@ -1,4 +1,4 @@
-"""What the pages name exists: files, commands, metrics, events, settings."""
+"""Files, commands, metrics, events and settings named in pages exist."""
 
 import pathlib
 import re
@@ -16,7 +16,7 @@
 OPERATORS = DOCS / "operators"
 SOURCES = ROOT / "src" / "nutmeghook"
 LINK = re.compile(r"\]\((?!https?:)([^)#]+)(?:#[^)]*)?\)")
-# Paths that pages name in plain text, as the README does.
+# Paths named in plain text, as in the README.
 MENTION = re.compile(r"\bdocs/[\w./-]+\.(?:md|json|png)\b")
 # Blocks of code are indented by four spaces or more.
 CODE_TEXT = re.compile(r"^ {4,}(.*)$|`([^`]+)`", re.MULTILINE)
@@ -64,7 +64,7 @@
 
 
 class DocsTest(unittest.TestCase):
-    """An operator who follows a page must not meet what isn't there."""
+    """An operator must not find anything in a page that does not exist."""
 
     def test_every_linked_or_named_file_exists(self):
         missing = []
--- a/tests/cover/test_endings_table.py
+++ b/tests/cover/test_endings_table.py
@@ -1,4 +1,4 @@
-"""What became of requests, counted over all logs."""
+"""How requests ended is counted over all logs."""
 
 import pathlib
 import tempfile
@@ -22,8 +22,8 @@
 class EndingsTableTest(log_lines.LogCase):
     def test_cut_answers_come_first_and_name_a_request(self):
         """Two streams of one instance are cut, among many answers and some
-        refusals on others. Whoever is called at night sees them at the top,
-        with an id to ask further.
+        refusals on others. Their row has to be the first, with a request's id
+        for `story`.
         """
         cut = {"code": 4000, "outcome": "taken away"}
         self.write(
@@ -59,7 +59,7 @@
             [text.split()[1] for text in table[2:]], ["2003", "4007", "1000"]
         )
 
-    def test_requests_without_an_end_are_told(self):
+    def test_requests_without_an_end_are_reported(self):
         path = self.write(
             "a.log", [log_lines.sent(1.0, request="lost"), ended(2.0)]
         )
@@ -67,7 +67,7 @@
         self.assertEqual(endings.open_requests, ["lost"])
         self.assertIn("lost", endings_table.text_lines(endings)[-1])
 
-    def test_a_log_that_does_not_tell_of_cuts_counts_as_unsure(self):
+    def test_a_line_without_cut_marks_the_count_as_unsure(self):
         path = self.write("a.log", [ended(1.0, cut=None), ended(2.0)])
         (row,) = counted(path).rows
         self.assertEqual((row.cut, row.unknown_cuts, row.requests), (0, 1, 2))
--- a/tests/cover/test_log_reading.py
+++ b/tests/cover/test_log_reading.py
@@ -1,4 +1,4 @@
-"""Log files are read whatever stands in them."""
+"""Log files are read whatever they contain."""
 
 import ast
 import collections
@@ -17,12 +17,12 @@
 
 SOURCES = pathlib.Path(__file__).parents[2] / "src" / "nutmeghook"
 READABLE = log_lines.line("replica:gone", 5.0, replica="i-1").encode()
-# What stands in every line, or is given by the reader itself.
+# Fields of every line, or set by the reader itself.
 OF_ALL_LINES = {"event", "timestamp_s", "text"}
 
 broken_lines = strategies.one_of(
     strategies.binary().map(lambda raw: raw.replace(b"\n", b"")),
-    # A collector that keeps the end of a log cuts a line in two.
+    # A collector that keeps only a log's end may cut a line in two.
     strategies.integers(0, len(READABLE) - 1).map(
         lambda kept: READABLE[len(READABLE) - kept :]
     ),
@@ -60,7 +60,7 @@
         self.lines = list(files.lines())
         return files
 
-    def test_what_collectors_put_before_a_line_names_the_instance(self):
+    def test_a_collectors_prefix_names_the_instance(self):
         text = log_lines.line("store:back", 1.0)
         for prefix, name in (
             ("", "file"),
@@ -89,14 +89,14 @@
         self.read(str(self.folder), path)
         self.assertEqual(len(self.lines), 1)
 
-    def test_a_file_that_is_not_there_does_not_hide_the_others(self):
+    def test_a_missing_file_does_not_hide_the_others(self):
         path = self.write("a.log", [log_lines.line("store:back", 1.0)])
         missing = str(self.folder / "missing.log")
         files = self.read(missing, path)
         self.assertEqual(len(self.lines), 1)
         self.assertEqual(list(files.read_errors), [missing])
 
-    def test_a_line_without_a_time_has_that_of_the_one_before(self):
+    def test_a_line_without_a_time_gets_the_previous_lines_time(self):
         files = self.read(
             self.write(
                 "a.log",
@@ -130,18 +130,18 @@
 
 class RecordsTest(unittest.TestCase):
     def test_records_have_the_names_that_the_code_logs(self):
-        """A line gets a new field, or a field a new name, and the commands
-        that read logs would pass it over in silence.
+        """If a logged field is added or renamed, the commands that read logs
+        would silently ignore it.
         """
         logged = logged_fields()
         for event, kind in log_decoding.TYPES.items():
             if kind is state_records.LinesDropped:
-                # Added by the writer itself.
+                # Written by the log writer itself.
                 continue
             fields = {*kind.__struct_fields__} - OF_ALL_LINES
             with self.subTest(event=event):
                 self.assertIn(event, logged)
-                # None stands for the fields given as a whole.
+                # None stands for fields passed as **fields.
                 self.assertEqual(logged[event] - {None} - fields, set())
 
     def test_every_field_of_a_record_is_logged_by_something(self):
--- a/tests/cover/test_slow_replicas.py
+++ b/tests/cover/test_slow_replicas.py
@@ -1,4 +1,4 @@
-"""Slow replicas are found in logs, and nothing else is called one."""
+"""Slow replicas are found in logs, without false alarms."""
 
 import dataclasses
 import random
@@ -24,8 +24,8 @@
 
 SPELL_S = 6.5
 SEEDS = strategies.integers(0, 2**32)
-# A fleet's logs take about half a second each, and no seed is simpler than
-# another: to look for a smaller one only takes long.
+# A fleet's logs take about half a second, and no seed is simpler than another,
+# so that shrinking would only take time.
 FEW_EXAMPLES = hypothesis.settings(
     max_examples=8,
     phases=[hypothesis.Phase.explicit, hypothesis.Phase.generate],
@@ -33,7 +33,7 @@
 
 
 def slow_between(begin_s: float, end_s: float, *, times: float, replica: int):
-    """Returns the slowness of a fleet in which one replica is slow."""
+    """Returns the `slowness` of a fleet in which one replica is slow."""
 
     def slowness(sent: SentRequest) -> float:
         is_slow = sent.replica == replica and begin_s <= sent.at_s < end_s
@@ -52,7 +52,7 @@
         begin_s: float,
         end_s: float,
     ) -> None:
-        """Checks that this spell was found within a second, and no other."""
+        """Checks that only this period is found, its ends within 1 s."""
         self.assertEqual(
             [period.replica for period in report.slow], [f"i-{replica}"]
         )
@@ -64,7 +64,7 @@
         self.assertEqual((report.slow_versions, report.instances), ([], []))
 
     def assert_nothing_slow(self, report: slow_replicas.Report) -> None:
-        """Checks that nothing is called slow, though all is compared."""
+        """Checks that nothing is reported, though over 99 % is compared."""
         self.assertEqual(
             (report.slow, report.slow_versions, report.instances), ([], [], [])
         )
@@ -79,10 +79,9 @@
     def test_a_slow_replica_is_found_within_a_second(
         self, seed, replica, begin_s
     ):
-        """One replica of 31 takes five times as long for 6.5 seconds. It is
-        named with the spell's ends, and no other one is. Sixteen requests a
-        second each: with eight, one time in a hundred none or only quick ones
-        are sent there for a second (docs/OPERATIONS.md has the figures).
+        """One replica of 31 is five times as slow for 6.5 seconds. Each gets
+        16 requests per second: with 8, in one run of a hundred none or only
+        quick ones are sent there for a second (see docs/OPERATIONS.md).
         """
         end_s = begin_s + SPELL_S
         fleet = Fleet(
@@ -97,10 +96,10 @@
         factor = statistics.median(wait.factor for wait in period)
         self.assertTrue(3.5 < factor < 7.0, factor)
 
-    def test_limits_are_flat_at_half_and_double(self):
-        """Whoever doubts a constant halves or doubles it: the same spell is
-        found, and calm logs stay calm. A replica that takes eight times as
-        long, as the doubled factor is five.
+    def test_halved_and_doubled_limits_give_the_same_report(self):
+        """With any limit halved or doubled, the same period is found, and
+        nothing in steady logs. The replica is eight times as slow, because the
+        doubled factor is five.
         """
         default_limits = Limits()
         slow = Fleet(
@@ -122,8 +121,8 @@
                     self.assert_found(report, 4, 8.0, 14.5)
 
     def test_a_slow_plain_replica_is_found(self):
-        """Of plain services nothing is forecast; the route's usual is what
-        one of four replicas is measured by.
+        """Plain services have no forecast, so one of four replicas is compared
+        with the route's median wait.
         """
         fleet = Fleet(
             seed=3,
@@ -133,9 +132,9 @@
         )
         self.assert_found(slow_replicas.report(fleet.lines()), 2, 8.0, 14.5)
 
-    def test_whoever_asks_a_slow_replica_most_is_not_slow(self):
-        """An instance is nearest to a slow replica, and asks little else. By
-        most of its answers it would be called slow itself.
+    def test_the_main_sender_of_a_slow_replica_is_not_slow(self):
+        """An instance sends mostly to a slow replica, its nearest. Judged by
+        most of its answers, it would be reported as slow itself.
         """
         fleet = Fleet(
             seed=13,
@@ -154,9 +153,9 @@
         )
         self.assert_found(slow_replicas.report(fleet.lines()), 2, 8.0, 14.5)
 
-    def test_replicas_left_as_silent_count_with_what_was_waited(self):
-        """A replica answers nothing more; each request leaves it after three
-        seconds. Counted by answers alone it would not be in the logs at all.
+    def test_abandoned_attempts_count_with_the_time_waited(self):
+        """A replica stops answering; each request leaves it after three
+        seconds. Judged by answers alone, it would not be found.
         """
         fleet = Fleet(
             seed=5, slowness=slow_between(8.0, 14.5, times=20.0, replica=2)
@@ -220,15 +219,15 @@
 class FalseAlarmTest(SlowReplicasCase):
     @FEW_EXAMPLES
     @hypothesis.given(SEEDS, strategies.sampled_from([0.3, 0.5, 1.0]))
-    def test_calm_logs_name_nothing(self, seed, spread):
+    def test_steady_logs_report_nothing(self, seed, spread):
         fleet = Fleet(seed=seed, spread=spread)
         self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
     @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_an_overload_of_all_is_no_slow_replica(self, seed):
-        """All replicas take six times as long for some seconds. To name them
-        all, or some, would send the operators after the wrong thing.
+        """All replicas are six times as slow for some seconds. Reporting any
+        of them would mislead the operators.
         """
         fleet = Fleet(
             seed=seed,
@@ -239,8 +238,8 @@
     @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_long_prompts_make_no_replica_slow(self, seed):
-        """One replica gets prompts ten times as long, and one of a new
-        version reads everything anew. Their forecasts say so.
+        """One replica gets prompts ten times as long, and one of a new version
+        has no cached prompts. Their forecasts include that.
         """
         fleet = Fleet(
             seed=seed,
@@ -252,8 +251,8 @@
     @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_a_far_replica_of_a_quick_service_is_not_slow(self, seed):
-        """Lookups take 2 ms, and 12 ms where the replica is in another data
-        centre. It is six times the usual, and nobody has waited.
+        """Lookups take 2 ms, and 12 ms on a replica in another data centre:
+        six times as long, but without any effect for callers.
         """
         fleet = Fleet(
             seed=seed,
@@ -267,10 +266,10 @@
 
     @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
-    def test_an_instance_slow_itself_is_told_as_such(self, seed):
-        """One of ten instances is starved and sees every answer late. It is
-        nearest to three replicas, which few others ask. They are as quick as
-        ever; by most of their answers they would be called slow.
+    def test_a_slow_instance_is_reported_as_such(self, seed):
+        """One of ten instances lacks CPU and sees every answer late. Three
+        replicas get most of their requests from it. They are not slow, but
+        judged by most of their answers they would be reported.
         """
 
         def sent_by(replica: int, instance: int) -> int:
@@ -290,8 +289,8 @@
         )
 
     def test_a_slow_version_is_told_apart_from_a_slow_replica(self):
-        """A new version takes five times as long on each of its replicas.
-        No one of them is at fault.
+        """A new version is five times as slow on each of its replicas, so
+        that none of them is at fault by itself.
         """
         fleet = Fleet(
             seed=8,
@@ -307,9 +306,9 @@
         text = "\n".join(slow_replicas_text.text_lines(report, {}))
         self.assertIn("not this replica alone", text)
 
-    def test_few_answers_prove_nothing(self):
-        """Two requests waited a hundred times too long on a replica that was
-        asked little else. It may have been slow; two answers don't say so.
+    def test_few_answers_are_not_significant(self):
+        """Two requests waited a hundred times too long on a replica that got
+        few others. Two answers are too few to call it slow.
         """
         fleet = Fleet(seed=9, replicas=8, duration_s=5.0)
         lines = fleet.lines()
@@ -339,7 +338,7 @@
 
 
 class TextTest(SlowReplicasCase):
-    def test_a_spell_tells_all_that_leads_further(self):
+    def test_a_slow_period_is_printed_with_its_details(self):
         fleet = Fleet(
             seed=11,
             replicas=6,
@@ -372,9 +371,9 @@
         )
 
     def test_replicas_that_no_log_lists_are_compared_with_listed_ones(self):
-        """Collectors kept the logs' ends, with the listing of one replica.
-        All are of one service still, by the models that are asked there; told
-        apart by the listing, that one had no others to be compared with.
+        """Collectors kept only the logs' ends, with one `replica:listed` line.
+        The other replicas get their service from the models requested there;
+        otherwise that one would have none to be compared with.
         """
         fleet = Fleet(
             seed=12, slowness=slow_between(8.0, 14.5, times=5.0, replica=2)
--- a/tests/cover/test_story.py
+++ b/tests/cover/test_story.py
@@ -1,4 +1,4 @@
-"""A request's story, told from the log lines of all instances."""
+"""A request's history is collected from the logs of all instances."""
 
 import json
 import pathlib
@@ -24,7 +24,8 @@
 line = log_lines.line
 sent = log_lines.sent
 
-# A replica falls silent, and the key is taken away before it is left.
+# A replica falls silent, and the key's permission is revoked before the
+# replica is given up.
 CUT_STREAM = [
     line("process:started", -9000.0, instance="edge-1", data_centre="here"),
     line("configuration:in_force", -8000.0, version=36, source="store"),
@@ -72,17 +73,16 @@
 
 
 def story_lines(*paths: str, request: str = REQUEST) -> list[str]:
-    """Returns a request's story as text."""
+    """Returns the lines that `story` prints for a request."""
     files = log_reading.LogFiles(paths=paths)
     return story_text.text_lines(story_module.gather(files, request))
 
 
 class StoryTest(log_lines.LogCase):
-    def test_a_cut_stream_is_told_with_what_its_instance_believed(self):
-        """A stream that had begun is cut.
-        Its replica was silent; the configuration that let the request in had
-        been replaced meanwhile, and the further attempt was refused. All of
-        it is in one log among other requests' lines.
+    def test_a_cut_stream_is_printed_with_its_instances_state(self):
+        """A stream that had begun is cut: its replica fell silent, and a
+        further attempt was refused because the configuration had been replaced
+        since the request was admitted. One log holds all of it.
         """
         path = self.write(
             "edge-1.log", [f" 1.5 edge-1 {text}" for text in CUT_STREAM]
@@ -120,18 +120,18 @@
             ],
         )
 
-    def test_a_log_that_begins_too_late_is_said_to(self):
-        """A collector kept the end of the log only: the request arrived
-        before, and so was its first attempt sent.
+    def test_a_log_that_begins_too_late_is_noted(self):
+        """A collector kept only the end of the log: the request's arrival and
+        the sending of its first attempt are missing.
         """
         path = self.write("edge-1.log", CUT_STREAM[-6:])
         text = "\n".join(story_lines(path))
         self.assertIn("log begins 0.160 s after the request arrived", text)
         self.assertIn("no line of the sending of attempt 1", text)
 
-    def test_a_request_without_an_end_is_told_until_the_next_start(self):
-        """The process is killed and starts again; what the new one believes
-        has nothing to do with the request.
+    def test_a_request_without_an_end_ends_at_the_next_start(self):
+        """The process is killed and restarted; the new process's state has
+        nothing to do with the request.
         """
         path = self.write(
             "edge-1.log",
@@ -145,10 +145,10 @@
         self.assertIn("no line of the request's end", "\n".join(lines))
         self.assertIn("| process:started", lines[-1])
 
-    def test_what_let_a_request_in_is_not_guessed_from_later_attempts(self):
+    def test_the_admitting_configuration_is_not_inferred_from_retries(self):
         """The lines of the first attempt and of the end are missing. The
-        second was sent under a newer configuration, which may not be the one
-        that let the request in.
+        second attempt may have been sent under a newer configuration than the
+        one that admitted the request.
         """
         path = self.write(
             "edge-1.log",
@@ -161,7 +161,7 @@
         last = story_lines(path)[-1]
         self.assertIn("not logged which one let the request in", last)
 
-    def test_a_store_that_is_away_stays_so_while_other_news_come(self):
+    def test_an_unreachable_store_stays_so_through_other_lines(self):
         path = self.write(
             "edge-1.log",
             [
@@ -176,9 +176,9 @@
             "0.090 s before: store:away", "\n".join(story_lines(path))
         )
 
-    def test_what_a_former_process_believed_is_not_told(self):
-        """The instance started again before the request came. The replica
-        was listed by the process before, which is gone with all it knew.
+    def test_a_previous_processs_state_is_left_out(self):
+        """The instance was restarted before the request arrived, so that the
+        replica listed by the previous process was no longer known.
         """
         path = self.write(
             "edge-1.log",
@@ -193,22 +193,22 @@
         self.assertIn("0.050 s before: process:started", text)
         self.assertNotIn("replica:listed", text)
 
-    def test_no_line_of_the_request_is_no_story(self):
+    def test_an_unknown_request_prints_nothing(self):
         path = self.write("edge-1.log", CUT_STREAM)
         self.assertEqual(story_lines(path, request="unheard"), [])
 
-    def test_what_others_wrote_can_not_move_the_terminals_cursor(self):
+    def test_control_sequences_in_logs_are_escaped(self):
         path = self.write("a.log", [ended(1.0, outcome="a\x1b[2Jb\nc\u202e")])
         text = "\n".join(story_lines(path))
         self.assertIn("a\\x1b[2Jb\\nc\\u202e", text)
 
-    def test_a_request_seen_by_two_instances_is_told_in_order_of_time(self):
+    def test_lines_of_two_instances_are_ordered_by_time(self):
         self.write("edge-1.log", [sent(9.0), ended(20.0)])
         self.write("edge-2.log", [sent(8.0), ended(30.0, duration_ms=30)])
         lines = story_lines(str(self.folder))
         self.assertIn("on 2 instances", lines[1])
         instances = [text.split()[2] for text in lines if text.startswith(" ")]
-        # Both arrive at once; what follows crosses.
+        # Both arrive at the same time; the later lines interleave.
         self.assertEqual(
             instances,
             ["edge-1", "edge-2", "edge-2", "edge-1", "edge-1", "edge-2"],
@@ -253,7 +253,9 @@
 
 class StoryPropertiesTest(unittest.TestCase):
     @hypothesis.given(fleet_logs(), strategies.randoms(use_true_random=False))
-    def test_any_order_of_files_tells_the_same(self, logs_by_name, random):
+    def test_any_order_of_files_gives_the_same_lines(
+        self, logs_by_name, random
+    ):
         with tempfile.TemporaryDirectory() as folder:
             paths = _written(folder, logs_by_name)
             in_order = story_lines(*paths)
@@ -263,8 +265,8 @@
 
     @hypothesis.given(fleet_logs())
     def test_attempts_of_an_instance_stay_in_order(self, logs_by_name):
-        """An instance's wall clock is set back between two attempts; by time
-        alone the second would be told before the first.
+        """An instance's wall clock is set back between two attempts; sorted by
+        time alone, the second would come before the first.
         """
         with tempfile.TemporaryDirectory() as folder:
             _written(folder, logs_by_name)
@@ -292,8 +294,8 @@
     return paths
 
 
-def _gathered(lines: list[str]) -> story_module.RequestTrace:
-    """Returns a request's story; every line must be readable."""
+def _traces_of(lines: list[str]) -> story_module.RequestTrace:
+    """Returns a request's traces; every line must be readable."""
     with tempfile.TemporaryDirectory() as folder:
         _written(folder, {"edge-1": lines})
         files = log_reading.LogFiles(paths=[folder])
@@ -304,9 +306,9 @@
 
 
 class RealLinesTest(relay_fixture.RelayCase):
-    async def test_what_the_relay_logs_is_understood(self):
-        """Each replica breaks off every run of a stream, and the caller's is
-        cut. The lines are the relay's own, not made by hand.
+    async def test_the_relays_own_log_lines_are_decoded(self):
+        """Every replica cuts off its stream, so the caller's is cut. The log
+        lines are written by the relay itself.
         """
         self.reply_with(
             users_replica.Reply(events=tuple(range(10)), send_bytes=30)
@@ -315,7 +317,7 @@
         logs.start_with(messages.append)
         self.addCleanup(eliot.remove_destination, messages.append)
         await self.ask(model.RouteKind.STREAM, body=b"prompt")
-        story = _gathered([json.dumps(message) for message in messages])
+        story = _traces_of([json.dumps(message) for message in messages])
         (trace,) = story.traces
         kinds = [type(record) for record in trace.records]
         self.assertEqual(kinds[0], log_records.AttemptSent)
--- a/tests/cover/test_timeline.py
+++ b/tests/cover/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line corrects clocks, keeps order and shows what was lost."""
+"""The timeline corrects clocks, keeps order and shows lost events."""
 
 import datetime
 import pathlib
@@ -26,7 +26,7 @@
     """Merging and drawing."""
 
     @hypothesis.given(strategies.integers(0, 60), strategies.integers(1, 40))
-    def test_kept_and_lost_add_up_to_all_that_happened(self, count, capacity):
+    def test_kept_and_lost_events_add_up_to_all(self, count, capacity):
         kept = ring_with(count, capacity).since(0)
         entries = timeline.merge(
             [
@@ -42,8 +42,8 @@
     @hypothesis.given(strategies.floats(-1e6, 1e6))
     def test_a_wrong_wall_clock_does_not_change_the_order(self, skew_ms):
         """Process b acts 5 ms after a, but its wall clock is off by any
-        amount. The gatherer measured the offset; on the merged time line b
-        still comes after a.
+        amount. With the measured offset, b still comes after a on the merged
+        timeline.
         """
 
         def process(name, true_ms, skew):
@@ -67,7 +67,7 @@
         )
         self.assertEqual([e.process for e in merged], ["a", "b"])
 
-    def test_following_one_subject_keeps_gaps_and_escapes_html(self):
+    def test_filtering_by_subject_keeps_gaps_and_escapes_html(self):
         ring = ring_with(9, 4)
         ring.record(events.EventKind.CLAIM_WON, "<b>", request="req-8")
         entries = timeline.merge(
@@ -98,8 +98,8 @@
         )
 
     def test_every_kind_of_event_is_recorded_by_something(self):
-        """An operator waits for an event that the pages name, and no part
-        ever records it (two kinds were so).
+        """An operator would wait for an event that the pages name and that
+        no module records.
         """
         package = ROOT / "src" / "nutmeghook"
         code = "".join(path.read_text() for path in package.rglob("*.py"))
--- a/tests/slow_replica_logs.py
+++ b/tests/slow_replica_logs.py
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class SentRequest:
-    """What a request's wait may depend on."""
+    """A request's properties that its wait may depend on."""
 
     at_s: float
     replica: int
@@ -22,7 +22,7 @@
 
 
 def unchanged(sent: SentRequest) -> float:
-    """All replicas are alike."""
+    """Returns the factor 1 for every request."""
     del sent
     return 1.0
 
@@ -32,14 +32,15 @@
     """A fleet under steady load.
 
     Attributes:
-        slowness: How many times longer than usual a request waits.
-        prompt_factor: How many times longer than others a request's prompt
-            is, which its forecast knows.
-        version: A replica's.
-        sent_by: The instance that asks a replica, given one by chance.
-        spread: Of the waits' logarithms around what they would be.
-        base_ms: What a request takes besides what is forecast.
-        plain: A plain service, of which nothing is forecast.
+        slowness: The factor of a request's wait.
+        prompt_factor: The factor of a request's prompt length, which its
+            forecast includes.
+        version: A replica's version.
+        sent_by: The instance that sends to a replica, given the replica and a
+            randomly chosen instance.
+        spread: The standard deviation of the waits' logarithms.
+        base_ms: A request's time in addition to the forecast.
+        plain: The service is plain, so that nothing is forecast.
     """
 
     seed: int
@@ -83,7 +84,7 @@
         return texts
 
     def lines(self) -> list[log_reading.Line]:
-        """Returns the lines as if read from one file an instance."""
+        """Returns the lines as if read from one file per instance."""
         return [
             log_reading.Line(
                 source=log_reading.Source(path=f"{name}.log", name=""),
@@ -102,8 +103,8 @@
     ) -> list[str]:
         """Returns the lines of a request.
 
-        Waits are 1.4 times what is forecast, and something on top: that
-        forecasts are wrong for all must make no replica slow.
+        Waits are 1.4 times the forecast plus `base_ms`: a forecast error that
+        all replicas have must make none of them slow.
         """
         model = None if self.plain else source.choice(["small", "large"])
         normal_ms = self.base_ms
