--- a/src/nutmeghook/internal/dispatch/dispatcher.py
+++ b/src/nutmeghook/internal/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""One request's way: claim, answer, bill, and only then the last byte."""
+"""Claims, answers and bills a request, then completes its answer."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -17,13 +17,13 @@
 from nutmeghook.internal.dispatch import background as background_module
 from nutmeghook.internal.dispatch import bills as bills_module
 from nutmeghook.internal.dispatch import claims as claims_module
-from nutmeghook.internal.dispatch import endings
-from nutmeghook.internal.dispatch import engine_ends
+from nutmeghook.internal.dispatch import engine_crashes
 from nutmeghook.internal.dispatch import generations as generations_module
 from nutmeghook.internal.dispatch import meter as meter_module
 from nutmeghook.internal.dispatch import plain_calls as plain_calls_module
 from nutmeghook.internal.dispatch import progress as progress_module
 from nutmeghook.internal.dispatch import ratings as ratings_module
+from nutmeghook.internal.dispatch import request_outcomes
 from nutmeghook.internal.dispatch import requests
 from nutmeghook.internal.dispatch import stages as stages_module
 from nutmeghook.internal.foundation import clock as clock_module
@@ -44,11 +44,11 @@
 
 
 class Dispatcher:
-    """Takes checked requests and gives each one its outcome.
+    """Takes validated requests and determines the outcome of each.
 
-    Every request ends in exactly one of: its whole answer, billed; or a
-    `CodedError` whose run state is true. The same rules stand here once for
-    generations and for calls of plain services.
+    Every request ends in exactly one of: its complete answer, billed; or a
+    `CodedError` whose run state is correct. Generations and calls of plain
+    services follow the same rules.
     """
 
     __slots__ = (
@@ -82,10 +82,10 @@
         meter: meter_module.Meter,
         random_source: random.Random,
     ):
-        """Builds both paths on the same claims and bills.
+        """Builds the paths of generations and calls on shared claims and bills.
 
-        `admission` holds the places of generations, `plain_admission` those
-        of calls: calls that hang in a slow service must not keep engines idle.
+        `admission` holds the slots of generations, `plain_admission` those
+        of calls: calls that hang in a slow service must not idle the engines.
         """
         self._clock = clock
         self._events = events
@@ -108,7 +108,7 @@
             background=self._background,
             random_source=random_source,
         )
-        ends = engine_ends.EngineEnds(
+        crashes = engine_crashes.EngineCrashDetector(
             registry=suspects, connector=engines, clock=clock
         )
         stages = stages_module.StageRunner(
@@ -117,7 +117,7 @@
             versions=versions,
             backends=backends,
             attempts=attempts,
-            ends=ends,
+            crashes=crashes,
             retry_budgets=retry_budgets,
             events=events,
             meter=meter,
@@ -128,7 +128,7 @@
             admission=admission,
             cascade=cascade,
             stages=stages,
-            ends=ends,
+            crashes=crashes,
             ratings=ratings,
             events=events,
             meter=meter,
@@ -155,11 +155,11 @@
             sink: Takes the text meanwhile.
 
         Returns:
-            The whole answer, or the kept one of the request's first try
-            (then the sink got nothing).
+            The complete answer, or the stored one of the request's first try
+            (then the sink gets nothing).
 
         Raises:
-            errors.CodedError: There is no answer, or it may not be given.
+            errors.CodedError: There is no answer, or it must not be given.
         """
         progress = progress_module.Progress()
 
@@ -171,7 +171,7 @@
                     self._generations.produce(request, progress, sink),
                 )
             except errors.CodedError as error:
-                held = await self._generations.give_held(
+                held = await self._generations.give_held_answer(
                     request, progress, sink, error
                 )
                 if held is None:
@@ -184,10 +184,10 @@
                 kept = sink.encode_whole(answer)
             await self._bills.bill_answer(request, answer, progress, kept)
 
-        return await self._accompanied(
+        return await self._run_shielded(
             request,
             progress,
-            self._settled(
+            self._run_recorded(
                 request,
                 progress,
                 produce=produce,
@@ -199,20 +199,20 @@
     async def call_plain(
         self, request: requests.PlainRequest
     ) -> plain.PlainAnswer | ledger_module.KeptAnswer:
-        """Has a plain service's call made; returns once it is billed.
+        """Has a plain service called; returns once the call is billed.
 
         Raises:
-            errors.CodedError: There is no answer, or it may not be given.
+            errors.CodedError: There is no answer, or it must not be given.
         """
         progress = progress_module.Progress()
 
         async def finish(answer: plain.PlainAnswer) -> None:
             await self._bills.bill_plain(request, answer)
 
-        return await self._accompanied(
+        return await self._run_shielded(
             request,
             progress,
-            self._settled(
+            self._run_recorded(
                 request,
                 progress,
                 produce=lambda: self._within_deadline(
@@ -226,10 +226,10 @@
         )
 
     async def settled(self) -> None:
-        """Waits until no request runs on behind a caller that is gone."""
+        """Waits until no request runs on after its caller has gone."""
         await self._background.settled()
 
-    async def _accompanied(
+    async def _run_shielded(
         self,
         request: _Request,
         progress: progress_module.Progress,
@@ -237,13 +237,13 @@
         *,
         on_detach: Callable[[], None],
     ) -> _Answer:
-        """Runs the work in a task that the caller's going need not end.
+        """Runs the work in a task that can outlive the caller.
 
-        A caller that goes cancels this coroutine. Work whose claim a retry
-        will find goes on, so that the retry gets the answer instead of an
-        `unknown`; so does a call that may not be repeated, which no
-        cancelling would undo, and a bill that is being recorded. Anything
-        else is cancelled down to the engine.
+        A caller that disconnects cancels this coroutine. Work whose claim a
+        retry will find goes on, so that the retry gets the answer instead of
+        `unknown`; so does a call that may not be repeated, which cancelling
+        would not undo, and a bill that is being recorded. Anything else is
+        cancelled, down to the engine.
         """
         task = self._background.start(work)
         try:
@@ -251,11 +251,11 @@
         except asyncio.CancelledError:
             on_detach()
             if not (request.identity.given_by_caller or progress.must_finish):
-                progress.caller_left = True
+                progress.caller_gone = True
                 task.cancel()
             raise
 
-    async def _settled(
+    async def _run_recorded(
         self,
         request: _Request,
         progress: progress_module.Progress,
@@ -264,12 +264,12 @@
         finish: Callable[[_Answer], Awaitable[None]],
     ) -> _Answer | ledger_module.KeptAnswer:
         try:
-            answer = await self._claimed(request, progress, produce, finish)
+            answer = await self._run_claimed(request, progress, produce, finish)
         except asyncio.CancelledError:
             self._record_end(request, codes.Code.CALLER_GONE, "")
             raise
         except Exception as error:
-            final = endings.final_error(request, progress, error)
+            final = request_outcomes.final_error(request, progress, error)
             self._record_end(request, final.code, final.detail)
             if final is error:
                 raise
@@ -277,7 +277,7 @@
         self._record_end(request, codes.Code.OK, "")
         return answer
 
-    async def _claimed(
+    async def _run_claimed(
         self,
         request: _Request,
         progress: progress_module.Progress,
@@ -321,11 +321,11 @@
     def _settle_failed(
         self, request: _Request, progress: progress_module.Progress
     ) -> None:
-        """Settles claim and bill of a request that has no whole answer.
+        """Settles claim and bill of a request without a complete answer.
 
-        In the background: the store may be slow, and the caller's final
-        answer is not to wait for it. A retry that comes before the claim is
-        settled is told `ALREADY_RUNNING`, and to come again.
+        This runs in the background, so that the caller's error does not wait
+        for a slow store. A retry that arrives before the claim is settled gets
+        `ALREADY_RUNNING` with a Retry-After.
         """
         self._background.start(
             self._claims.settle_failed(
@@ -334,7 +334,7 @@
                 progress=progress,
             )
         )
-        if progress.caller_left and progress.delivered is not None:
+        if progress.caller_gone and progress.delivered is not None:
             self._background.start(self._bills.bill_part(request, progress))
 
     def _remaining(self, request: _Request) -> datetime.timedelta:
@@ -344,7 +344,7 @@
         self, request: _Request, code: codes.Code, detail: str
     ) -> None:
         self._events.record(
-            endings.event_kind(code),
+            request_outcomes.event_kind(code),
             request.request_id,
             code=code.name,
             detail=detail,
--- a/src/nutmeghook/internal/dispatch/generations.py
+++ b/src/nutmeghook/internal/dispatch/generations.py
@@ -1,4 +1,4 @@
-"""A generation's way through admission and the stages of its cascade."""
+"""Takes a generation through admission and its cascade's stages."""
 
 import functools
 
@@ -6,7 +6,7 @@
 from nutmeghook.internal.dependencies import ratings as rating_service
 from nutmeghook.internal.dispatch import answers
 from nutmeghook.internal.dispatch import consumers
-from nutmeghook.internal.dispatch import engine_ends
+from nutmeghook.internal.dispatch import engine_crashes
 from nutmeghook.internal.dispatch import meter as meter_module
 from nutmeghook.internal.dispatch import progress as progress_module
 from nutmeghook.internal.dispatch import ratings as ratings_module
@@ -22,13 +22,13 @@
 
 
 class GenerationPath:
-    """Produces a request's answer; claims and bills are the caller's."""
+    """Produces a request's answer; the dispatcher claims and bills it."""
 
     __slots__ = (
         "_admission",
         "_cascade",
         "_clock",
-        "_ends",
+        "_crashes",
         "_events",
         "_meter",
         "_ratings",
@@ -42,7 +42,7 @@
         admission: admission_module.Admission,
         cascade: cascade_module.CascadePolicy,
         stages: stages_module.StageRunner,
-        ends: engine_ends.EngineEnds,
+        crashes: engine_crashes.EngineCrashDetector,
         ratings: ratings_module.RatingQueue,
         events: events_module.EventRing,
         meter: meter_module.Meter,
@@ -51,7 +51,7 @@
         self._admission = admission
         self._cascade = cascade
         self._stages = stages
-        self._ends = ends
+        self._crashes = crashes
         self._ratings = ratings
         self._events = events
         self._meter = meter
@@ -62,12 +62,12 @@
         progress: progress_module.Progress,
         sink: answers.AnswerSink,
     ) -> answers.GeneratedAnswer:
-        """Returns the whole answer, whose text the sink has by then.
+        """Returns the complete answer, after the sink has got its text.
 
         Raises:
             errors.CodedError: There is none.
         """
-        self._ends.check(request, progress)
+        self._crashes.check(request, progress)
         asked = _admission_request(request)
         async with self._admission.admitted(asked):
             self._events.record(
@@ -78,35 +78,36 @@
             try:
                 return await self._cascade_stages(request, progress, sink)
             finally:
-                # Whatever the outcome, and before the place is given to the
-                # next one: who is next depends on what teams have used.
+                # Whatever the outcome, and before the slot is released: which
+                # request is next depends on what the teams have used.
                 self._admission.reconcile(
                     asked, used_tokens=progress.used_tokens
                 )
 
-    async def give_held(
+    async def give_held_answer(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
         sink: answers.AnswerSink,
         error: errors.CodedError,
     ) -> answers.GeneratedAnswer | None:
-        """Gives an earlier stage's answer, for want of a better one.
+        """Gives an earlier stage's answer after a later stage failed.
 
-        The failure: a cheap answer was judged weak and dropped; then the next
-        stage had no backend server, or nothing to say by the deadline. The
-        caller heard an error, though there was a whole answer for it. So the
-        answer is kept until the next stage's text begins to go out; from then
-        on it can't be given, since one text must not follow another.
+        An answer that was judged too weak is held, because the next stage may
+        have no backend server or miss the deadline, and the caller would then
+        get an error although a complete answer exists. Once the next stage's
+        text has begun to go out, the held answer can no longer be given, since
+        it would follow another answer's text.
 
         Args:
-            request: What was asked.
-            progress: Has the answer, if there is one.
+            request: The request.
+            progress: Has the held answer, if there is one.
             sink: Takes its text.
-            error: Why there is no better one; told on the time line.
+            error: Why there is no better answer; recorded in the event.
 
         Returns:
-            The answer, whose text the sink has; None if there is none to give.
+            The held answer, after the sink has got its text; None if there is
+            none to give.
         """
         if progress.held is None or progress.relayed:
             return None
@@ -116,9 +117,9 @@
             version=str(progress.held.model_version),
             reason=str(error),
         )
-        return await self._given(request, progress, sink, progress.held)
+        return await self._send_whole(request, progress, sink, progress.held)
 
-    async def _given(
+    async def _send_whole(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
@@ -146,17 +147,19 @@
         stage_index = min(plan.first_stage, final_stage)
         if plan.may_escalate:
             while stage_index < final_stage:
-                answer = await self._judged(
+                answer = await self._run_judged(
                     request, progress, question, stage_index
                 )
                 if answer is not None:
-                    return await self._given(request, progress, sink, answer)
+                    return await self._send_whole(
+                        request, progress, sink, answer
+                    )
                 stage_index += 1
-        return await self._relayed(
+        return await self._run_relayed(
             request, progress, question, stage_index, sink
         )
 
-    async def _judged(
+    async def _run_judged(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
@@ -165,22 +168,21 @@
     ) -> answers.GeneratedAnswer | None:
         """Runs a stage that is not the last; None if the next is to run.
 
-        An answer that was judged too weak stays in `progress.held`.
-
-        The caller must not see a cheap answer that is then replaced: so not
-        a byte is sent before the judgement. A stage that can't run at all is
-        passed over, for the next one is no worse.
+        Nothing is sent to the caller before the answer is accepted, since the
+        next stage's answer may replace it. An answer judged too weak is put in
+        `progress.held`. A stage that cannot run is skipped, because the next
+        one is at least as good.
         """
         call = stage_calls.StageCall(
             request=request,
             progress=progress,
             stage_index=stage_index,
-            consumer_for=lambda _: consumers.Holder(),
+            consumer_for=lambda _: consumers.BufferingConsumer(),
         )
         try:
             answer = await self._stages.run(call)
         except errors.CodedError as error:
-            if error.code in _NEXT_STAGE_MAY_DO:
+            if error.code in _NEXT_STAGE_CODES:
                 return None
             raise
         self._offer_rating(question, stage_index, answer, call)
@@ -192,7 +194,7 @@
         progress.held = answer
         return None
 
-    async def _relayed(
+    async def _run_relayed(
         self,
         request: requests.GenerationRequest,
         progress: progress_module.Progress,
@@ -200,7 +202,7 @@
         stage_index: int,
         sink: answers.AnswerSink,
     ) -> answers.GeneratedAnswer:
-        """Runs the last stage, whose text goes to the caller as it comes."""
+        """Runs the last stage, whose text is streamed to the caller."""
         call = stage_calls.StageCall(
             request=request,
             progress=progress,
@@ -219,8 +221,8 @@
         progress: progress_module.Progress,
         sink: answers.AnswerSink,
         model_version: engine.ModelVersion,
-    ) -> consumers.Relay:
-        return consumers.Relay(
+    ) -> consumers.RelayingConsumer:
+        return consumers.RelayingConsumer(
             sink=sink,
             model_version=model_version,
             progress=progress,
@@ -244,8 +246,8 @@
         answer: answers.GeneratedAnswer,
         call: stage_calls.StageCall,
     ) -> None:
-        # Each answer of a rolling-out version is handed in: its exposure is
-        # counted as unrated until the rating comes.
+        # Every answer of a version being rolled out is submitted: its exposure
+        # counts as unrated until the rating arrives.
         if not call.choice.rolling_out and not self._cascade.wants_rating(
             question, stage_index=stage_index
         ):
@@ -293,7 +295,7 @@
     )
 
 
-_NEXT_STAGE_MAY_DO = frozenset(
+_NEXT_STAGE_CODES = frozenset(
     {
         codes.Code.NO_CANDIDATE,
         codes.Code.BACKEND_FAILED,
--- a/src/nutmeghook/internal/dispatch/hedge.py
+++ b/src/nutmeghook/internal/dispatch/hedge.py
@@ -1,4 +1,4 @@
-"""A race of two attempts at one answer: the first token wins."""
+"""Hedging: two attempts race, and the first to give a token wins."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,43 +11,43 @@
 from nutmeghook.internal.dispatch import consumers
 from nutmeghook.internal.foundation import clock as clock_module
 
-LaneWork = Coroutine[Any, Any, engine.Chunk]
+AttemptWork = Coroutine[Any, Any, engine.Chunk]
 
 
 class LostRaceError(Exception):
-    """The other attempt's first token came earlier."""
+    """Another attempt's first token came earlier."""
 
 
 class Race:
-    """Which of several attempts may give its text to the caller."""
+    """Decides which of several attempts may send text to the caller."""
 
     __slots__ = ("_consumer", "decided", "winner")
 
     def __init__(self, *, consumer: consumers.Consumer):
         self._consumer = consumer
-        self.winner: Lane | None = None
+        self.winner: Racer | None = None
         self.decided: asyncio.Future[None] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def lane(self) -> "Lane":
+    def add_racer(self) -> "Racer":
         """Returns the consumer for one more attempt."""
-        return Lane(race=self, consumer=self._consumer)
+        return Racer(race=self, consumer=self._consumer)
 
-    def decide(self, lane: "Lane") -> None:
-        """Makes a lane the winner, or raises if another one is."""
+    def decide(self, racer: "Racer") -> None:
+        """Makes an attempt the winner, or raises if there already is one."""
         if self.winner is not None:
             raise LostRaceError
-        self.winner = lane
+        self.winner = racer
         if not self.decided.done():
             self.decided.set_result(None)
 
 
-class Lane(consumers.Consumer):
-    """One attempt's way to the shared consumer.
+class Racer(consumers.Consumer):
+    """The consumer of one racing attempt, in front of the shared one.
 
-    The check on each piece is what keeps the loser's late tokens out of the
-    answer; cancelling it only saves the engine's work.
+    The check on each piece keeps the loser's late tokens out of the answer;
+    cancelling the loser only saves the engine's work.
     """
 
     __slots__ = ("_consumer", "_race")
@@ -57,10 +57,10 @@
         self._consumer = consumer
 
     async def take(self, text: str) -> None:
-        """Passes the piece on if this lane has won or wins now.
+        """Passes the piece on if this attempt has won or wins now.
 
         Raises:
-            LostRaceError: Another lane has won.
+            LostRaceError: Another attempt has won.
         """
         if self._race.winner is not self:
             self._race.decide(self)
@@ -71,12 +71,12 @@
         return self._consumer.text()
 
     def has_begun(self) -> bool:
-        """Tells whether the answer so far is this lane's."""
+        """Tells whether the answer so far is from this attempt."""
         return self._race.winner is self and self._consumer.has_begun()
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> consumers.Consumer:
-        """Returns the shared consumer's own."""
-        return self._consumer.for_repeat(on_begun)
+    def for_retry(self, on_begun: Callable[[], None]) -> consumers.Consumer:
+        """Returns the shared consumer's consumer for a retry."""
+        return self._consumer.for_retry(on_begun)
 
 
 async def run_hedged(
@@ -84,90 +84,92 @@
     clock: clock_module.Clock,
     hedge_after: datetime.timedelta,
     consumer: consumers.Consumer,
-    first: Callable[[consumers.Consumer], LaneWork],
-    second: Callable[[consumers.Consumer], LaneWork | None],
+    first: Callable[[consumers.Consumer], AttemptWork],
+    second: Callable[[consumers.Consumer], AttemptWork | None],
 ) -> engine.Chunk:
-    """Runs an attempt, and a second one if no token came in time.
+    """Runs an attempt, and a second one if no token arrives in time.
 
     Args:
         clock: Measures `hedge_after`.
         hedge_after: How long the first attempt has for its first token.
         consumer: Takes the winner's text.
         first: Starts the first attempt.
-        second: Starts the other one, or returns None if there may be none.
+        second: Starts the second attempt, or returns None if none is permitted.
 
     Returns:
         The winner's last chunk.
 
     Raises:
-        attempts.AttemptError: The winner failed, or all did without a token.
+        attempts.AttemptError: The winner failed, or all failed before a token.
     """
     race = Race(consumer=consumer)
-    lane = race.lane()
-    lanes = {asyncio.ensure_future(first(lane)): lane}
+    racer = race.add_racer()
+    racers = {asyncio.ensure_future(first(racer)): racer}
     timer = asyncio.ensure_future(clock.sleep(hedge_after))
     try:
         await asyncio.wait(
-            {*lanes, timer, race.decided}, return_when=asyncio.FIRST_COMPLETED
+            {*racers, timer, race.decided}, return_when=asyncio.FIRST_COMPLETED
         )
-        lane = race.lane()
-        work = second(lane) if _is_late(lanes, race) else None
+        racer = race.add_racer()
+        work = second(racer) if _is_late(racers, race) else None
         if work is not None:
-            lanes[asyncio.ensure_future(work)] = lane
-        return await _winner(lanes, race)
+            racers[asyncio.ensure_future(work)] = racer
+        return await _winner(racers, race)
     finally:
         timer.cancel()
-        await _stop(lanes)
+        await _stop(racers)
 
 
-def _is_late(lanes: dict[asyncio.Future, Lane], race: Race) -> bool:
-    return race.winner is None and not any(task.done() for task in lanes)
+def _is_late(racers: dict[asyncio.Future, Racer], race: Race) -> bool:
+    return race.winner is None and not any(task.done() for task in racers)
 
 
 async def _winner(
-    lanes: dict[asyncio.Future, Lane], race: Race
+    racers: dict[asyncio.Future, Racer], race: Race
 ) -> engine.Chunk:
-    pending = dict(lanes)
+    pending = dict(racers)
     faults: list[attempts.AttemptError] = []
     while pending:
         if race.winner is not None:
             _cancel_losers(pending, race)
-            return await _task_of(lanes, race.winner)
+            return await _task_of(racers, race.winner)
         done, _ = await asyncio.wait(
             {*pending, race.decided}, return_when=asyncio.FIRST_COMPLETED
         )
         for task in [task for task in pending if task in done]:
-            lane = pending.pop(task)
+            racer = pending.pop(task)
             try:
                 last = task.result()
             except attempts.AttemptError as error:
-                if race.winner is lane:
+                if race.winner is racer:
                     raise
                 faults.append(error)
                 continue
             except LostRaceError:
                 continue
-            if race.winner in (None, lane):
+            if race.winner in (None, racer):
                 return last
     raise _worst(faults)
 
 
-def _cancel_losers(pending: dict[asyncio.Future, Lane], race: Race) -> None:
-    for task, lane in pending.items():
-        if lane is not race.winner:
+def _cancel_losers(pending: dict[asyncio.Future, Racer], race: Race) -> None:
+    for task, racer in pending.items():
+        if racer is not race.winner:
             task.cancel()
 
 
-def _task_of(lanes: dict[asyncio.Future, Lane], winner: Lane) -> asyncio.Future:
-    return next(task for task, lane in lanes.items() if lane is winner)
+def _task_of(
+    racers: dict[asyncio.Future, Racer], winner: Racer
+) -> asyncio.Future:
+    return next(task for task, racer in racers.items() if racer is winner)
 
 
-async def _stop(lanes: dict[asyncio.Future, Lane]) -> None:
-    for task in lanes:
+async def _stop(racers: dict[asyncio.Future, Racer]) -> None:
+    for task in racers:
         task.cancel()
-    await asyncio.gather(*lanes, return_exceptions=True)
+    await asyncio.gather(*racers, return_exceptions=True)
 
 
 def _worst(faults: list[attempts.AttemptError]) -> attempts.AttemptError:
-    """Returns a fault of an attempt that may have run, if there is one."""
+    """Returns the error of an attempt that may have run, if there is one."""
     return max(faults, key=lambda fault: fault.ran)
--- a/src/nutmeghook/internal/membership/table.py
+++ b/src/nutmeghook/internal/membership/table.py
@@ -1,4 +1,4 @@
-"""All that this instance believes of the others, and of itself."""
+"""This instance's table of claims about all members and itself."""
 
 import dataclasses
 import datetime
@@ -18,37 +18,37 @@
 
 
 class Verdict(enum.Enum):
-    """What became of a claim."""
+    """The result of applying a claim."""
 
     KNOWN = "known"
     ADOPTED = "adopted"
-    # It was about this instance and wrong; the number was raised above it.
+    # A false claim about this instance, whose number was raised above it.
     REFUTED = "refuted"
-    # It says that a member runs at the number at which it is believed dead.
+    # It says that a member runs, with the number at which it was declared dead.
     DISPUTED = "disputed"
-    # Of an unknown member, without its place.
+    # About an unknown member, without its data centre.
     UNPLACED = "unplaced"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Record:
-    """One address.
+    """What is known of the member at one address.
 
     Attributes:
-        is_suspected: This instance alone suspects it; it tells nobody.
-        answered_at: When the last probe left that it answered, by the
-            monotonic clock.
-        died_at: When it was believed dead.
+        is_suspected: This instance suspects it; that is not gossiped.
+        acked_probe_sent_at: When the last probe that it answered was sent, by
+            the monotonic clock.
+        died_at: When it was declared dead.
     """
 
     claim: claims.Claim
     is_suspected: bool = False
-    answered_at: datetime.timedelta | None = None
+    acked_probe_sent_at: datetime.timedelta | None = None
     died_at: datetime.timedelta | None = None
 
     @property
     def member(self) -> members_module.Member:
-        """The member with this instance's suspicion worked in."""
+        """The member, `SUSPECT` if this instance suspects it."""
         member = self.claim.member
         if self.is_suspected and member.health is _ALIVE:
             return msgspec.structs.replace(member, health=_SUSPECT)
@@ -56,12 +56,12 @@
 
 
 class MemberTable:
-    """Merges claims; knows nothing of how they come and go."""
+    """Merges claims; independent of how they are sent and received."""
 
     __slots__ = (
         "_clock",
-        "_fresh_answer",
-        "_mine",
+        "_max_ack_age",
+        "_own_claim",
         "_records",
         "_running_hash",
         "changed_at",
@@ -72,38 +72,42 @@
         *,
         myself: claims.Claim,
         clock: clock_module.Clock,
-        fresh_answer: datetime.timedelta,
+        max_ack_age: datetime.timedelta,
     ):
-        self._mine = myself
+        self._own_claim = myself
         self._clock = clock
-        self._fresh_answer = fresh_answer
+        self._max_ack_age = max_ack_age
         self._records: dict[str, Record] = {}
         self._running_hash: int | None = None
         self.changed_at = clock.monotonic()
 
     @property
-    def mine(self) -> claims.Claim:
-        """What this instance says of itself."""
-        return self._mine
+    def own_claim(self) -> claims.Claim:
+        """This instance's claim about itself."""
+        return self._own_claim
 
     def announce(self, health: members_module.MemberHealth) -> None:
-        """Says something new of this instance."""
-        member = msgspec.structs.replace(self._mine.member, health=health)
-        self._mine = claims.Claim(member=member, number=self._mine.number + 1)
+        """Changes this instance's own health under a new number."""
+        member = msgspec.structs.replace(self._own_claim.member, health=health)
+        self._own_claim = claims.Claim(
+            member=member, number=self._own_claim.number + 1
+        )
 
     def set_config_revision(self, revision: int) -> None:
-        """Sets what this instance has in force."""
+        """Sets the revision in force on this instance."""
         member = msgspec.structs.replace(
-            self._mine.member, config_revision=revision
+            self._own_claim.member, config_revision=revision
+        )
+        self._own_claim = claims.Claim(
+            member=member, number=self._own_claim.number
         )
-        self._mine = claims.Claim(member=member, number=self._mine.number)
 
     def record(self, inner_address: str) -> Record | None:
-        """Returns what is believed of another address."""
+        """Returns the record of another address."""
         return self._records.get(inner_address)
 
     def running(self) -> list[Record]:
-        """Returns the other members but the dead ones."""
+        """Returns the other members except dead ones."""
         return [r for r in self._records.values() if r.claim.is_running]
 
     def dead_addresses(self) -> list[str]:
@@ -117,45 +121,45 @@
     def running_hash(self) -> int:
         """Returns a hash of the set of running members, this one included.
 
-        Equal on two instances that believe in the same members, whatever
-        else they know of them.
+        Equal on two instances with the same running members, whatever else
+        they know of them.
         """
         if self._running_hash is None:
-            total = _hash_of(self._mine.member)
+            total = _hash_of(self._own_claim.member)
             for record in self.running():
                 total ^= _hash_of(record.claim.member)
             self._running_hash = total & _HASH_MASK
         return self._running_hash
 
-    def believe(self, claim: claims.Claim) -> Verdict:
-        """Merges what anyone said of anyone."""
+    def apply_claim(self, claim: claims.Claim) -> Verdict:
+        """Merges a claim about any member."""
         address = claim.member.inner_address
-        if address == self._mine.member.inner_address:
-            return self._believe_of_myself(claim)
+        if address == self._own_claim.member.inner_address:
+            return self._apply_claim_about_self(claim)
         record = self._records.get(address)
         if record is None:
-            if claim.is_running and not claim.has_place:
+            if claim.is_running and not claim.has_location:
                 return Verdict.UNPLACED
             return self._adopt(Record(claim=claim))
         if claim.order <= record.claim.order:
-            return self._learn_details(record, claim)
-        if self._contradicts_an_answer(record, claim):
+            return self._merge_details(record, claim)
+        if self._contradicts_recent_ack(record, claim):
             return Verdict.KNOWN
         return self._adopt(record, claim)
 
-    def note_answer(
+    def record_ack(
         self, inner_address: str, sent_at: datetime.timedelta
     ) -> None:
-        """Notes that a member answered a probe that left at `sent_at`."""
+        """Records that a member answered a probe sent at `sent_at`."""
         record = self._records.get(inner_address)
         if record is not None:
-            record.answered_at = sent_at
+            record.acked_probe_sent_at = sent_at
 
-    def condemn(self, suspected: claims.Claim) -> claims.Claim | None:
-        """Declares a member dead, unless it said something since.
+    def declare_dead(self, suspected: claims.Claim) -> claims.Claim | None:
+        """Declares a member dead, unless a newer claim of it arrived.
 
         Returns:
-            The new claim; None if the suspicion no longer holds.
+            The new claim; None if the suspicion is outdated.
         """
         record = self._records.get(suspected.member.inner_address)
         if record is None or record.claim.order[:2] != suspected.order[:2]:
@@ -166,8 +170,8 @@
         )
         return record.claim
 
-    def forget_dead(self, retention: datetime.timedelta) -> None:
-        """Drops what is remembered of members that died long ago."""
+    def drop_dead(self, retention: datetime.timedelta) -> None:
+        """Drops the records of members that died before the retention time."""
         oldest = self._clock.monotonic() - retention
         self._records = {
             address: record
@@ -175,24 +179,26 @@
             if record.died_at is None or record.died_at > oldest
         }
 
-    def _believe_of_myself(self, claim: claims.Claim) -> Verdict:
-        """Outbids whatever is said of this address and isn't so.
+    def _apply_claim_about_self(self, claim: claims.Claim) -> Verdict:
+        """Refutes a false claim about this address with a higher number.
 
-        Either others took a frozen or cut instance for dead, or they still
-        hold to the process that had the address before. They take back
-        neither for less than a higher number.
+        Either others declared this instance dead while it was frozen or cut
+        off, or they still know the previous process at this address. Only a
+        higher number overrides their claims.
         """
-        mine = self._mine
+        own_claim = self._own_claim
         says_the_same = (
-            claim.order[:2] == mine.order[:2]
-            and claim.member.health <= mine.member.health
+            claim.order[:2] == own_claim.order[:2]
+            and claim.member.health <= own_claim.member.health
         )
-        if claim.number < mine.number or says_the_same:
+        if claim.number < own_claim.number or says_the_same:
             return Verdict.KNOWN
-        self._mine = claims.Claim(member=mine.member, number=claim.number + 1)
+        self._own_claim = claims.Claim(
+            member=own_claim.member, number=claim.number + 1
+        )
         return Verdict.REFUTED
 
-    def _learn_details(self, record: Record, claim: claims.Claim) -> Verdict:
+    def _merge_details(self, record: Record, claim: claims.Claim) -> Verdict:
         known = record.claim
         if claim.order[:2] != known.order[:2]:
             return Verdict.KNOWN
@@ -201,30 +207,30 @@
         record.claim = _with_details(known, claim)
         return Verdict.KNOWN
 
-    def _contradicts_an_answer(
+    def _contradicts_recent_ack(
         self, record: Record, claim: claims.Claim
     ) -> bool:
-        """Tells a mistaken accusation by this instance's own evidence.
+        """Tells whether a claim of death contradicts a recent ack.
 
-        An instance that can't be reached by the accuser, but just answered
-        this one, is alive; to believe the accuser would let one bad link
-        remove a member everywhere.
+        A member that the claimant can't reach, but that just answered this
+        instance, is alive. Otherwise one bad link would remove a member
+        everywhere.
         """
-        if claim.is_running or record.answered_at is None:
+        if claim.is_running or record.acked_probe_sent_at is None:
             return False
         if claim.order[:2] != record.claim.order[:2]:
             return False
-        age = self._clock.monotonic() - record.answered_at
-        # A member that says itself that it ends is believed: see `announce`,
-        # which raises the number.
-        return age <= self._fresh_answer
+        age = self._clock.monotonic() - record.acked_probe_sent_at
+        # A member's own announcement of its end is not contradicted here, since
+        # `announce` raises the number.
+        return age <= self._max_ack_age
 
     def _adopt(
         self, record: Record, claim: claims.Claim | None = None
     ) -> Verdict:
         if claim is not None:
             if claim.member.incarnation != record.claim.member.incarnation:
-                record.answered_at = None
+                record.acked_probe_sent_at = None
             record.claim = _with_details(claim, record.claim)
         record.is_suspected = False
         now = self._clock.monotonic()
@@ -236,9 +242,9 @@
 
 
 def _with_details(claim: claims.Claim, other: claims.Claim) -> claims.Claim:
-    """Returns a claim with what another one of the address can add to it."""
+    """Returns a claim completed with details from another about its address."""
     member = claim.member
-    if not claim.has_place and other.has_place:
+    if not claim.has_location and other.has_location:
         member = msgspec.structs.replace(
             member,
             region=other.member.region,
--- a/tests/cover/test_dispatch_plain.py
+++ b/tests/cover/test_dispatch_plain.py
@@ -1,4 +1,4 @@
-"""A plain service's call runs at most once unless it may be repeated."""
+"""Calls of plain services run at most once unless repeatable."""
 
 import asyncio
 import datetime
@@ -11,8 +11,8 @@
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import concurrency_limit
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.limits import retry_budget
 from tests import fakes
 from tests.cover import plain_requests
@@ -26,7 +26,7 @@
 
 
 class PlainCallTest(unittest.TestCase):
-    """Properties over all ways in which sends can end."""
+    """Properties over all outcomes of sends."""
 
     @hypothesis.settings(max_examples=200)
     @hypothesis.given(
@@ -35,21 +35,22 @@
         ),
         repeatable=strategies.booleans(),
         key=strategies.sampled_from(["", "booking-7"]),
-        leave=strategies.integers(0, 5),
+        permits=strategies.integers(0, 5),
     )
     @hypothesis.example(
-        names=["lost"], repeatable=True, key="booking-7", leave=0
+        names=["lost"], repeatable=True, key="booking-7", permits=0
     )
-    def test_run_at_most_once_and_said_so(self, names, repeatable, key, leave):
-        """A crew is booked once, or the caller knows what it can't know.
-
-        Each send is refused (provably not run), lost after it was written,
-        answered with an error, or answered. A call that may not be repeated
-        must never be sent again once a send may have run; `not_run` is said
-        exactly when every send was refused.
+    def test_run_at_most_once_and_reported_so(
+        self, names, repeatable, key, permits
+    ):
+        """Each send is refused (provably not run), lost after it was written,
+        answered with an error, or answered.
+
+        A call that is not repeatable must not be sent again once a send may
+        have run; `not_run` is reported exactly if every send was refused.
         """
         fixture = fakes.Fixture()
-        fixture.budget.leave = leave
+        fixture.budget.permits = permits
         fixture.services.outcomes.extend(OUTCOMES[name] for name in names)
 
         async def scenario():
@@ -67,7 +68,7 @@
         outcome = asyncio.run(scenario())
         sends = len(fixture.services.calls)
         maybe_run = [n for n in (*names, "answer")[:sends] if n != "refused"]
-        self.assertLessEqual(sends, 1 + leave)
+        self.assertLessEqual(sends, 1 + permits)
         if not repeatable:
             self.assertLessEqual(len(maybe_run), 1)
         if isinstance(outcome, errors.CodedError):
@@ -84,17 +85,16 @@
 
 
 class PlainFailureTest(unittest.IsolatedAsyncioTestCase):
-    """Single failures, told one by one."""
+    """Single failures."""
 
     def setUp(self):
         self.fixture = fakes.Fixture()
         self.fixture.services.gate = asyncio.Event()
 
-    async def test_a_call_goes_on_when_its_caller_goes(self):
-        """The caller hangs up; the booking is made, and billed, once.
+    async def test_a_call_continues_when_its_caller_disconnects(self):
+        """A call that the service has received must be awaited and billed.
 
-        Cancelling would not undo a call that the service has. So it is
-        awaited, for the sake of its bill.
+        Cancelling would not undo it.
         """
         dispatcher = self.fixture.dispatcher()
         calling = asyncio.ensure_future(
@@ -107,11 +107,10 @@
         await dispatcher.settled()
         self.assertEqual(len(self.fixture.ledger.bills), 1)
 
-    async def test_a_route_taken_away_meanwhile_gets_no_call(self):
-        """The caller is refused, `not_run`: its team lost the route.
+    async def test_a_removed_route_gets_no_call(self):
+        """The route is removed after the first backend server has refused.
 
-        The first backend server refuses; before the second is tried, an
-        operator has removed the route.
+        The second must not be tried; the caller gets `not_run`.
         """
         services = self.fixture.services
         services.outcomes.append(OUTCOMES["refused"])
@@ -136,21 +135,21 @@
         self.assertEqual(len(services.calls), 1)
 
 
-class ApartTest(unittest.IsolatedAsyncioTestCase):
-    """Trouble of a plain service stays away from the engines' work."""
+class IsolationTest(unittest.IsolatedAsyncioTestCase):
+    """Failures of plain services do not affect generations."""
 
     def setUp(self):
         self.fixture = fakes.Fixture()
-        self.limit = following_limit.FollowingLimit(ceiling=8)
+        self.limit = adaptive_limit.AdaptiveLimit(ceiling=8)
         self.fixture.admission = fakes.fair_admission_with(
-            self.fixture.clock, concurrency_limit.FixedLimit(places=2)
+            self.fixture.clock, concurrency_limit.FixedLimit(slots=2)
         )
         self.fixture.plain_admission = fakes.fair_admission_with(
             self.fixture.clock, self.limit
         )
 
     async def call_together(self, dispatcher) -> None:
-        """Makes 8 calls, all there before the first is answered."""
+        """Makes 8 calls, all received before the first is answered."""
         gate = self.fixture.services.gate = asyncio.Event()
         calls = [
             asyncio.ensure_future(
@@ -173,11 +172,10 @@
         )
         return answer.text
 
-    async def test_slow_services_leave_the_engines_their_places(self):
-        """Calls hang in a slow service; generations are answered at once.
+    async def test_slow_services_do_not_take_the_slots_of_generations(self):
+        """More calls than there are slots hang in a slow service.
 
-        More calls than there are places for generations wait for the
-        service, and more still for a place among calls. The engines are idle.
+        A generation must still be answered at once by the idle engines.
         """
         self.fixture.services.gate = asyncio.Event()
         dispatcher = self.fixture.dispatcher()
@@ -202,28 +200,27 @@
         for answer in await asyncio.gather(*calls):
             self.assertEqual(answer.status, 200)
 
-    async def test_places_of_calls_come_back_after_an_overload(self):
-        """Callers wait for few places, but only while the service refuses.
+    async def test_slots_of_calls_recover_after_an_overload(self):
+        """A service refuses calls for overload, which cuts the slots.
 
-        A service refuses calls for overload, which cuts the places. Then it
-        answers again; without a note of that the cut would last for ever.
+        Once it answers again, the slots must grow back; if durations of calls
+        were not reported to admission, the cut would be permanent.
         """
         dispatcher = self.fixture.dispatcher()
         busy = failures.NotDoneError("busy", overloaded=True)
-        self.fixture.budget.leave = 0
+        self.fixture.budget.permits = 0
         self.fixture.services.outcomes.extend([busy] * 80)
         for _ in range(10):
             await self.call_together(dispatcher)
-        self.assertLess(self.limit.places, 4)
+        self.assertLess(self.limit.slots, 4)
         for _ in range(20):
             await self.call_together(dispatcher)
-        self.assertEqual(self.limit.places, 8)
+        self.assertEqual(self.limit.slots, 8)
 
-    async def test_a_service_s_retries_are_not_the_engines(self):
-        """A service is down; a caller of an engine still gets its retry.
+    async def test_services_and_engines_have_separate_retry_budgets(self):
+        """Calls of an unavailable service use up its retry budget.
 
-        The calls of the service use up all retries that they may. Then one
-        engine refuses a generation, which the next engine would take.
+        A generation that an engine refuses must still be retried on another.
         """
         self.fixture.budget = retry_budget.RetryBudgets()
         dispatcher = self.fixture.dispatcher()
--- a/tests/cover/test_guarantees_permission.py
+++ b/tests/cover/test_guarantees_permission.py
@@ -1,4 +1,4 @@
-"""A team loses a right under load, while instances are killed."""
+"""A team's permission is revoked under load, while instances are killed."""
 
 import asyncio
 import unittest
@@ -6,124 +6,130 @@
 
 from nutmeghook.internal.config import distribution
 from nutmeghook.internal.dependencies import engine
-from nutmeghook.internal.dispatch import leave as leave_module
 from nutmeghook.internal.dispatch import plain_calls
+from nutmeghook.internal.dispatch import retry_permission
 from nutmeghook.internal.routing import version_choice
 from nutmeghook.internal.routing import versions
-from tests import permission_scene
+from tests import permission_scenario
 
-SECOND = permission_scene.SECOND
+SECOND = permission_scenario.SECOND
 SEEDS = (1, 2, 3)
 BEFORE = 3 * SECOND
 AFTER = 9 * SECOND
-LOSER = permission_scene.LOSER
-KEEPER = permission_scene.KEEPER
+RESTRICTED_TEAM = permission_scenario.RESTRICTED_TEAM
+OTHER_TEAM = permission_scenario.OTHER_TEAM
 
 
-async def _play(seed: int, *, cut: bool) -> permission_scene.Scene:
-    """Takes the right away through an instance that dies right after it."""
+async def _run_scenario(
+    seed: int, *, cut: bool
+) -> permission_scenario.PermissionScenario:
+    """Revokes through an instance that is killed right after."""
     asyncio.get_running_loop().set_debug(False)
-    scene = permission_scene.Scene(seed=seed)
-    clock = scene.fleet.clock
+    scenario = permission_scenario.PermissionScenario(seed=seed)
+    clock = scenario.fleet.clock
     try:
-        await scene.set_up()
-        loading = asyncio.ensure_future(scene.load(BEFORE + AFTER))
-        alone = scene.draw.choice(scene.fleet.listeners())
+        await scenario.set_up()
+        loading = asyncio.ensure_future(scenario.load(BEFORE + AFTER))
+        alone = scenario.draw.choice(scenario.fleet.non_readers())
         if cut:
-            scene.cut_off(alone)
-        others = [a for a in scene.fleet.addresses if a != alone]
-        victims = scene.draw.sample(others, 3)
+            scenario.cut_off(alone)
+        others = [a for a in scenario.fleet.addresses if a != alone]
+        victims = scenario.draw.sample(others, 3)
         await clock.advance(BEFORE)
-        await scene.kill(victims[0])
+        await scenario.kill(victims[0])
         await clock.advance(SECOND / 5)
-        await scene.take_away(through=victims[1])
-        await scene.kill(victims[1])
+        await scenario.revoke(through=victims[1])
+        await scenario.kill(victims[1])
         await clock.advance(SECOND / 5)
-        await scene.kill(victims[2])
+        await scenario.kill(victims[2])
         await clock.advance(SECOND / 2)
-        scene.start(*victims)
-        await clock.advance(AFTER + permission_scene.DEADLINE)
+        scenario.start(*victims)
+        await clock.advance(AFTER + permission_scenario.DEADLINE)
         await loading
     finally:
-        await scene.fleet.stop()
-    return scene
+        await scenario.fleet.stop()
+    return scenario
 
 
-def play(seed: int, *, cut: bool = False) -> permission_scene.Scene:
-    """Plays a scene to its end, when no request is under way any more."""
-    return asyncio.run(_play(seed, cut=cut))
+def run_scenario(
+    seed: int, *, cut: bool = False
+) -> permission_scenario.PermissionScenario:
+    """Runs a scenario until no request is under way."""
+    return asyncio.run(_run_scenario(seed, cut=cut))
 
 
 class PermissionTest(unittest.TestCase):
-    """Judged by what reached the stand-in backend servers."""
-
-    def assert_tells(self, scene: permission_scene.Scene) -> None:
-        """Checks that the scene brought about what it is for."""
-        sent = scene.sent()
-        lost = [call for call in scene.calls if call.team == LOSER]
+    """Checks what reached the stand-in backend servers."""
+
+    def assert_covers(
+        self, scenario: permission_scenario.PermissionScenario
+    ) -> None:
+        """Checks that the situations to be tested occurred."""
+        sent = scenario.sent()
+        lost = [call for call in scenario.calls if call.team == RESTRICTED_TEAM]
         under_way = [
             call
             for call in lost
             if sent.get(call.request_id)
-            and call.arrived < scene.taken_away
+            and call.arrived < scenario.revoked_at
             and not call.killed
         ]
-        after = scene.taken_away + permission_scene.BOUND
+        after = scenario.revoked_at + permission_scenario.BOUND
         self.assertGreater(len(under_way), 20)
-        self.assertGreater(len(scene.held_back()), 3)
-        self.assertGreater(sum(call.killed for call in scene.calls), 5)
-        for team, served in ((LOSER, False), (KEEPER, True)):
+        self.assertGreater(len(scenario.waiting_at_change()), 3)
+        self.assertGreater(sum(call.killed for call in scenario.calls), 5)
+        for team, served in ((RESTRICTED_TEAM, False), (OTHER_TEAM, True)):
             late = [
                 call.request_id in sent
-                for call in scene.calls
+                for call in scenario.calls
                 if call.team == team and call.arrived > after
             ]
             self.assertGreater(len(late), 50)
             self.assertEqual(any(late), served)
 
-    def test_a_right_is_taken_away_while_instances_are_killed(self):
-        """An operator takes a model and a plain route away from a team.
+    def test_a_permission_is_revoked_while_instances_are_killed(self):
+        """A team's model and plain route are revoked.
 
         One instance is killed just before, the one that accepted the change
-        right after it, a third while the news spreads; all three come back.
-        Each has requests running and waiting. Whatever was sent to a backend
-        server before gets its whole answer; what still waited goes on with
-        what the team has left, or hears a true "not run"; nothing that needs
-        the right reaches a backend server after the bound, and nothing leaves
-        an instance that has the change in force. The other team notices none
-        of it.
+        right after, a third while the change spreads; all three restart, with
+        requests running and waiting. What was sent to a backend server before
+        must be answered; what still waited must use the remaining permissions
+        or get a correct `not_run`; nothing that needs the revoked ones may
+        reach a backend server after the bound, nor be sent by an instance that
+        has applied the change. The other team must not be affected.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                scene = play(seed)
-                self.assertEqual(permission_scene.violations(scene), [])
-                self.assertEqual(scene.fleet.violations(), [])
-                self.assert_tells(scene)
+                scenario = run_scenario(seed)
+                self.assertEqual(permission_scenario.violations(scenario), [])
+                self.assertEqual(scenario.fleet.violations(), [])
+                self.assert_covers(scenario)
 
-    def test_the_same_with_an_instance_cut_off_from_its_peers(self):
-        """It leaves reading to others, and nobody tells it of the change.
+    def test_the_same_with_an_instance_partitioned_from_its_peers(self):
+        """The instance relies on its peers to read the store, and hears of no
+        change.
 
-        Once its proof is three seconds old it reads the store itself, which
-        is just in time.
+        It must read the store itself once its proof of freshness is three
+        seconds old, which is just in time.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                scene = play(seed, cut=True)
-                self.assertEqual(permission_scene.violations(scene), [])
-                self.assert_tells(scene)
+                scenario = run_scenario(seed, cut=True)
+                self.assertEqual(permission_scenario.violations(scenario), [])
+                self.assert_covers(scenario)
 
 
 class ChecksCanFailTest(unittest.TestCase):
-    """The same scene with a defect put in on purpose."""
+    """The same scenario with a deliberate defect must fail the checks."""
 
     def assert_found(self, words: str, *, cut: bool = True) -> None:
-        found = permission_scene.violations(play(SEEDS[0], cut=cut))
+        found = permission_scenario.violations(run_scenario(SEEDS[0], cut=cut))
         self.assertTrue([v for v in found if words in v], found[:5])
 
-    def test_a_request_s_own_copy_is_trusted(self):
-        """What waited when the right went is sent as it was let in."""
+    def test_the_template_of_arrival_is_used(self):
+        """Waiting requests are sent by the template that they arrived with."""
 
-        def copy(leave, call):
+        def copy(permission, call):
             return call.request.template
 
         async def choose(chooser, *, template, **_):
@@ -139,7 +145,9 @@
             pass
 
         with (
-            mock.patch.object(leave_module.AttemptLeave, "template_now", copy),
+            mock.patch.object(
+                retry_permission.RetryPermission, "template_now", copy
+            ),
             mock.patch.multiple(
                 version_choice.ConfiguredVersionChooser,
                 choose=choose,
@@ -148,8 +156,8 @@
         ):
             self.assert_found("sent against the rules")
 
-    def test_a_version_is_not_checked_again_before_a_repeat(self):
-        """A backend server refuses just as the change comes."""
+    def test_a_version_is_not_rechecked_before_a_retry(self):
+        """A backend server refuses just as the change is applied."""
         with mock.patch.object(
             version_choice.ConfiguredVersionChooser,
             "check_dispatch",
@@ -157,34 +165,34 @@
         ):
             self.assert_found("sent against the rules", cut=False)
 
-    def test_the_route_is_not_asked_for_again_before_a_call(self):
+    def test_the_route_is_not_rechecked_before_a_call(self):
         with mock.patch.object(
             plain_calls.PlainCallPath, "_check_route", lambda *_: None
         ):
             self.assert_found("sent against the rules")
 
-    def test_an_instance_hears_too_late(self):
+    def test_an_instance_learns_of_the_change_too_late(self):
         with mock.patch.multiple(
             distribution,
-            _READ_EVERY=9 * SECOND,
-            _READ_MYSELF_AGE=9 * SECOND,
-            _EXCHANGE_EVERY=9 * SECOND,
-            _EXCHANGE_ANYWHERE_EVERY=9 * SECOND,
+            _READ_PERIOD=9 * SECOND,
+            _FALLBACK_READ_AGE=9 * SECOND,
+            _PARENT_EXCHANGE_PERIOD=9 * SECOND,
+            _RANDOM_EXCHANGE_PERIOD=9 * SECOND,
         ):
             self.assert_found("sent after the bound")
 
-    def test_what_was_sent_before_is_cut_off(self):
-        """Instances drop what is under way as soon as the change comes."""
-        taken_away = permission_scene.Scene.take_away
+    def test_requests_under_way_are_dropped(self):
+        """Instances cancel what is under way when the change is applied."""
+        unpatched_revoke = permission_scenario.PermissionScenario.revoke
 
-        async def take_away_and_drop(scene, *, through):
-            await taken_away(scene, through=through)
-            for instance in scene.instances.values():
+        async def revoke_and_drop(scenario, *, through):
+            await unpatched_revoke(scenario, through=through)
+            for instance in scenario.instances.values():
                 for task in instance.calls:
                     task.cancel()
 
         with mock.patch.object(
-            permission_scene.Scene, "take_away", take_away_and_drop
+            permission_scenario.PermissionScenario, "revoke", revoke_and_drop
         ):
             self.assert_found("has no end")
 
--- a/tests/cover/test_membership_table.py
+++ b/tests/cover/test_membership_table.py
@@ -1,4 +1,4 @@
-"""Merging claims: the order in which they come must not matter."""
+"""Claims merge to the same result in any order; bad datagrams are harmless."""
 
 import asyncio
 import random
@@ -46,7 +46,7 @@
     return table_module.MemberTable(
         myself=claim(MINE, "me", HEALTHS[0], 5),
         clock=fake,
-        fresh_answer=timing.Timing().probe_period,
+        max_ack_age=timing.Timing().probe_period,
     )
 
 
@@ -65,15 +65,15 @@
         strategies.lists(CLAIMS), strategies.randoms(use_true_random=False)
     )
     def test_any_order_and_repetition_leads_to_the_same_members(
-        self, said, rng
+        self, received, rng
     ):
         one, other = new_table(), new_table()
-        for each in said:
-            one.believe(each)
-        again = said + said[: len(said) // 2]
+        for each in received:
+            one.apply_claim(each)
+        again = received + received[: len(received) // 2]
         rng.shuffle(again)
         for each in again:
-            other.believe(each)
+            other.apply_claim(each)
         self.assertEqual(one.running_hash(), other.running_hash())
         for address in ("10.0.0.1:1", "10.0.0.2:1"):
             mine, theirs = one.record(address), other.record(address)
@@ -82,35 +82,35 @@
             )
 
     @hypothesis.given(strategies.lists(CLAIMS))
-    def test_this_instance_outbids_all_that_is_wrong_of_it(self, said):
+    def test_false_claims_about_this_instance_are_refuted(self, received):
         table = new_table()
-        number = table.mine.number
-        for each in said:
-            table.believe(each)
-            self.assertGreaterEqual(table.mine.number, number)
-            number = table.mine.number
-        self.assertEqual(table.mine.member.incarnation, "me")
-        self.assertIs(table.mine.member.health, HEALTHS[0])
-        for each in said:
+        number = table.own_claim.number
+        for each in received:
+            table.apply_claim(each)
+            self.assertGreaterEqual(table.own_claim.number, number)
+            number = table.own_claim.number
+        self.assertEqual(table.own_claim.member.incarnation, "me")
+        self.assertIs(table.own_claim.member.health, HEALTHS[0])
+        for each in received:
             if each.member.inner_address == MINE:
-                self.assertGreaterEqual(table.mine.order, each.order)
+                self.assertGreaterEqual(table.own_claim.order, each.order)
 
-    def test_an_accusation_is_not_believed_right_after_an_answer(self):
+    def test_a_death_is_ignored_right_after_an_ack(self):
         """One instance's bad link must not remove a member everywhere.
 
-        This instance has just had an answer of the accused. A minute later
-        it has nothing to set against the same accusation.
+        A claim of death is ignored right after the member answered this
+        instance, and applied if it did not answer.
         """
         for answered, verdict in (
             (True, table_module.Verdict.KNOWN),
             (False, table_module.Verdict.ADOPTED),
         ):
             table = new_table()
-            table.believe(claim("10.0.0.1:1", "a", HEALTHS[0], 1))
+            table.apply_claim(claim("10.0.0.1:1", "a", HEALTHS[0], 1))
             if answered:
-                table.note_answer("10.0.0.1:1", table.changed_at)
+                table.record_ack("10.0.0.1:1", table.changed_at)
             dead = claim("10.0.0.1:1", "a", HEALTHS[2], 1)
-            self.assertIs(table.believe(dead), verdict)
+            self.assertIs(table.apply_claim(dead), verdict)
 
     def test_a_rumour_is_repeated_a_bounded_number_of_times(self):
         queue = rumours.RumourQueue()
@@ -120,14 +120,14 @@
         self.assertEqual(len(queue), 0)
 
 
-class StrangeDatagramTest(unittest.TestCase):
-    """Nothing that arrives may harm, with or without the right seal."""
+class UntrustedDatagramTest(unittest.TestCase):
+    """No received datagram may do harm, with or without a valid seal."""
 
-    def test_a_forged_death_is_not_believed(self):
-        """Anyone can send a datagram that says an instance is dead.
+    def test_a_forged_death_is_ignored(self):
+        """A stranger sends a datagram that declares an instance dead.
 
-        Without the credential the seal is wrong and nothing happens; the
-        same claim from an instance is believed, and then outbid.
+        Without the credential its seal is invalid and nothing may happen; with
+        it the claim is applied, and then refuted.
         """
 
         async def scenario():
@@ -145,7 +145,7 @@
                 ),
                 number=1 << 50,
             )
-            state = claims.to_state(dead, with_place=True)
+            state = claims.to_state(dead, with_location=True)
             probe = ttypes.Probe(sender=state, rumours=[state])
             envelope = codec.encode(probe, sequence=1).data
             stranger = fleet.datagrams.attach("10.9.9.9:1")
@@ -185,7 +185,7 @@
         ),
         strategies.booleans(),
     )
-    def test_bytes_of_a_stranger(self, envelopes, is_sealed):
+    def test_arbitrary_datagrams_do_no_harm(self, envelopes, is_sealed):
         credential = "local fleet" if is_sealed else "of a stranger"
         seal = datagrams.Seal(credential=credential)
 
