--- a/src/nutmeghook/internal/orders/cell_reports.py
+++ b/src/nutmeghook/internal/orders/cell_reports.py
@@ -1,8 +1,9 @@
 """Asks one member of each routing cell what is loaded on its engines.
 
-The cells' members have the reports anyway (`routing/poller.py`). Reading each
-engine again took the holder 450 bytes an engine and 37 minutes a pass at the
-planned size; a cell whose engines have not changed answers in a few bytes.
+The members of a cell have these reports already (`routing/poller.py`). Reading
+each engine directly takes the lease holder 450 bytes an engine and 37 minutes a
+pass at the planned fleet size; a cell whose engines have not changed answers in
+a few bytes.
 """
 
 import abc
@@ -20,22 +21,22 @@
 from nutmeghook.internal.routing import cells as cells_module
 
 CALL_TIMEOUT = datetime.timedelta(seconds=1)
-_CALLS_AT_ONCE = 16
-# One that does not answer is left for another of its cell for this long.
-_AVOID_SILENT = datetime.timedelta(seconds=30)
+_MAX_CONCURRENT_CALLS = 16
+# For this long after a member failed to answer, others of its cell come first.
+_UNRESPONSIVE_BACKOFF = datetime.timedelta(seconds=30)
 
 # The inner addresses of the members of one cell.
 _CellMembers = tuple[str, ...]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Gathered:
-    """What the cells told.
+class GatheredReports:
+    """Reports of the cells.
 
     Attributes:
         pages: One for each cell that answered.
-        calls: How many calls to others that took.
-        changed: How many of the answers held a whole page.
+        calls: Number of calls to other instances.
+        changed: Number of answers that held a whole page.
     """
 
     pages: tuple[report_pages.ReportPage, ...] = ()
@@ -44,39 +45,39 @@
 
 
 class ReportSource(abc.ABC):
-    """Knows what is loaded on many engines without reading them."""
+    """Reports what is loaded on many engines without reading each of them."""
 
     @abc.abstractmethod
-    async def gather(self) -> Gathered:
-        """Returns what is known now; never fails as a whole."""
+    async def gather(self) -> GatheredReports:
+        """Returns what is known now; a failed call only omits its cell."""
 
 
 class NoReports(ReportSource):
-    """Knows nothing: all engines have to be read."""
+    """Reports nothing: all engines have to be read directly."""
 
     __slots__ = ()
 
-    async def gather(self) -> Gathered:
+    async def gather(self) -> GatheredReports:
         """Returns nothing."""
-        return Gathered()
+        return GatheredReports()
 
 
 class CellReports(ReportSource):
-    """Asks the cells, and answers those who ask this instance's cell.
+    """Requests the pages of other cells and serves the page of its own.
 
     Args:
         members: All members; cells follow from them.
         caller: Calls other members.
         handlers: Gets the handler for `LoadedPull`.
-        known: Returns the routing's backend servers.
-        clock: Of this instance.
+        known: Returns the backend servers that routing knows.
+        clock: This instance's clock.
     """
 
     __slots__ = (
         "_avoided",
         "_caller",
+        "_cell_members",
         "_cells",
-        "_cells_of",
         "_clock",
         "_known",
         "_members",
@@ -97,7 +98,7 @@
         self._known = known
         self._clock = clock
         self._cells: tuple[_CellMembers, ...] = ()
-        self._cells_of: tuple[members_module.Member, ...] = ()
+        self._cell_members: tuple[members_module.Member, ...] = ()
         self._pages: dict[str, report_pages.ReportPage] = {}
         self._avoided: dict[str, datetime.timedelta] = {}
         handlers.register(ttypes.LoadedPull, self.answer)
@@ -110,38 +111,42 @@
             page, known_hash=pull.known_hash, now=now
         )
 
-    async def gather(self) -> Gathered:
-        """Asks one member of each cell, a second one where it is silent."""
+    async def gather(self) -> GatheredReports:
+        """Asks one member of each cell, and a second one if it is silent."""
         self._refresh()
         me = self._members.myself.inner_address
         others = [cell for cell in self._cells if me not in cell]
-        gate = asyncio.Semaphore(_CALLS_AT_ONCE)
+        semaphore = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
         results = await asyncio.gather(
-            *(self._ask_cell(cell, gate) for cell in others)
+            *(self._ask_cell(cell, semaphore) for cell in others)
         )
         own = report_pages.page_of(self._known(), self._clock.monotonic())
         pages = [page for gathered in results for page in gathered.pages]
-        return Gathered(
+        return GatheredReports(
             pages=(own, *pages),
             calls=sum(one.calls for one in results),
             changed=sum(one.changed for one in results),
         )
 
     async def _ask_cell(
-        self, cell: _CellMembers, gate: asyncio.Semaphore
-    ) -> Gathered:
+        self, cell: _CellMembers, semaphore: asyncio.Semaphore
+    ) -> GatheredReports:
         now = self._clock.monotonic()
         calls = 0
-        for address in sorted(cell, key=lambda a: self._avoided_at(a, now))[:2]:
+        for address in sorted(cell, key=lambda a: self._avoided_until(a, now))[
+            :2
+        ]:
             known = self._pages.get(address)
-            async with gate:
+            async with semaphore:
                 calls += 1
                 page = await self._ask(address, known)
             if page is not None:
                 is_new = known is None or page.engines is not known.engines
-                return Gathered(pages=(page,), calls=calls, changed=int(is_new))
-            self._avoided[address] = now + _AVOID_SILENT
-        return Gathered(calls=calls)
+                return GatheredReports(
+                    pages=(page,), calls=calls, changed=int(is_new)
+                )
+            self._avoided[address] = now + _UNRESPONSIVE_BACKOFF
+        return GatheredReports(calls=calls)
 
     async def _ask(
         self, address: str, known: report_pages.ReportPage | None
@@ -164,23 +169,24 @@
             self._pages[address] = page
         return page
 
-    def _avoided_at(
+    def _avoided_until(
         self, address: str, now: datetime.timedelta
     ) -> datetime.timedelta:
-        """Returns 0 for a member that may be asked; silent ones come last."""
+        """Returns the sort key: 0, or the end of a silent member's back-off."""
         until = self._avoided.get(address, now)
         return until if until > now else datetime.timedelta()
 
     def _refresh(self) -> None:
-        """Works the cells out again if the members have changed."""
+        """Recomputes the cells if the members have changed."""
         found = tuple(self._members.members())
         places = [(m.inner_address, m.region, m.data_centre) for m in found]
         before = [
-            (m.inner_address, m.region, m.data_centre) for m in self._cells_of
+            (m.inner_address, m.region, m.data_centre)
+            for m in self._cell_members
         ]
         if places == before:
             return
-        self._cells_of = found
+        self._cell_members = found
         self._cells = cells_among(found)
         addresses = {member.inner_address for member in found}
         for kept in (self._pages, self._avoided):
