--- a/src/nutmeghook/internal/observe/record_text.py
+++ b/src/nutmeghook/internal/observe/record_text.py
@@ -1,4 +1,4 @@
-"""What log records say, in words."""
+"""Log records as readable text."""
 
 import datetime
 import functools
@@ -6,15 +6,15 @@
 import msgspec
 
 from nutmeghook.internal.foundation import codes
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
 _CODE_NAMES = {code.number: code.name for code in codes.Code}
-_OF_ALL = frozenset({"event", "timestamp_s"})
+_COMMON_FIELDS = frozenset({"event", "timestamp_s"})
 
 
 def wall_time(at_s: float) -> str:
-    """Returns a wall clock's time in UTC."""
+    """Returns a Unix time as text in UTC."""
     try:
         moment = datetime.datetime.fromtimestamp(at_s, tz=datetime.UTC)
     except (ValueError, OverflowError, OSError):
@@ -23,10 +23,10 @@
 
 
 def printable(text: str) -> str:
-    """Returns a text on one line that moves no terminal's cursor.
+    """Returns a text with its unprintable characters escaped.
 
-    The failure: request ids come from callers, errors from replicas. A
-    control sequence in one of them would write over what an operator reads.
+    Request ids come from callers and errors from replicas; a control sequence
+    in one of them could overwrite other output on an operator's terminal.
     """
     if text.isprintable():
         return text
@@ -41,24 +41,24 @@
 
 
 @functools.singledispatch
-def of(record: log_records.Record) -> str:
-    """Returns what a record says; of any type, its fields as they are."""
+def describe(record: log_records.Record) -> str:
+    """Returns a record as text; by default, its event and its fields."""
     return f"{record.event}{_details(record)}"
 
 
-@of.register
+@describe.register
 def _sent(record: log_records.AttemptSent) -> str:
     detail = _details(record, "request", "attempt", "replica")
     return f"attempt {record.attempt} sent to {record.replica}{detail}"
 
 
-@of.register
+@describe.register
 def _answered(record: log_records.AttemptAnswered) -> str:
     detail = _details(record, "request", "attempt", "replica")
     return f"attempt {record.attempt} answered by {record.replica}{detail}"
 
 
-@of.register
+@describe.register
 def _weak(record: log_records.AttemptWeak) -> str:
     detail = _details(record, "request", "model", "next_model")
     return (
@@ -67,12 +67,12 @@
     )
 
 
-@of.register
+@describe.register
 def _failed(record: log_records.AttemptFailed) -> str:
     return f"attempt {record.attempt} failed, {record.outcome}: {record.error}"
 
 
-@of.register
+@describe.register
 def _left(record: log_records.AttemptLeft) -> str:
     state = "accepts no connection" if record.dark else "is silent"
     text = f"attempt {record.attempt} left: {record.replica} {state}"
@@ -83,7 +83,7 @@
     return text
 
 
-@of.register
+@describe.register
 def _lost(record: log_records.AttemptLost) -> str:
     detail = _details(record, "request", "attempt", "replica", "replica_now")
     return (
@@ -92,7 +92,7 @@
     )
 
 
-@of.register
+@describe.register
 def _ended(record: log_records.RequestEnded) -> str:
     detail = _details(record, "request", "code", "outcome", "cut")
     code = f"{record.code} {code_name(record.code)}".rstrip()
@@ -100,13 +100,13 @@
     return f"ended {code}: {record.outcome}; {state}{detail}"
 
 
-@of.register
+@describe.register
 def _other(record: log_records.OtherRequestRecord) -> str:
     return f"{record.event} {record.text.strip()}"
 
 
-@of.register
-def _in_force(record: belief_records.ConfigurationInForce) -> str:
+@describe.register
+def _in_force(record: state_records.ConfigurationInForce) -> str:
     detail = _details(record, "version")
     return f"configuration {record.version} put in force{detail}"
 
@@ -118,11 +118,13 @@
 
 
 def _details(record: log_records.Record, *left_out: str) -> str:
-    """Returns a record's other fields that have a value, in parentheses."""
+    """Returns the other fields that have a value, in parentheses."""
     fields = [
         f"{name}={_short(value)}"
         for name, value in msgspec.structs.asdict(record).items()
-        if value is not None and name not in _OF_ALL and name not in left_out
+        if value is not None
+        and name not in _COMMON_FIELDS
+        and name not in left_out
     ]
     return f" ({' '.join(fields)})" if fields else ""
 
