--- a/bench/capacity/herd.py
+++ b/bench/capacity/herd.py
@@ -44,11 +44,11 @@
         probe=_never,
         probe_every=ledger_settings.LedgerSettings().probe_every,
     )
-    health.note_failure()
+    health.record_failure()
     by_second = [0] * _OUTAGE_S
 
     def refuse(gives_up_s: float) -> None:
-        wait_s = health.come_back_after().total_seconds()
+        wait_s = health.suggested_retry_after().total_seconds()
         if clock.now_s + wait_s <= gives_up_s:
             clock.call_at(clock.now_s + wait_s, lambda: come_again(gives_up_s))
 
--- a/bench/capacity/processor.py
+++ b/bench/capacity/processor.py
@@ -175,11 +175,11 @@
     )
     for partition in range(64):
         holder = samples.member(partition % count).inner_address
-        directory.confirm(partition, holder)
+        directory.record_holder(partition, holder)
 
     def act() -> int:
         for number in range(20):
-            directory.nearest(samples.caller_key(number))
+            directory.local_partition(samples.caller_key(number))
         return 20
 
     return act
--- a/src/nutmeghook/internal/entry/application.py
+++ b/src/nutmeghook/internal/entry/application.py
@@ -13,10 +13,10 @@
 from nutmeghook.internal.dispatch import dispatcher as dispatcher_module
 from nutmeghook.internal.entry import bodies
 from nutmeghook.internal.entry import drain as drain_module
-from nutmeghook.internal.entry import intake as intake_module
+from nutmeghook.internal.entry import openai_schema
 from nutmeghook.internal.entry import paths
 from nutmeghook.internal.entry import replies
-from nutmeghook.internal.entry import shapes
+from nutmeghook.internal.entry import request_reader as request_reader_module
 from nutmeghook.internal.entry import sinks
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import codes
@@ -26,7 +26,7 @@
 
 _WebHandler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 _Handler = Callable[[web.Request, str], Awaitable[web.StreamResponse]]
-_WorkHandler = Callable[
+_AuthenticatedHandler = Callable[
     [web.Request, str, tokens_module.TokenHolder], Awaitable[web.StreamResponse]
 ]
 
@@ -41,8 +41,8 @@
         "_dispatcher",
         "_drain",
         "_identifiers",
-        "_intake",
         "_knows_backends",
+        "_reader",
     )
 
     def __init__(
@@ -63,19 +63,19 @@
         self._drain = drain
         self._identifiers = identifiers
         self._knows_backends = knows_backends
-        self._intake = intake_module.Intake(
+        self._reader = request_reader_module.RequestReader(
             clock=clock, config=config, tokens=tokens
         )
 
     def add_routes(self, application: web.Application) -> None:
         """Adds all paths."""
         router = application.router
-        router.add_post("/v1/chat/completions", self._work(self._chat))
+        router.add_post("/v1/chat/completions", self._authenticated(self._chat))
         router.add_get("/v1/models", self._coded(self._models))
         router.add_route(
             "*",
             paths.SERVICES_PREFIX + "{service}/{path:.*}",
-            self._work(self._plain),
+            self._authenticated(self._plain),
         )
         router.add_get("/healthz", self._healthz)
         router.add_get("/readyz", self._readyz)
@@ -96,7 +96,7 @@
 
         return handle
 
-    def _work(self, handler: _WorkHandler) -> _WebHandler:
+    def _authenticated(self, handler: _AuthenticatedHandler) -> _WebHandler:
         """Wraps a handler that a drain has to wait for.
 
         The token comes first: what has none costs nothing else.
@@ -105,7 +105,7 @@
         async def handle(
             request: web.Request, request_id: str
         ) -> web.StreamResponse:
-            caller = self._intake.caller(request)
+            caller = self._reader.caller(request)
             with self._drain.request(), self._bodies.reserved(request):
                 return await handler(request, request_id, caller)
 
@@ -117,20 +117,20 @@
         request_id: str,
         caller: tokens_module.TokenHolder,
     ) -> web.StreamResponse:
-        chat = await self._intake.chat(
+        chat = await self._reader.chat(
             request, request_id=request_id, caller=caller
         )
         created_s = int(self._clock.now().timestamp())
         model = chat.generation.template.name
         if not chat.is_streamed:
-            sink = sinks.WholeSink(
+            sink = sinks.WholeAnswerSink(
                 request_id=request_id,
                 model=model,
                 created_s=created_s,
             )
             answer = await self._dispatcher.generate(chat.generation, sink)
             if isinstance(answer, answers.GeneratedAnswer):
-                answer = sink.encode_whole(answer)
+                answer = sink.encode_completion(answer)
             return _kept_response(answer, request_id)
         sink = sinks.StreamSink(
             request=request,
@@ -154,7 +154,7 @@
         request_id: str,
         caller: tokens_module.TokenHolder,
     ) -> web.StreamResponse:
-        call = await self._intake.plain(
+        call = await self._reader.plain(
             request, request_id=request_id, caller=caller
         )
         answer = await self._dispatcher.call_plain(call)
@@ -169,17 +169,18 @@
     async def _models(
         self, request: web.Request, request_id: str
     ) -> web.StreamResponse:
-        team = self._intake.caller(request).team
+        team = self._reader.caller(request).team
         names = sorted(
             template.name
             for template in self._config.snapshot.templates.values()
             if template.team == team.name
         )
         items = [
-            shapes.ModelItem(id=name, owned_by=team.name) for name in names
+            openai_schema.ModelItem(id=name, owned_by=team.name)
+            for name in names
         ]
         return web.Response(
-            body=msgspec.json.encode(shapes.ModelList(data=items)),
+            body=msgspec.json.encode(openai_schema.ModelList(data=items)),
             content_type="application/json",
         )
 
--- a/src/nutmeghook/internal/entry/bodies.py
+++ b/src/nutmeghook/internal/entry/bodies.py
@@ -13,8 +13,8 @@
 MAX_BODY_BYTES = 10 * 1024 * 1024
 BODY_TIMEOUT = datetime.timedelta(seconds=10)
 LARGE_BODY_BYTES = 64 * 1024
-LARGE_BODIES_BYTES = 3 * MAX_BODY_BYTES
-RETRY_AFTER_LARGE_BODIES = datetime.timedelta(seconds=1)
+MAX_LARGE_BODIES_BYTES = 3 * MAX_BODY_BYTES
+LARGE_BODIES_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
 class BodyBudget:
@@ -38,17 +38,17 @@
             errors.CodedError: `TOO_LARGE`, or `OVERLOADED` while there is no
                 room.
         """
-        size_bytes = _announced_bytes(request)
+        size_bytes = _declared_bytes(request)
         if size_bytes > MAX_BODY_BYTES:
             raise _too_large()
         if size_bytes < LARGE_BODY_BYTES:
             yield
             return
-        if self._reserved_bytes + size_bytes > LARGE_BODIES_BYTES:
+        if self._reserved_bytes + size_bytes > MAX_LARGE_BODIES_BYTES:
             raise errors.CodedError(
                 code=codes.Code.OVERLOADED,
                 detail="too many large bodies are being handled",
-                retry_after=RETRY_AFTER_LARGE_BODIES,
+                retry_after=LARGE_BODIES_RETRY_AFTER,
             )
         self._reserved_bytes += size_bytes
         try:
@@ -77,7 +77,7 @@
         ) from error
 
 
-def _announced_bytes(request: web.Request) -> int:
+def _declared_bytes(request: web.Request) -> int:
     """Returns the body's size; the most possible where it is not told."""
     if request.content_length is not None:
         return request.content_length
--- a/src/nutmeghook/internal/entry/drain.py
+++ b/src/nutmeghook/internal/entry/drain.py
@@ -10,7 +10,7 @@
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.observe import events as events_module
 
-RETRY_ELSEWHERE = datetime.timedelta(milliseconds=100)
+DRAINING_RETRY_AFTER = datetime.timedelta(milliseconds=100)
 
 
 class DrainState(enum.Enum):
@@ -52,7 +52,7 @@
         """
         if self.state is DrainState.REFUSING:
             raise errors.CodedError(
-                code=codes.Code.DRAINING, retry_after=RETRY_ELSEWHERE
+                code=codes.Code.DRAINING, retry_after=DRAINING_RETRY_AFTER
             )
         self._in_flight += 1
         self._idle.clear()
--- a/src/nutmeghook/internal/entry/listener.py
+++ b/src/nutmeghook/internal/entry/listener.py
@@ -83,14 +83,14 @@
         own_host, own_port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{own_host}:{own_port}"
 
-    def close_door(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuses new connections; those that exist go on."""
         if self._server is not None:
             self._server.close()
 
     async def stop(self) -> None:
         """Closes the socket and what connections are left."""
-        self.close_door()
+        self.stop_accepting()
         await self._runner.cleanup()
 
 
--- a/src/nutmeghook/internal/entry/replies.py
+++ b/src/nutmeghook/internal/entry/replies.py
@@ -83,9 +83,9 @@
     if error.retry_after is not None:
         return error.retry_after
     not_run = error.run_state is codes.RunState.NOT_RUN
-    if not_run and error.code.http_status in _MAY_COME_AGAIN:
+    if not_run and error.code.http_status in _RETRYABLE_STATUSES:
         return _DEFAULT_RETRY_AFTER
     return None
 
 
-_MAY_COME_AGAIN = frozenset({408, 429, 503, 504})
+_RETRYABLE_STATUSES = frozenset({408, 429, 503, 504})
--- a/src/nutmeghook/internal/entry/intake.py
+++ b/src/nutmeghook/internal/entry/request_reader.py
@@ -15,14 +15,14 @@
 from nutmeghook.internal.dispatch import requests
 from nutmeghook.internal.entry import bodies
 from nutmeghook.internal.entry import headers as headers_module
+from nutmeghook.internal.entry import openai_schema
 from nutmeghook.internal.entry import paths
-from nutmeghook.internal.entry import shapes
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.ledger import ledger
 
-RETRY_UNCONFIGURED = datetime.timedelta(milliseconds=500)
+UNCONFIGURED_RETRY_AFTER = datetime.timedelta(milliseconds=500)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -34,7 +34,7 @@
     include_usage: bool
 
 
-class Intake:
+class RequestReader:
     """Checks what callers send, cheapest check first."""
 
     __slots__ = ("_chat_decoder", "_clock", "_config", "_tokens")
@@ -49,7 +49,7 @@
         self._clock = clock
         self._config = config
         self._tokens = tokens
-        self._chat_decoder = msgspec.json.Decoder(shapes.ChatRequest)
+        self._chat_decoder = msgspec.json.Decoder(openai_schema.ChatRequest)
 
     def caller(self, request: web.Request) -> tokens_module.TokenHolder:
         """Returns the holder of the token that the request came with.
@@ -78,7 +78,7 @@
             raise errors.CodedError(
                 code=codes.Code.STALE_CONFIG,
                 detail="this instance has no configuration yet; come back",
-                retry_after=RETRY_UNCONFIGURED,
+                retry_after=UNCONFIGURED_RETRY_AFTER,
             )
 
     async def chat(
@@ -117,7 +117,7 @@
             session=headers.session,
             priority=_priority(headers, template.priority),
             arrived=arrived,
-            deadline=arrived + _allowed(headers, template.deadline_ms),
+            deadline=arrived + _time_allowed(headers, template.deadline_ms),
         )
         return ChatCall(
             generation=generation,
@@ -170,10 +170,10 @@
             call=call,
             priority=_priority(headers, route.priority),
             arrived=arrived,
-            deadline=arrived + _allowed(headers, route.deadline_ms),
+            deadline=arrived + _time_allowed(headers, route.deadline_ms),
         )
 
-    def _decode_chat(self, body: bytes) -> shapes.ChatRequest:
+    def _decode_chat(self, body: bytes) -> openai_schema.ChatRequest:
         try:
             chat = self._chat_decoder.decode(body)
         except msgspec.ValidationError as error:
@@ -233,7 +233,7 @@
     return min(headers.priority, highest)
 
 
-def _allowed(
+def _time_allowed(
     headers: headers_module.CallerHeaders, default_ms: int
 ) -> datetime.timedelta:
     return datetime.timedelta(milliseconds=headers.deadline_ms or default_ms)
--- a/src/nutmeghook/internal/entry/shutdown.py
+++ b/src/nutmeghook/internal/entry/shutdown.py
@@ -29,7 +29,7 @@
     drain.start_leaving()
     await clock.sleep(lag)
     drain.refuse()
-    listener.close_door()
+    listener.stop_accepting()
     await drain.idle()
     await dispatcher.settled()
     await listener.stop()
--- a/src/nutmeghook/internal/entry/sinks.py
+++ b/src/nutmeghook/internal/entry/sinks.py
@@ -5,17 +5,17 @@
 
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.dispatch import answers
+from nutmeghook.internal.entry import openai_schema
 from nutmeghook.internal.entry import replies
-from nutmeghook.internal.entry import shapes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.ledger import ledger
 
 _CHUNK = "chat.completion.chunk"
-_MARK = "\x00"
+_TEXT_PLACEHOLDER = "\x00"
 _DONE = b"data: [DONE]\n\n"
 
 
-class WholeSink(answers.AnswerSink):
+class WholeAnswerSink(answers.AnswerSink):
     """Lets text go by: the whole answer comes at the end."""
 
     __slots__ = ("_created_s", "_model", "_request_id")
@@ -31,7 +31,7 @@
     def detach(self) -> None:
         """Does nothing; there is nothing to hold back."""
 
-    def encode_whole(
+    def encode_completion(
         self, answer: answers.GeneratedAnswer
     ) -> ledger.KeptAnswer:
         """Returns the answer as a completion's JSON."""
@@ -39,7 +39,7 @@
             status=200,
             content_type="application/json",
             body=msgspec.json.encode(
-                shapes.completion(
+                openai_schema.completion(
                     answer,
                     request_id=self._request_id,
                     model=self._model,
@@ -49,7 +49,7 @@
         )
 
 
-class StreamSink(WholeSink):
+class StreamSink(WholeAnswerSink):
     """Sends text as server-sent events while it comes.
 
     All events of one answer are alike but for their text. So one is encoded
@@ -57,7 +57,13 @@
     the encoding of one string.
     """
 
-    __slots__ = ("_after", "_before", "_detached", "_request", "_response")
+    __slots__ = (
+        "_detached",
+        "_event_prefix",
+        "_event_suffix",
+        "_request",
+        "_response",
+    )
 
     def __init__(
         self,
@@ -73,8 +79,8 @@
         self._request = request
         self._response: web.StreamResponse | None = None
         self._detached = False
-        self._before = b""
-        self._after = b""
+        self._event_prefix = b""
+        self._event_suffix = b""
 
     @property
     def started(self) -> bool:
@@ -90,7 +96,9 @@
         try:
             # Not through `_write`: one call less a token counts here.
             await self._response.write(
-                self._before + msgspec.json.encode(text) + self._after
+                self._event_prefix
+                + msgspec.json.encode(text)
+                + self._event_suffix
             )
         except ConnectionError:
             self._detached = True
@@ -108,8 +116,8 @@
         last = [
             self._event(
                 answer.model_version,
-                shapes.Delta(),
-                finish_reason=shapes.finish_reason(answer.finish),
+                openai_schema.Delta(),
+                finish_reason=openai_schema.finish_reason(answer.finish),
             )
         ]
         if include_usage:
@@ -120,8 +128,8 @@
 
     async def replay(self, kept: ledger.KeptAnswer) -> answers.GeneratedAnswer:
         """Sends the text of an answer that was kept, and returns it."""
-        answer = shapes.answer_of(
-            msgspec.json.decode(kept.body, type=shapes.Completion)
+        answer = openai_schema.answer_of(
+            msgspec.json.decode(kept.body, type=openai_schema.Completion)
         )
         if answer.text:
             await self.take(answer.text, answer.model_version)
@@ -144,11 +152,15 @@
         )
         await response.prepare(self._request)
         self._response = response
-        pattern = self._event(model_version, shapes.Delta(content=_MARK))
-        self._before, self._after = pattern.split(_ENCODED_MARK)
+        template_event = self._event(
+            model_version, openai_schema.Delta(content=_TEXT_PLACEHOLDER)
+        )
+        self._event_prefix, self._event_suffix = template_event.split(
+            _ENCODED_PLACEHOLDER
+        )
         await self._write(
             self._event(
-                model_version, shapes.Delta(role="assistant", content="")
+                model_version, openai_schema.Delta(role="assistant", content="")
             )
         )
 
@@ -163,23 +175,27 @@
     def _event(
         self,
         model_version: engine.ModelVersion,
-        delta: shapes.Delta,
+        delta: openai_schema.Delta,
         *,
         finish_reason: str | None = None,
     ) -> bytes:
-        choice = shapes.ChunkChoice(delta=delta, finish_reason=finish_reason)
+        choice = openai_schema.ChunkChoice(
+            delta=delta, finish_reason=finish_reason
+        )
         return self._encoded(model_version, [choice], None)
 
     def _usage_event(self, answer: answers.GeneratedAnswer) -> bytes:
-        return self._encoded(answer.model_version, [], shapes.usage(answer))
+        return self._encoded(
+            answer.model_version, [], openai_schema.usage(answer)
+        )
 
     def _encoded(
         self,
         model_version: engine.ModelVersion,
-        choices: list[shapes.ChunkChoice],
-        usage: shapes.Usage | None,
+        choices: list[openai_schema.ChunkChoice],
+        usage: openai_schema.Usage | None,
     ) -> bytes:
-        chunk = shapes.CompletionChunk(
+        chunk = openai_schema.CompletionChunk(
             id=self._request_id,
             object=_CHUNK,
             created=self._created_s,
@@ -191,4 +207,4 @@
         return b"data: " + msgspec.json.encode(chunk) + b"\n\n"
 
 
-_ENCODED_MARK = msgspec.json.encode(_MARK)
+_ENCODED_PLACEHOLDER = msgspec.json.encode(_TEXT_PLACEHOLDER)
--- a/src/nutmeghook/internal/ledger/archive.py
+++ b/src/nutmeghook/internal/ledger/archive.py
@@ -19,23 +19,25 @@
     """Moves bills from a partition's oldest rows into an object.
 
     Args:
-        records_at_once: Rows are taken until they hold so many records.
+        batch_records: Rows are taken until they hold so many records.
     """
 
-    __slots__ = ("_objects", "_records_at_once", "_table")
+    __slots__ = ("_batch_records", "_objects", "_table")
 
     def __init__(
         self,
         *,
         table: table_module.TableService,
         objects: objects_module.ObjectStore,
-        records_at_once: int,
+        batch_records: int,
     ):
         self._table = table
         self._objects = objects
-        self._records_at_once = records_at_once
+        self._batch_records = batch_records
 
-    async def keep(self, partition: int, rows: list[log_module.LogRow]) -> int:
+    async def archive(
+        self, partition: int, rows: list[log_module.LogRow]
+    ) -> int:
         """Makes the bills of the first rows durable in the object store.
 
         Returns:
@@ -43,23 +45,23 @@
             be said now, in which case the rows simply stay.
         """
         try:
-            taken, bills = await self._collect(rows)
+            archived, bills = await self._read_bills(rows)
             if bills:
                 content = records.encoder.encode(
                     records.BillBatch(partition=partition, records=bills)
                 )
-                key = _object_key(partition, taken)
+                key = _object_key(partition, archived)
                 # False means that an earlier try, whose answer was lost, or
                 # an earlier holder has stored the same.
                 await self._objects.put_if_absent(key, content)
         except failures.PlatformError:
             return 0
-        return len(taken)
+        return len(archived)
 
-    async def _collect(
+    async def _read_bills(
         self, rows: list[log_module.LogRow]
     ) -> tuple[list[log_module.LogRow], tuple[records.FinishRecord, ...]]:
-        taken: list[log_module.LogRow] = []
+        archived: list[log_module.LogRow] = []
         bills: list[records.FinishRecord] = []
         for row in rows:
             found = await self._table.read(row.key)
@@ -71,10 +73,10 @@
                 for record in records.decode_batch(found.value).records
                 if isinstance(record, records.FinishRecord)
             )
-            taken.append(row)
-            if len(bills) >= self._records_at_once:
+            archived.append(row)
+            if len(bills) >= self._batch_records:
                 break
-        return taken, tuple(_without_answer(bill) for bill in bills)
+        return archived, tuple(_without_answer(bill) for bill in bills)
 
 
 def _without_answer(record: records.FinishRecord) -> records.FinishRecord:
--- a/src/nutmeghook/internal/ledger/bills.py
+++ b/src/nutmeghook/internal/ledger/bills.py
@@ -11,7 +11,7 @@
 from nutmeghook.internal.ledger import overflow
 from nutmeghook.internal.ledger import records
 
-_PAGE = 200
+_PAGE_SIZE = 200
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -58,11 +58,11 @@
 
     async def bills(self) -> AsyncIterator[ledger.Bill]:
         """Yields every bill once."""
-        met: set[str] = set()
+        seen: set[str] = set()
         async for record in self.all_records():
             identity = records.entry_key(record.team, record.key)
-            if identity not in met:
-                met.add(identity)
+            if identity not in seen:
+                seen.add(identity)
                 yield records.bill_of(record)
 
     async def usage(self) -> list[TeamUsage]:
@@ -75,40 +75,40 @@
 
     async def all_records(self) -> AsyncIterator[records.FinishRecord]:
         """Yields every place's records: a bill may come more than once."""
-        async for record in self._in_objects(overflow.KEY_PREFIX):
+        async for record in self._read_objects(overflow.KEY_PREFIX):
             yield record
-        async for record in self._in_log():
+        async for record in self._read_log():
             yield record
-        async for record in self._in_objects(archive.KEY_PREFIX):
+        async for record in self._read_objects(archive.KEY_PREFIX):
             yield record
 
-    async def _in_log(self) -> AsyncIterator[records.FinishRecord]:
+    async def _read_log(self) -> AsyncIterator[records.FinishRecord]:
         after = ""
         while True:
             rows = await self._table.scan(
-                prefix=log.KEY_PREFIX, after=after, limit=_PAGE
+                prefix=log.KEY_PREFIX, after=after, limit=_PAGE_SIZE
             )
             for row in rows:
                 for record in records.decode_batch(row.value).records:
                     if isinstance(record, records.FinishRecord):
                         yield record
-            if len(rows) < _PAGE:
+            if len(rows) < _PAGE_SIZE:
                 return
             after = rows[-1].key
 
-    async def _in_objects(
+    async def _read_objects(
         self, prefix: str
     ) -> AsyncIterator[records.FinishRecord]:
         after = ""
         while True:
             keys = await self._objects.list_keys(
-                prefix=prefix, after=after, limit=_PAGE
+                prefix=prefix, after=after, limit=_PAGE_SIZE
             )
             for key in keys:
                 content = await self._objects.get(key)
                 if content is not None:
                     for record in records.decode_bills(content).records:
                         yield record
-            if len(keys) < _PAGE:
+            if len(keys) < _PAGE_SIZE:
                 return
             after = keys[-1]
--- a/src/nutmeghook/internal/ledger/budget.py
+++ b/src/nutmeghook/internal/ledger/budget.py
@@ -15,22 +15,22 @@
         burst: Writes that may start at once after a rest.
     """
 
-    __slots__ = ("_burst", "_clock", "_filled_at", "_left", "_per_s")
+    __slots__ = ("_burst", "_clock", "_per_s", "_refilled_at", "_tokens")
 
     def __init__(self, *, clock: clock_module.Clock, per_s: float, burst: int):
         self._clock = clock
         self._per_s = per_s
         self._burst = burst
-        self._left = float(burst)
-        self._filled_at = clock.monotonic()
+        self._tokens = float(burst)
+        self._refilled_at = clock.monotonic()
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Waits until a write may start, and counts it."""
         self._refill()
         # Taken before the wait, so that those who wait queue up in order.
-        self._left -= 1
-        if self._left < 0:
-            wait_s = -self._left / self._per_s
+        self._tokens -= 1
+        if self._tokens < 0:
+            wait_s = -self._tokens / self._per_s
             await self._clock.sleep(datetime.timedelta(seconds=wait_s))
 
     def set_rate(self, per_s: float) -> None:
@@ -40,6 +40,6 @@
 
     def _refill(self) -> None:
         now = self._clock.monotonic()
-        passed_s = (now - self._filled_at).total_seconds()
-        self._filled_at = now
-        self._left = min(self._burst, self._left + passed_s * self._per_s)
+        passed_s = (now - self._refilled_at).total_seconds()
+        self._refilled_at = now
+        self._tokens = min(self._burst, self._tokens + passed_s * self._per_s)
--- a/src/nutmeghook/internal/ledger/client.py
+++ b/src/nutmeghook/internal/ledger/client.py
@@ -116,7 +116,7 @@
     ) -> None:
         """Gives a won claim back: the work provably did not run."""
         if identity.given_by_caller:
-            await self._settle_soon(
+            await self._settle_within_timeout(
                 identity,
                 records.ReleaseRecord(
                     team=identity.team, key=identity.key, request_id=request_id
@@ -128,7 +128,7 @@
     ) -> None:
         """Records that a claimed request was sent and its outcome is lost."""
         if identity.given_by_caller:
-            await self._settle_soon(
+            await self._settle_within_timeout(
                 identity,
                 records.UnknownRecord(
                     team=identity.team, key=identity.key, request_id=request_id
@@ -143,7 +143,7 @@
         timeout: datetime.timedelta,
     ) -> None:
         """Makes the bill durable; the last byte is sent only after this."""
-        record = records.finish_record(bill, self._cut_to_size(answer))
+        record = records.finish_record(bill, self._without_large_body(answer))
         # A task of its own: the work ran, so its bill is pursued even if
         # the caller goes away or can't wait.
         task = self._start(self._record_bill(record))
@@ -153,7 +153,7 @@
             raise errors.CodedError(
                 code=codes.Code.BILL_UNSETTLED,
                 detail=f"the bill was not durable within {timeout}",
-                retry_after=self._table_health.come_back_after(),
+                retry_after=self._table_health.suggested_retry_after(),
             ) from error
 
     async def append_bill(self, record: records.FinishRecord) -> bool:
@@ -188,7 +188,7 @@
         )
         self._start(self._settle(identity, release))
 
-    async def _settle_soon(
+    async def _settle_within_timeout(
         self, identity: ledger.RequestIdentity, record: records.Request
     ) -> None:
         """Waits a moment for a record; if need be, it is pursued after."""
@@ -228,10 +228,10 @@
         if record.given_by_caller:
             partition = records.partition_of(key, len(self._senders))
         else:
-            partition = self._directory.nearest(key)
+            partition = self._directory.local_partition(key)
         return self._senders[partition]
 
-    def _cut_to_size(
+    def _without_large_body(
         self, answer: ledger.KeptAnswer | None
     ) -> ledger.KeptAnswer | None:
         limit = self._settings.kept_answer_bytes
@@ -248,7 +248,7 @@
         return errors.CodedError(
             code=codes.Code.STORE_OUT,
             detail=detail,
-            retry_after=self._table_health.come_back_after(),
+            retry_after=self._table_health.suggested_retry_after(),
         )
 
     def _refusal(
@@ -259,5 +259,5 @@
         return errors.CodedError(
             code=codes.Code.OVERLOADED,
             detail="the ledger can't keep more claims now",
-            retry_after=self._table_health.come_back_after(),
+            retry_after=self._table_health.suggested_retry_after(),
         )
--- a/src/nutmeghook/internal/ledger/directory.py
+++ b/src/nutmeghook/internal/ledger/directory.py
@@ -11,7 +11,7 @@
 from nutmeghook.internal.ledger import service as service_module
 from nutmeghook.internal.membership import members as members_module
 
-_READ_EVERY = datetime.timedelta(milliseconds=500)
+_MIN_READ_INTERVAL = datetime.timedelta(milliseconds=500)
 
 
 class HolderDirectory:
@@ -19,12 +19,12 @@
 
     __slots__ = (
         "_clock",
-        "_known",
+        "_holders",
         "_members",
+        "_misses",
         "_partitions",
         "_read_at",
         "_table",
-        "_tries",
     )
 
     def __init__(
@@ -39,13 +39,13 @@
         self._table = table
         self._clock = clock
         self._partitions = partitions
-        self._known: dict[int, str] = {}
+        self._holders: dict[int, str] = {}
         self._read_at: dict[int, datetime.timedelta] = {}
-        self._tries: dict[int, int] = {}
+        self._misses: dict[int, int] = {}
 
     def holder(self, partition: int) -> str:
         """Returns the inner address to try; empty if there is no member."""
-        known = self._known.get(partition)
+        known = self._holders.get(partition)
         if known is not None:
             return known
         order = preference.candidates(
@@ -55,14 +55,14 @@
             return ""
         # Successive tries go down the order: the preferred one may be cut
         # off from here while another holds the lease.
-        return order[self._tries.get(partition, 0) % len(order)].inner_address
+        return order[self._misses.get(partition, 0) % len(order)].inner_address
 
-    def confirm(self, partition: int, inner_address: str) -> None:
+    def record_holder(self, partition: int, inner_address: str) -> None:
         """Takes in that an instance answered as the holder."""
-        self._known[partition] = inner_address
-        self._tries.pop(partition, None)
+        self._holders[partition] = inner_address
+        self._misses.pop(partition, None)
 
-    async def correct(
+    async def record_miss(
         self, partition: int, inner_address: str, hint: str
     ) -> None:
         """Takes in that an instance is not the holder, or is unreachable.
@@ -72,40 +72,42 @@
             inner_address: The instance that was asked.
             hint: The holder by its word; empty if it does not know.
         """
-        if self._known.get(partition) == inner_address:
-            del self._known[partition]
-        self._tries[partition] = self._tries.get(partition, 0) + 1
+        if self._holders.get(partition) == inner_address:
+            del self._holders[partition]
+        self._misses[partition] = self._misses.get(partition, 0) + 1
         if hint and hint != inner_address:
-            self._known[partition] = hint
+            self._holders[partition] = hint
             return
         row = await self._read_row(partition)
         if row is not None and row.inner_address != inner_address:
-            self._known[partition] = row.inner_address
+            self._holders[partition] = row.inner_address
 
-    def nearest(self, key: str) -> int:
+    def local_partition(self, key: str) -> int:
         """Returns a partition for a key that no other instance will use.
 
         One whose holder is in this data centre, if any is known.
         """
         here = self._members.myself.data_centre
-        near = {
+        local_addresses = {
             member.inner_address
             for member in self._members.members()
             if member.data_centre == here
         }
-        local = [
+        local_partitions = [
             partition
-            for partition, address in sorted(self._known.items())
-            if address in near
+            for partition, address in sorted(self._holders.items())
+            if address in local_addresses
         ]
-        if not local:
+        if not local_partitions:
             return records.partition_of(key, self._partitions)
-        return local[records.partition_of(key, len(local))]
+        return local_partitions[
+            records.partition_of(key, len(local_partitions))
+        ]
 
     async def _read_row(self, partition: int) -> rows.LeaseRow | None:
         now = self._clock.monotonic()
         last = self._read_at.get(partition)
-        if last is not None and now - last < _READ_EVERY:
+        if last is not None and now - last < _MIN_READ_INTERVAL:
             return None
         self._read_at[partition] = now
         key = rows.row_key(service_module.lease_name(partition))
--- a/src/nutmeghook/internal/ledger/entries.py
+++ b/src/nutmeghook/internal/ledger/entries.py
@@ -7,7 +7,7 @@
 from nutmeghook.internal.ledger import records
 
 # Tries of one key that were given up; older ones' late claims are long past.
-_CLOSED_KEPT = 8
+_MAX_VOIDED = 8
 
 
 class EntryState(enum.IntEnum):
@@ -24,7 +24,7 @@
     """One request with a caller's key.
 
     Attributes:
-        closed: Tries that were given up; a claim of theirs is void.
+        voided: Tries that were given up; a claim of theirs is void.
         row_key: Row that holds the answer, once finished.
         written_ms: Wall time of the last record.
     """
@@ -33,15 +33,15 @@
     request_id: str = ""
     claimant: str = ""
     body_digest: str = ""
-    closed: tuple[str, ...] = ()
+    voided: tuple[str, ...] = ()
     row_key: str = ""
     written_ms: int = 0
 
 
-NOTHING = Entry(state=EntryState.OPEN)
+EMPTY_ENTRY = Entry(state=EntryState.OPEN)
 
 
-def after(
+def apply_record(
     entry: Entry, record: records.Record, row_key: str, written_ms: int
 ) -> Entry:
     """Returns the entry as it is after a record."""
@@ -51,7 +51,7 @@
             request_id=record.request_id,
             claimant=sys.intern(record.claimant),
             body_digest=record.body_digest,
-            closed=entry.closed,
+            voided=entry.voided,
             written_ms=written_ms,
         )
     if isinstance(record, records.FinishRecord):
@@ -62,17 +62,17 @@
             row_key=row_key,
             written_ms=written_ms,
         )
-    return _after_close(entry, record, written_ms)
+    return _apply_close(entry, record, written_ms)
 
 
-def _after_close(
+def _apply_close(
     entry: Entry,
     record: records.ReleaseRecord | records.UnknownRecord,
     written_ms: int,
 ) -> Entry:
-    mine = entry.request_id == record.request_id
+    same_try = entry.request_id == record.request_id
     if isinstance(record, records.UnknownRecord):
-        if entry.state is EntryState.OPEN or mine:
+        if entry.state is EntryState.OPEN or same_try:
             return dataclasses.replace(
                 entry,
                 state=EntryState.UNKNOWN,
@@ -80,9 +80,9 @@
                 written_ms=written_ms,
             )
         return entry
-    closed = (*entry.closed, record.request_id)[-_CLOSED_KEPT:]
-    if mine and entry.state is EntryState.CLAIMED:
+    voided = (*entry.voided, record.request_id)[-_MAX_VOIDED:]
+    if same_try and entry.state is EntryState.CLAIMED:
         return Entry(
-            state=EntryState.OPEN, closed=closed, written_ms=written_ms
+            state=EntryState.OPEN, voided=voided, written_ms=written_ms
         )
-    return dataclasses.replace(entry, closed=closed, written_ms=written_ms)
+    return dataclasses.replace(entry, voided=voided, written_ms=written_ms)
--- a/src/nutmeghook/internal/ledger/factory.py
+++ b/src/nutmeghook/internal/ledger/factory.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class _Parts:
+class _PartBuilder:
     """Builds the parts that come in numbers, from what all of them share."""
 
     members: members_module.MemberView
@@ -110,7 +110,7 @@
             for partition in range(self.settings.partitions)
         )
 
-    def overflow_share(self) -> float:
+    def overflow_put_rate(self) -> float:
         """Returns the puts a second that this instance may make."""
         count = max(1, len(self.members.members()))
         return self.settings.overflow_writes_per_s / count
@@ -160,7 +160,7 @@
     ):
         settings = settings or settings_module.LedgerSettings()
         self._liveness = liveness_module.Liveness(members=members, clock=clock)
-        parts = _Parts(
+        builder = _PartBuilder(
             members=members,
             clock=clock,
             rng=rng,
@@ -169,19 +169,19 @@
             lease_settings=lease_settings or rows.LeaseSettings(),
             liveness=self._liveness,
         )
-        self.table_health = parts.health(
+        self.table_health = builder.health(
             "table service", lambda: self.table.read(_PROBE_KEY)
         )
-        self.objects_health = parts.health(
+        self.objects_health = builder.health(
             "object store", lambda: self.objects.get(_PROBE_KEY)
         )
-        self.table = store_health.WatchedTable(
+        self.table = store_health.MonitoredTable(
             table=table,
             health=self.table_health,
             clock=clock,
             timeout=settings.store_timeout,
         )
-        self.objects = store_health.WatchedObjects(
+        self.objects = store_health.MonitoredObjects(
             objects=objects,
             health=self.objects_health,
             clock=clock,
@@ -190,11 +190,11 @@
         archive = archive_module.BillArchive(
             table=self.table,
             objects=self.objects,
-            records_at_once=settings.fold_records,
+            batch_records=settings.archive_records,
         )
         self.service = service_module.LedgerService(
             writers=tuple(
-                parts.writer(
+                builder.writer(
                     partition,
                     table=self.table,
                     health=self.table_health,
@@ -211,7 +211,7 @@
             clock=clock,
             partitions=settings.partitions,
         )
-        senders = parts.senders(
+        senders = builder.senders(
             service=self.service, directory=directory, peer_caller=peer_caller
         )
         self._overflow = overflow_module.BillOverflow(
@@ -219,9 +219,9 @@
             objects=self.objects,
             table_health=self.table_health,
             append=lambda record: self.client.append_bill(record),
-            share=parts.overflow_share,
+            put_rate=builder.overflow_put_rate,
             is_alive=self._liveness.is_alive,
-            may_sweep=lambda: self.service.writers[0].is_serving,
+            should_sweep=lambda: self.service.writers[0].is_serving,
             clock=clock,
             rng=rng,
             events=events,
--- a/src/nutmeghook/internal/ledger/index.py
+++ b/src/nutmeghook/internal/ledger/index.py
@@ -30,20 +30,20 @@
     Attributes:
         result: What to answer once everything it rests on is durable.
         record: What has to be written first; None if nothing.
-        lasting: The result stays true even if this instance has lost the
+        is_final: The result stays true even if this instance has lost the
             partition meanwhile.
         answer_row: Row from which the kept answer has to be read.
     """
 
     result: records.Result
     record: records.Record | None = None
-    lasting: bool = False
+    is_final: bool = False
     answer_row: str = ""
 
 
 _RECORDED = records.Recorded()
 _FULL = Decision(
-    result=records.Refused(reason=records.RefusalReason.FULL), lasting=True
+    result=records.Refused(reason=records.RefusalReason.FULL), is_final=True
 )
 
 
@@ -97,7 +97,7 @@
         """Returns how many claims and pins are kept."""
         return len(self._entries) + len(self._pins)
 
-    def touches_staged(self, request: records.Request) -> bool:
+    def depends_on_staged(self, request: records.Request) -> bool:
         """Whether the decision rests on a commit that is under way."""
         if isinstance(request, records.PinRequest):
             return records.pin_key(request) in self._staged_pins
@@ -119,7 +119,7 @@
         self, record: records.Record, *, row_key: str, written_ms: int
     ) -> None:
         """Applies a record of the batch that is about to be committed."""
-        self._put(
+        self._apply(
             record,
             row_key,
             written_ms,
@@ -132,7 +132,7 @@
         self, record: records.Record, *, row_key: str, written_ms: int
     ) -> None:
         """Applies a record read back from the log, in the log's order."""
-        self._put(
+        self._apply(
             record,
             row_key,
             written_ms,
@@ -146,9 +146,9 @@
         self._entries.update(self._staged_entries)
         self._pins.update(self._staged_pins)
         self._minted.update(self._staged_minted)
-        self.drop_staged()
+        self.discard_staged()
 
-    def drop_staged(self) -> None:
+    def discard_staged(self) -> None:
         """Forgets the staged changes: their commit surely failed."""
         self._staged_entries.clear()
         self._staged_pins.clear()
@@ -158,7 +158,7 @@
         """Forgets what is older than the windows."""
         oldest = now_ms - self._window_ms
         for key in [
-            k for k, e in self._entries.items() if self._old(e, oldest)
+            k for k, e in self._entries.items() if self._is_expired(e, oldest)
         ]:
             del self._entries[key]
         for key in [
@@ -169,7 +169,7 @@
         for key in [k for k, at in self._minted.items() if at < oldest_minted]:
             del self._minted[key]
 
-    def _old(self, entry: entries_module.Entry, oldest_ms: int) -> bool:
+    def _is_expired(self, entry: entries_module.Entry, oldest_ms: int) -> bool:
         return entry.written_ms < oldest_ms and not (
             entry.state is entries_module.EntryState.CLAIMED
             and self._is_alive(entry.claimant)
@@ -185,7 +185,7 @@
     def _decide_claim(
         self, claim: records.ClaimRecord, entry: entries_module.Entry | None
     ) -> Decision:
-        if entry is not None and claim.request_id in entry.closed:
+        if entry is not None and claim.request_id in entry.voided:
             # A claim that was given up and arrives after that: its sender
             # has told its caller that nothing ran, so it must win nothing.
             return Decision(result=_claim_reply(ledger.ClaimState.RUNNING))
@@ -198,17 +198,17 @@
         if entry.body_digest and entry.body_digest != claim.body_digest:
             return Decision(
                 result=_claim_reply(ledger.ClaimState.BODY_DIFFERS),
-                lasting=True,
+                is_final=True,
             )
-        return self._decide_repeated(claim, entry)
+        return self._decide_repeated_claim(claim, entry)
 
-    def _decide_repeated(
+    def _decide_repeated_claim(
         self, claim: records.ClaimRecord, entry: entries_module.Entry
     ) -> Decision:
         if entry.state is entries_module.EntryState.FINISHED:
             return Decision(
                 result=_claim_reply(ledger.ClaimState.ANSWERED),
-                lasting=True,
+                is_final=True,
                 answer_row=entry.row_key,
             )
         if entry.state is entries_module.EntryState.CLAIMED:
@@ -230,7 +230,7 @@
             and entry.state is entries_module.EntryState.FINISHED
         )
         if known or finished:
-            return Decision(result=_RECORDED, lasting=True)
+            return Decision(result=_RECORDED, is_final=True)
         return Decision(result=_RECORDED, record=finish)
 
     def _decide_close(
@@ -239,13 +239,13 @@
         entry: entries_module.Entry | None,
     ) -> Decision:
         if entry is not None:
-            if request.request_id in entry.closed:
-                return Decision(result=_RECORDED, lasting=True)
-            mine = entry.request_id == request.request_id
+            if request.request_id in entry.voided:
+                return Decision(result=_RECORDED, is_final=True)
+            same_try = entry.request_id == request.request_id
             if entry.state is entries_module.EntryState.FINISHED or (
-                mine and entry.state is entries_module.EntryState.UNKNOWN
+                same_try and entry.state is entries_module.EntryState.UNKNOWN
             ):
-                return Decision(result=_RECORDED, lasting=True)
+                return Decision(result=_RECORDED, is_final=True)
         return Decision(result=_RECORDED, record=request)
 
     def _decide_pin(self, request: records.PinRequest, now_ms: int) -> Decision:
@@ -262,7 +262,7 @@
             result=records.PinReply(
                 model_version=pin.model_version, revision=pin.revision
             ),
-            lasting=True,
+            is_final=True,
         )
 
     def _new_pin(
@@ -282,7 +282,7 @@
             ),
         )
 
-    def _put(
+    def _apply(
         self,
         record: records.Record,
         row_key: str,
@@ -305,8 +305,10 @@
         ):
             minted[key] = written_ms
             return
-        entry = self._entry(key) or entries_module.NOTHING
-        entries[key] = entries_module.after(entry, record, row_key, written_ms)
+        entry = self._entry(key) or entries_module.EMPTY_ENTRY
+        entries[key] = entries_module.apply_record(
+            entry, record, row_key, written_ms
+        )
 
 
 def _may_replace(pin: Pin, request: records.PinRequest) -> bool:
--- a/src/nutmeghook/internal/ledger/liveness.py
+++ b/src/nutmeghook/internal/ledger/liveness.py
@@ -5,7 +5,7 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.membership import members as members_module
 
-_LOOK_EVERY = datetime.timedelta(milliseconds=500)
+_POLL_INTERVAL = datetime.timedelta(milliseconds=500)
 
 
 class Liveness:
@@ -28,7 +28,7 @@
         """Keeps in mind who was a member, until cancelled."""
         while True:
             self._present()
-            await self._clock.sleep(_LOOK_EVERY)
+            await self._clock.sleep(_POLL_INTERVAL)
 
     def is_alive(self, incarnation: str) -> bool:
         """Whether an incarnation is a member now."""
--- a/src/nutmeghook/internal/ledger/log.py
+++ b/src/nutmeghook/internal/ledger/log.py
@@ -66,8 +66,8 @@
         "_live",
         "_partition",
         "_random",
+        "_row_count",
         "_sequence",
-        "_slots",
         "_table",
         "_token",
     )
@@ -93,7 +93,7 @@
         self._clock = clock
         self._random = rng
         self._sequence = 0
-        self._slots = 0
+        self._row_count = 0
         self._live: collections.deque[LogRow] = collections.deque()
         self._free: list[LogRow] = []
 
@@ -120,20 +120,20 @@
             after = page[-1].key
         found.sort(key=lambda pair: pair[0].position)
         self._live.extend(row for row, _ in found)
-        self._slots = len(found)
+        self._row_count = len(found)
         return [(row.key, batch) for row, batch in found]
 
     def next_row(self) -> LogRow:
         """Returns the row that the next commit writes."""
         if not self._free:
-            key = f"{partition_prefix(self._partition)}{self._slots:08d}"
-            self._slots += 1
+            key = f"{partition_prefix(self._partition)}{self._row_count:08d}"
+            self._row_count += 1
             self._free.append(LogRow(key=key))
         return self._free[-1]
 
-    async def may_commit(self) -> None:
+    async def wait_to_commit(self) -> None:
         """Waits until the budget allows the next commit."""
-        await self._budget.take()
+        await self._budget.acquire()
 
     async def commit(
         self, batch_records: tuple[records.Record, ...], *, written_ms: int
@@ -208,7 +208,7 @@
                 continue
             if result.committed:
                 return result.versions[0]
-            version = self._version_if_written(row, batch, result)
+            version = self._version_if_committed(row, batch, result)
             if version is not None:
                 return version
 
@@ -225,7 +225,7 @@
             puts=(table_module.Put(key=row.key, value=value),),
         )
 
-    def _version_if_written(
+    def _version_if_committed(
         self,
         row: LogRow,
         batch: records.Batch,
@@ -247,15 +247,15 @@
                 return written.version
             raise LostPartitionError
         # Only the lease's row differs: a renewal of our own, or the end.
-        still_mine = self._lease.adopt(current.get(self._lease.row_key))
-        if not still_mine or self._lease.last_token() != self._token:
+        still_held = self._lease.adopt(current.get(self._lease.row_key))
+        if not still_held or self._lease.last_token() != self._token:
             raise LostPartitionError
         return None
 
     async def _pause(self, retry_after: datetime.timedelta | None) -> None:
         pause = retry_after or _RETRY_PAUSE
         await self._clock.sleep(pause * (1 + self._random.random()))
-        await self._budget.take()
+        await self._budget.acquire()
 
 
 def _decoded(row: table_module.Row) -> tuple[LogRow, records.Batch]:
@@ -271,10 +271,10 @@
 
 def _without_answers(batch: records.Batch) -> records.Batch:
     """Drops kept answers, which would fill the memory at a take-over."""
-    light = tuple(
+    without_answers = tuple(
         msgspec.structs.replace(record, answer=None)
         if isinstance(record, records.FinishRecord)
         else record
         for record in batch.records
     )
-    return msgspec.structs.replace(batch, records=light)
+    return msgspec.structs.replace(batch, records=without_answers)
--- a/src/nutmeghook/internal/ledger/overflow.py
+++ b/src/nutmeghook/internal/ledger/overflow.py
@@ -25,8 +25,8 @@
 KEY_PREFIX = "bills-overflow/"
 _BATCH_RECORDS = 500
 _RETRY_PAUSE = datetime.timedelta(milliseconds=200)
-_RECOVER_EVERY = datetime.timedelta(seconds=1)
-_SWEEP_EVERY = datetime.timedelta(seconds=10)
+_RECOVERY_INTERVAL = datetime.timedelta(seconds=1)
+_SWEEP_INTERVAL = datetime.timedelta(seconds=10)
 _SWEEP_KEYS = 100
 
 
@@ -35,10 +35,10 @@
 
     Args:
         append: Appends a bill to the log; True once it is durable there.
-        share: Returns this instance's share of the write budget, in puts a
+        put_rate: Returns this instance's share of the write budget, in puts a
             second.
         is_alive: Tells whether an incarnation is a member.
-        may_sweep: Tells whether this instance looks after the bills of those
+        should_sweep: Tells whether this instance looks after the bills of those
             that are not.
     """
 
@@ -49,14 +49,14 @@
         "_events",
         "_incarnation",
         "_is_alive",
-        "_may_sweep",
         "_objects",
+        "_pending",
+        "_put_rate",
         "_random",
         "_sequence",
-        "_share",
+        "_should_sweep",
         "_stored",
         "_table_health",
-        "_waiting",
         "_wake",
     )
 
@@ -67,9 +67,9 @@
         objects: objects_module.ObjectStore,
         table_health: store_health.StoreHealth,
         append: Callable[[records.FinishRecord], Awaitable[bool]],
-        share: Callable[[], float],
+        put_rate: Callable[[], float],
         is_alive: Callable[[str], bool],
-        may_sweep: Callable[[], bool],
+        should_sweep: Callable[[], bool],
         clock: clock_module.Clock,
         rng: random.Random,
         events: events_module.EventRing,
@@ -78,19 +78,19 @@
         self._objects = objects
         self._table_health = table_health
         self._append = append
-        self._share = share
+        self._put_rate = put_rate
         self._is_alive = is_alive
-        self._may_sweep = may_sweep
+        self._should_sweep = should_sweep
         self._clock = clock
         self._random = rng
         self._events = events
         self._budget = budget_module.WriteBudget(
-            clock=clock, per_s=share(), burst=1
+            clock=clock, per_s=put_rate(), burst=1
         )
         self._sequence = 0
         # Only keys are remembered, so that a long outage costs no memory.
         self._stored: collections.deque[str] = collections.deque()
-        self._waiting: collections.deque[
+        self._pending: collections.deque[
             tuple[records.FinishRecord, asyncio.Future[bool]]
         ] = collections.deque()
         self._wake = asyncio.Event()
@@ -107,7 +107,7 @@
             False where it surely is not there.
         """
         reply: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._waiting.append((record, reply))
+        self._pending.append((record, reply))
         self._wake.set()
         return await reply
 
@@ -152,14 +152,14 @@
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._waiting:
-                self._budget.set_rate(self._share())
-                await self._budget.take()
+            while self._pending:
+                self._budget.set_rate(self._put_rate())
+                await self._budget.acquire()
                 await self._put_batch()
 
     async def _put_batch(self) -> None:
-        count = min(len(self._waiting), _BATCH_RECORDS)
-        batch = [self._waiting.popleft() for _ in range(count)]
+        count = min(len(self._pending), _BATCH_RECORDS)
+        batch = [self._pending.popleft() for _ in range(count)]
         bills = tuple(record for record, _ in batch)
         self._sequence += 1
         key = f"{KEY_PREFIX}{self._incarnation}/{self._sequence:08d}"
@@ -194,7 +194,7 @@
             except failures.OutcomeUnknownError:
                 in_doubt = True
             await self._clock.sleep(_RETRY_PAUSE * (1 + self._random.random()))
-            await self._budget.take()
+            await self._budget.acquire()
 
     async def _recover_one(self, key: str) -> bool:
         """Moves one object's bills to the log; False if the log refuses."""
@@ -213,13 +213,13 @@
     async def _recover_forever(self) -> None:
         while True:
             await self._clock.sleep(
-                _RECOVER_EVERY * (1 + self._random.random())
+                _RECOVERY_INTERVAL * (1 + self._random.random())
             )
             await self.recover()
 
     async def _sweep_forever(self) -> None:
         while True:
-            await self._clock.sleep(_SWEEP_EVERY)
-            if self._may_sweep() and not self._table_health.is_out:
+            await self._clock.sleep(_SWEEP_INTERVAL)
+            if self._should_sweep() and not self._table_health.is_out:
                 with contextlib.suppress(failures.PlatformError):
                     await self.sweep()
--- a/src/nutmeghook/internal/ledger/partition.py
+++ b/src/nutmeghook/internal/ledger/partition.py
@@ -25,17 +25,17 @@
 from nutmeghook.internal.ledger import settings as settings_module
 from nutmeghook.internal.ledger import store_health
 
-_RETRY_TAKE_OVER = datetime.timedelta(milliseconds=300)
+_TAKE_OVER_RETRY_PAUSE = datetime.timedelta(milliseconds=300)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 # Batches replayed before other tasks get a turn during a take-over.
 _REPLAY_BATCHES = 50
-_FOLDS_AT_ONCE = 8
+_MAX_OBJECTS_PER_PASS = 8
 
 _STORE_OUT = records.Refused(reason=records.RefusalReason.STORE_OUT)
 _FULL = records.Refused(reason=records.RefusalReason.FULL)
 
 
-class _Waiting:
+class _PendingRequest:
     """A request and whoever waits for its result."""
 
     __slots__ = ("decision", "reply", "request")
@@ -114,7 +114,7 @@
             per_s=settings.writes_per_s / settings.partitions,
             burst=settings.burst_writes,
         )
-        self._queue: collections.deque[_Waiting] = collections.deque()
+        self._queue: collections.deque[_PendingRequest] = collections.deque()
         self._log: log_module.PartitionLog | None = None
         self._index: index_module.PartitionIndex | None = None
         self._token: int | None = None
@@ -137,8 +137,8 @@
         self, requests: list[records.Request]
     ) -> list[records.Result]:
         """Decides requests and makes durable what has to be."""
-        waiting = [self._admit(request) for request in requests]
-        return [await self._result(item) for item in waiting]
+        pending = [self._admit(request) for request in requests]
+        return [await self._result(item) for item in pending]
 
     async def run(self) -> None:
         """Serves the partition whenever the lease is held, until cancelled."""
@@ -149,35 +149,35 @@
                 await self._serve()
             except failures.PlatformError:
                 await self._clock.sleep(
-                    _RETRY_TAKE_OVER * (1 + self._random.random())
+                    _TAKE_OVER_RETRY_PAUSE * (1 + self._random.random())
                 )
                 self._wake.set()
 
-    async def tidy(self) -> None:
+    async def archive_old_rows(self) -> None:
         """Moves old bills to the object store, so that rows can be reused."""
         if self._index is None:
             return
         now_ms = self._now_ms()
         self._index.expire(now_ms=now_ms)
         before_ms = now_ms - self._settings.window // _MILLISECOND
-        for _ in range(_FOLDS_AT_ONCE):
-            if not await self._fold(before_ms):
+        for _ in range(_MAX_OBJECTS_PER_PASS):
+            if not await self._archive_rows(before_ms):
                 return
 
-    async def _fold(self, before_ms: int) -> bool:
+    async def _archive_rows(self, before_ms: int) -> bool:
         """Moves one object's worth of bills; returns whether it did."""
         log = self._log
         if log is None or self._health.is_out:
             return False
         rows = log.rows_before(
-            before_ms=before_ms, limit=self._settings.fold_records
+            before_ms=before_ms, limit=self._settings.archive_records
         )
         if not rows:
             return False
-        kept = await self._archive.keep(self._partition, rows)
+        archived = await self._archive.archive(self._partition, rows)
         if self._log is log:
-            log.free(kept)
-        return kept > 0
+            log.free(archived)
+        return archived > 0
 
     async def stop(self, *, timeout: datetime.timedelta) -> None:
         """Finishes what waits, then hands the partition over."""
@@ -188,9 +188,9 @@
         self._refuse_queue(self._not_holder())
         await self._lease.release()
 
-    def _admit(self, request: records.Request) -> _Waiting:
+    def _admit(self, request: records.Request) -> _PendingRequest:
         """Answers at once what needs no commit; queues the rest."""
-        item = _Waiting(request)
+        item = _PendingRequest(request)
         if not self.is_serving:
             if self._lease.last_token() is None:
                 self._lease.wake()
@@ -214,7 +214,7 @@
         if isinstance(request, records.FinishRecord):
             # Nearly always new: decided once, with its commit.
             return None
-        if self._index.touches_staged(request):
+        if self._index.depends_on_staged(request):
             return None
         decision = self._index.decide(request, now_ms=self._now_ms())
         if decision.record is not None:
@@ -222,11 +222,11 @@
         # Most results could be out of date if another instance has taken the
         # partition over. Some can't: a pin, a finished request. Those are
         # given from memory during an outage of the table service too.
-        if decision.lasting or self._lease.fencing_token() is not None:
+        if decision.is_final or self._lease.fencing_token() is not None:
             return decision
         return None
 
-    async def _result(self, item: _Waiting) -> records.Result:
+    async def _result(self, item: _PendingRequest) -> records.Result:
         decision = await item.reply
         if not decision.answer_row:
             return decision.result
@@ -256,7 +256,7 @@
 
     async def _serve(self) -> None:
         if self._lease.last_token() != self._token:
-            self._drop()
+            self._discard_state()
         if self._lease.last_token() is None:
             return
         if self._index is None:
@@ -264,7 +264,7 @@
         while self._queue and self._token == self._lease.last_token():
             await self._commit_next()
 
-    def _drop(self) -> None:
+    def _discard_state(self) -> None:
         """Forgets everything: the partition is another's now."""
         self._index = None
         self._log = None
@@ -305,7 +305,7 @@
     async def _commit_next(self) -> None:
         """Decides what waits, commits it as one row, and answers."""
         # What arrives during this wait still goes into the commit.
-        await self._log.may_commit()
+        await self._log.wait_to_commit()
         batch = self._take_batch()
         row = self._log.next_row()
         now_ms = self._now_ms()
@@ -324,11 +324,11 @@
                 await self._log.commit(tuple(stored), written_ms=now_ms)
                 self.commits += 1
         except log_module.LostPartitionError:
-            self._index.drop_staged()
+            self._index.discard_staged()
             _answer_all(batch, self._not_holder())
             self._wake.set()
         except log_module.StoreOutError:
-            self._index.drop_staged()
+            self._index.discard_staged()
             _answer_all(batch, _STORE_OUT)
             self._refuse_queue(_STORE_OUT)
         else:
@@ -336,8 +336,8 @@
             for item in batch:
                 item.resolve(item.decision)
 
-    def _take_batch(self) -> list[_Waiting]:
-        batch: list[_Waiting] = []
+    def _take_batch(self) -> list[_PendingRequest]:
+        batch: list[_PendingRequest] = []
         size_bytes = 0
         while (
             self._queue
@@ -364,7 +364,7 @@
 
 
 def _answer_all(
-    items: collections.abc.Iterable[_Waiting], result: records.Result
+    items: collections.abc.Iterable[_PendingRequest], result: records.Result
 ) -> None:
     for item in items:
         item.answer(result)
--- a/src/nutmeghook/internal/ledger/sender.py
+++ b/src/nutmeghook/internal/ledger/sender.py
@@ -20,9 +20,9 @@
 from nutmeghook.internal.ledger import service as service_module
 from nutmeghook.internal.ledger import settings as settings_module
 
-_MESSAGES_AT_ONCE = 16
+_MAX_MESSAGES_IN_FLIGHT = 16
 # With the largest kept answers the replies still fit a frame.
-_MESSAGE_REQUESTS = 200
+_MAX_MESSAGE_REQUESTS = 200
 _RETRY_PAUSE = datetime.timedelta(milliseconds=60)
 
 
@@ -40,7 +40,7 @@
         self.full = full
 
 
-class _Item:
+class _PendingRequest:
     """One request on its way.
 
     Attributes:
@@ -95,7 +95,7 @@
         self._clock = clock
         self._random = rng
         self._settings = settings
-        self._pending: collections.deque[_Item] = collections.deque()
+        self._pending: collections.deque[_PendingRequest] = collections.deque()
         self._in_flight = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -108,9 +108,9 @@
             NotAppendedError: None came within the timeout, or the holder
                 refused.
         """
-        item = _Item(request)
+        item = _PendingRequest(request)
         self._pending.append(item)
-        self._pump()
+        self._start_messages()
         try:
             result = await self._clock.wait_for(item.reply, timeout)
         except TimeoutError as error:
@@ -122,50 +122,50 @@
             raise NotAppendedError(in_doubt=item.in_doubt, full=full)
         return result
 
-    def _pump(self) -> None:
+    def _start_messages(self) -> None:
         """Starts messages while there are requests and places for them."""
-        while self._pending and self._in_flight < _MESSAGES_AT_ONCE:
+        while self._pending and self._in_flight < _MAX_MESSAGES_IN_FLIGHT:
             self._in_flight += 1
-            task = asyncio.ensure_future(self._send_some())
+            task = asyncio.ensure_future(self._send_next())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _send_some(self) -> None:
+    async def _send_next(self) -> None:
         try:
             # One turn of the loop, so that requests that arrive together
             # share a message.
             await asyncio.sleep(0)
-            items = self._take()
+            items = self._next_items()
             if items and not await self._send(items):
                 await self._pause()
         finally:
             self._in_flight -= 1
-            self._pump()
+            self._start_messages()
 
-    def _take(self) -> list[_Item]:
-        items: list[_Item] = []
-        while self._pending and len(items) < _MESSAGE_REQUESTS:
+    def _next_items(self) -> list[_PendingRequest]:
+        items: list[_PendingRequest] = []
+        while self._pending and len(items) < _MAX_MESSAGE_REQUESTS:
             item = self._pending.popleft()
             # Whoever gave up waiting has settled it in another way.
             if not item.reply.done():
                 items.append(item)
         return items
 
-    async def _send(self, items: list[_Item]) -> bool:
+    async def _send(self, items: list[_PendingRequest]) -> bool:
         """Sends one message; returns whether the holder answered it."""
         address = self._directory.holder(self._partition)
         results = await self._exchange(address, items)
         if results is None:
-            self._put_back(items)
-            await self._directory.correct(self._partition, address, "")
+            self._requeue(items)
+            await self._directory.record_miss(self._partition, address, "")
             return False
-        return await self._take_in(address, items, results)
+        return await self._handle_results(address, items, results)
 
     async def _exchange(
-        self, address: str, items: list[_Item]
+        self, address: str, items: list[_PendingRequest]
     ) -> list[records.Result] | None:
         """Returns the results, or None where none came."""
-        doubted_before = [item.in_doubt for item in items]
+        in_doubt_before = [item.in_doubt for item in items]
         # In doubt from the moment of sending: whoever gives up waiting now
         # must not take it that nothing happened.
         for item in items:
@@ -179,12 +179,12 @@
             peers.PeerRefusedError,
         ):
             return None
-        for item, doubted in zip(items, doubted_before, strict=True):
-            item.in_doubt = doubted
+        for item, was_in_doubt in zip(items, in_doubt_before, strict=True):
+            item.in_doubt = was_in_doubt
         return results
 
     async def _call(
-        self, address: str, items: list[_Item]
+        self, address: str, items: list[_PendingRequest]
     ) -> list[records.Result]:
         if address == self._my_address:
             requests = [item.request for item in items]
@@ -204,10 +204,13 @@
         )
         return records.decode_results(reply.results)
 
-    async def _take_in(
-        self, address: str, items: list[_Item], results: list[records.Result]
+    async def _handle_results(
+        self,
+        address: str,
+        items: list[_PendingRequest],
+        results: list[records.Result],
     ) -> bool:
-        misdirected: list[_Item] = []
+        misdirected: list[_PendingRequest] = []
         hint = ""
         for item, result in zip(items, results, strict=True):
             if isinstance(result, records.NotHolder):
@@ -216,13 +219,13 @@
             elif not item.reply.done():
                 item.reply.set_result(result)
         if not misdirected:
-            self._directory.confirm(self._partition, address)
+            self._directory.record_holder(self._partition, address)
             return True
-        self._put_back(misdirected)
-        await self._directory.correct(self._partition, address, hint)
+        self._requeue(misdirected)
+        await self._directory.record_miss(self._partition, address, hint)
         return False
 
-    def _put_back(self, items: list[_Item]) -> None:
+    def _requeue(self, items: list[_PendingRequest]) -> None:
         self._pending.extendleft(reversed(items))
 
     async def _pause(self) -> None:
--- a/src/nutmeghook/internal/ledger/service.py
+++ b/src/nutmeghook/internal/ledger/service.py
@@ -12,7 +12,7 @@
 from nutmeghook.internal.ledger import records
 
 LEASE_PREFIX = "ledger/"
-_TIDY_EVERY = datetime.timedelta(seconds=5)
+_ARCHIVE_INTERVAL = datetime.timedelta(seconds=5)
 
 
 def lease_name(partition: int) -> str:
@@ -72,7 +72,7 @@
             for writer in self._writers:
                 group.create_task(writer.run())
                 group.create_task(writer.lease.run())
-            group.create_task(self._tidy())
+            group.create_task(self._archive_forever())
 
     async def drain(self, *, timeout: datetime.timedelta) -> None:
         """Finishes what waits and hands every partition over at once."""
@@ -89,8 +89,8 @@
         with contextlib.suppress(failures.PlatformError):
             await writer.stop(timeout=timeout)
 
-    async def _tidy(self) -> None:
+    async def _archive_forever(self) -> None:
         while True:
-            await self._clock.sleep(_TIDY_EVERY)
+            await self._clock.sleep(_ARCHIVE_INTERVAL)
             for writer in self._writers:
-                await writer.tidy()
+                await writer.archive_old_rows()
--- a/src/nutmeghook/internal/ledger/session_pins.py
+++ b/src/nutmeghook/internal/ledger/session_pins.py
@@ -14,9 +14,9 @@
 from nutmeghook.internal.ledger import sender as sender_module
 
 _RETRY_AFTER = datetime.timedelta(seconds=1)
-_LATER_PAUSE = datetime.timedelta(milliseconds=500)
-_LATER_TIMEOUT = datetime.timedelta(seconds=2)
-_LATER_AT_ONCE = 50
+_DEFERRED_PAUSE = datetime.timedelta(milliseconds=500)
+_DEFERRED_TIMEOUT = datetime.timedelta(seconds=2)
+_DEFERRED_BATCH_SIZE = 50
 
 
 class LedgerSessionPins(pins.SessionPins):
@@ -33,10 +33,10 @@
     """
 
     __slots__ = (
+        "_cache",
         "_capacity",
         "_clock",
-        "_later",
-        "_remembered",
+        "_deferred",
         "_senders",
     )
 
@@ -50,12 +50,12 @@
         self._senders = senders
         self._clock = clock
         self._capacity = capacity
-        self._later: collections.OrderedDict[pins.SessionKey, pins.Pinned] = (
-            collections.OrderedDict()
-        )
-        self._remembered: collections.OrderedDict[
+        self._deferred: collections.OrderedDict[
             pins.SessionKey, pins.Pinned
         ] = collections.OrderedDict()
+        self._cache: collections.OrderedDict[pins.SessionKey, pins.Pinned] = (
+            collections.OrderedDict()
+        )
 
     async def pin(
         self,
@@ -81,12 +81,9 @@
                 request, timeout=timeout
             )
         except sender_module.NotAppendedError as error:
-            remembered = self._remembered.get(key)
-            if (
-                remembered is not None
-                and remembered.model_version not in unusable
-            ):
-                return remembered
+            cached = self._cache.get(key)
+            if cached is not None and cached.model_version not in unusable:
+                return cached
             raise errors.CodedError(
                 code=codes.Code.STORE_OUT,
                 detail="the session's version can't be found out",
@@ -96,7 +93,7 @@
             model_version=engine.ModelVersion.parse(reply.model_version),
             revision=reply.revision,
         )
-        self._remember(key, pinned)
+        self._cache_pin(key, pinned)
         return pinned
 
     def pin_later(
@@ -111,26 +108,30 @@
         Sessions beyond the capacity are forgotten, the oldest first: memory
         is bounded, and an outage may last for hours.
         """
-        self._later[key] = pins.Pinned(model_version=version, revision=revision)
-        while len(self._later) > self._capacity:
-            self._later.popitem(last=False)
+        self._deferred[key] = pins.Pinned(
+            model_version=version, revision=revision
+        )
+        while len(self._deferred) > self._capacity:
+            self._deferred.popitem(last=False)
 
     async def run(self) -> None:
         """Pins what was left for later, until cancelled."""
         while True:
-            await self._clock.sleep(_LATER_PAUSE)
-            while self._later and await self._pin_some():
+            await self._clock.sleep(_DEFERRED_PAUSE)
+            while self._deferred and await self._pin_deferred():
                 pass
 
-    async def _pin_some(self) -> bool:
+    async def _pin_deferred(self) -> bool:
         """Pins a few; returns whether all of them are durable now."""
-        chosen = list(itertools.islice(self._later.items(), _LATER_AT_ONCE))
+        batch = list(
+            itertools.islice(self._deferred.items(), _DEFERRED_BATCH_SIZE)
+        )
         pinned = await asyncio.gather(
-            *(self._pin_now(key, answered) for key, answered in chosen)
+            *(self._pin_one(key, answered) for key, answered in batch)
         )
         return all(pinned)
 
-    async def _pin_now(
+    async def _pin_one(
         self, key: pins.SessionKey, answered: pins.Pinned
     ) -> bool:
         try:
@@ -139,15 +140,15 @@
                 proposed=answered.model_version,
                 unusable=frozenset(),
                 revision=answered.revision,
-                timeout=_LATER_TIMEOUT,
+                timeout=_DEFERRED_TIMEOUT,
             )
         except errors.CodedError:
             return False
-        self._later.pop(key, None)
+        self._deferred.pop(key, None)
         return True
 
-    def _remember(self, key: pins.SessionKey, pinned: pins.Pinned) -> None:
-        self._remembered[key] = pinned
-        self._remembered.move_to_end(key)
-        while len(self._remembered) > self._capacity:
-            self._remembered.popitem(last=False)
+    def _cache_pin(self, key: pins.SessionKey, pinned: pins.Pinned) -> None:
+        self._cache[key] = pinned
+        self._cache.move_to_end(key)
+        while len(self._cache) > self._capacity:
+            self._cache.popitem(last=False)
--- a/src/nutmeghook/internal/ledger/settings.py
+++ b/src/nutmeghook/internal/ledger/settings.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-_MOST_KEPT_BYTES = 16_384
+_MAX_KEPT_BYTES = 16_384
 
 
 class LedgerSettings(msgspec.Struct, frozen=True, kw_only=True):
@@ -24,7 +24,7 @@
         max_batch: Records in one commit.
         max_batch_bytes: Size at which a commit takes no further answers.
         kept_answer_bytes: The largest answer that is kept for retries.
-        fold_records: Bills that are moved to the object store together.
+        archive_records: Bills that are moved to the object store together.
         store_timeout: The most to wait for a call to the platform's stores.
         failures_to_out: Calls that fail in a row before a store counts as
             out.
@@ -49,7 +49,7 @@
     max_batch: int = 2_000
     max_batch_bytes: int = 1_000_000
     kept_answer_bytes: int = 16_384
-    fold_records: int = 2_000
+    archive_records: int = 2_000
     store_timeout: datetime.timedelta = datetime.timedelta(seconds=2)
     failures_to_out: int = 3
     probe_every: datetime.timedelta = datetime.timedelta(milliseconds=500)
@@ -68,7 +68,7 @@
             "max_pending",
             "max_batch",
             "max_batch_bytes",
-            "fold_records",
+            "archive_records",
             "overflow_writes_per_s",
             "max_unsettled",
         ):
@@ -76,10 +76,10 @@
                 raise ValueError(
                     f"{name} is {getattr(self, name)}; give more than 0"
                 )
-        if not 0 <= self.kept_answer_bytes <= _MOST_KEPT_BYTES:
+        if not 0 <= self.kept_answer_bytes <= _MAX_KEPT_BYTES:
             raise ValueError(
                 f"kept_answer_bytes is {self.kept_answer_bytes}; give 0 to "
-                f"{_MOST_KEPT_BYTES}: many share one message"
+                f"{_MAX_KEPT_BYTES}: many share one message"
             )
         if self.window < datetime.timedelta(minutes=1):
             raise ValueError(
--- a/src/nutmeghook/internal/ledger/store_health.py
+++ b/src/nutmeghook/internal/ledger/store_health.py
@@ -16,13 +16,13 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.observe import events as events_module
 
-_T = TypeVar("_T")
+_ResultT = TypeVar("_ResultT")
 Probe = Callable[[], Awaitable[object]]
-SHORTEST_RETURN = datetime.timedelta(seconds=1)
-LONGEST_RETURN = datetime.timedelta(seconds=20)
+MIN_RETRY_AFTER = datetime.timedelta(seconds=1)
+MAX_RETRY_AFTER = datetime.timedelta(seconds=20)
 _JITTER_SHARE = 0.2
 # Calls at once; a slow store must not fill the instance with waiting calls.
-_CALLS_AT_ONCE = 128
+_MAX_CONCURRENT_CALLS = 128
 
 
 class StoreHealth:
@@ -71,7 +71,7 @@
         self._out = False
         self._out_since = datetime.timedelta()
 
-    def come_back_after(self) -> datetime.timedelta:
+    def suggested_retry_after(self) -> datetime.timedelta:
         """Returns when a caller refused because of this store should return.
 
         At the planned peak, callers who all return a second later are
@@ -80,10 +80,10 @@
         are told half its age, within bounds and spread over half of that, and
         the returns stay a fraction of the load.
         """
-        wait = SHORTEST_RETURN
+        wait = MIN_RETRY_AFTER
         if self._out:
             age = self._clock.monotonic() - self._out_since
-            wait = min(LONGEST_RETURN, max(SHORTEST_RETURN, age / 2))
+            wait = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, age / 2))
         return wait * (1 + 0.5 * self._random.random())
 
     @property
@@ -91,14 +91,14 @@
         """Whether work that needs the store first should be refused."""
         return self._out
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Takes in that the store answered."""
         self._failures = 0
         if self._out:
             self._out = False
             self._events.record(events_module.EventKind.STORE_BACK, self._name)
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Takes in that a call failed or took too long."""
         self._failures += 1
         if self._failures >= self._failures_to_out and not self._out:
@@ -112,17 +112,17 @@
             jitter = 1 + _JITTER_SHARE * (2 * self._random.random() - 1)
             await self._clock.sleep(self._probe_every * jitter)
             if self._out:
-                await self._try_probe()
+                await self._probe_once()
 
-    async def _try_probe(self) -> None:
+    async def _probe_once(self) -> None:
         try:
             await self._probe()
         except failures.PlatformError:
             return
-        self.note_success()
+        self.record_success()
 
 
-class _Watch:
+class _CallMonitor:
     """Bounds a store's calls in time and tells its health of each."""
 
     __slots__ = ("_clock", "_health", "_in_flight", "_timeout")
@@ -140,43 +140,46 @@
         self._in_flight = 0
 
     async def call(
-        self, start: Callable[[], Awaitable[_T]], *, writes: bool
-    ) -> _T:
+        self, start: Callable[[], Awaitable[_ResultT]], *, writes: bool
+    ) -> _ResultT:
         """Makes a call; one that takes too long has an unknown outcome."""
-        if self._in_flight >= _CALLS_AT_ONCE:
+        if self._in_flight >= _MAX_CONCURRENT_CALLS:
             raise failures.NotDoneError(
-                f"{_CALLS_AT_ONCE} calls are waiting already", overloaded=True
+                f"{_MAX_CONCURRENT_CALLS} calls are waiting already",
+                overloaded=True,
             )
         self._in_flight += 1
         try:
-            return await self._bounded(start(), writes=writes)
+            return await self._with_timeout(start(), writes=writes)
         finally:
             self._in_flight -= 1
 
-    async def _bounded(self, work: Awaitable[_T], *, writes: bool) -> _T:
+    async def _with_timeout(
+        self, work: Awaitable[_ResultT], *, writes: bool
+    ) -> _ResultT:
         try:
             result = await self._clock.wait_for(work, self._timeout)
         except TimeoutError as error:
-            self._health.note_failure()
+            self._health.record_failure()
             message = f"no answer within {self._timeout}"
             if writes:
                 raise failures.OutcomeUnknownError(message) from error
             raise failures.NotDoneError(message) from error
         except failures.NotDoneError as error:
             if not error.overloaded:
-                self._health.note_failure()
+                self._health.record_failure()
             raise
         except failures.OutcomeUnknownError:
-            self._health.note_failure()
+            self._health.record_failure()
             raise
-        self._health.note_success()
+        self._health.record_success()
         return result
 
 
-class WatchedTable(table_module.TableService):
+class MonitoredTable(table_module.TableService):
     """A table service whose every call has a timeout and is counted."""
 
-    __slots__ = ("_table", "_watch")
+    __slots__ = ("_monitor", "_table")
 
     def __init__(
         self,
@@ -187,11 +190,13 @@
         timeout: datetime.timedelta,
     ):
         self._table = table
-        self._watch = _Watch(health=health, clock=clock, timeout=timeout)
+        self._monitor = _CallMonitor(
+            health=health, clock=clock, timeout=timeout
+        )
 
     async def read(self, key: str) -> table_module.Row | None:
         """Returns the row, or None where there is none."""
-        return await self._watch.call(
+        return await self._monitor.call(
             lambda: self._table.read(key), writes=False
         )
 
@@ -199,7 +204,7 @@
         self, *, prefix: str, after: str = "", limit: int = 1000
     ) -> list[table_module.Row]:
         """Returns rows whose key has the prefix, in order of their keys."""
-        return await self._watch.call(
+        return await self._monitor.call(
             lambda: self._table.scan(prefix=prefix, after=after, limit=limit),
             writes=False,
         )
@@ -208,16 +213,16 @@
         self, transaction: table_module.Transaction
     ) -> table_module.CommitResult:
         """Applies the transaction if all its conditions hold."""
-        return await self._watch.call(
+        return await self._monitor.call(
             lambda: self._table.commit(transaction),
             writes=True,
         )
 
 
-class WatchedObjects(objects_module.ObjectStore):
+class MonitoredObjects(objects_module.ObjectStore):
     """An object store whose every call has a timeout and is counted."""
 
-    __slots__ = ("_objects", "_watch")
+    __slots__ = ("_monitor", "_objects")
 
     def __init__(
         self,
@@ -228,18 +233,20 @@
         timeout: datetime.timedelta,
     ):
         self._objects = objects
-        self._watch = _Watch(health=health, clock=clock, timeout=timeout)
+        self._monitor = _CallMonitor(
+            health=health, clock=clock, timeout=timeout
+        )
 
     async def put_if_absent(self, key: str, content: bytes) -> bool:
         """Stores the blob; returns False where the key exists already."""
-        return await self._watch.call(
+        return await self._monitor.call(
             lambda: self._objects.put_if_absent(key, content),
             writes=True,
         )
 
     async def get(self, key: str) -> bytes | None:
         """Returns the blob, or None where there is none."""
-        return await self._watch.call(
+        return await self._monitor.call(
             lambda: self._objects.get(key), writes=False
         )
 
@@ -247,7 +254,7 @@
         self, *, prefix: str, after: str = "", limit: int = 1000
     ) -> list[str]:
         """Returns the keys with the prefix greater than `after`, in order."""
-        return await self._watch.call(
+        return await self._monitor.call(
             lambda: self._objects.list_keys(
                 prefix=prefix, after=after, limit=limit
             ),
@@ -256,4 +263,4 @@
 
     async def delete(self, key: str) -> None:
         """Removes the blob, if it is there."""
-        await self._watch.call(lambda: self._objects.delete(key), writes=True)
+        await self._monitor.call(lambda: self._objects.delete(key), writes=True)
--- a/tests/cover/test_entry_http.py
+++ b/tests/cover/test_entry_http.py
@@ -19,7 +19,7 @@
 from tests import fakes
 
 # Only ends a test that would hang for ever.
-HANGS_AFTER_S = 30
+HANG_TIMEOUT_S = 30
 CHAT = "/v1/chat/completions"
 HEADERS = {"Authorization": f"Bearer {fake_config.TOKEN}"}
 QUESTION = {
@@ -61,7 +61,7 @@
         host, port = self.listener.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(request)
-        answer = await asyncio.wait_for(reader.read(), HANGS_AFTER_S)
+        answer = await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S)
         writer.close()
         return answer
 
@@ -150,7 +150,7 @@
         async with self.session.post(CHAT, data=b"x" * 100_000) as response:
             await self.assert_coded(response, codes.Code.BAD_JSON)
 
-    async def test_a_slow_sender_is_told_and_dropped(self):
+    async def test_a_slow_sender_is_refused(self):
         """The caller's body stops in mid-way; it holds no place for ever."""
         host, port = self.listener.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -161,7 +161,7 @@
         )
         await entry_fixture.until(lambda: self.drain.in_flight)
         await self.fixture.clock.advance(bodies.BODY_TIMEOUT)
-        answer = await asyncio.wait_for(reader.read(), HANGS_AFTER_S)
+        answer = await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S)
         self.assertIn(b"SLOW_SENDER", answer)
         self.assertEqual(self.drain.in_flight, 0)
         writer.close()
@@ -213,7 +213,7 @@
         self.assertEqual(dict(self.fixture.engines), {})
 
 
-class SteeringTest(HTTPCase):
+class RequestHeadersAndPathsTest(HTTPCase):
     """What headers change."""
 
     async def test_priority_can_only_be_lowered(self):
@@ -253,18 +253,18 @@
         self.assertEqual(self.fixture.services.calls, [])
 
 
-class WatchedListener:
+class RecordingListener:
     """Notes whether the listener was stopped."""
 
     def __init__(self, listener):
-        self.close_door = listener.close_door
+        self.stop_accepting = listener.stop_accepting
         self.stopped = False
 
     async def stop(self):
         self.stopped = True
 
 
-class GoingTest(HTTPCase):
+class DisconnectAndDrainTest(HTTPCase):
     """Callers that go, and this instance going."""
 
     async def test_a_request_still_arriving_is_not_cut(self):
@@ -273,7 +273,7 @@
         The request reached this instance before it refused new ones; until
         it has its answer the connections are not closed.
         """
-        watched = WatchedListener(self.listener)
+        recording = RecordingListener(self.listener)
         body = json.dumps(QUESTION).encode()
         host, port = self.listener.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -287,13 +287,13 @@
             shutdown.shut_down(
                 clock=self.fixture.clock,
                 drain=self.drain,
-                listener=watched,
+                listener=recording,
                 dispatcher=self.dispatcher,
                 lag=datetime.timedelta(),
             )
         )
         await fakes.settle()
-        self.assertFalse(watched.stopped)
+        self.assertFalse(recording.stopped)
         writer.write(body)
         self.assertIn(b"holds.", await reader.read())
         await leaving
--- a/tests/cover/test_entry_start.py
+++ b/tests/cover/test_entry_start.py
@@ -12,14 +12,14 @@
 from tests.cover import test_entry_http
 
 
-class FirstMomentsTest(test_entry_http.HTTPCase):
+class BeforeConfigurationTest(test_entry_http.HTTPCase):
     """Before the first configuration has arrived."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.fixture.config.current = documents.EMPTY_SNAPSHOT
 
-    async def test_a_good_token_is_not_called_unknown(self):
+    async def test_valid_token_is_not_rejected_before_configuration(self):
         """The platform starts a new instance; the balancer sends it a request
         before its first configuration has come. Every token is unknown to it
         then. A caller told "bad token" would give up for good on a request
@@ -33,7 +33,7 @@
         response = await self.session.get("/v1/models")
         await self.assert_coded(response, codes.Code.STALE_CONFIG)
 
-    async def test_a_wrong_token_is_told_once_there_is_a_configuration(self):
+    async def test_wrong_token_is_rejected_after_configuration(self):
         self.fixture.config.current = fake_config.snapshot()
         response = await self.session.post(
             test_entry_http.CHAT,
--- a/tests/cover/test_guarantees_checks.py
+++ b/tests/cover/test_guarantees_checks.py
@@ -10,29 +10,31 @@
 ]
 
 
-def seen(*told):
+def revisions_seen(*reports):
     return [
         checks.RevisionSeen(instance=name, asked_ms=asked_ms, revision=revision)
-        for name, asked_ms, revision in told
+        for name, asked_ms, revision in reports
     ]
 
 
 class RevisionChecksTest(unittest.TestCase):
-    def rules(self, *told, frozen=()):
+    def rules(self, *reports, frozen=()):
         found = checks.check_revisions(
-            seen(*told), ACCEPTED, frozen=frozenset(frozen)
+            revisions_seen(*reports), ACCEPTED, frozen=frozenset(frozen)
         )
         return [(v.rule, v.marker) for v in found]
 
-    def test_moving_forward_in_time_is_right(self):
-        told = (("a", 0, 1), ("b", 99, 1), ("a", 99, 3), ("b", 150, 2))
-        self.assertEqual(self.rules(*told, ("b", 201, 3)), [])
+    def test_newer_revisions_in_time_break_no_rule(self):
+        reports = (("a", 0, 1), ("b", 99, 1), ("a", 99, 3), ("b", 150, 2))
+        self.assertEqual(self.rules(*reports, ("b", 201, 3)), [])
 
-    def test_each_instance_is_judged_by_its_own_past(self):
-        told = (("a", 0, 3), ("b", 1, 2), ("a", 2, 2), ("a", 3, 3))
-        self.assertEqual(self.rules(*told), [(checks.Rule.REVERTED, "a")])
+    def test_each_instance_is_checked_against_its_own_history(self):
+        reports = (("a", 0, 3), ("b", 1, 2), ("a", 2, 2), ("a", 3, 3))
+        self.assertEqual(self.rules(*reports), [(checks.Rule.REVERTED, "a")])
 
-    def test_late_is_told_and_frozen_ones_may_not_go_back_either(self):
+    def test_late_revisions_are_reported_and_frozen_instances_must_not_revert(
+        self,
+    ):
         late = (checks.Rule.NOT_IN_FORCE, "a")
         self.assertEqual(self.rules(("a", 101, 1)), [late])
         self.assertEqual(self.rules(("a", 101, 1), frozen="a"), [])
@@ -43,7 +45,7 @@
 
 
 class DepartureChecksTest(unittest.TestCase):
-    def test_only_runs_begun_after_the_bound_are_told(self):
+    def test_only_runs_started_after_the_bound_are_reported(self):
         runs = [
             checks.Run(request_id="", marker=f"w{at_ms}", started_ms=at_ms)
             for at_ms in (1.0, 10.0, 11.0)
--- a/tests/cover/test_history_checks.py
+++ b/tests/cover/test_history_checks.py
@@ -113,8 +113,10 @@
         twice = evidence_of([one_work("a")], runs=[run, again])
         self.assertEqual(rules_broken(twice), {checks.Rule.RAN_TWICE})
         refused = one_try("a", outcome=history.TryOutcome.NOT_RUN)
-        lied = evidence_of([one_work("a", refused)], runs=[run])
-        self.assertEqual(rules_broken(lied), {checks.Rule.FALSE_NOT_RUN})
+        false_refusal = evidence_of([one_work("a", refused)], runs=[run])
+        self.assertEqual(
+            rules_broken(false_refusal), {checks.Rule.FALSE_NOT_RUN}
+        )
 
     def test_bills_missing_and_doubled(self):
         missing = evidence_of([one_work("a")], bills=[])
--- a/tests/cover/test_ledger_bills.py
+++ b/tests/cover/test_ledger_bills.py
@@ -38,7 +38,7 @@
             if isinstance(record, records.FinishRecord)
         ]
 
-    async def store_out(self):
+    async def stop_table(self):
         """Takes the table service out and waits until that is noticed."""
         self.cluster.table.faults.down = True
         await self.cluster.until(
@@ -77,7 +77,7 @@
         Their bills go to the object store, so they get their last byte. When
         the table service is back the bills are moved to the log, once.
         """
-        await self.store_out()
+        await self.stop_table()
         keys = [f"k{number}" for number in range(20)]
         await self.finish(self.one, *keys)
         self.assertTrue(self.one.ledger.accepting_work())
@@ -93,7 +93,7 @@
         The holder of partition 0 finds objects of an instance that is gone
         and moves their bills to the log.
         """
-        await self.store_out()
+        await self.stop_table()
         await self.finish(self.one, "k1", "k2")
         self.cluster.kill(self.one.address[0])
         self.cluster.table.faults.down = False
@@ -106,7 +106,7 @@
 
         It is in both places, and moved again by the sweep: one bill still.
         """
-        await self.store_out()
+        await self.stop_table()
         await self.finish(self.one, "k")
         self.cluster.objects.faults.lose_next_requests = 1
         self.cluster.table.faults.down = False
@@ -123,7 +123,7 @@
 
         The same put is repeated until its outcome is certain: one bill.
         """
-        await self.store_out()
+        await self.stop_table()
         self.cluster.objects.faults.lose_next_answers = 1
         await self.finish(self.one, "k")
         self.assertEqual(await self.cluster.billed(), ["k"])
@@ -135,7 +135,7 @@
         work is refused, and the bill is recorded once a store is back.
         """
         self.cluster.objects.faults.down = True
-        await self.store_out()
+        await self.stop_table()
         with self.assertRaises(errors.CodedError) as raised:
             await self.finish(self.one, "k", patience=5)
         self.assertIs(raised.exception.code, codes.Code.BILL_UNSETTLED)
@@ -171,7 +171,7 @@
         self.assertEqual(await self.cluster.billed(), ["k"])
 
     async def test_drain_moves_overflow_and_settles(self):
-        await self.store_out()
+        await self.stop_table()
         await self.finish(self.one, "k")
         self.cluster.table.faults.down = False
         await self.cluster.until(lambda: self.cluster.holder() is not None)
--- a/tests/cover/test_ledger_claims.py
+++ b/tests/cover/test_ledger_claims.py
@@ -154,7 +154,7 @@
         self.assertEqual(await self.claims_in_log(), ["r1", "r2"])
         self.assertEqual(await self.claim(self.other, "r3"), RUNNING)
 
-    async def test_store_down_refuses_at_once_and_truly(self):
+    async def test_store_outage_refuses_claims_at_once_and_records_none(self):
         """The table service is down: claims are refused as not run.
 
         Once that is known no claim waits, and when the service is back the
--- a/tests/cover/test_ledger_returns.py
+++ b/tests/cover/test_ledger_retry_after.py
@@ -12,10 +12,10 @@
 from nutmeghook.internal.ledger import store_health
 from nutmeghook.internal.observe import events
 
-REFUSED = 400
+REFUSED_CALLERS = 400
 
 
-async def never_answers():
+async def probe_never_answers():
     """Probes a store that stays out."""
 
 
@@ -26,14 +26,14 @@
         events=events.EventRing(clock=clock),
         rng=random.Random(1),
         failures_to_out=1,
-        probe=never_answers,
+        probe=probe_never_answers,
         probe_every=datetime.timedelta(seconds=1),
     )
 
 
-class ReturnsTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     @hypothesis.given(strategies.integers(4, 3600))
-    def test_returns_thin_out_and_spread_as_an_outage_lasts(self, age_s):
+    def test_retry_after_grows_and_spreads_as_an_outage_lasts(self, age_s):
         """The table service is out for an hour. Every refused caller was told
         to come back after one second, so at the planned peak the refused of
         many seconds came back in each. They must be told later the longer it
@@ -42,22 +42,22 @@
         """
         clock = clock_module.FakeClock()
         health = health_of(clock)
-        health.note_failure()
+        health.record_failure()
         asyncio.run(clock.advance(datetime.timedelta(seconds=age_s)))
-        waits = [health.come_back_after() for _ in range(REFUSED)]
+        waits = [health.suggested_retry_after() for _ in range(REFUSED_CALLERS)]
         least = min(
-            store_health.LONGEST_RETURN, datetime.timedelta(seconds=age_s / 2)
+            store_health.MAX_RETRY_AFTER, datetime.timedelta(seconds=age_s / 2)
         )
         self.assertGreaterEqual(min(waits), least)
-        self.assertLessEqual(max(waits), store_health.LONGEST_RETURN * 1.5)
+        self.assertLessEqual(max(waits), store_health.MAX_RETRY_AFTER * 1.5)
         self.assertGreater(max(waits) - min(waits), least / 4)
 
-    def test_a_store_that_is_back_holds_nobody_off(self):
+    def test_retry_after_is_short_once_the_store_is_back(self):
         clock = clock_module.FakeClock()
         health = health_of(clock)
-        health.note_failure()
+        health.record_failure()
         asyncio.run(clock.advance(datetime.timedelta(minutes=10)))
-        health.note_success()
+        health.record_success()
         self.assertLessEqual(
-            health.come_back_after(), store_health.SHORTEST_RETURN * 1.5
+            health.suggested_retry_after(), store_health.MIN_RETRY_AFTER * 1.5
         )
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -61,7 +61,7 @@
         self.assertEqual(await self.said("agency"), [table_out, unread])
 
         for _ in range(self.cluster.settings.failures_to_out):
-            ledger.objects_health.note_failure()
+            ledger.objects_health.record_failure()
         self.assertIn("object store to be out", (await self.said())[1])
 
         self.cluster.table.faults.down = False
--- a/tests/ledger_history.py
+++ b/tests/ledger_history.py
@@ -91,11 +91,11 @@
         for step in range(steps):
             self._epoch = step // _EPOCH_STEPS
             if self.random.random() < 0.25:
-                self._do_fault()
+                self._inject_fault()
             else:
-                self._do_operation()
+                self._start_operation()
             await self.cluster.pass_time(self.random.randint(1, 400) * _MS)
-        await self._calm_down()
+        await self._settle()
         self.history.check(await self.cluster.billed())
         await self.cluster.stop()
         return self.history
@@ -104,7 +104,7 @@
         self.cluster.start(name)
         self._tasks[name] = set()
 
-    def _do_operation(self) -> None:
+    def _start_operation(self) -> None:
         names = sorted(self.cluster.instances)
         if not names:
             return
@@ -150,19 +150,19 @@
             self._check_answer(key, result)
         if result.state is not ledger.ClaimState.WON:
             return
-        fate = self.random.random()
-        if fate < 0.2:
+        outcome = self.random.random()
+        if outcome < 0.2:
             await instance.client.release(identity, request_id=request_id)
             return
         self.history.runs[key].append(request_id)
-        await self._run_for_a_while(instance)
-        if fate < 0.3:
+        await self._run_request(instance)
+        if outcome < 0.3:
             await instance.client.mark_unknown(identity, request_id=request_id)
             return
         await self._finish(instance, key, request_id, given=True)
 
     async def _minted(self, instance, key: str) -> None:
-        await self._run_for_a_while(instance)
+        await self._run_request(instance)
         await self._finish(instance, key, key, given=False)
 
     async def _finish(self, instance, key, request_id, *, given) -> None:
@@ -181,7 +181,7 @@
             return
         self.history.finished.add(key)
 
-    async def _run_for_a_while(self, instance) -> None:
+    async def _run_request(self, instance) -> None:
         clock = self.cluster.network.clock_of(instance.address)
         await clock.sleep(self.random.randint(1, 3000) * _MS)
 
@@ -211,7 +211,7 @@
         if body.decode() not in self.history.runs[key]:
             self.history.violations.append(f"{key} got a foreign answer")
 
-    def _do_fault(self) -> None:
+    def _inject_fault(self) -> None:
         self.history.faults += 1
         self.random.choice(
             [
@@ -219,9 +219,9 @@
                 self._freeze,
                 self._thaw,
                 self._cut,
-                self._mistake,
+                self._hide_member,
                 self._heal,
-                self._lose,
+                self._lose_messages,
                 self._make_late,
                 self._toggle_table,
                 self._toggle_objects,
@@ -263,7 +263,7 @@
     def _cut(self) -> None:
         self.cluster.network.cut(self._some_address(), self._some_address())
 
-    def _mistake(self) -> None:
+    def _hide_member(self) -> None:
         viewer, viewed = self.random.sample(_NAMES, 2)
         self.cluster.hidden.add((f"{viewer}:1", f"{viewed}:1"))
 
@@ -271,7 +271,7 @@
         self.cluster.hidden.clear()
         self.cluster.network.heal_all()
 
-    def _lose(self) -> None:
+    def _lose_messages(self) -> None:
         faults = self._some_store().faults
         faults.lose_next_answers = self.random.randint(0, 3)
         faults.lose_next_requests = self.random.randint(0, 2)
@@ -312,7 +312,7 @@
             store.faults.lose_next_answers = 0
             store.faults.lose_next_requests = 0
 
-    async def _calm_down(self) -> None:
+    async def _settle(self) -> None:
         """Ends all faults and gives everything the time to settle."""
         self._end_faults()
         await self.cluster.pass_time(40 * _SECOND)
--- a/tests/slow/test_ledger_history.py
+++ b/tests/slow/test_ledger_history.py
@@ -45,7 +45,7 @@
 
     def test_the_check_finds_a_second_run(self):
         """A seeded defect: a dead claimant's key may be claimed again."""
-        decide = index.PartitionIndex._decide_repeated
+        decide = index.PartitionIndex._decide_repeated_claim
 
         def defective(self, claim, entry):
             if entry.state is entries.EntryState.CLAIMED:
@@ -54,7 +54,7 @@
             return decide(self, claim, entry)
 
         with mock.patch.object(
-            index.PartitionIndex, "_decide_repeated", defective
+            index.PartitionIndex, "_decide_repeated_claim", defective
         ):
             found = _violations(range(3))
         self.assertTrue([v for v in found if " ran " in v], found)
