--- a/src/nutmeghook/experiment/caller.py
+++ b/src/nutmeghook/experiment/caller.py
@@ -189,7 +189,7 @@
             request_id=self.request_id,
             code_number=self.code_number,
             retry_after_ms=self.retry_after_ms,
-            served_version=answers.version_in(text),
+            served_version=answers.first_version(text),
             first_token_ms=self.first_token_ms,
             text=text,
         )
--- a/src/nutmeghook/experiment/checks.py
+++ b/src/nutmeghook/experiment/checks.py
@@ -170,7 +170,7 @@
     if work.kind in history.PLAIN_KINDS:
         return None if work.marker in text else Rule.CROSSED
     try:
-        seen = answers.read_answer(text)
+        seen = answers.parse_answer(text)
     except answers.DamagedAnswerError:
         return Rule.CROSSED
     if seen.marker != work.marker:
--- a/src/nutmeghook/experiment/platform_trial.py
+++ b/src/nutmeghook/experiment/platform_trial.py
@@ -176,7 +176,7 @@
         self.close_door(replica.replica_id)
         await asyncio.sleep(RESTART_S)
         self.forget(replica.replica_id)
-        self.operator.strike_replica(replica.replica_id)
+        self.operator.delist_replica(replica.replica_id)
         await self.add_replica(f"{version}-after-crash-{number}", version)
 
     def order_bad_version(self) -> None:
@@ -288,7 +288,7 @@
         return found
 
     def reply(
-        self, request: users_replica.SeenRequest, version: str
+        self, request: users_replica.ReceivedRequest, version: str
     ) -> users_replica.Reply:
         """Returns what a replica does with a request."""
         drawn = self._random.random()
@@ -355,7 +355,7 @@
     trial.store.fault = users_store.StoreFault.NONE
     crashed = trial.replicas["v1-0"]
     await crashed.stop()
-    trial.operator.strike_replica("v1-0")
+    trial.operator.delist_replica("v1-0")
     trial.stop_statuses.append(await stopping)
     await stopped.start()
     await trial.until_served(stopped)
--- a/src/nutmeghook/experiment/report.py
+++ b/src/nutmeghook/experiment/report.py
@@ -111,7 +111,7 @@
 
 
 def _is_bad(answer: history.Try) -> bool:
-    return answers.BAD_SIGN in answer.text
+    return answers.BAD_SUFFIX in answer.text
 
 
 def kinds_table(works: list[history.Work]) -> list[str]:
--- a/src/nutmeghook/experiment/soak_checks.py
+++ b/src/nutmeghook/experiment/soak_checks.py
@@ -100,7 +100,7 @@
     calls: list[platform_checks.CallSeen]
     troubles: list[Trouble]
     removals: list[KeyRemoval]
-    seen: dict[str, list[users_replica.SeenRequest]]
+    seen: dict[str, list[users_replica.ReceivedRequest]]
     runs: dict[str, int]
     broken: set[str]
     given_up: set[str]
@@ -314,7 +314,7 @@
         yield f"a request that had ended three replicas was sent {late} times"
 
 
-def _arrivals(history: History) -> Iterator[users_replica.SeenRequest]:
+def _arrivals(history: History) -> Iterator[users_replica.ReceivedRequest]:
     for requests in history.seen.values():
         yield from requests
 
--- a/src/nutmeghook/experiment/soak_evacuations.py
+++ b/src/nutmeghook/experiment/soak_evacuations.py
@@ -26,7 +26,7 @@
             data_centre=DATA_CENTRE, from_s=from_s, to_s=loop.time()
         )
     )
-    trial.operator.take_back(DATA_CENTRE)
+    trial.operator.end_evacuation(DATA_CENTRE)
     await asyncio.sleep(draw.uniform(0.0, 2.0))
     with trial.noted("cold return"):
         await _return_cold(trial, draw)
@@ -48,7 +48,7 @@
         trial.forget(replica_id)
         await replica.stop()
         trial.replica_proxies[replica_id].reset_all()
-        trial.operator.strike_replica(replica_id)
+        trial.operator.delist_replica(replica_id)
     await asyncio.sleep(draw.uniform(0.2, 1.0))
     for number in range(len(ended)):
         await trial.add_replica(
--- a/src/nutmeghook/experiment/soak_trial.py
+++ b/src/nutmeghook/experiment/soak_trial.py
@@ -77,7 +77,7 @@
         return proxy.address
 
     def reply(
-        self, request: users_replica.SeenRequest, version: str
+        self, request: users_replica.ReceivedRequest, version: str
     ) -> users_replica.Reply:
         """Notes which answers the replica itself breaks off."""
         reply = super().reply(request, version)
@@ -144,7 +144,7 @@
             calls=self.calls,
             troubles=self.troubles,
             removals=self.removals,
-            seen={i: replica.seen for i, replica in replicas.items()},
+            seen={i: replica.received for i, replica in replicas.items()},
             runs=self.runs(),
             broken=self.broken,
             given_up=self.given_up,
--- a/src/nutmeghook/experiment/soak_troubles.py
+++ b/src/nutmeghook/experiment/soak_troubles.py
@@ -162,7 +162,7 @@
             store.fault = fault
             await asyncio.sleep(pause_s)
             store.fault = users_store.StoreFault.NONE
-            store.do_late_writes()
+            store.apply_late_writes()
 
     async def _forget_history(self, draw: random.Random) -> None:
         with self._trial.noted("store forgets its history"):
@@ -196,7 +196,7 @@
             await self._trial.replicas[replica_id].stop()
             self._trial.replica_proxies[replica_id].reset_all()
             await asyncio.sleep(_while_s(draw))
-            self._trial.operator.strike_replica(replica_id)
+            self._trial.operator.delist_replica(replica_id)
             self._trial.forget(replica_id)
             await self._replace_replica()
 
@@ -216,7 +216,7 @@
             asyncio.get_running_loop().time()
         )
         await asyncio.sleep(2 * soak_checks.DRAINED_S)
-        self._trial.operator.strike_replica(replica_id)
+        self._trial.operator.delist_replica(replica_id)
 
     def _some_replica(self, draw: random.Random) -> str:
         return draw.choice(
--- a/src/nutmeghook/internal/standin_http/checked_body.py
+++ b/src/nutmeghook/internal/standin_http/checked_body.py
@@ -44,10 +44,10 @@
                 raise
         await super().write_with_length(writer, content_length)
 
-    def sorted_failure(
+    def to_platform_error(
         self, error: Exception, peer: str
     ) -> failures.PlatformError:
         """Returns the platform error that a client error stands for."""
         if self.withheld is not None:
             return self.withheld
-        return http_exchange.sorted_failure(error, peer)
+        return http_exchange.to_platform_error(error, peer)
--- a/src/nutmeghook/internal/standin_http/http_engine.py
+++ b/src/nutmeghook/internal/standin_http/http_engine.py
@@ -21,7 +21,7 @@
 CACHE_CONTENT_PATH = "/v1/cache/content"
 
 # Longest silence on a stream, the wait in the engine's queue included.
-SILENCE_TIMEOUT = datetime.timedelta(seconds=60)
+READ_TIMEOUT = datetime.timedelta(seconds=60)
 # The end of the body comes right behind the last line; waiting so long for it
 # saves a new connection for the next generation.
 END_TIMEOUT = datetime.timedelta(seconds=1)
@@ -64,8 +64,8 @@
     __slots__ = (
         "_address",
         "_exchange",
+        "_read_timeout_s",
         "_session",
-        "_silence_s",
         "_timeout",
         "_url",
     )
@@ -77,7 +77,7 @@
         address: str,
         connect_timeout: datetime.timedelta,
         answer_timeout: datetime.timedelta,
-        silence_timeout: datetime.timedelta,
+        read_timeout: datetime.timedelta,
     ):
         self._session = session
         self._address = address
@@ -91,7 +91,7 @@
         self._timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=connect_timeout.total_seconds()
         )
-        self._silence_s = silence_timeout.total_seconds()
+        self._read_timeout_s = read_timeout.total_seconds()
 
     async def generate(
         self, generation: engine.Generation
@@ -117,12 +117,12 @@
         `contextlib.aclosing` to make that happen at once.
         """
         response = None
-        watch = None
+        read_timeout = None
         body = checked_body.CheckedBody(
             content=_encoder.encode(generation), check_send=check_send
         )
         try:
-            async with asyncio.timeout(self._silence_s):
+            async with asyncio.timeout(self._read_timeout_s):
                 response = await self._session.post(
                     self._url,
                     data=body,
@@ -130,14 +130,14 @@
                     timeout=self._timeout,
                     allow_redirects=False,
                 )
-            watch = _SilenceWatch(response, self._silence_s)
+            read_timeout = _ReadTimeout(response, self._read_timeout_s)
             if response.status != 200:
                 raise await self._refusal(response)
             # Pieces, not lines: reading line by line cost a fifth more
             # processor time a token, and this is the hot path.
             rest = b""
             async for piece in response.content.iter_any():
-                watch.note_piece()
+                read_timeout.record_data()
                 lines, rest = _whole_lines(rest + piece if rest else piece)
                 chunks = _chunk_decoder.decode_lines(lines)
                 if not chunks or chunks[-1].finish is None:
@@ -151,14 +151,14 @@
                 f"{self._address}: the stream ended before its last chunk"
             )
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise body.sorted_failure(error, self._address) from error
+            raise body.to_platform_error(error, self._address) from error
         except msgspec.DecodeError as error:
             raise failures.OutcomeUnknownError(
                 f"{self._address}: a chunk can't be read: {error}"
             ) from error
         finally:
-            if watch is not None:
-                watch.stop()
+            if read_timeout is not None:
+                read_timeout.stop()
             if response is not None:
                 # Does nothing where the body was read to its end.
                 response.close()
@@ -210,36 +210,36 @@
         )
 
 
-class _SilenceWatch:
+class _ReadTimeout:
     """Closes a response on which nothing has come for too long.
 
     The library's own read timeout sets a timer anew with each piece, at 2 us
     each; this one looks now and then when the last piece came.
     """
 
-    __slots__ = ("_last_s", "_limit_s", "_loop", "_response", "_timer")
+    __slots__ = ("_last_data_s", "_limit_s", "_loop", "_response", "_timer")
 
     def __init__(self, response: aiohttp.ClientResponse, limit_s: float):
         self._loop = asyncio.get_running_loop()
         self._response = response
         self._limit_s = limit_s
-        self._last_s = self._loop.time()
-        self._timer = self._loop.call_later(limit_s, self._look)
+        self._last_data_s = self._loop.time()
+        self._timer = self._loop.call_later(limit_s, self._check)
 
-    def note_piece(self) -> None:
+    def record_data(self) -> None:
         """Notes that something came."""
-        self._last_s = self._loop.time()
+        self._last_data_s = self._loop.time()
 
     def stop(self) -> None:
         """Ends the watch."""
         self._timer.cancel()
 
-    def _look(self) -> None:
-        left_s = self._last_s + self._limit_s - self._loop.time()
-        if left_s <= 0:
+    def _check(self) -> None:
+        remaining_s = self._last_data_s + self._limit_s - self._loop.time()
+        if remaining_s <= 0:
             self._response.close()
             return
-        self._timer = self._loop.call_later(left_s, self._look)
+        self._timer = self._loop.call_later(remaining_s, self._check)
 
 
 class HttpEngineConnector(engine.EngineConnector):
@@ -248,8 +248,8 @@
     __slots__ = (
         "_answer_timeout",
         "_connect_timeout",
+        "_read_timeout",
         "_session",
-        "_silence_timeout",
     )
 
     def __init__(
@@ -258,12 +258,12 @@
         session: aiohttp.ClientSession,
         connect_timeout: datetime.timedelta = http_exchange.CONNECT_TIMEOUT,
         answer_timeout: datetime.timedelta = http_exchange.ANSWER_TIMEOUT,
-        silence_timeout: datetime.timedelta = SILENCE_TIMEOUT,
+        read_timeout: datetime.timedelta = READ_TIMEOUT,
     ):
         self._session = session
         self._connect_timeout = connect_timeout
         self._answer_timeout = answer_timeout
-        self._silence_timeout = silence_timeout
+        self._read_timeout = read_timeout
 
     def connect(self, address: str) -> engine.Engine:
         """Returns the engine at `ip:port`; connects on first use."""
@@ -272,7 +272,7 @@
             address=address,
             connect_timeout=self._connect_timeout,
             answer_timeout=self._answer_timeout,
-            silence_timeout=self._silence_timeout,
+            read_timeout=self._read_timeout,
         )
 
 
--- a/src/nutmeghook/internal/standin_http/http_exchange.py
+++ b/src/nutmeghook/internal/standin_http/http_exchange.py
@@ -24,8 +24,8 @@
 JSON_HEADERS = {"Content-Type": "application/json"}
 # Reads that are made each second by every instance say no more than needed;
 # the library's own headers are half of their bytes.
-_LEAN_HEADERS = {"Accept-Encoding": "identity"}
-_SKIPPED_HEADERS = ("Accept", "User-Agent")
+_MINIMAL_HEADERS = {"Accept-Encoding": "identity"}
+_OMITTED_HEADERS = ("Accept", "User-Agent")
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
@@ -98,7 +98,7 @@
     )
 
 
-def sorted_failure(error: Exception, peer: str) -> failures.PlatformError:
+def to_platform_error(error: Exception, peer: str) -> failures.PlatformError:
     """Returns the platform error that an HTTP client error stands for.
 
     A reused connection that the other side closed meanwhile shows as a
@@ -189,7 +189,7 @@
         Raises:
             failures.NotDoneError: Whatever went wrong, a read did nothing.
         """
-        headers = dict(_LEAN_HEADERS)
+        headers = dict(_MINIMAL_HEADERS)
         if entity_tag:
             headers["If-None-Match"] = entity_tag
         try:
@@ -197,7 +197,7 @@
                 self._base_url + path,
                 params=params,
                 headers=headers,
-                skip_auto_headers=_SKIPPED_HEADERS,
+                skip_auto_headers=_OMITTED_HEADERS,
                 timeout=self._timeout,
                 allow_redirects=False,
             ) as response:
@@ -248,7 +248,7 @@
             ) as response:
                 answer = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise sorted_failure(error, self._peer + path) from error
+            raise to_platform_error(error, self._peer + path) from error
         if response.status == 204:
             return None
         if response.status != 200:
--- a/src/nutmeghook/internal/standin_http/http_instances.py
+++ b/src/nutmeghook/internal/standin_http/http_instances.py
@@ -35,7 +35,7 @@
     total: int | None = None
 
 
-_Lines = dict[str, instances.ListedInstance]
+_Entries = dict[str, instances.ListedInstance]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -43,10 +43,10 @@
     """A list as it was read; never changed, so reads may overlap."""
 
     entity_tag: str
-    lines: _Lines
+    entries: _Entries
 
 
-_NOTHING_KNOWN = _KnownList(entity_tag="", lines={})
+_NOTHING_KNOWN = _KnownList(entity_tag="", entries={})
 _decoder = msgspec.json.Decoder(InstancesAnswer)
 
 
@@ -72,7 +72,7 @@
                 f"{LIST_PATH}: changes came where the whole list was asked for"
             )
         self._known = read
-        return list(read.lines.values())
+        return list(read.entries.values())
 
     async def _read(self, known: _KnownList) -> _KnownList | None:
         """Returns the list after `known`; None if the answer doesn't fit."""
@@ -86,20 +86,22 @@
             answer = _decoder.decode(tagged.body)
         except msgspec.DecodeError as error:
             raise failures.NotDoneError(f"{LIST_PATH}: {error}") from error
-        lines = _lines_after(known, answer)
-        if lines is None:
+        entries = _entries_after(known, answer)
+        if entries is None:
             return None
-        return _KnownList(entity_tag=tagged.entity_tag, lines=lines)
+        return _KnownList(entity_tag=tagged.entity_tag, entries=entries)
 
 
-def _lines_after(known: _KnownList, answer: InstancesAnswer) -> _Lines | None:
+def _entries_after(
+    known: _KnownList, answer: InstancesAnswer
+) -> _Entries | None:
     """Returns the lines that an answer stands for; None if it doesn't fit."""
-    changed = {line.address: line for line in answer.instances}
+    changed = {entry.address: entry for entry in answer.instances}
     if answer.since is None:
         return changed
     if not known.entity_tag or answer.since != known.entity_tag:
         return None
-    lines = known.lines | changed
+    entries = known.entries | changed
     for address in answer.removed:
-        lines.pop(address, None)
-    return lines if len(lines) == answer.total else None
+        entries.pop(address, None)
+    return entries if len(entries) == answer.total else None
--- a/src/nutmeghook/internal/standin_http/http_plain.py
+++ b/src/nutmeghook/internal/standin_http/http_plain.py
@@ -71,7 +71,7 @@
             ) as response:
                 body = await self._read_body(response)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise http_exchange.sorted_failure(error, address) from error
+            raise http_exchange.to_platform_error(error, address) from error
         _raise_if_refused(address, response, body)
         return plain.PlainAnswer(
             status=response.status,
@@ -81,10 +81,10 @@
 
     async def _read_body(self, response: aiohttp.ClientResponse) -> bytes:
         pieces = []
-        left_bytes = self._max_answer_bytes
+        remaining_bytes = self._max_answer_bytes
         async for piece in response.content.iter_any():
-            left_bytes -= len(piece)
-            if left_bytes < 0:
+            remaining_bytes -= len(piece)
+            if remaining_bytes < 0:
                 response.close()
                 raise failures.OutcomeUnknownError(
                     f"the answer is over {self._max_answer_bytes} bytes"
@@ -105,7 +105,7 @@
     try:
         return await handler(request)
     except (aiohttp.ClientError, OSError) as error:
-        raise http_exchange.sorted_failure(
+        raise http_exchange.to_platform_error(
             error, request.url.authority
         ) from error
 
--- a/src/nutmeghook/standins/answers.py
+++ b/src/nutmeghook/standins/answers.py
@@ -11,8 +11,8 @@
 
 from nutmeghook.internal.dependencies import engine
 
-BAD_SIGN = "!bad"
-END_SIGN = "/end"
+BAD_SUFFIX = "!bad"
+END_SUFFIX = "/end"
 # In a prompt `marker=w1` or `"marker": "w1"`; the same in a path or a body.
 _MARKER = re.compile(r"\bmarker\W{1,5}([\w.-]+)")
 _TOKEN = re.compile(
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class SeenAnswer:
+class ParsedAnswer:
     """What a text says of itself.
 
     Attributes:
@@ -63,12 +63,12 @@
     last: bool,
 ) -> str:
     """Returns the text of one token."""
-    sign = BAD_SIGN if bad else ""
-    end = END_SIGN if last else ""
+    sign = BAD_SUFFIX if bad else ""
+    end = END_SUFFIX if last else ""
     return f"{marker}/{model_version}{sign}/{index}{end} "
 
 
-def read_answer(text: str) -> SeenAnswer:
+def parse_answer(text: str) -> ParsedAnswer:
     """Reads an answer and checks that it is one piece.
 
     Raises:
@@ -86,7 +86,7 @@
             raise DamagedAnswerError(
                 f"word {position} is {token[0]!r} after {first[0]!r}"
             )
-    return SeenAnswer(
+    return ParsedAnswer(
         marker=first["marker"],
         model_version=engine.ModelVersion.parse(first["version"]),
         tokens=len(tokens),
@@ -102,7 +102,7 @@
     return token
 
 
-def version_in(text: str) -> str:
+def first_version(text: str) -> str:
     """Returns the version that a text names first, as `model@version`."""
     found = _TOKEN.match(text)
     return found["version"] if found else ""
--- a/src/nutmeghook/standins/backend_apps.py
+++ b/src/nutmeghook/standins/backend_apps.py
@@ -75,7 +75,7 @@
                 async for chunk in chunks:
                     await _write(response, chunk)
             except failures.PlatformError:
-                return serving.cut(request)
+                return serving.abort_connection(request)
         return response
 
     async def _cancel(self, request: web.Request) -> web.Response:
@@ -83,20 +83,22 @@
             await request.read(), type=http_engine.CancelBody
         )
         await self.memory.cancel(body.attempt_id)
-        return serving.json_answer(http_engine.EmptyAnswer())
+        return serving.json_response(http_engine.EmptyAnswer())
 
     async def _load(self, request: web.Request) -> web.Response:
-        return serving.json_answer(await self.memory.load_report())
+        return serving.json_response(await self.memory.load_report())
 
     async def _order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=engine.Order)
         state = await self.memory.order(order)
-        return serving.json_answer(http_engine.OrderAnswer(state=state))
+        return serving.json_response(http_engine.OrderAnswer(state=state))
 
     async def _cache_events(self, request: web.Request) -> web.Response:
         after = int(request.query["after"])
         events = await self.memory.cache_events(after)
-        return serving.json_answer(http_engine.CacheEventsAnswer(events=events))
+        return serving.json_response(
+            http_engine.CacheEventsAnswer(events=events)
+        )
 
     async def _export_cache(self, request: web.Request) -> web.Response:
         content = await self.memory.export_cache(request.query["prefix_hash"])
@@ -108,24 +110,24 @@
         await self.memory.import_cache(
             request.query["prefix_hash"], await request.read()
         )
-        return serving.json_answer(http_engine.EmptyAnswer())
+        return serving.json_response(http_engine.EmptyAnswer())
 
     async def _runs(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.runs)
+        return serving.json_response(self.memory.runs)
 
     async def _orders(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.orders)
+        return serving.json_response(self.memory.orders)
 
     async def _show(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.settings)
+        return serving.json_response(self.memory.settings)
 
     async def _set(self, request: web.Request) -> web.Response:
         engine_settings.update(self.memory.settings, await request.read())
-        self.memory.note_load()
-        return serving.json_answer(self.memory.settings)
+        self.memory.record_load()
+        return serving.json_response(self.memory.settings)
 
 
-class PlainStandIn(serving.LastingStandIn):
+class PlainStandIn(serving.DurableStandIn):
     """A plain service: every method and path is a call."""
 
     role = "plain_service"
@@ -164,7 +166,7 @@
         )
 
     async def _runs(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.runs)
+        return serving.json_response(self.memory.runs)
 
     async def _refuse(self, request: web.Request) -> web.Response:
         body = msgspec.json.decode(await request.read(), type=RefuseBody)
--- a/src/nutmeghook/standins/control.py
+++ b/src/nutmeghook/standins/control.py
@@ -43,7 +43,7 @@
         wanted = msgspec.json.decode(body, type=FaultSettings)
         apply(wanted, self._server.stand_in.faults)
         await self._server.set_down_mode(wanted.down)
-        return serving.json_answer(wanted)
+        return serving.json_response(wanted)
 
     async def crash(self, request: web.Request) -> web.Response:
         """Makes it die and come back at once."""
--- a/src/nutmeghook/standins/engine_batch.py
+++ b/src/nutmeghook/standins/engine_batch.py
@@ -26,10 +26,10 @@
     """
 
     __slots__ = (
+        "_arrivals",
         "_cache",
         "_clock",
         "_on_change",
-        "_order",
         "_queue",
         "_settings",
         "_task",
@@ -49,7 +49,7 @@
         self._settings = settings
         self._cache = cache
         self._on_change = on_change
-        self._order = itertools.count()
+        self._arrivals = itertools.count()
         self._queue: list[tuple[int, int, engine_runs.Run]] = []
         self._task: asyncio.Task[None] | None = None
         self.running: list[engine_runs.Run] = []
@@ -74,10 +74,10 @@
                 overloaded=True,
             )
         priority = run.generation.priority
-        heapq.heappush(self._queue, (-priority, next(self._order), run))
+        heapq.heappush(self._queue, (-priority, next(self._arrivals), run))
         self._fill()
         if self._task is None or self._task.done():
-            self._task = asyncio.ensure_future(self._work())
+            self._task = asyncio.ensure_future(self._run_steps())
         self._on_change()
 
     def cancel(self, run: engine_runs.Run) -> None:
@@ -99,7 +99,7 @@
             self._task.cancel()
         self._on_change()
 
-    async def _work(self) -> None:
+    async def _run_steps(self) -> None:
         while self.running or self._queue:
             await self._clock.sleep(self._step_duration())
             self._step()
@@ -115,17 +115,19 @@
     def _step(self) -> None:
         now = self._clock.monotonic()
         for run in list(self.running):
-            if self._given_up(run, now):
+            if self._is_abandoned(run, now):
                 self.cancel(run)
                 continue
             if run.ready_at <= now:
                 self._generate(run)
         self.running = [run for run in self.running if not run.ended]
         for _, _, run in self._queue:
-            if self._given_up(run, now):
+            if self._is_abandoned(run, now):
                 run.end(engine_runs.RunState.DROPPED)
 
-    def _given_up(self, run: engine_runs.Run, now: datetime.timedelta) -> bool:
+    def _is_abandoned(
+        self, run: engine_runs.Run, now: datetime.timedelta
+    ) -> bool:
         keep = self._settings.keep_attempt_ms * _MILLISECOND
         unread = run.readers == 0 and now - run.unread_since > keep
         return unread or now > run.deadline
--- a/src/nutmeghook/standins/engine_reports.py
+++ b/src/nutmeghook/standins/engine_reports.py
@@ -11,10 +11,10 @@
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-class LateReports:
+class DelayedReports:
     """Keeps the figures of the last moments and shows those of then."""
 
-    __slots__ = ("_clock", "_measure", "_noted", "_settings")
+    __slots__ = ("_clock", "_measure", "_recorded", "_settings")
 
     def __init__(
         self,
@@ -26,24 +26,24 @@
         self._clock = clock
         self._settings = settings
         self._measure = measure
-        self._noted: collections.deque[
+        self._recorded: collections.deque[
             tuple[datetime.timedelta, engine.LoadReport]
         ] = collections.deque([(clock.monotonic(), measure())])
 
-    def note(self) -> None:
+    def record(self) -> None:
         """Takes down the figures, if they have changed."""
         report = self._measure()
-        if report != self._noted[-1][1]:
-            self._noted.append((self._clock.monotonic(), report))
+        if report != self._recorded[-1][1]:
+            self._recorded.append((self._clock.monotonic(), report))
         self._drop_oldest()
 
-    def latest(self) -> engine.LoadReport:
+    def visible(self) -> engine.LoadReport:
         """Returns the figures of `report_lag_ms` ago."""
-        self.note()
-        return self._noted[0][1]
+        self.record()
+        return self._recorded[0][1]
 
     def _drop_oldest(self) -> None:
         lag = self._settings.report_lag_ms * _MILLISECOND
         visible_until = self._clock.monotonic() - lag
-        while len(self._noted) > 1 and self._noted[1][0] <= visible_until:
-            self._noted.popleft()
+        while len(self._recorded) > 1 and self._recorded[1][0] <= visible_until:
+            self._recorded.popleft()
--- a/src/nutmeghook/standins/engine_runs.py
+++ b/src/nutmeghook/standins/engine_runs.py
@@ -54,6 +54,7 @@
 
     __slots__ = (
         "_changed",
+        "answer_tokens",
         "deadline",
         "finish",
         "generation",
@@ -64,21 +65,20 @@
         "state",
         "texts",
         "unread_since",
-        "wanted_tokens",
     )
 
     def __init__(
         self,
         *,
         generation: engine.Generation,
-        wanted_tokens: int,
+        answer_tokens: int,
         deadline: datetime.timedelta,
         now: datetime.timedelta,
     ):
         self._changed = asyncio.Event()
         self.generation = generation
         self.marker = answers.marker_of(answers.prompt_of(generation))
-        self.wanted_tokens = wanted_tokens
+        self.answer_tokens = answer_tokens
         self.deadline = deadline
         self.state = RunState.WAITING
         self.finish: engine.FinishReason | None = None
@@ -96,7 +96,7 @@
     def add_token(self, *, bad: bool) -> None:
         """Generates the next token; the last one finishes the run."""
         index = len(self.texts)
-        last = index + 1 >= self.wanted_tokens
+        last = index + 1 >= self.answer_tokens
         self.texts.append(
             answers.token_text(
                 marker=self.marker,
--- a/src/nutmeghook/standins/faults.py
+++ b/src/nutmeghook/standins/faults.py
@@ -30,7 +30,7 @@
 
     __slots__ = (
         "_clock",
-        "_late",
+        "_late_effects",
         "delay",
         "down",
         "late_effect",
@@ -49,7 +49,7 @@
         late_effect: datetime.timedelta | None = None,
     ):
         self._clock = clock
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_effects: set[asyncio.Task[None]] = set()
         self.down = down
         self.delay = delay
         self.lose_next_answers = lose_next_answers
@@ -108,5 +108,5 @@
                 effect()
 
         task = asyncio.ensure_future(apply())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._late_effects.add(task)
+        task.add_done_callback(self._late_effects.discard)
--- a/src/nutmeghook/standins/fleet.py
+++ b/src/nutmeghook/standins/fleet.py
@@ -12,7 +12,6 @@
 from nutmeghook.standins import backend_apps
 from nutmeghook.standins import control
 from nutmeghook.standins import engine_settings
-from nutmeghook.standins import limited_calls
 from nutmeghook.standins import memory_engine
 from nutmeghook.standins import memory_instances
 from nutmeghook.standins import memory_objects
@@ -21,6 +20,7 @@
 from nutmeghook.standins import memory_table
 from nutmeghook.standins import memory_weights
 from nutmeghook.standins import platform_apps
+from nutmeghook.standins import rate_limited_store
 from nutmeghook.standins import serving
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -38,8 +38,8 @@
 class StoreSpec(_Spec, frozen=True, kw_only=True):
     """A table service or an object store."""
 
-    writes_per_s: float = limited_calls.WRITES_PER_S
-    reads_per_s: float = limited_calls.READS_PER_S
+    writes_per_s: float = rate_limited_store.WRITES_PER_S
+    reads_per_s: float = rate_limited_store.READS_PER_S
 
 
 class InstancesSpec(_Spec, frozen=True, kw_only=True):
--- a/src/nutmeghook/standins/listed_changes.py
+++ b/src/nutmeghook/standins/instance_list_deltas.py
@@ -9,7 +9,7 @@
 from nutmeghook.internal.standin_http import http_instances
 
 # A reader that is further behind gets the whole list.
-LISTS_KEPT = 16
+MAX_KEPT_LISTS = 16
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -20,17 +20,17 @@
     body: http_instances.InstancesAnswer | None
 
 
-class ListedChanges:
+class InstanceListDeltas:
     """Remembers the lists that were given out, under their tags.
 
     Tags are made of the content, so a list that comes back has its old tag,
     and no other list ever has it.
     """
 
-    __slots__ = ("_given",)
+    __slots__ = ("_sent",)
 
     def __init__(self) -> None:
-        self._given: dict[str, dict[str, instances.ListedInstance]] = {}
+        self._sent: dict[str, dict[str, instances.ListedInstance]] = {}
 
     def answer(
         self,
@@ -50,36 +50,36 @@
         tag = f'"{digest}"'
         if known_tag == tag:
             return ListAnswer(entity_tag=tag, body=None)
-        lines = {line.address: line for line in listed}
-        known = self._given.get(known_tag) if changes_only else None
-        self._keep(tag, lines)
+        entries = {entry.address: entry for entry in listed}
+        known = self._sent.get(known_tag) if changes_only else None
+        self._keep(tag, entries)
         if known is None:
             body = http_instances.InstancesAnswer(instances=listed)
         else:
-            body = _difference(known, lines, since=known_tag)
+            body = _delta(known, entries, since=known_tag)
         return ListAnswer(entity_tag=tag, body=body)
 
     def _keep(
-        self, tag: str, lines: dict[str, instances.ListedInstance]
+        self, tag: str, entries: dict[str, instances.ListedInstance]
     ) -> None:
-        self._given[tag] = lines
-        while len(self._given) > LISTS_KEPT:
-            del self._given[next(iter(self._given))]
+        self._sent[tag] = entries
+        while len(self._sent) > MAX_KEPT_LISTS:
+            del self._sent[next(iter(self._sent))]
 
 
-def _difference(
+def _delta(
     known: dict[str, instances.ListedInstance],
-    lines: dict[str, instances.ListedInstance],
+    entries: dict[str, instances.ListedInstance],
     *,
     since: str,
 ) -> http_instances.InstancesAnswer:
     return http_instances.InstancesAnswer(
         instances=[
-            line
-            for address, line in lines.items()
-            if known.get(address) != line
+            entry
+            for address, entry in entries.items()
+            if known.get(address) != entry
         ],
         since=since,
-        removed=tuple(known.keys() - lines.keys()),
-        total=len(lines),
+        removed=tuple(known.keys() - entries.keys()),
+        total=len(entries),
     )
--- a/src/nutmeghook/standins/memory_engine.py
+++ b/src/nutmeghook/standins/memory_engine.py
@@ -77,9 +77,9 @@
             clock=clock,
             settings=self.settings,
             cache=self._cache,
-            on_change=self.note_load,
+            on_change=self.record_load,
         )
-        self._reports = engine_reports.LateReports(
+        self._reports = engine_reports.DelayedReports(
             clock=clock, settings=self.settings, measure=self._load_now
         )
 
@@ -99,9 +99,9 @@
         self._cache.clear()
         self._attempts.clear()
 
-    def note_load(self) -> None:
+    def record_load(self) -> None:
         """Takes a change of settings or load into the reports to come."""
-        self._reports.note()
+        self._reports.record()
 
     async def generate(
         self, generation: engine.Generation
@@ -130,7 +130,7 @@
     async def load_report(self) -> engine.LoadReport:
         """Returns figures that are as old as the settings say."""
         await self.faults.before_read()
-        return self._reports.latest()
+        return self._reports.visible()
 
     async def order(self, order: engine.Order) -> engine.OrderState:
         """Gives an order, or asks how an earlier one with its id stands."""
@@ -162,11 +162,11 @@
         )
 
     def _new_run(self, generation: engine.Generation) -> engine_runs.Run:
-        self._refuse_if_unfit(generation)
+        self._check_acceptable(generation)
         now = self._clock.monotonic()
         run = engine_runs.Run(
             generation=generation,
-            wanted_tokens=self._wanted_tokens(generation),
+            answer_tokens=self._answer_tokens(generation),
             deadline=now + generation.deadline_ms * _MILLISECOND,
             now=now,
         )
@@ -174,7 +174,7 @@
         self._attempts[generation.attempt_id] = run
         return run
 
-    def _refuse_if_unfit(self, generation: engine.Generation) -> None:
+    def _check_acceptable(self, generation: engine.Generation) -> None:
         if generation.resume_at_token:
             raise failures.NotDoneError(
                 f"attempt {generation.attempt_id} is not kept here"
@@ -188,7 +188,7 @@
                 f"{generation.model_version} is not loaded"
             )
 
-    def _wanted_tokens(self, generation: engine.Generation) -> int:
+    def _answer_tokens(self, generation: engine.Generation) -> int:
         mean = self.settings.mean_answer_tokens
         digest = xxhash.xxh64_intdigest(answers.prompt_of(generation).encode())
         wanted = max(1, mean // 2 + digest % (mean + 1))
@@ -216,7 +216,7 @@
                 raise failures.OutcomeUnknownError("the stream was cut")
             if crossed and index > start:
                 crossed = False
-                yield _chunk_of_another(run, index)
+                yield _foreign_chunk(run, index)
 
     def _chunk(
         self, run: engine_runs.Run, start: int, end: int
@@ -240,7 +240,7 @@
             finish=run.finish,
             prompt_tokens=record.prompt_tokens,
             cached_tokens=record.cached_tokens,
-            load=self._reports.latest() if along else None,
+            load=self._reports.visible() if along else None,
         )
 
     def _next_cut(self, start: int) -> int | None:
@@ -266,7 +266,7 @@
 
     def _handle_order(self, order: engine.Order) -> engine.OrderState:
         state = self._orders.handle(order)
-        self.note_load()
+        self.record_load()
         return state
 
     def _load_now(self) -> engine.LoadReport:
@@ -299,7 +299,7 @@
     return failures.OutcomeUnknownError("the engine lost the generation")
 
 
-def _chunk_of_another(run: engine_runs.Run, index: int) -> engine.Chunk:
+def _foreign_chunk(run: engine_runs.Run, index: int) -> engine.Chunk:
     return engine.Chunk(
         attempt_id=f"another-{run.generation.attempt_id}",
         token_index=index,
--- a/src/nutmeghook/standins/memory_objects.py
+++ b/src/nutmeghook/standins/memory_objects.py
@@ -3,10 +3,10 @@
 import bisect
 
 from nutmeghook.internal.dependencies import objects
-from nutmeghook.standins import limited_calls
+from nutmeghook.standins import rate_limited_store
 
 
-class MemoryObjects(limited_calls.LimitedCalls, objects.ObjectStore):
+class MemoryObjects(rate_limited_store.RateLimitedStore, objects.ObjectStore):
     """Blobs in a dict; each call counts as one read or one write."""
 
     __slots__ = ("_blobs", "_keys")
--- a/src/nutmeghook/standins/memory_ratings.py
+++ b/src/nutmeghook/standins/memory_ratings.py
@@ -21,8 +21,8 @@
 
     __slots__ = (
         "_clock",
-        "_known",
         "_ratings",
+        "_submitted",
         "_waiting",
         "bias",
         "delay",
@@ -45,7 +45,7 @@
         self.bias = 0.0
         self._clock = clock
         self.quality = quality
-        self._known: set[tuple[str, int]] = set()
+        self._submitted: set[tuple[str, int]] = set()
         self._waiting: collections.deque[
             tuple[datetime.timedelta, ratings.RatingTask]
         ] = collections.deque()
@@ -67,8 +67,8 @@
     def _submit(self, tasks: list[ratings.RatingTask]) -> None:
         for task in tasks:
             identity = (task.request_id, task.stage)
-            if identity not in self._known:
-                self._known.add(identity)
+            if identity not in self._submitted:
+                self._submitted.add(identity)
                 self._waiting.append((self._clock.monotonic(), task))
 
     def _rate_due_tasks(self) -> None:
--- a/src/nutmeghook/standins/memory_table.py
+++ b/src/nutmeghook/standins/memory_table.py
@@ -3,12 +3,12 @@
 import bisect
 
 from nutmeghook.internal.dependencies import table
-from nutmeghook.standins import limited_calls
+from nutmeghook.standins import rate_limited_store
 
 ROWS_PER_READ = 100
 
 
-class MemoryTable(limited_calls.LimitedCalls, table.TableService):
+class MemoryTable(rate_limited_store.RateLimitedStore, table.TableService):
     """Rows in a dict; a commit happens in one step of the event loop.
 
     A commit counts one write for each put and delete, whether its conditions
--- a/src/nutmeghook/standins/platform_apps.py
+++ b/src/nutmeghook/standins/platform_apps.py
@@ -13,7 +13,7 @@
 from nutmeghook.internal.standin_http import http_ratings
 from nutmeghook.internal.standin_http import http_table
 from nutmeghook.internal.standin_http import http_weights
-from nutmeghook.standins import listed_changes
+from nutmeghook.standins import instance_list_deltas
 from nutmeghook.standins import memory_instances
 from nutmeghook.standins import memory_objects
 from nutmeghook.standins import memory_ratings
@@ -71,7 +71,7 @@
         }
 
 
-class _StoreStandIn(serving.LastingStandIn):
+class _StoreStandIn(serving.DurableStandIn):
     """What both stores' stand-ins share: faults and counters."""
 
     def __init__(
@@ -84,11 +84,11 @@
         """Returns the counters' path."""
         return [web.get(f"{base}/counters", self._counters)]
 
-    def _counted(self) -> Counters:
+    def _current_counters(self) -> Counters:
         return Counters(writes=self.memory.writes, reads=self.memory.reads)
 
     async def _counters(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self._counted())
+        return serving.json_response(self._current_counters())
 
 
 class TableStandIn(_StoreStandIn):
@@ -106,7 +106,7 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         row = await self.memory.read(request.query["key"])
-        return serving.json_answer(http_table.ReadAnswer(row=row))
+        return serving.json_response(http_table.ReadAnswer(row=row))
 
     async def _scan(self, request: web.Request) -> web.Response:
         rows = await self.memory.scan(
@@ -114,16 +114,16 @@
             after=request.query["after"],
             limit=int(request.query["limit"]),
         )
-        return serving.json_answer(http_table.ScanAnswer(rows=rows))
+        return serving.json_response(http_table.ScanAnswer(rows=rows))
 
     async def _commit(self, request: web.Request) -> web.Response:
         body = await request.read()
         transaction = msgspec.json.decode(body, type=table.Transaction)
-        return serving.json_answer(await self.memory.commit(transaction))
+        return serving.json_response(await self.memory.commit(transaction))
 
-    def _counted(self) -> Counters:
+    def _current_counters(self) -> Counters:
         return msgspec.structs.replace(
-            super()._counted(), commits=self.memory.commits
+            super()._current_counters(), commits=self.memory.commits
         )
 
 
@@ -151,7 +151,7 @@
         stored = await self.memory.put_if_absent(
             request.query["key"], await request.read()
         )
-        return serving.json_answer(http_objects.PutAnswer(stored=stored))
+        return serving.json_response(http_objects.PutAnswer(stored=stored))
 
     async def _list(self, request: web.Request) -> web.Response:
         keys = await self.memory.list_keys(
@@ -159,14 +159,14 @@
             after=request.query["after"],
             limit=int(request.query["limit"]),
         )
-        return serving.json_answer(http_objects.KeysAnswer(keys=keys))
+        return serving.json_response(http_objects.KeysAnswer(keys=keys))
 
     async def _delete(self, request: web.Request) -> web.Response:
         await self.memory.delete(request.query["key"])
-        return serving.json_answer(http_objects.DeleteAnswer())
+        return serving.json_response(http_objects.DeleteAnswer())
 
 
-class InstancesStandIn(serving.LastingStandIn):
+class InstancesStandIn(serving.DurableStandIn):
     """The instance list."""
 
     role = "instances"
@@ -174,7 +174,7 @@
     def __init__(self, *, memory: memory_instances.MemoryInstances):
         self.memory = memory
         self.faults = memory.faults
-        self._changes = listed_changes.ListedChanges()
+        self._changes = instance_list_deltas.InstanceListDeltas()
 
     def routes(self) -> list[web.RouteDef]:
         """Returns the path of `http_instances`."""
@@ -199,7 +199,7 @@
         headers = {"ETag": answer.entity_tag}
         if answer.body is None:
             return web.Response(status=304, headers=headers)
-        response = serving.json_answer(answer.body)
+        response = serving.json_response(answer.body)
         response.headers.update(headers)
         return response
 
@@ -224,7 +224,7 @@
         return web.Response(status=204)
 
 
-class RatingsStandIn(serving.LastingStandIn):
+class RatingsStandIn(serving.DurableStandIn):
     """The rating service."""
 
     role = "ratings"
@@ -262,24 +262,24 @@
         body = await request.read()
         decoded = msgspec.json.decode(body, type=http_ratings.TasksBody)
         await self.memory.submit(decoded.tasks)
-        return serving.json_answer(http_ratings.TasksAnswer())
+        return serving.json_response(http_ratings.TasksAnswer())
 
     async def _ratings(self, request: web.Request) -> web.Response:
         given = await self.memory.ratings_after(
             int(request.query["after"]), limit=int(request.query["limit"])
         )
-        return serving.json_answer(http_ratings.RatingsAnswer(ratings=given))
+        return serving.json_response(http_ratings.RatingsAnswer(ratings=given))
 
     async def _show(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.settings)
+        return serving.json_response(self.settings)
 
     async def _set(self, request: web.Request) -> web.Response:
         body = await request.read()
         self.apply(msgspec.json.decode(body, type=RatingSettings))
-        return serving.json_answer(self.settings)
+        return serving.json_response(self.settings)
 
 
-class WeightsStandIn(serving.LastingStandIn):
+class WeightsStandIn(serving.DurableStandIn):
     """The weight store."""
 
     role = "weights"
@@ -302,7 +302,7 @@
     async def _info(self, request: web.Request) -> web.Response:
         version = engine.ModelVersion.parse(request.query["model_version"])
         info = await self.memory.describe(version)
-        return serving.json_answer(http_weights.InfoAnswer(info=info))
+        return serving.json_response(http_weights.InfoAnswer(info=info))
 
     async def _grant(self, request: web.Request) -> web.Response:
         body = await request.read()
@@ -310,7 +310,7 @@
         ticket = await self.memory.grant_download(
             wanted.model_version, wanted.address
         )
-        return serving.json_answer(http_weights.GrantAnswer(ticket=ticket))
+        return serving.json_response(http_weights.GrantAnswer(ticket=ticket))
 
     async def _set_versions(self, request: web.Request) -> web.Response:
         body = msgspec.json.decode(await request.read(), type=WeightSizes)
--- a/src/nutmeghook/standins/quality.py
+++ b/src/nutmeghook/standins/quality.py
@@ -39,7 +39,7 @@
     """Returns the quality of an answer, before it is cut to 0 to 1."""
     hashed = xxhash.xxh64_intdigest(f"{task.request_id} {task.stage}".encode())
     noise = settings.noise * (hashed / 2**63 - 1)
-    if answers.BAD_SIGN in task.answer:
+    if answers.BAD_SUFFIX in task.answer:
         return settings.bad_quality + noise
     found = _DIFFICULTY.search(task.prompt)
     difficulty = float(found[1]) if found else settings.difficulty
--- a/src/nutmeghook/standins/rate_limit.py
+++ b/src/nutmeghook/standins/rate_limit.py
@@ -14,14 +14,14 @@
         used: Operations let through so far.
     """
 
-    __slots__ = ("_clock", "_filled_at", "_left", "_name", "per_s", "used")
+    __slots__ = ("_clock", "_filled_at", "_name", "_tokens", "per_s", "used")
 
     def __init__(self, *, clock: clock_module.Clock, name: str, per_s: float):
         if per_s <= 0:
             raise ValueError(f"per_s is {per_s}; give more than 0")
         self._clock = clock
         self._name = name
-        self._left = max(1.0, per_s)
+        self._tokens = max(1.0, per_s)
         self._filled_at = clock.monotonic()
         self.per_s = per_s
         self.used = 0
@@ -37,14 +37,14 @@
         passed_s = (now - self._filled_at).total_seconds()
         capacity = max(1.0, self.per_s)
         self._filled_at = now
-        self._left = min(capacity, self._left + passed_s * self.per_s)
-        if operations <= self._left:
-            self._left -= operations
+        self._tokens = min(capacity, self._tokens + passed_s * self.per_s)
+        if operations <= self._tokens:
+            self._tokens -= operations
             self.used += operations
             return
         retry_after = None
         if operations <= capacity:
-            missing = operations - self._left
+            missing = operations - self._tokens
             retry_after = datetime.timedelta(seconds=missing / self.per_s)
         raise failures.NotDoneError(
             f"{operations} {self._name} are over the limit of "
--- a/src/nutmeghook/standins/limited_calls.py
+++ b/src/nutmeghook/standins/rate_limited_store.py
@@ -8,7 +8,7 @@
 READS_PER_S = 2000
 
 
-class LimitedCalls:
+class RateLimitedStore:
     """Reads and writes, each with a limit of its own.
 
     Attributes:
--- a/src/nutmeghook/standins/serving.py
+++ b/src/nutmeghook/standins/serving.py
@@ -57,7 +57,7 @@
         """Loses what a crash would lose."""
 
 
-class LastingStandIn(HttpStandIn):
+class DurableStandIn(HttpStandIn):
     """A stand-in for something whose state outlives its processes."""
 
     def crash(self) -> None:
@@ -116,7 +116,7 @@
 
     async def stop(self) -> None:
         """Stops for good."""
-        self._cut_connections()
+        self._abort_connections()
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -126,20 +126,20 @@
         self.down_mode = mode
         self.stand_in.faults.down = mode is DownMode.REFUSING
         if mode is DownMode.GONE and not was_gone:
-            await self._vanish()
+            await self._close()
         elif was_gone and mode is not DownMode.GONE:
             await self._listen()
 
     async def crash(self) -> None:
         """Dies and comes back at once, without its memory."""
-        await self._vanish()
+        await self._close()
         await self._listen()
 
-    async def _vanish(self) -> None:
+    async def _close(self) -> None:
         if self._site is not None:
             await self._site.stop()
             self._site = None
-        self._cut_connections()
+        self._abort_connections()
         self.stand_in.crash()
 
     async def _listen(self) -> None:
@@ -150,7 +150,7 @@
         if not self._port:
             self._port = self._runner.addresses[0][1]
 
-    def _cut_connections(self) -> None:
+    def _abort_connections(self) -> None:
         if self._runner is None or self._runner.server is None:
             return
         for connection in self._runner.server.connections:
@@ -164,25 +164,27 @@
         if self.down_mode is DownMode.HANGING:
             await asyncio.Event().wait()
         if self.down_mode is DownMode.CUTTING:
-            return cut(request)
+            return abort_connection(request)
         try:
             return await handler(request)
         except failures.NotDoneError as error:
-            return refusal(error)
+            return refusal_response(error)
         except failures.OutcomeUnknownError:
-            return cut(request)
+            return abort_connection(request)
         except (msgspec.DecodeError, KeyError, ValueError) as error:
-            return refusal(failures.NotDoneError(f"bad call: {error!r}"))
+            return refusal_response(
+                failures.NotDoneError(f"bad call: {error!r}")
+            )
 
 
-def cut(request: web.Request) -> web.Response:
+def abort_connection(request: web.Request) -> web.Response:
     """Cuts the connection; the response returned reaches nobody."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
-def refusal(error: failures.NotDoneError) -> web.Response:
+def refusal_response(error: failures.NotDoneError) -> web.Response:
     """Returns the answer which says that nothing was done."""
     retry_after_ms = None
     if error.retry_after is not None:
@@ -194,10 +196,10 @@
         leaving=error.leaving,
         retry_after_ms=retry_after_ms,
     )
-    return json_answer(body, status=429 if error.overloaded else 503)
+    return json_response(body, status=429 if error.overloaded else 503)
 
 
-def json_answer(body: object, *, status: int = 200) -> web.Response:
+def json_response(body: object, *, status: int = 200) -> web.Response:
     """Returns an answer with a JSON body."""
     return web.Response(
         status=status,
--- a/src/nutmeghook/standins/users_operator.py
+++ b/src/nutmeghook/standins/users_operator.py
@@ -94,7 +94,7 @@
             },
         )
 
-    def strike_replica(self, replica_id: str) -> None:
+    def delist_replica(self, replica_id: str) -> None:
         """Deletes a replica's entry."""
         self._store.delete(tables.REPLICA_TABLE, replica_id)
 
@@ -104,7 +104,7 @@
             tables.OPERATOR_TABLE, tables.EVACUATION_PREFIX + data_centre, {}
         )
 
-    def take_back(self, data_centre: str) -> None:
+    def end_evacuation(self, data_centre: str) -> None:
         """Ends an evacuation."""
         self._store.delete(
             tables.OPERATOR_TABLE, tables.EVACUATION_PREFIX + data_centre
--- a/src/nutmeghook/standins/users_replica.py
+++ b/src/nutmeghook/standins/users_replica.py
@@ -14,12 +14,12 @@
 from nutmeghook.standins import loopback_host
 
 # More than a listener with the shortest queue holds.
-_FILLS_QUEUE = 3
+_QUEUE_FILLERS = 3
 _NO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class SeenRequest:
+class ReceivedRequest:
     """A request as it arrived, and the connection it came on.
 
     Attributes:
@@ -94,8 +94,8 @@
         ran: The ids of those that it began to work on.
         left: Requests whose caller left before the end of the answer.
         crashes: The bodies of the requests that it ended under.
-        noticed: Set whenever `left` grows.
-        arrived: Set whenever `seen` grows.
+        request_abandoned: Set whenever `abandoned` grows.
+        request_received: Set whenever `received` grows.
         crashed: Set once it has ended under a request.
     """
 
@@ -107,22 +107,22 @@
         "_tasks",
         "_unreachable_sockets",
         "_writers",
+        "abandoned",
         "address",
-        "arrived",
         "crashed",
         "crashes",
-        "left",
-        "noticed",
         "ran",
+        "received",
         "replica_id",
-        "seen",
+        "request_abandoned",
+        "request_received",
     )
 
     def __init__(
         self,
         *,
         replica_id: str,
-        decide: Callable[[SeenRequest], Reply] | None = None,
+        decide: Callable[[ReceivedRequest], Reply] | None = None,
     ):
         self.replica_id = replica_id
         self._decide = decide or self._next_reply
@@ -133,11 +133,11 @@
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: list[asyncio.Task] = []
         self.address = ""
-        self.seen: list[SeenRequest] = []
+        self.received: list[ReceivedRequest] = []
         self.ran: list[str] = []
-        self.left: list[str] = []
-        self.noticed = asyncio.Event()
-        self.arrived = asyncio.Event()
+        self.abandoned: list[str] = []
+        self.request_abandoned = asyncio.Event()
+        self.request_received = asyncio.Event()
         self.crashed = asyncio.Event()
         self.crashes: list[bytes] = []
 
@@ -145,7 +145,7 @@
         """Takes replies from a list that it may share with others."""
         self._replies = replies
 
-    def decide_by(self, decide: Callable[[SeenRequest], Reply]) -> None:
+    def decide_by(self, decide: Callable[[ReceivedRequest], Reply]) -> None:
         """Takes each reply from a function of the request."""
         self._decide = decide
 
@@ -177,7 +177,7 @@
         listener.bind((host, int(port)))
         listener.listen(0)
         self._unreachable_sockets.append(listener)
-        for _ in range(_FILLS_QUEUE):
+        for _ in range(_QUEUE_FILLERS):
             waiting = socket.socket()
             waiting.setblocking(False)
             waiting.connect_ex((host, int(port)))
@@ -192,7 +192,7 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    async def come_back(self, *, replica_id: str) -> None:
+    async def restart(self, *, replica_id: str) -> None:
         """Listens at the old address after a crash, as another start."""
         host, _, port = self.address.rpartition(":")
         self.replica_id = replica_id
@@ -226,8 +226,8 @@
         connection: int,
     ) -> bool:
         request = await _read_request(reader, connection)
-        self.seen.append(request)
-        self.arrived.set()
+        self.received.append(request)
+        self.request_received.set()
         reply = self._decide(request)
         expected = request.headers.get(headers.EXPECTED_REPLICA.lower())
         if expected != self.replica_id:
@@ -237,28 +237,28 @@
         try:
             if reply.silent:
                 await reader.read(1)
-                self._note_left(request)
+                self._record_abandoned(request)
                 return False
             return await self._answer(reply, request, reader, writer)
         except ConnectionError:
             # A caller that leaves with unread bytes resets the connection.
-            self._note_left(request)
+            self._record_abandoned(request)
             raise
 
-    def _next_reply(self, request: SeenRequest) -> Reply:
+    def _next_reply(self, request: ReceivedRequest) -> Reply:
         reply = self._replies[0]
         if len(self._replies) > 1:
             self._replies.pop(0)
         return reply
 
-    def _note_left(self, request: SeenRequest) -> None:
-        self.left.append(request.request_id)
-        self.noticed.set()
+    def _record_abandoned(self, request: ReceivedRequest) -> None:
+        self.abandoned.append(request.request_id)
+        self.request_abandoned.set()
 
     async def _answer(
         self,
         reply: Reply,
-        request: SeenRequest,
+        request: ReceivedRequest,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
@@ -267,10 +267,10 @@
         for number, piece in enumerate(_pieces(reply, request)):
             if number == reply.stall_after:
                 await reader.read(1)
-                self._note_left(request)
+                self._record_abandoned(request)
                 return False
-            if reply.pause_s and await _left_within(reader, reply.pause_s):
-                self._note_left(request)
+            if reply.pause_s and await _closed_within(reader, reply.pause_s):
+                self._record_abandoned(request)
                 return False
             if reply.send_bytes is not None:
                 piece = piece[: reply.send_bytes - sent]
@@ -282,7 +282,7 @@
                     self.crashes.append(request.body)
                     self.crash()
                 else:
-                    break_off(writer, reset=reply.reset)
+                    close_connection(writer, reset=reply.reset)
                 return False
         if _is_chunked(reply):
             writer.write(b"0\r\n\r\n")
@@ -293,7 +293,7 @@
 
 async def _read_request(
     reader: asyncio.StreamReader, connection: int
-) -> SeenRequest:
+) -> ReceivedRequest:
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").split("\r\n")
     method, target, _ = first.split(" ")
@@ -303,7 +303,7 @@
         if separator:
             fields[name.lower()] = value.strip()
     body = await reader.readexactly(int(fields.get("content-length", "0")))
-    return SeenRequest(
+    return ReceivedRequest(
         method=method,
         target=target,
         headers=fields,
@@ -313,7 +313,7 @@
     )
 
 
-def _head(reply: Reply, request: SeenRequest) -> bytes:
+def _head(reply: Reply, request: ReceivedRequest) -> bytes:
     lines = [f"HTTP/1.1 {reply.status} Stand-in"]
     lines.append(
         f"{headers.REQUEST_ID}: {reply.answer_id or request.request_id}"
@@ -335,7 +335,7 @@
     return bool(reply.events) and reply.framed
 
 
-def _pieces(reply: Reply, request: SeenRequest) -> list[bytes]:
+def _pieces(reply: Reply, request: ReceivedRequest) -> list[bytes]:
     if not reply.events:
         return [reply.body]
     last = int(request.headers.get(headers.LAST_EVENT.lower(), "-1"))
@@ -346,7 +346,7 @@
     return b"%x\r\n%s\r\n" % (len(piece), piece) if piece else b""
 
 
-async def _left_within(reader: asyncio.StreamReader, pause_s: float) -> bool:
+async def _closed_within(reader: asyncio.StreamReader, pause_s: float) -> bool:
     """Waits; returns whether the caller closed the connection meanwhile."""
     try:
         async with asyncio.timeout(pause_s):
@@ -355,7 +355,7 @@
         return False
 
 
-def break_off(writer: asyncio.StreamWriter, *, reset: bool) -> None:
+def close_connection(writer: asyncio.StreamWriter, *, reset: bool) -> None:
     """Closes a connection, by a reset where asked."""
     raw = writer.get_extra_info("socket")
     if reset:
--- a/src/nutmeghook/standins/users_store.py
+++ b/src/nutmeghook/standins/users_store.py
@@ -46,13 +46,13 @@
     def __init__(self):
         self._rows: dict[tuple[str, str], _Change] = {}
         self._history: list[_Change] = []
-        self._forgotten = 0
+        self._dropped_up_to = 0
         self._version = 0
         self._changed = asyncio.Event()
         self._runner: web.AppRunner | None = None
         self.fault = StoreFault.NONE
         self.calls: list[str] = []
-        self.late: list[dict] = []
+        self.late_writes: list[dict] = []
         self.address = ""
 
     async def start(self) -> None:
@@ -88,14 +88,14 @@
 
     def forget_history(self) -> None:
         """Drops all history; feeds from before get 410."""
-        self._forgotten = self._version
+        self._dropped_up_to = self._version
         self._history.clear()
 
-    def do_late_writes(self) -> None:
+    def apply_late_writes(self) -> None:
         """Does the writes that were left for later, if they still may be."""
-        for transaction in self.late:
-            self._try(transaction)
-        self.late.clear()
+        for transaction in self.late_writes:
+            self._commit(transaction)
+        self.late_writes.clear()
 
     def _apply(
         self,
@@ -129,7 +129,7 @@
         self._changed = asyncio.Event()
         return self._version
 
-    def _try(self, transaction: dict) -> bool:
+    def _commit(self, transaction: dict) -> bool:
         for wanted in transaction["expectedRev"]:
             row = self._rows.get((wanted["table"], wanted["key"]))
             if (row.version if row else 0) != wanted["rowVersion"]:
@@ -143,7 +143,7 @@
         )
         return True
 
-    async def _meet_fault(self, request: web.Request) -> web.Response | None:
+    async def _apply_fault(self, request: web.Request) -> web.Response | None:
         self.calls.append(request.path)
         if self.fault is StoreFault.REFUSING:
             return web.Response(status=503)
@@ -154,7 +154,7 @@
         return None
 
     async def _get(self, request: web.Request) -> web.Response:
-        if refusal := await self._meet_fault(request):
+        if refusal := await self._apply_fault(request):
             return refusal
         query = request.query
         first, end = query.get("source", ""), query.get("to")
@@ -171,11 +171,11 @@
         return self._answer(found[:limit], more=len(found) > limit)
 
     async def _feed(self, request: web.Request) -> web.Response:
-        if refusal := await self._meet_fault(request):
+        if refusal := await self._apply_fault(request):
             return refusal
         since = int(request.query["sinceRev"])
         table = request.query["table"]
-        if since < self._forgotten:
+        if since < self._dropped_up_to:
             return web.Response(status=410)
         deadline = int(request.query.get("waitMs", "0")) / 1000
         try:
@@ -194,14 +194,14 @@
         ]
 
     async def _transact(self, request: web.Request) -> web.Response:
-        if refusal := await self._meet_fault(request):
+        if refusal := await self._apply_fault(request):
             return refusal
         transaction = msgspec.json.decode(await request.read())
         if self.fault is StoreFault.LATE_WRITES:
-            self.late.append(transaction)
+            self.late_writes.append(transaction)
             request.transport.abort()
             return web.Response(status=500)
-        done = self._try(transaction)
+        done = self._commit(transaction)
         if self.fault is StoreFault.LOSING_ANSWERS:
             request.transport.abort()
         if done:
--- a/tests/cover/test_crashing_requests.py
+++ b/tests/cover/test_crashing_requests.py
@@ -30,14 +30,14 @@
         self.decide_by(self._reply)
 
     def decide_by(
-        self, decide: Callable[[users_replica.SeenRequest], Reply]
+        self, decide: Callable[[users_replica.ReceivedRequest], Reply]
     ) -> None:
         """Makes all replicas answer by a function of the request."""
         for replica in self.replicas:
             replica.decide_by(decide)
 
     @staticmethod
-    def _reply(request: users_replica.SeenRequest) -> Reply:
+    def _reply(request: users_replica.ReceivedRequest) -> Reply:
         is_stream = request.target.startswith(f"/{STREAM.value}/")
         events = EVENTS if is_stream else ()
         if request.body in (CRASHING, ALSO_CRASHING):
@@ -51,7 +51,7 @@
                 continue
             self.directory.remove(replica.replica_id)
             self.starts += 1
-            await replica.come_back(replica_id=f"start-{self.starts}")
+            await replica.restart(replica_id=f"start-{self.starts}")
             self.directory.put(self.entry(replica))
 
     def arrivals(self, body: bytes = CRASHING) -> int:
@@ -124,13 +124,13 @@
         """
         begun = [Reply(events=EVENTS, stall_after=1)]
 
-        def decide(request: users_replica.SeenRequest) -> Reply:
+        def decide(request: users_replica.ReceivedRequest) -> Reply:
             return begun.pop() if begun else self._reply(request)
 
         self.decide_by(decide)
         asking = asyncio.create_task(self.ask(STREAM, body=INNOCENT))
         await self.arrival()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         first.crash()
         answer = await asking
         self.assertTrue(relay_fixture.is_complete(answer))
--- a/tests/cover/test_dispatch_silent_engine.py
+++ b/tests/cover/test_dispatch_silent_engine.py
@@ -35,7 +35,7 @@
         session = http_exchange.open_session()
         self.addAsyncCleanup(session.close)
         connector = http_engine.HttpEngineConnector(
-            session=session, silence_timeout=SILENCE_LIMIT
+            session=session, read_timeout=SILENCE_LIMIT
         )
         self.engine = connector.connect(self.listener.address)
         self.speaks_first = True
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -113,7 +113,7 @@
             self.assertEqual(self.registry.all(), set(present))
 
 
-def reply_to(request: users_replica.SeenRequest) -> users_replica.Reply:
+def reply_to(request: users_replica.ReceivedRequest) -> users_replica.Reply:
     """Returns a stream or a whole answer, depending on the route."""
     is_stream = request.target.startswith(f"/{model.RouteKind.STREAM.value}/")
     return users_replica.Reply(events=(1, 2) if is_stream else ())
@@ -146,7 +146,7 @@
         for number, kind in enumerate(model.RouteKind):
             answer = await self.ask(kind, request_id=f"request-{number}")
             self.assertEqual(relay_fixture.status_of(answer), 200)
-        self.assertEqual(self.local.seen, [])
+        self.assertEqual(self.local.received, [])
 
     async def test_a_retry_avoids_it_too(self):
         """The remote replica refuses, and the other one is evacuated. The
@@ -158,7 +158,7 @@
         answer = await self.ask(model.RouteKind.IDEMPOTENT)
         self.assertEqual(relay_fixture.status_of(answer), 503)
         self.assertIn(b"retry-after", answer.lower())
-        self.assertEqual(self.local.seen, [])
+        self.assertEqual(self.local.received, [])
 
     async def test_a_running_request_is_completed(self):
         self.registry.evacuate("far")
@@ -191,8 +191,8 @@
         self.pool_acquire(slow_acquire)
         answer = await self.ask(model.RouteKind.ONCE)
         self.assertEqual(relay_fixture.status_of(answer), 200)
-        self.assertEqual(self.local.seen, [])
-        self.assertEqual(len(self.remote.seen), 1)
+        self.assertEqual(self.local.received, [])
+        self.assertEqual(len(self.remote.received), 1)
 
     def pool_acquire(self, function) -> None:
         patched = mock.patch.object(
--- a/tests/cover/test_home_regions.py
+++ b/tests/cover/test_home_regions.py
@@ -42,19 +42,19 @@
     async def test_a_route_s_home_region_is_enforced(self):
         self.bind(route=("other-region",))
         self.assertEqual(await self.status(), 200)
-        self.assertEqual(self.local.seen, [])
+        self.assertEqual(self.local.received, [])
 
     async def test_a_team_s_home_region_is_enforced(self):
         self.bind(team=("other-region",))
         self.assertEqual(await self.status(), 200)
-        self.assertEqual(self.local.seen, [])
+        self.assertEqual(self.local.received, [])
 
     async def test_a_retry_stays_in_the_home_region(self):
         """The home region's replica refuses; another region has an idle one."""
         self.bind(route=("other-region",))
         self.remote.reply_from([REFUSAL])
         self.assertEqual(await self.status(model.RouteKind.IDEMPOTENT), 503)
-        self.assertEqual(self.local.seen, [])
+        self.assertEqual(self.local.received, [])
 
     async def test_home_regions_of_route_and_team_are_both_enforced(self):
         """Without a common home region, the request is refused and not run."""
@@ -65,7 +65,7 @@
     async def test_a_common_home_region_serves(self):
         self.bind(route=("other-region", "region"), team=("other-region",))
         self.assertEqual(await self.status(), 200)
-        self.assertEqual(self.local.seen, [])
+        self.assertEqual(self.local.received, [])
 
     async def test_a_data_centre_without_a_region_is_no_home_region(self):
         self.directory.put(self.entry(self.remote, data_centre="unknown"))
--- a/tests/cover/test_loopback_host.py
+++ b/tests/cover/test_loopback_host.py
@@ -14,7 +14,7 @@
 
 
 class LoopbackHostTest(unittest.IsolatedAsyncioTestCase):
-    async def test_two_trials_never_share_an_address(self):
+    async def test_processes_never_share_an_address(self):
         """A replica of one trial ends and its port goes to another trial's.
         Routers that still call it are heard by the stranger, whose trial then
         reports requests that nobody sent.
--- a/tests/cover/test_platform_engine.py
+++ b/tests/cover/test_platform_engine.py
@@ -68,7 +68,7 @@
                 seen.append(chunk)
         tokens = sum(chunk.tokens for chunk in seen)
         seen += await self.read(resume_at_token=tokens)
-        answer = answers.read_answer("".join(chunk.text for chunk in seen))
+        answer = answers.parse_answer("".join(chunk.text for chunk in seen))
         self.assertTrue(answer.whole)
         self.assertEqual((answer.marker, answer.bad), ("w1", False))
         self.assertIs(seen[-1].finish, engine.FinishReason.STOP)
@@ -88,7 +88,7 @@
             messages=(engine.Message(role="user", content="marker=w2"),),
         )
         self.assertEqual({c.attempt_id for c in chunks}, {"req-2/1"})
-        answer = answers.read_answer("".join(c.text for c in chunks))
+        answer = answers.parse_answer("".join(c.text for c in chunks))
         self.assertEqual((answer.marker, answer.whole), ("w2", True))
 
     async def test_a_crossed_chunk_shows_its_attempt(self):
@@ -97,7 +97,7 @@
         strange = [c for c in chunks if c.attempt_id != "req-1/1"]
         self.assertEqual(len(strange), 1)
         with self.assertRaises(answers.DamagedAnswerError):
-            answers.read_answer("".join(c.text for c in chunks))
+            answers.parse_answer("".join(c.text for c in chunks))
 
     async def test_whole_streams_share_one_connection(self):
         """Ten generations in turn need one connection, not ten."""
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -32,7 +32,7 @@
         left = list(acts)
 
         def decide_at(replica):
-            def decide(_: users_replica.SeenRequest) -> Reply:
+            def decide(_: users_replica.ReceivedRequest) -> Reply:
                 act = left.pop(0) if len(left) > 1 else left[0]
                 return act(replica)
 
@@ -62,7 +62,7 @@
         move, or the stream is cut.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.spend_all(but=3)
 
         def become_unreachable(replica) -> Reply:
@@ -118,7 +118,7 @@
             patched.start()
             self.addCleanup(patched.stop)
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.directory.put(self.entry(first, version="v2"))
         self.spend_all(but=2)
 
@@ -129,7 +129,7 @@
         self.answer_in_turn(refuse)
         answer = await self.answer_of(asking)
         self.assertFalse(relay_fixture.is_complete(answer))
-        self.assertEqual(len(first.seen), 1)
+        self.assertEqual(len(first.received), 1)
 
     async def test_a_reservation_serves_elsewhere_if_the_fallback_leaves(self):
         """A begun stream's replica is abandoned and then starts leaving, as at
@@ -137,7 +137,7 @@
         is cut unless the reserved retry may be used at another replica.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.spend_all(but=2)
 
         def refuse(_) -> Reply:
@@ -147,7 +147,7 @@
         self.answer_in_turn(refuse, lambda _: Reply(events=EVENTS))
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(first.seen), 1)
+        self.assertEqual(len(first.received), 1)
         self.assertEqual(len(self.seen()), 3)
         self.assertLess(self.budgets.budget_for("service").remaining(), 1)
 
@@ -158,7 +158,7 @@
         it.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.directory.put(self.entry(first, version="v2"))
         patched = mock.patch.object(
             view.AnyVersion,
@@ -177,7 +177,7 @@
         self.answer_in_turn(refuse, lambda _: Reply(events=EVENTS))
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(first.seen), 2)
+        self.assertEqual(len(first.received), 2)
 
 
 class FallbackReleaseTest(driven_relay.BegunStreamCase, FallbackCase):
@@ -225,12 +225,12 @@
         (silent,) = [
             replica
             for replica in self.replicas
-            if replica.seen and not replica.left
+            if replica.received and not replica.abandoned
         ]
         self.asking.cancel()
         self.writer.close()
         async with asyncio.timeout(5):
-            await silent.noticed.wait()
+            await silent.request_abandoned.wait()
         await fakes.settle()
         self.assertEqual(self.listener.in_flight, 0)
         self.assertEqual(
--- a/tests/cover/test_relay_further_attempts.py
+++ b/tests/cover/test_relay_further_attempts.py
@@ -102,10 +102,10 @@
         )
         await self.arrival()
         await self.clock.advance(4 * SECOND)
-        (replica,) = [r for r in self.replicas if r.seen]
+        (replica,) = [r for r in self.replicas if r.received]
         writer.close()
         async with asyncio.timeout(5):
-            await replica.noticed.wait()
+            await replica.request_abandoned.wait()
         self.assertEqual(len(self.seen()), 1)
 
     async def test_own_failures_count_among_all_attempts(self):
@@ -255,7 +255,7 @@
         """
         asking = await self.begun()
         for replica in self.replicas:
-            if not replica.seen:
+            if not replica.received:
                 replica.refuse_connections()
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
@@ -295,7 +295,7 @@
         self.first_reply = Reply(send_bytes=0, reset=True)
         self.spend_all("other")
         self.assertEqual(relay_fixture.status_of(await self.asked()), 502)
-        self.assertEqual(self.other.seen, [])
+        self.assertEqual(self.other.received, [])
 
     async def test_and_not_from_that_of_the_service_it_leaves(self):
         """The same, but the old service's budget is spent."""
@@ -310,7 +310,7 @@
         self.spend_all("other")
         answer = await self.asked()
         self.assertEqual(relay_fixture.status_of(answer), 500)
-        self.assertEqual(self.other.seen, [])
+        self.assertEqual(self.other.received, [])
 
 
 class BehindInstanceTest(driven_relay.BudgetedRelayCase):
--- a/tests/cover/test_relay_leaving_replicas.py
+++ b/tests/cover/test_relay_leaving_replicas.py
@@ -41,7 +41,7 @@
         self.reply_with(Reply(events=EVENTS, pause_s=0.2))
         asking = asyncio.create_task(self.ask(STREAM, body=b"prompt"))
         await self.arrival()
-        (replica,) = [r for r in self.replicas if r.seen]
+        (replica,) = [r for r in self.replicas if r.received]
         return asking, replica
 
     async def test_a_stream_of_a_leaving_replica_is_not_abandoned(self):
@@ -68,7 +68,7 @@
         await asking
         for number in range(5):
             await self.ask(STREAM, request_id=f"later-{number}")
-        self.assertEqual(len(leaving.seen), 1)
+        self.assertEqual(len(leaving.received), 1)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_relay_revoked_access.py
+++ b/tests/cover/test_relay_revoked_access.py
@@ -37,7 +37,7 @@
         abandoned long before the limit for silence.
         """
         asking = await self.begun()
-        (unreachable,) = [r for r in self.replicas if r.seen]
+        (unreachable,) = [r for r in self.replicas if r.received]
         unreachable.become_unreachable()
         self.revoke_key()
         await self.assert_goes_on(asking)
@@ -48,7 +48,7 @@
         """
         asking = await self.begun()
         self.revoke_key()
-        (crashed,) = [r for r in self.replicas if r.seen]
+        (crashed,) = [r for r in self.replicas if r.received]
         await crashed.stop()
         await self.assert_goes_on(asking)
 
@@ -91,7 +91,7 @@
             )
         )
         await self.assert_goes_on(asking)
-        self.assertEqual(self.other.seen, [])
+        self.assertEqual(self.other.received, [])
 
 
 class PendingAnswersTest(driven_relay.DrivenRelayCase):
@@ -99,7 +99,7 @@
         """Replies in turn, and acts as the first request arrives."""
         left = list(replies)
 
-        def decide(_: users_replica.SeenRequest) -> users_replica.Reply:
+        def decide(_: users_replica.ReceivedRequest) -> users_replica.Reply:
             if len(left) == len(replies):
                 act()
             return left.pop(0) if len(left) > 1 else left[0]
--- a/tests/cover/test_relay_streams.py
+++ b/tests/cover/test_relay_streams.py
@@ -182,7 +182,7 @@
         self.reply_with(Reply(silent=True), Reply(events=EVENTS))
         asking = asyncio.create_task(self.ask_stream())
         await self.arrival()
-        (unreachable,) = [r for r in self.replicas if r.seen]
+        (unreachable,) = [r for r in self.replicas if r.received]
         unreachable.become_unreachable()
         answer = await asking
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
@@ -219,7 +219,7 @@
             await reader.readuntil(expected)
         writer.close()
         noticed = [
-            asyncio.create_task(replica.noticed.wait())
+            asyncio.create_task(replica.request_abandoned.wait())
             for replica in self.replicas
         ]
         await asyncio.wait(noticed, return_when=asyncio.FIRST_COMPLETED)
--- a/tests/cover/test_relay_whole_answers.py
+++ b/tests/cover/test_relay_whole_answers.py
@@ -158,7 +158,7 @@
         self.reply_with(Reply(silent=True), Reply(body=b"from the other"))
         answer = await self.ask(IDEMPOTENT)
         self.assertEqual(relay_fixture.body_of(answer), b"from the other")
-        left = [i for replica in self.replicas for i in replica.left]
+        left = [i for replica in self.replicas for i in replica.abandoned]
         self.assertEqual(left, ["request-1"])
 
     async def test_the_route_s_time_limit_is_an_answer(self):
--- a/tests/cover/test_soak_checks.py
+++ b/tests/cover/test_soak_checks.py
@@ -19,7 +19,7 @@
     ended_s=50.2,
     router="router-1#1",
 )
-REQUEST = users_replica.SeenRequest(
+REQUEST = users_replica.ReceivedRequest(
     method="POST",
     target="/once/x",
     headers={"x-attempt-id": "id", "x-tenant": "team"},
--- a/tests/cover/test_standins_engine.py
+++ b/tests/cover/test_standins_engine.py
@@ -97,7 +97,7 @@
         self.assertLess(cached, alone)
         self.assertLess(alone, both)
 
-    async def test_the_queue_goes_by_priority(self):
+    async def test_queue_is_ordered_by_priority(self):
         """The third to come runs before the second: it has priority.
 
         Both places of the batch are taken; two more wait. Whoever is
@@ -114,7 +114,7 @@
         names = [run.attempt_id for run in self.engine.runs]
         self.assertEqual(names, ["a", "b", "high", "low"])
 
-    async def test_what_waits_past_its_deadline_has_not_run(self):
+    async def test_attempt_queued_past_its_deadline_has_not_run(self):
         first = [self.start("a"), self.start("b")]
         await self.clock.advance(MILLISECOND)
         late = self.start("late", deadline_ms=20)
@@ -136,13 +136,13 @@
         await self.clock.advance(9_000 * MILLISECOND)
         rest = await self.read(generation("a", resume_at_token=3))
         text = "".join(chunk.text for chunk in rest)
-        self.assertEqual(answers.read_answer(text).tokens, rest[-1].tokens)
+        self.assertEqual(answers.parse_answer(text).tokens, rest[-1].tokens)
         await self.clock.advance(11_000 * MILLISECOND)
         with self.assertRaises(failures.NotDoneError):
             await self.read(generation("a", resume_at_token=3))
         self.assertEqual(len(self.engine.runs), 1)
 
-    async def test_nobody_reads_so_it_is_cancelled(self):
+    async def test_unread_attempt_is_cancelled(self):
         self.settings.step_ms = 2_000
         reader = self.start("a")
         await self.clock.advance(3_000 * MILLISECOND)
@@ -151,18 +151,18 @@
         finish = self.engine.runs[0].finish
         self.assertIs(finish, engine.FinishReason.CANCELLED)
 
-    async def test_a_bad_version_signs_its_answers(self):
+    async def test_answers_of_a_bad_version_are_marked(self):
         self.settings.bad_versions = (SMALL,)
         reader = self.start("a")
         await self.time_until_done(reader)
         text = "".join(chunk.text for chunk in reader.result())
-        self.assertTrue(answers.read_answer(text).bad)
+        self.assertTrue(answers.parse_answer(text).bad)
 
 
-class LateNewsTest(EngineCase):
+class DelayedReportsTest(EngineCase):
     """Reports and events that come late or not at all."""
 
-    async def test_reports_tell_what_was_so(self):
+    async def test_load_reports_are_delayed(self):
         reader = self.start("a")
         await self.clock.advance(MILLISECOND)
         self.assertEqual((await self.engine.load_report()).running, 0)
@@ -212,7 +212,7 @@
     @hypothesis.given(
         strategies.integers(3, 8), strategies.data(), strategies.booleans()
     )
-    def test_damage_is_seen(self, count, data, bad):
+    def test_damage_is_detected(self, count, data, bad):
         def tokens(marker, version):
             return [
                 answers.token_text(
@@ -226,17 +226,17 @@
             ]
 
         own = tokens("w1", SMALL)
-        seen = answers.read_answer("".join(own))
+        seen = answers.parse_answer("".join(own))
         self.assertEqual((seen.marker, seen.whole, seen.bad), ("w1", True, bad))
-        self.assertFalse(answers.read_answer("".join(own[:-1])).whole)
-        place = data.draw(strategies.integers(1, count - 2))
+        self.assertFalse(answers.parse_answer("".join(own[:-1])).whole)
+        position = data.draw(strategies.integers(1, count - 2))
         other = data.draw(
             strategies.sampled_from([tokens("w2", SMALL), tokens("w1", LARGE)])
         )
         for damaged in (
-            own[:place] + own[place + 1 :],
-            [*own[:place], own[place], *own[place:]],
-            own[:place] + other[place:],
+            own[:position] + own[position + 1 :],
+            [*own[:position], own[position], *own[position:]],
+            own[:position] + other[position:],
         ):
             with self.assertRaises(answers.DamagedAnswerError):
-                answers.read_answer("".join(damaged))
+                answers.parse_answer("".join(damaged))
--- a/tests/cover/test_standins_memory.py
+++ b/tests/cover/test_standins_memory.py
@@ -116,7 +116,7 @@
             reads_per_s=2,
         )
 
-    async def test_writes_over_the_limit_are_refused_until_told(self):
+    async def test_writes_over_the_limit_are_refused_until_retry_after(self):
         """The caller sees: refused as overloaded, with a time to wait.
 
         Ten one-row commits spend the second's writes; the eleventh has no
@@ -153,7 +153,7 @@
         await self.clock.advance(SECOND)
         self.assertIsNotNone(await self.table.read("late_effect"))
 
-    async def test_a_slow_write_survives_its_caller(self):
+    async def test_a_slow_write_outlives_its_caller(self):
         """The caller sees a timeout; the row is there all the same."""
         self.faults.delay = 5 * SECOND
         waiting = asyncio.ensure_future(
@@ -169,7 +169,7 @@
 class LagTest(unittest.IsolatedAsyncioTestCase):
     """What comes late, and when."""
 
-    async def test_the_list_shows_what_was_so(self):
+    async def test_instance_list_lags_behind(self):
         fake = clock.FakeClock()
         entry = instances.ListedInstance(
             address="127.0.0.1:1",
@@ -193,7 +193,7 @@
             await fake.advance(SECOND)
         self.assertEqual(states, [["live"], ["live"], ["leaving"], []])
 
-    async def test_ratings_come_once_late_and_in_order(self):
+    async def test_ratings_are_delayed_unique_and_ordered(self):
         fake = clock.FakeClock()
         service = memory_ratings.MemoryRatings(
             clock=fake, quality=lambda task: 0.9, delay=2 * SECOND
--- a/tests/cover/test_standins_replica.py
+++ b/tests/cover/test_standins_replica.py
@@ -7,8 +7,8 @@
 from nutmeghook.standins import users_replica
 
 
-class LeavingTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_caller_that_resets_its_connection_has_left_too(self):
+class AbandonedRequestTest(unittest.IsolatedAsyncioTestCase):
+    async def test_reset_connection_counts_as_abandoned(self):
         """A router drops a connection on which it has not read everything, so
         the replica meets a reset and no end of file. Only an end of file was
         noted, and on a busy machine tests that wait for the note never ended.
@@ -21,13 +21,13 @@
                 replica = users_replica.StandInReplica(replica_id="id-1")
                 replica.reply_from([reply])
                 await replica.start()
-                await self.reset_in_the_middle(replica)
+                await self.reset_during_the_response(replica)
                 async with asyncio.timeout(20):
-                    await replica.noticed.wait()
-                self.assertEqual(replica.left, ["gone"])
+                    await replica.request_abandoned.wait()
+                self.assertEqual(replica.abandoned, ["gone"])
                 await replica.stop()
 
-    async def reset_in_the_middle(self, replica) -> None:
+    async def reset_during_the_response(self, replica) -> None:
         """Asks, and resets the connection once the replica works."""
         host, _, port = replica.address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
@@ -35,8 +35,8 @@
             f"POST /x HTTP/1.1\r\n{headers.REQUEST_ID}: gone\r\n"
             f"{headers.EXPECTED_REPLICA}: id-1\r\n\r\n".encode()
         )
-        await replica.arrived.wait()
-        users_replica.break_off(writer, reset=True)
+        await replica.request_received.wait()
+        users_replica.close_connection(writer, reset=True)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_version_driver.py
+++ b/tests/cover/test_version_driver.py
@@ -283,7 +283,7 @@
         for number in (1, 2, 3, 1, 2, 3, 1, 2):
             prover.answer("v2", number=number, failed=True)
         await self.step(proving)
-        self.store.do_late_writes()
+        self.store.apply_late_writes()
         self.assertEqual(self.operator_state(), "reverted")
 
     async def test_weak_evidence_of_each_instance_adds_up_in_final_reports(
--- a/tests/driven_relay.py
+++ b/tests/driven_relay.py
@@ -57,7 +57,7 @@
             await asyncio.sleep(0.001)
         return await asking
 
-    def seen_after(self, event_id: str) -> list[users_replica.SeenRequest]:
+    def seen_after(self, event_id: str) -> list[users_replica.ReceivedRequest]:
         """Returns the requests that resumed after an event."""
         name = headers.LAST_EVENT.lower()
         return [s for s in self.seen() if s.headers.get(name) == event_id]
@@ -111,13 +111,15 @@
     def in_order_of_arrival(self) -> list[str]:
         """Returns the ids of the replicas that received requests."""
         seen = [
-            (s.arrived_s, r.replica_id) for r in self.replicas for s in r.seen
+            (s.arrived_s, r.replica_id)
+            for r in self.replicas
+            for s in r.received
         ]
         return [replica_id for _, replica_id in sorted(seen)]
 
     def used_replica(self):
         """Returns the relay's state of the replica that was asked."""
-        (asked,) = {r.replica_id for r in self.replicas if r.seen}
+        (asked,) = {r.replica_id for r in self.replicas if r.received}
         (found,) = [
             replica
             for replica in self.directory.of_service("service")
--- a/tests/permission_scenario.py
+++ b/tests/permission_scenario.py
@@ -381,7 +381,7 @@
 def _is_whole(call: Call) -> bool:
     if call.is_plain:
         return call.text == call.request_id
-    answer = answers.read_answer(call.text)
+    answer = answers.parse_answer(call.text)
     return answer.whole and answer.marker == call.request_id
 
 
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -159,14 +159,14 @@
         for replica in self.replicas:
             replica.reply_from(shared)
 
-    def seen(self) -> list[users_replica.SeenRequest]:
+    def seen(self) -> list[users_replica.ReceivedRequest]:
         """Returns all requests that reached a replica."""
-        return [seen for replica in self.replicas for seen in replica.seen]
+        return [seen for replica in self.replicas for seen in replica.received]
 
     async def arrival(self) -> None:
         """Waits until a request has reached any replica."""
         waits = [
-            asyncio.create_task(replica.arrived.wait())
+            asyncio.create_task(replica.request_received.wait())
             for replica in self.replicas
         ]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
--- a/tests/whole/test_cold_and_evacuated.py
+++ b/tests/whole/test_cold_and_evacuated.py
@@ -38,7 +38,7 @@
         return sorted(
             request.arrived_s
             for replica_id in replica_ids
-            for request in replicas[replica_id].seen
+            for request in replicas[replica_id].received
         )
 
     async def calls(
@@ -71,7 +71,7 @@
             await self.calls(12, kind=kind)
         self.assertEqual(len(self.seen(*in_hall)), before)
         self.assertGreaterEqual(len(self.seen("far-1")), 36)
-        self.trial.operator.take_back("hall")
+        self.trial.operator.end_evacuation("hall")
         await asyncio.sleep(IN_FORCE_S + COLD_S)
         await self.calls(12)
         self.assertGreater(len(self.seen(*in_hall)), before)
@@ -81,7 +81,7 @@
         In no second it gets more than it bears, and still it gets some.
         """
         for replica_id in list(self.trial.replicas):
-            self.trial.operator.strike_replica(replica_id)
+            self.trial.operator.delist_replica(replica_id)
         await self.trial.add_replica("cold-1", "v1", cold_left_s=60.0)
         await asyncio.sleep(cold_senders.SETTLING_TIME.total_seconds())
         await self.calls(150)
--- a/tests/whole/test_crashing_requests.py
+++ b/tests/whole/test_crashing_requests.py
@@ -55,7 +55,7 @@
             seen.body == platform_checks.CRASHING_BODY
             and seen.arrived_s > from_s
             for replica in self.trial.all_replicas().values()
-            for seen in replica.seen
+            for seen in replica.received
         )
 
     async def test_the_fleet_knows_a_request_that_ended_three_replicas(self):
--- a/tests/whole/test_openai_system.py
+++ b/tests/whole/test_openai_system.py
@@ -24,7 +24,7 @@
                 self._scenario(pathlib.Path(folder))
             )
         for text in (whole, streamed):
-            seen = answers.read_answer(text)
+            seen = answers.parse_answer(text)
             self.assertEqual(seen.marker, "w1")
             self.assertTrue(seen.whole)
         self.assertIn(TEMPLATE, models)
