--- a/src/nutmeghook/standins/answers.py
+++ b/src/nutmeghook/standins/answers.py
@@ -1,7 +1,8 @@
-"""The text of model engine stand-ins, which tells where it came from.
+"""Text of the model engine stand-ins, which names its request and version.
 
 Each token of an answer reads `MARKER/MODEL@VERSION/INDEX`, so that a checker
-can see an answer that is crossed, spliced of two versions, doubled or cut.
+detects an answer that belongs to another request, mixes two versions, repeats
+tokens or is truncated.
 """
 
 import dataclasses
@@ -22,16 +23,16 @@
 
 
 class DamagedAnswerError(ValueError):
-    """A text that is not a gapless piece of one answer."""
+    """A text that is not a contiguous part of one answer."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ParsedAnswer:
-    """What a text says of itself.
+    """What the tokens of an answer state.
 
     Attributes:
-        bad: It came from a version while that was bad.
-        whole: It starts at the first token and ends with the last.
+        bad: The version was configured as bad when it generated the answer.
+        whole: The text starts at the first token and ends with the last.
     """
 
     marker: str
@@ -63,17 +64,18 @@
     last: bool,
 ) -> str:
     """Returns the text of one token."""
-    sign = BAD_SUFFIX if bad else ""
+    suffix = BAD_SUFFIX if bad else ""
     end = END_SUFFIX if last else ""
-    return f"{marker}/{model_version}{sign}/{index}{end} "
+    return f"{marker}/{model_version}{suffix}/{index}{end} "
 
 
 def parse_answer(text: str) -> ParsedAnswer:
-    """Reads an answer and checks that it is one piece.
+    """Parses an answer and checks that it is contiguous.
 
     Raises:
-        DamagedAnswerError: A token is garbled, missing, doubled, out of
-            order, or of another request, version or state than the first.
+        DamagedAnswerError: A token is malformed, missing, repeated or out
+            of order, or differs from the first in request, version or bad
+            mark.
     """
     tokens = [_read_token(word) for word in text.split()]
     if not tokens:
--- a/src/nutmeghook/standins/backend_apps.py
+++ b/src/nutmeghook/standins/backend_apps.py
@@ -20,7 +20,7 @@
 
 
 class RefuseBody(msgspec.Struct, frozen=True, kw_only=True):
-    """So many calls are to be refused before they run."""
+    """The number of calls to refuse before they run."""
 
     refuse_next: int
 
@@ -35,7 +35,7 @@
         self.faults = memory.faults
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_engine`."""
+        """Returns the routes of `http_engine`."""
         return [
             web.post(http_engine.GENERATE_PATH, self._generate),
             web.post(http_engine.CANCEL_PATH, self._cancel),
@@ -47,7 +47,7 @@
         ]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the paths of its logs and settings."""
+        """Returns the routes of its logs and settings."""
         return [
             web.get(f"{base}/runs", self._runs),
             web.get(f"{base}/orders", self._orders),
@@ -56,7 +56,7 @@
         ]
 
     def crash(self) -> None:
-        """Loses generations and caches."""
+        """Loses all generations and caches."""
         self.memory.crash()
 
     async def _generate(self, request: web.Request) -> web.StreamResponse:
@@ -64,7 +64,8 @@
         async with contextlib.aclosing(
             self.memory.generate(generation)
         ) as chunks:
-            # Until the first chunk is there, a refusal is still possible.
+            # Before the first chunk the generation may still be refused, so
+            # the response starts only after it.
             first = await anext(chunks)
             response = web.StreamResponse(
                 headers={"Content-Type": "application/x-ndjson"}
@@ -137,11 +138,11 @@
         self.faults = memory.faults
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns one route for everything."""
+        """Returns one route for all methods and paths."""
         return [web.route("*", "/{path:.*}", self._call)]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the paths of its log and of refusals."""
+        """Returns the routes of its log and of refusals."""
         return [
             web.get(f"{base}/runs", self._runs),
             web.post(f"{base}/refuse", self._refuse),
@@ -179,6 +180,6 @@
     if chunk.finish is None:
         await response.write(line)
     else:
-        # In one piece with the end of the body, so that the reader finds the
-        # end at once and can keep its connection.
+        # Written together with the end of the body, so that the client reads
+        # the end at once and can reuse its connection.
         await response.write_eof(line)
--- a/src/nutmeghook/standins/engine_batch.py
+++ b/src/nutmeghook/standins/engine_batch.py
@@ -18,11 +18,11 @@
 
 
 class Batch:
-    """Generations that get a token each step, and a queue by priority.
+    """A batch whose generations advance each step, and a priority queue.
 
     Attributes:
-        running: The batch.
-        log: All generations that were ever started.
+        running: The generations in the batch.
+        log: All generations that were ever started, oldest first.
     """
 
     __slots__ = (
@@ -57,7 +57,7 @@
 
     @property
     def waiting(self) -> int:
-        """Generations in the queue."""
+        """Number of generations in the queue."""
         return sum(not run.ended for _, _, run in self._queue)
 
     def submit(self, run: engine_runs.Run) -> None:
@@ -81,7 +81,7 @@
         self._on_change()
 
     def cancel(self, run: engine_runs.Run) -> None:
-        """Stops a generation; one that waits will never have run."""
+        """Stops a generation; a queued one is dropped without running."""
         if run.state is engine_runs.RunState.WAITING:
             run.end(engine_runs.RunState.DROPPED)
         run.end(engine_runs.RunState.FINISHED, engine.FinishReason.CANCELLED)
--- a/src/nutmeghook/standins/engine_cache.py
+++ b/src/nutmeghook/standins/engine_cache.py
@@ -14,10 +14,10 @@
 
 
 def prefix_hash(generation: engine.Generation) -> str:
-    """Returns the name under which a generation's prefix is cached.
+    """Returns the key under which a generation's prefix is cached.
 
-    A version's generations share a prefix if they have the same session, or
-    none and the same first message.
+    Generations of one version share a prefix if they have the same session, or
+    no session and the same first message.
     """
     if generation.session:
         shared = f"session {generation.session}"
@@ -29,7 +29,7 @@
 
 
 class PrefixCache:
-    """Prefixes by hash; the longest unused one leaves when it is full."""
+    """Token counts by prefix hash, with least-recently-used eviction."""
 
     __slots__ = (
         "_clock",
@@ -61,7 +61,7 @@
         return self._prefixes.get(name, 0)
 
     def store(self, name: str, tokens: int) -> None:
-        """Caches a prefix, or marks it as just used."""
+        """Caches a prefix, or marks it as most recently used."""
         known = self._prefixes.pop(name, None)
         self._prefixes[name] = max(tokens, known or 0)
         if known is None:
@@ -72,12 +72,12 @@
             self._publish(oldest, stored=False)
 
     def clear(self) -> None:
-        """Forgets everything, without a word, as a restart does."""
+        """Drops all prefixes and events without publishing evictions."""
         self._prefixes.clear()
         self._events.clear()
 
     def events(self, after_sequence: int) -> list[engine.CacheEvent]:
-        """Returns the events that are old enough to be published."""
+        """Returns the later events that are old enough to be published."""
         lag = self._settings.cache_event_lag_ms * _MILLISECOND
         visible_until = self._clock.monotonic() - lag
         return [
--- a/src/nutmeghook/standins/engine_orders.py
+++ b/src/nutmeghook/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to a model engine stand-in: versions to serve, and its role."""
+"""Orders to a model engine stand-in: load, unload and set the role."""
 
 from collections.abc import Callable
 import dataclasses
@@ -14,12 +14,12 @@
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
-# Gives a ticket back to the weight store; None if the ticket is not good.
+# Redeems a ticket at the weight store; None if the ticket is not valid.
 TicketRedeemer = Callable[[str], weights.WeightInfo | None]
 
 
 class OrderRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the engine's own log of orders.
+    """An entry of the engine's log of orders.
 
     Attributes:
         received_ms: Wall time, in milliseconds since the epoch.
@@ -35,17 +35,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class _Loading:
-    """A version being loaded, or already there."""
+    """A version that is being loaded or has been loaded."""
 
     done_at: datetime.timedelta
 
 
 class OrderHandler:
-    """Takes orders, fenced or not, and knows which versions are loaded.
+    """Executes orders, with or without fencing, and tracks loaded versions.
 
     Attributes:
-        role: As the latest order to set it said.
-        log: All orders received.
+        role: The target of the latest order that set it.
+        log: All orders received, oldest first.
     """
 
     __slots__ = (
@@ -88,11 +88,11 @@
         )
 
     def handle(self, order: engine.Order) -> engine.OrderState:
-        """Takes an order, or says how an earlier one with its id stands.
+        """Executes an order, or returns the state of one with the same id.
 
         Raises:
             failures.NotDoneError: The target is wrong, or a ticket is needed
-                and the order's is not good.
+                and the one in the order is not valid.
         """
         state = self._handle(order)
         self.log.append(
@@ -154,7 +154,7 @@
         )
 
     def _state_of(self, order: engine.Order) -> engine.OrderState:
-        """Says how an accepted order stands; a later one may overrule it."""
+        """Returns an accepted order's state; a later one may supersede it."""
         if order.kind is engine.OrderKind.LOAD:
             loading = self._loadings.get(_version_of(order))
             if loading and loading.done_at > self._clock.monotonic():
--- a/src/nutmeghook/standins/engine_reports.py
+++ b/src/nutmeghook/standins/engine_reports.py
@@ -1,4 +1,4 @@
-"""Load figures of a model engine stand-in, told late."""
+"""Load reports of a model engine stand-in, published with a delay."""
 
 import collections
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class DelayedReports:
-    """Keeps the figures of the last moments and shows those of then."""
+    """Keeps recent reports and returns the one of `report_lag_ms` ago."""
 
     __slots__ = ("_clock", "_measure", "_recorded", "_settings")
 
@@ -31,14 +31,14 @@
         ] = collections.deque([(clock.monotonic(), measure())])
 
     def record(self) -> None:
-        """Takes down the figures, if they have changed."""
+        """Records the current report if it has changed."""
         report = self._measure()
         if report != self._recorded[-1][1]:
             self._recorded.append((self._clock.monotonic(), report))
         self._drop_oldest()
 
     def visible(self) -> engine.LoadReport:
-        """Returns the figures of `report_lag_ms` ago."""
+        """Returns the report of `report_lag_ms` ago."""
         self.record()
         return self._recorded[0][1]
 
--- a/src/nutmeghook/standins/engine_runs.py
+++ b/src/nutmeghook/standins/engine_runs.py
@@ -1,4 +1,4 @@
-"""One generation inside a model engine stand-in, and the log of them."""
+"""A generation in a model engine stand-in, and its log entry."""
 
 import asyncio
 import datetime
@@ -11,11 +11,11 @@
 
 
 class RunRecord(msgspec.Struct, kw_only=True):
-    """One line of the engine's own log: a generation that was started.
+    """An entry of the engine's log: a generation that was started.
 
     Attributes:
-        attempt_id: The router's id; the request's id is a part of it.
-        marker: What the prompt carried (`answers.marker_of`).
+        attempt_id: The router's id; it contains the request's id.
+        marker: The marker in the prompt (`answers.marker_of`).
         started_ms: Wall time, in milliseconds since the epoch.
     """
 
@@ -32,7 +32,10 @@
 
 
 class RunState(enum.Enum):
-    """Where a generation stands."""
+    """State of a generation.
+
+    `DROPPED` ended in the queue and never ran; `LOST` ended by a crash.
+    """
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -45,11 +48,11 @@
     """A generation and its tokens so far.
 
     Attributes:
-        record: Its line in the log, once it was started.
-        wanted_tokens: Length of the whole answer.
-        ready_at: When its prompt will have been worked through.
-        readers: Streams that read it now.
-        unread_since: When the last reader left.
+        record: Its log entry, once it was started.
+        answer_tokens: Length of the whole answer.
+        ready_at: When prefill of its prompt ends.
+        readers: Number of streams that read it now.
+        unread_since: When the last reader closed its stream.
     """
 
     __slots__ = (
@@ -90,7 +93,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether no further token will come."""
+        """Whether no further token will be generated."""
         return self.state not in (RunState.WAITING, RunState.RUNNING)
 
     def add_token(self, *, bad: bool) -> None:
@@ -128,6 +131,6 @@
         await self._changed.wait()
 
     def wake_readers(self) -> None:
-        """Lets those go on that wait in `changed`."""
+        """Wakes all tasks that wait in `changed`."""
         self._changed.set()
         self._changed = asyncio.Event()
--- a/src/nutmeghook/standins/engine_settings.py
+++ b/src/nutmeghook/standins/engine_settings.py
@@ -1,4 +1,4 @@
-"""What a model engine stand-in is like, and what is wrong with it."""
+"""Performance, limits and faults of a model engine stand-in."""
 
 import msgspec
 
@@ -9,33 +9,35 @@
     """An engine's speed, limits and faults; may be changed at any time.
 
     Attributes:
-        capacity: Generations that the batch holds.
-        queue_limit: Generations that may wait beside it.
-        step_ms: Time of a step that gives one generation a token each.
-        slowdown_per_generation: What each further generation in the batch
-            adds to a step, relative to `step_ms`.
-        prompt_token_ms: Time for one prompt token that is not cached.
+        capacity: Maximum number of generations in the batch.
+        queue_limit: Maximum number of queued generations.
+        step_ms: Duration of a step with one generation in the batch.
+        slowdown_per_generation: Increase of the step by each further
+            generation in the batch, relative to `step_ms`.
+        prompt_token_ms: Prefill time of one prompt token that is not cached.
         slow_factor: Multiplies all times.
-        tokens_per_step: Tokens that a step gives to each generation.
-        mean_answer_tokens: Answers have half to one and a half of it.
-        cache_capacity_tokens: What the prefix cache holds.
+        tokens_per_step: Tokens that each generation gains in a step.
+        mean_answer_tokens: Answers are half to one and a half times as long.
+        cache_capacity_tokens: Capacity of the prefix cache.
         cache_event_lag_ms: Age at which cache events are published.
         cache_event_loss_percent: Share of cache events never published.
-        cache_events_kept: Events that can still be asked for.
-        report_lag_ms: Age of the load figures.
-        sends_load_along: The last chunk carries the load figures.
-        keep_attempt_ms: How long tokens are kept once nobody reads them; a
-            running attempt is cancelled then.
+        cache_events_kept: Number of latest events that can be read.
+        report_lag_ms: Age of the load reports.
+        sends_load_along: The last chunk carries a load report.
+        keep_attempt_ms: How long an attempt without a reader is kept; if it
+            still runs then, it is cancelled.
         honours_fencing: Orders with an older fencing token are refused.
-        secret: If not empty, orders must show it.
+        secret: If not empty, orders must contain it.
         needs_ticket: Loading needs a ticket of the weight store.
-        load_ms: Time to load a version, if the weights' size isn't known.
-        download_bytes_per_ms: Else, how fast they are loaded.
-        leaving: It says so in its reports.
-        refuses_work: New generations are refused (not run).
-        bad_versions: Their answers carry the bad sign.
-        cut_next_streams: So many streams break after `cut_after_tokens`.
-        crossed_next_streams: So many streams carry a chunk of another
+        load_ms: Time to load a version if the weights' size is unknown.
+        download_bytes_per_ms: Loading speed if the size is known.
+        leaving: Reports and refusals state that the engine is leaving.
+        refuses_work: New generations are refused without running.
+        bad_versions: Versions whose answers are marked with
+            `answers.BAD_SUFFIX`.
+        cut_next_streams: Number of streams to break after
+            `cut_after_tokens`.
+        crossed_next_streams: Number of streams that get a chunk of another
             attempt before their own second chunk.
     """
 
@@ -68,7 +70,7 @@
 
 
 def update(settings: EngineSettings, change: bytes) -> None:
-    """Sets the fields that a JSON object names.
+    """Sets the fields that are present in a JSON object.
 
     Raises:
         msgspec.ValidationError: A field is unknown or of the wrong type;
--- a/src/nutmeghook/standins/faults.py
+++ b/src/nutmeghook/standins/faults.py
@@ -1,4 +1,4 @@
-"""The faults that every stand-in can be told to show."""
+"""Faults that can be injected into every stand-in."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,18 +14,18 @@
 
 
 class Faults:
-    """What goes wrong with a stand-in; tests set the attributes at any time.
+    """Faults of a stand-in; tests may set the attributes at any time.
 
     Attributes:
         down: Every call is refused before it has any effect.
-        delay: Answers come this much later. A write has taken effect by
-            then: a caller who gives up early does not undo it.
-        lose_next_answers: So many writes take effect, then their outcome is
-            lost.
-        lose_next_requests: So many writes have no effect, and their outcome
-            is lost all the same.
-        late_effect: If set, writes lose their outcome at once and take
-            effect this much later.
+        delay: Added to the time of each answer. A write takes effect before
+            the delay, so a caller that times out does not undo it.
+        lose_next_answers: Number of writes that take effect but whose
+            outcome is lost.
+        lose_next_requests: Number of writes that have no effect and whose
+            outcome is lost too.
+        late_effect: If set, the outcome of writes is lost at once and they
+            take effect this much later.
     """
 
     __slots__ = (
@@ -57,16 +57,16 @@
         self.late_effect = late_effect
 
     async def before_read(self) -> None:
-        """Waits or fails as a read should."""
+        """Applies the faults of a read: refuses it or delays it."""
         self.refuse_if_down()
         await self._wait()
 
     async def write(self, effect: Callable[[], _T]) -> _T:
-        """Runs a write's effect, or not, and answers as the faults say.
+        """Runs a write under the faults and returns its result.
 
         Args:
-            effect: Checks limits (raising `NotDoneError`) and does the write,
-                without awaiting.
+            effect: Checks limits (raising `NotDoneError`) and performs the
+                write, without awaiting.
 
         Raises:
             failures.NotDoneError: The stand-in is down or `effect` refused.
@@ -103,7 +103,7 @@
     ) -> None:
         async def apply() -> None:
             await self._clock.sleep(delay)
-            # Where a limit refuses it, its caller has left long ago.
+            # A limit may refuse the effect; the caller already got its error.
             with contextlib.suppress(failures.NotDoneError):
                 effect()
 
--- a/src/nutmeghook/standins/memory_engine.py
+++ b/src/nutmeghook/standins/memory_engine.py
@@ -1,4 +1,4 @@
-"""A model engine in memory: batches, caches, queues, and fails on demand."""
+"""In-memory model engine with batching, a queue, a prefix cache and faults."""
 
 from collections.abc import AsyncIterator
 import datetime
@@ -23,7 +23,7 @@
 
 
 class CacheContent(msgspec.Struct, frozen=True, kw_only=True):
-    """What an exported KV cache holds: only its size."""
+    """An exported KV cache, of which only the size is modelled."""
 
     tokens: int
 
@@ -31,13 +31,13 @@
 class MemoryEngine(engine.Engine):
     """One engine.
 
-    An attempt runs at most once, however often it is asked for: asking again
-    reads on from the tokens that it has. It goes on while nobody reads, for a
-    while, so that a cut stream can be resumed.
+    An attempt runs at most once: a repeated call reads the tokens that the
+    attempt already has. For `keep_attempt_ms` it continues without a reader,
+    so that an interrupted stream can be resumed.
 
     Attributes:
-        faults: Down and slow; the faults of writes apply to orders and to
-            imports of caches.
+        faults: `down` and `delay` apply to all calls, the faults of writes to
+            orders and cache imports.
     """
 
     __slots__ = (
@@ -94,19 +94,19 @@
         return self._orders.log
 
     def crash(self) -> None:
-        """Loses generations and caches; loaded versions come back with it."""
+        """Loses generations and caches; loaded versions stay loaded."""
         self._batch.lose_all()
         self._cache.clear()
         self._attempts.clear()
 
     def record_load(self) -> None:
-        """Takes a change of settings or load into the reports to come."""
+        """Records a change of settings or load for later reports."""
         self._reports.record()
 
     async def generate(
         self, generation: engine.Generation
     ) -> AsyncIterator[engine.Chunk]:
-        """Runs the generation and yields its chunks as they come."""
+        """Runs the generation and yields its chunks as they are generated."""
         await self.faults.before_read()
         self._forget_old_attempts()
         run = self._attempts.get(generation.attempt_id)
@@ -128,18 +128,18 @@
             self._batch.cancel(run)
 
     async def load_report(self) -> engine.LoadReport:
-        """Returns figures that are as old as the settings say."""
+        """Returns the load report of `report_lag_ms` ago."""
         await self.faults.before_read()
         return self._reports.visible()
 
     async def order(self, order: engine.Order) -> engine.OrderState:
-        """Gives an order, or asks how an earlier one with its id stands."""
+        """Executes an order, or returns the state of one with the same id."""
         return await self.faults.write(lambda: self._handle_order(order))
 
     async def cache_events(
         self, after_sequence: int
     ) -> list[engine.CacheEvent]:
-        """Returns the events after a sequence number that are still kept."""
+        """Returns the kept events after a sequence number."""
         await self.faults.before_read()
         return self._cache.events(after_sequence)
 
@@ -152,7 +152,7 @@
         return msgspec.json.encode(CacheContent(tokens=tokens))
 
     async def import_cache(self, prefix_hash: str, content: bytes) -> None:
-        """Gives the engine the KV cache of a prefix."""
+        """Stores the KV cache of a prefix in the engine."""
         try:
             decoded = msgspec.json.decode(content, type=CacheContent)
         except msgspec.DecodeError as error:
