--- a/src/nutmeghook/standins/instance_list_deltas.py
+++ b/src/nutmeghook/standins/instance_list_deltas.py
@@ -1,4 +1,4 @@
-"""Entity tags of instance lists, and the changes between two of them."""
+"""Entity tags of instance lists, and the deltas between two lists."""
 
 import dataclasses
 
@@ -8,23 +8,23 @@
 from nutmeghook.internal.dependencies import instances
 from nutmeghook.internal.standin_http import http_instances
 
-# A reader that is further behind gets the whole list.
+# A client whose list is older than these gets the whole list.
 MAX_KEPT_LISTS = 16
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ListAnswer:
-    """What to answer; no body stands for "not modified"."""
+    """The response to a read; no body stands for "not modified"."""
 
     entity_tag: str
     body: http_instances.InstancesAnswer | None
 
 
 class InstanceListDeltas:
-    """Remembers the lists that were given out, under their tags.
+    """Keeps the lists that were sent, by entity tag.
 
-    Tags are made of the content, so a list that comes back has its old tag,
-    and no other list ever has it.
+    Tags are hashes of the content, so a list that recurs has its old tag, and
+    no other list has it.
     """
 
     __slots__ = ("_sent",)
@@ -42,9 +42,9 @@
         """Returns the answer to one read.
 
         Args:
-            listed: The list as it is now.
-            known_tag: Of the list that the reader has; may be empty.
-            changes_only: The reader is content with the changes.
+            listed: The current list.
+            known_tag: Tag of the list that the client has; may be empty.
+            changes_only: The client accepts a delta instead of the whole list.
         """
         digest = xxhash.xxh3_64_hexdigest(msgspec.json.encode(listed))
         tag = f'"{digest}"'
--- a/src/nutmeghook/standins/memory_instances.py
+++ b/src/nutmeghook/standins/memory_instances.py
@@ -1,4 +1,4 @@
-"""The list of instances in memory, with its lag."""
+"""In-memory instance list that lags behind."""
 
 import datetime
 
@@ -12,10 +12,10 @@
 
 
 class MemoryInstances(instances.InstanceList):
-    """Shows what was so `lag` ago.
+    """Returns the list as it was `lag` ago.
 
     Attributes:
-        lag: How far the list is behind; may be changed at any time.
+        lag: Age of the list that is returned; may be changed at any time.
     """
 
     __slots__ = ("_clock", "_history", "faults", "lag")
@@ -49,7 +49,7 @@
         self._change({**self._newest(), instance.address: instance})
 
     def mark_leaving(self, address: str) -> None:
-        """Shows a listed instance as leaving."""
+        """Sets a listed instance's state to leaving."""
         self.put(
             msgspec.structs.replace(
                 self._newest()[address], state=instances.InstanceState.LEAVING
@@ -57,7 +57,7 @@
         )
 
     def remove(self, address: str) -> None:
-        """Takes an instance off the list, if it is there."""
+        """Removes an instance from the list, if it is there."""
         listed = dict(self._newest())
         listed.pop(address, None)
         self._change(listed)
--- a/src/nutmeghook/standins/memory_objects.py
+++ b/src/nutmeghook/standins/memory_objects.py
@@ -1,4 +1,4 @@
-"""The object store in memory, with its limits."""
+"""In-memory object store with rate limits."""
 
 import bisect
 
@@ -17,11 +17,11 @@
         self._keys: list[str] = []
 
     async def put_if_absent(self, key: str, content: bytes) -> bool:
-        """Stores the blob; returns False where the key exists already."""
+        """Stores the blob; returns False if the key exists already."""
         return await self.faults.write(lambda: self._put(key, content))
 
     async def get(self, key: str) -> bytes | None:
-        """Returns the blob, or None where there is none."""
+        """Returns the blob, or None if there is none."""
         await self.faults.before_read()
         self._read_limit.spend(1)
         return self._blobs.get(key)
--- a/src/nutmeghook/standins/memory_plain.py
+++ b/src/nutmeghook/standins/memory_plain.py
@@ -1,4 +1,4 @@
-"""Plain services in memory, with a log of the calls that they ran."""
+"""In-memory plain services with a log of the calls that they ran."""
 
 from collections.abc import Callable
 import datetime
@@ -13,10 +13,10 @@
 
 
 class CallRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of a plain service's own log: a call that took effect.
+    """An entry of a plain service's log: a call that took effect.
 
     Attributes:
-        marker: What the body or the path carried (`answers.marker_of`).
+        marker: The marker in the body or the path (`answers.marker_of`).
         started_ms: Wall time, in milliseconds since the epoch.
     """
 
@@ -38,11 +38,11 @@
 
 
 class MemoryPlainService:
-    """One plain service: runs calls, logs them and fails on demand.
+    """One plain service; runs and logs calls, and injects faults.
 
     Attributes:
         runs: The calls that took effect, oldest first.
-        refuse_next: So many calls are refused before they run.
+        refuse_next: Number of calls to refuse before they run.
     """
 
     __slots__ = ("_clock", "_handler", "faults", "refuse_next", "runs")
--- a/src/nutmeghook/standins/memory_ratings.py
+++ b/src/nutmeghook/standins/memory_ratings.py
@@ -1,4 +1,4 @@
-"""The rating service in memory: late, and at times silent or biased."""
+"""In-memory rating service that can be delayed, stopped or biased."""
 
 import collections
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 
 
 class MemoryRatings(ratings.RatingService):
-    """Rates with a function of the task, some time after it came.
+    """Rates each task by a function, `delay` after it was submitted.
 
     Attributes:
         delay: Time from a task to its rating.
-        stopped: Tasks are taken, but no rating is given until it is False.
-        bias: Added to each quality; the sum is cut to 0 to 1.
-        quality: Gives the quality of a task's answer; may be replaced.
+        stopped: Tasks are accepted, but none is rated.
+        bias: Added to each quality; the sum is clamped to 0 to 1.
+        quality: Returns the quality of a task's answer; may be replaced.
     """
 
     __slots__ = (
@@ -52,13 +52,13 @@
         self._ratings: list[ratings.Rating] = []
 
     async def submit(self, tasks: list[ratings.RatingTask]) -> None:
-        """Hands in answers; one request and stage is rated only once."""
+        """Submits answers; each request and stage is rated only once."""
         await self.faults.write(lambda: self._submit(tasks))
 
     async def ratings_after(
         self, cursor: int, *, limit: int = 1000
     ) -> list[ratings.Rating]:
-        """Returns the ratings behind a cursor, in order."""
+        """Returns the ratings after a cursor, in order."""
         await self.faults.before_read()
         self._rate_due_tasks()
         start = max(0, cursor)  # The first rating's cursor is 1.
--- a/src/nutmeghook/standins/memory_table.py
+++ b/src/nutmeghook/standins/memory_table.py
@@ -1,4 +1,4 @@
-"""The table service in memory, with its limits."""
+"""In-memory table service with rate limits."""
 
 import bisect
 
@@ -11,9 +11,9 @@
 class MemoryTable(rate_limited_store.RateLimitedStore, table.TableService):
     """Rows in a dict; a commit happens in one step of the event loop.
 
-    A commit counts one write for each put and delete, whether its conditions
-    hold or not, or one read where it has neither. A scan counts one read for
-    each 100 rows or part.
+    A commit costs one write for each put and delete, even if its conditions
+    fail, or one read if it has neither. A scan costs one read for each 100
+    rows, rounded up.
 
     Attributes:
         commits: Commits that took effect.
@@ -29,7 +29,7 @@
         self.commits = 0
 
     async def read(self, key: str) -> table.Row | None:
-        """Returns the row, or None where there is none."""
+        """Returns the row, or None if there is none."""
         await self.faults.before_read()
         self._read_limit.spend(1)
         return self._rows.get(key)
@@ -37,7 +37,7 @@
     async def scan(
         self, *, prefix: str, after: str = "", limit: int = 1000
     ) -> list[table.Row]:
-        """Returns rows whose key has the prefix, in order of their keys."""
+        """Returns rows whose key has the prefix, in key order."""
         await self.faults.before_read()
         rows = self._scan(prefix, after, limit)
         self._read_limit.spend(max(1, -(-len(rows) // ROWS_PER_READ)))
@@ -88,8 +88,8 @@
         return row.version if row else table.ABSENT_VERSION
 
     def _put(self, put: table.Put) -> int:
-        # One count for all rows: a row that is deleted and made again never
-        # gets a version that it had before.
+        # One counter for all rows: a row that is deleted and created again
+        # never gets a version that it had before.
         self._last_version += 1
         if put.key not in self._rows:
             bisect.insort(self._keys, put.key)
--- a/src/nutmeghook/standins/memory_weights.py
+++ b/src/nutmeghook/standins/memory_weights.py
@@ -1,4 +1,4 @@
-"""The weight store in memory, with its limit on downloads."""
+"""In-memory weight store with a limit on downloads."""
 
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.dependencies import failures
@@ -11,7 +11,7 @@
 
 
 class MemoryWeights(weights.WeightStore):
-    """Grants tickets for the versions that it knows.
+    """Grants download tickets for the versions that it has.
 
     Attributes:
         sizes_bytes: The versions and their sizes; may be changed at any time.
@@ -37,20 +37,20 @@
     async def describe(
         self, model_version: engine.ModelVersion
     ) -> weights.WeightInfo | None:
-        """Returns what the store knows, or None for an unknown version."""
+        """Returns a version's weights, or None for an unknown version."""
         await self.faults.before_read()
         return self._info(model_version)
 
     async def grant_download(
         self, model_version: engine.ModelVersion, address: str
     ) -> str:
-        """Returns a ticket with which the engine at `address` may download."""
+        """Returns a ticket that lets the engine at `address` download."""
         return await self.faults.write(
             lambda: self._grant(model_version, address)
         )
 
     def redeem(self, ticket: str) -> weights.WeightInfo | None:
-        """Returns what a ticket is good for; each is good once."""
+        """Returns the weights that a ticket grants; it is valid once."""
         model_version = self._tickets.pop(ticket, None)
         return self._info(model_version) if model_version else None
 
--- a/src/nutmeghook/standins/platform_apps.py
+++ b/src/nutmeghook/standins/platform_apps.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP, around the stand-ins in memory."""
+"""The platform's services over HTTP, backed by the in-memory stand-ins."""
 
 import datetime
 
@@ -26,7 +26,7 @@
 
 
 class Counters(msgspec.Struct, frozen=True, kw_only=True):
-    """What a store counted against its limits since it started."""
+    """Operations that a store counted against its limits so far."""
 
     writes: int
     reads: int
@@ -40,7 +40,7 @@
 
 
 class LagBody(msgspec.Struct, frozen=True, kw_only=True):
-    """How far the instance list is behind."""
+    """The lag of the instance list."""
 
     lag_ms: float
 
@@ -48,7 +48,7 @@
 class RatingSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a test can set on the rating service."""
+    """Settings of the rating service; tests may change them."""
 
     delay_ms: float = 200.0
     stopped: bool = False
@@ -59,12 +59,12 @@
 
 
 class WeightSizes(msgspec.Struct, frozen=True, kw_only=True):
-    """The versions in the weight store, `model@version` to bytes."""
+    """The versions in the weight store: size by `model@version`."""
 
     sizes_bytes: dict[str, int]
 
     def by_version(self) -> dict[engine.ModelVersion, int]:
-        """Returns the sizes under parsed versions."""
+        """Returns the sizes by parsed version."""
         return {
             engine.ModelVersion.parse(text): size_bytes
             for text, size_bytes in self.sizes_bytes.items()
@@ -72,7 +72,7 @@
 
 
 class _StoreStandIn(serving.DurableStandIn):
-    """What both stores' stand-ins share: faults and counters."""
+    """Base class of both stores' stand-ins: faults and counters."""
 
     def __init__(
         self, *, memory: memory_table.MemoryTable | memory_objects.MemoryObjects
@@ -81,7 +81,7 @@
         self.faults = memory.faults
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the counters' path."""
+        """Returns the counters' route."""
         return [web.get(f"{base}/counters", self._counters)]
 
     def _current_counters(self) -> Counters:
@@ -97,7 +97,7 @@
     role = "table"
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_table`."""
+        """Returns the routes of `http_table`."""
         return [
             web.get(http_table.READ_PATH, self._read),
             web.get(http_table.SCAN_PATH, self._scan),
@@ -133,7 +133,7 @@
     role = "objects"
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_objects`."""
+        """Returns the routes of `http_objects`."""
         return [
             web.get(http_objects.BLOB_PATH, self._get),
             web.post(http_objects.BLOB_PATH, self._put),
@@ -177,11 +177,11 @@
         self._changes = instance_list_deltas.InstanceListDeltas()
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the path of `http_instances`."""
+        """Returns the route of `http_instances`."""
         return [web.get(http_instances.LIST_PATH, self._list)]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the paths that change the list."""
+        """Returns the routes that change the list."""
         return [
             web.post(f"{base}/put", self._put),
             web.post(f"{base}/leaving", self._leaving),
@@ -235,7 +235,7 @@
         self.settings = RatingSettings()
 
     def apply(self, settings: RatingSettings) -> None:
-        """Sets how it rates from now on."""
+        """Applies settings to the ratings from now on."""
         self.settings = settings
         self.memory.delay = settings.delay_ms * _MILLISECOND
         self.memory.stopped = settings.stopped
@@ -245,14 +245,14 @@
         )
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_ratings`."""
+        """Returns the routes of `http_ratings`."""
         return [
             web.post(http_ratings.TASKS_PATH, self._submit),
             web.get(http_ratings.RATINGS_PATH, self._ratings),
         ]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the path of its settings."""
+        """Returns the routes of its settings."""
         return [
             web.get(f"{base}/settings", self._show),
             web.post(f"{base}/settings", self._set),
@@ -289,14 +289,14 @@
         self.faults = memory.faults
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_weights`."""
+        """Returns the routes of `http_weights`."""
         return [
             web.get(http_weights.INFO_PATH, self._info),
             web.post(http_weights.GRANT_PATH, self._grant),
         ]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the path that sets the versions."""
+        """Returns the route that sets the versions."""
         return [web.post(f"{base}/versions", self._set_versions)]
 
     async def _info(self, request: web.Request) -> web.Response:
--- a/src/nutmeghook/standins/quality.py
+++ b/src/nutmeghook/standins/quality.py
@@ -1,4 +1,4 @@
-"""How good the stand-ins' answers are, for the rating service."""
+"""Quality of the stand-ins' answers, for the rating service."""
 
 import re
 
@@ -8,23 +8,23 @@
 from nutmeghook.internal.dependencies import ratings
 from nutmeghook.standins import answers
 
-# In a prompt `difficulty=0.7`; without it, `QualitySettings.difficulty`.
+# In a prompt `difficulty=0.7`; the default is `QualitySettings.difficulty`.
 _DIFFICULTY = re.compile(r"\bdifficulty\W{1,5}(0?\.\d+|[01])")
 
 
 class QualitySettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What decides an answer's quality.
+    """Parameters of an answer's quality.
 
     Attributes:
-        strengths: For each model, how hard a prompt may be for it, 0 to 1.
-        strength: For models that are not named.
-        difficulty: Of prompts that name none.
-        good_quality: Of an answer by a model that is strong enough.
-        bad_quality: Of an answer that carries the bad sign.
-        noise: Qualities spread so far up and down, the same for one request
-            and stage on every run.
+        strengths: By model, the greatest difficulty that it masters, 0 to 1.
+        strength: Strength of all other models.
+        difficulty: Difficulty of prompts that name none.
+        good_quality: Quality of an answer by a model that is strong enough.
+        bad_quality: Quality of an answer marked with `answers.BAD_SUFFIX`.
+        noise: Maximum deviation in either direction; it depends only on the
+            request and stage, so it is the same on every run.
     """
 
     strengths: dict[str, float] = msgspec.field(default_factory=dict)
@@ -36,7 +36,7 @@
 
 
 def quality_of(task: ratings.RatingTask, settings: QualitySettings) -> float:
-    """Returns the quality of an answer, before it is cut to 0 to 1."""
+    """Returns the quality of an answer, before it is clamped to 0 to 1."""
     hashed = xxhash.xxh64_intdigest(f"{task.request_id} {task.stage}".encode())
     noise = settings.noise * (hashed / 2**63 - 1)
     if answers.BAD_SUFFIX in task.answer:
--- a/src/nutmeghook/standins/rate_limit.py
+++ b/src/nutmeghook/standins/rate_limit.py
@@ -7,11 +7,11 @@
 
 
 class RateLimit:
-    """A token bucket that holds one second's worth, and at least one.
+    """A token bucket with a burst of one second, and of at least one token.
 
     Attributes:
-        per_s: Operations a second; may be changed at any time.
-        used: Operations let through so far.
+        per_s: Operations per second; may be changed at any time.
+        used: Operations admitted so far.
     """
 
     __slots__ = ("_clock", "_filled_at", "_name", "_tokens", "per_s", "used")
@@ -27,11 +27,11 @@
         self.used = 0
 
     def spend(self, operations: int) -> None:
-        """Takes leave for some operations.
+        """Takes the tokens for some operations.
 
         Raises:
-            failures.NotDoneError: Over the limit; `retry_after` says when
-                there will be room, or is None if there never will.
+            failures.NotDoneError: The limit is exceeded; `retry_after` is the
+                time until it admits them, or None if it never will.
         """
         now = self._clock.monotonic()
         passed_s = (now - self._filled_at).total_seconds()
--- a/src/nutmeghook/standins/rate_limited_store.py
+++ b/src/nutmeghook/standins/rate_limited_store.py
@@ -1,4 +1,4 @@
-"""What both stores in memory share: faults, and counted reads and writes."""
+"""Base class of both in-memory stores: faults and rate limits."""
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.standins import faults as faults_module
@@ -9,10 +9,10 @@
 
 
 class RateLimitedStore:
-    """Reads and writes, each with a limit of its own.
+    """Limits reads and writes separately.
 
     Attributes:
-        faults: What goes wrong with its calls.
+        faults: Faults of its calls.
     """
 
     __slots__ = ("_read_limit", "_write_limit", "faults")
