--- a/src/nutmeghook/standins/__init__.py
+++ b/src/nutmeghook/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for backend servers, for tests."""
+"""Stand-ins for the platform and for backend servers, for tests and demos."""
--- a/src/nutmeghook/standins/__main__.py
+++ b/src/nutmeghook/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Serves stand-ins until it is told to stop.
+"""Serves stand-ins until SIGTERM or SIGINT.
 
     python -m nutmeghook.standins --spec=fleet.json
 
@@ -37,9 +37,9 @@
     """Serves stand-ins on the loopback interface.
 
     Args:
-        spec: Path of a JSON file (`fleet.FleetSpec`), `-` for standard
-            input; without it, a small fleet of everything.
-        print_spec: Only print the whole spec, as a start for one's own.
+        spec: Path of a JSON file (`fleet.FleetSpec`), or `-` for standard
+            input; by default, a small fleet with every kind of stand-in.
+        print_spec: Prints the whole spec and exits.
     """
     chosen = _read_spec(spec)
     if print_spec:
--- a/src/nutmeghook/standins/control.py
+++ b/src/nutmeghook/standins/control.py
@@ -1,4 +1,4 @@
-"""The HTTP side by which tests make stand-ins fail and read their logs."""
+"""HTTP interface through which tests inject faults and read logs."""
 
 import datetime
 
@@ -15,11 +15,11 @@
 class FaultSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """All faults of one stand-in; a field left out means "no such fault".
+    """All faults of one stand-in; an omitted field means "no such fault".
 
     Attributes:
-        late_effect_ms: Writes lose their outcome, and take effect this much
-            later.
+        late_effect_ms: The outcome of writes is lost, and they take effect
+            this much later.
     """
 
     down: serving.DownMode = serving.DownMode.UP
@@ -38,7 +38,7 @@
         self._server = server
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Replaces all faults."""
+        """Replaces all faults and returns the new ones."""
         body = await request.read()
         wanted = msgspec.json.decode(body, type=FaultSettings)
         apply(wanted, self._server.stand_in.faults)
@@ -46,13 +46,13 @@
         return serving.json_response(wanted)
 
     async def crash(self, request: web.Request) -> web.Response:
-        """Makes it die and come back at once."""
+        """Crashes the stand-in and restarts it at once."""
         await self._server.crash()
         return web.Response(status=204)
 
 
 def apply(settings: FaultSettings, faults: faults_module.Faults) -> None:
-    """Sets the faults, but for the way of being down."""
+    """Sets all faults except `down`, which the server implements."""
     late_effect = None
     if settings.late_effect_ms is not None:
         late_effect = settings.late_effect_ms * _MILLISECOND
--- a/src/nutmeghook/standins/fleet.py
+++ b/src/nutmeghook/standins/fleet.py
@@ -30,7 +30,7 @@
 class _Spec(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Common to all parts; port 0 lets the system choose."""
+    """Fields of every stand-in's spec; port 0 lets the system choose."""
 
     port: int = 0
 
@@ -43,7 +43,7 @@
 
 
 class InstancesSpec(_Spec, frozen=True, kw_only=True):
-    """The instance list; it starts with the backend servers of the spec."""
+    """The instance list; it initially lists the spec's backend servers."""
 
     lag_ms: float = 1000.0
 
@@ -57,7 +57,12 @@
 
 
 class WeightsSpec(_Spec, frozen=True, kw_only=True):
-    """The weight store; `model@version` to bytes."""
+    """The weight store.
+
+    Attributes:
+        sizes_bytes: Size by `model@version`.
+        grants_per_s: Limit on download tickets.
+    """
 
     sizes_bytes: dict[str, int] = {}
     grants_per_s: float = memory_weights.GRANTS_PER_S
@@ -93,10 +98,10 @@
 class FleetSpec(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What one process serves; what is left out is not served.
+    """The stand-ins that one process serves; omitted ones are not served.
 
     Attributes:
-        seed: Of the little randomness that there is (lost cache events).
+        seed: Seed of the random choice of lost cache events.
     """
 
     control_port: int = 0
@@ -111,11 +116,11 @@
 
 
 class Served(msgspec.Struct, frozen=True, kw_only=True):
-    """Where one stand-in is.
+    """Addresses of one stand-in.
 
     Attributes:
-        address: `ip:port` of what it stands in for.
-        control: URL under which tests control it.
+        address: `ip:port` of the interface that it stands in for.
+        control: Base URL of its control interface.
     """
 
     name: str
@@ -125,12 +130,12 @@
 
 
 class FleetAddresses(msgspec.Struct, frozen=True, kw_only=True):
-    """What the process prints when it is ready."""
+    """The process prints this as JSON when all stand-ins listen."""
 
     stand_ins: tuple[Served, ...]
 
     def named(self, name: str) -> Served:
-        """Returns the stand-in of a name."""
+        """Returns the stand-in with a name."""
         return next(s for s in self.stand_ins if s.name == name)
 
 
@@ -155,7 +160,7 @@
         self._weights: memory_weights.MemoryWeights | None = None
 
     async def start(self) -> FleetAddresses:
-        """Starts everything and returns where it is."""
+        """Starts everything and returns the addresses."""
         await self._start_stores()
         await self._start_ratings()
         await self._start_weights()
--- a/src/nutmeghook/standins/serving.py
+++ b/src/nutmeghook/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serves one stand-in over HTTP, and makes its connections fail."""
+"""HTTP server of one stand-in, with faults of its connections."""
 
 import abc
 import asyncio
@@ -13,17 +13,17 @@
 from nutmeghook.standins import faults as faults_module
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
-# Longer than our side keeps idle connections; docs/STANDIN_INTERFACES.md says
-# why.
+# Longer than `http_exchange.IDLE_CONNECTION_TIMEOUT`, so that the client closes
+# an idle connection first.
 KEEPALIVE_S = 30.0
 
 
 class DownMode(enum.Enum):
-    """How a stand-in that is down looks from outside.
+    """How a stand-in that is down behaves.
 
-    `REFUSING` answers that it did nothing; `CUTTING` closes the connection
-    without an answer, having done nothing; `HANGING` never answers; `GONE`
-    does not listen, and an engine has lost its memory.
+    `REFUSING` answers that the call was not run; `CUTTING` closes the
+    connection without running the call; `HANGING` never answers; `GONE` does
+    not listen, and an engine has lost its generations and caches.
     """
 
     UP = "up"
@@ -34,11 +34,11 @@
 
 
 class HttpStandIn(abc.ABC):
-    """A stand-in's HTTP side.
+    """HTTP interface of a stand-in.
 
     Attributes:
-        role: The name of the interface that it stands in for.
-        faults: Those of the stand-in in memory.
+        role: Name of the interface that it implements.
+        faults: Faults of the in-memory stand-in.
     """
 
     role = ""
@@ -46,30 +46,30 @@
 
     @abc.abstractmethod
     def routes(self) -> list[web.RouteDef]:
-        """Returns what docs/STANDIN_INTERFACES.md lists."""
+        """Returns the routes that docs/STANDIN_INTERFACES.md lists."""
 
     @abc.abstractmethod
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns what a test can do with it, under the path `base`."""
+        """Returns the routes of its control interface under `base`."""
 
     @abc.abstractmethod
     def crash(self) -> None:
-        """Loses what a crash would lose."""
+        """Drops the state that a crash would lose."""
 
 
 class DurableStandIn(HttpStandIn):
-    """A stand-in for something whose state outlives its processes."""
+    """A stand-in for a service whose state survives a crash."""
 
     def crash(self) -> None:
-        """Loses nothing."""
+        """Keeps all state."""
 
 
 class StandInServer:
-    """Listens for one stand-in on the loopback interface.
+    """Serves one stand-in on the loopback interface.
 
     Attributes:
         name: Unique in the process.
-        stand_in: What it serves.
+        stand_in: The stand-in that it serves.
         down_mode: See `DownMode`; set it with `set_down_mode`.
     """
 
@@ -94,7 +94,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as `ip:port`."""
+        """Address at which it listens, as `ip:port`."""
         return f"{self._host}:{self._port}"
 
     async def start(self, port: int = 0) -> None:
@@ -115,13 +115,13 @@
         await self._listen()
 
     async def stop(self) -> None:
-        """Stops for good."""
+        """Closes all connections and stops the server."""
         self._abort_connections()
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def set_down_mode(self, mode: DownMode) -> None:
-        """Makes it look as `mode` says."""
+        """Applies a mode; `GONE` stops listening and crashes it."""
         was_gone = self.down_mode is DownMode.GONE
         self.down_mode = mode
         self.stand_in.faults.down = mode is DownMode.REFUSING
@@ -131,7 +131,7 @@
             await self._listen()
 
     async def crash(self) -> None:
-        """Dies and comes back at once, without its memory."""
+        """Crashes the stand-in and listens again at the same address."""
         await self._close()
         await self._listen()
 
@@ -178,14 +178,14 @@
 
 
 def abort_connection(request: web.Request) -> web.Response:
-    """Cuts the connection; the response returned reaches nobody."""
+    """Aborts the connection; the returned response is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
 def refusal_response(error: failures.NotDoneError) -> web.Response:
-    """Returns the answer which says that nothing was done."""
+    """Returns the response that states that the call was not run."""
     retry_after_ms = None
     if error.retry_after is not None:
         retry_after_ms = error.retry_after.total_seconds() * 1000
@@ -200,7 +200,7 @@
 
 
 def json_response(body: object, *, status: int = 200) -> web.Response:
-    """Returns an answer with a JSON body."""
+    """Returns a response with a JSON body."""
     return web.Response(
         status=status,
         body=msgspec.json.encode(body),
--- a/src/nutmeghook/standins/users_operator.py
+++ b/src/nutmeghook/standins/users_operator.py
@@ -1,7 +1,7 @@
 """The operator and the replicas' registration on a stand-in store.
 
-Writes rows as the users' platform spells them, so that trials speak of
-routes, keys and versions only.
+Writes rows in the format of the users' platform, so that tests need not know
+it.
 """
 
 import msgspec
@@ -38,8 +38,8 @@
     """Writes configurations and orders for one service and one team.
 
     Attributes:
-        cold_limits: Fields of the service that bound what its cold replicas
-            may get; none where they may get anything.
+        cold_limits: Fields of the service that limit the load of its cold
+            replicas; empty for no limit.
     """
 
     __slots__ = ("_host", "_service", "_store", "_version", "cold_limits")
@@ -54,7 +54,7 @@
         self.cold_limits: dict[str, float] = {}
 
     def write_configuration(self, keys: tuple[str, ...]) -> None:
-        """Writes the next version: a route of each kind, and the keys."""
+        """Writes the next version with a route of each kind and the keys."""
         self._version += 1
         common = _COMMON | {"host": self._host, "service": self._service}
         self._put(
@@ -78,7 +78,7 @@
         data_centre: str = "hall",
         cold_left_s: float = 0.0,
     ) -> None:
-        """Writes a replica's entry."""
+        """Writes or replaces a replica's entry."""
         self._put(
             tables.REPLICA_TABLE,
             replica_id,
@@ -99,7 +99,7 @@
         self._store.delete(tables.REPLICA_TABLE, replica_id)
 
     def evacuate(self, data_centre: str) -> None:
-        """Asks for nothing more to be sent to a data centre's replicas."""
+        """Orders that requests no longer go to a data centre's replicas."""
         self._put(
             tables.OPERATOR_TABLE, tables.EVACUATION_PREFIX + data_centre, {}
         )
@@ -111,7 +111,7 @@
         )
 
     def order_roll_out(self, version: str, *, within_s: float) -> None:
-        """Orders a version."""
+        """Orders a roll-out of a version."""
         self._put(
             tables.OPERATOR_TABLE,
             rollout_rows.ORDER_PREFIX + self._service,
@@ -119,7 +119,7 @@
         )
 
     def roll_out_state(self) -> str:
-        """Returns how the order stands; empty before anything was written."""
+        """Returns the state of the roll-out; empty if none was written."""
         value = self._store.value(
             rollout_rows.STATUS_TABLE,
             rollout_rows.ORDER_PREFIX + self._service,
--- a/src/nutmeghook/standins/users_replica.py
+++ b/src/nutmeghook/standins/users_replica.py
@@ -1,7 +1,7 @@
-"""A replica of the users' platform, with its faults, on a real socket.
+"""A replica of the users' platform with fault injection, on a real socket.
 
-It writes its bytes by hand: wrong framing, a second answer or a reset in the
-middle are what it is for, and no library sends those.
+It writes HTTP itself, because no library sends wrong framing, a second answer
+or a reset within an answer.
 """
 
 import asyncio
@@ -13,17 +13,18 @@
 from nutmeghook.platform import headers
 from nutmeghook.standins import loopback_host
 
-# More than a listener with the shortest queue holds.
+# More connections than a listener with a backlog of 0 accepts.
 _QUEUE_FILLERS = 3
 _NO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ReceivedRequest:
-    """A request as it arrived, and the connection it came on.
+    """A request as it was received.
 
     Attributes:
-        arrived_s: In the event loop's time.
+        connection: Number of the connection, counted from 1.
+        arrived_s: Time of arrival on the event loop's clock.
     """
 
     method: str
@@ -35,7 +36,7 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id of the request."""
+        """The request id that the caller sent; empty if none."""
         return self.headers.get(headers.REQUEST_ID.lower(), "")
 
 
@@ -44,23 +45,23 @@
     """What the replica does with one request.
 
     Attributes:
-        status: Of the answer.
-        body: Of a whole answer; ignored if there are events.
-        events: Numbers of the events of a stream.
-        after: The stream begins after the caller's last event, if it names
-            one; else with the first of `events`.
-        sealed: The answer bears the seal.
-        not_run: It says that the request was not run.
-        confidence: Of the model.
-        framed: The length is told, or chunks are used.
-        send_bytes: Break off after so many bytes of the body.
-        reset: Break off by a reset and not by closing.
-        crash: The replica ends for everybody where the answer breaks off.
-        answer_id: Another request's id instead of the echo.
-        extra: Bytes after the whole answer.
-        silent: No byte is sent until the caller leaves.
-        pause_s: Before each event.
-        stall_after: No byte follows this many events until the caller leaves.
+        status: Status of the answer.
+        body: Body of a whole answer; ignored if there are events.
+        events: Numbers of the events of a stream. It starts after the caller's
+            last event if the request names one.
+        sealed: The answer carries the seal.
+        not_run: The answer states that the request was not run.
+        confidence: The model's confidence in the answer.
+        framed: The answer has a content length or is chunked.
+        send_bytes: The answer ends after so many bytes of the body.
+        reset: It ends by a connection reset instead of a close.
+        crash: It ends by a crash of the replica.
+        answer_id: Another request's id instead of the echoed one.
+        extra: Bytes that follow the whole answer.
+        silent: No byte is sent until the caller closes the connection.
+        pause_s: Pause before each event.
+        stall_after: No byte follows this many events until the caller closes
+            the connection.
     """
 
     status: int = 200
@@ -81,22 +82,23 @@
 
 
 def event(number: int) -> bytes:
-    """Returns the whole event of a number."""
+    """Returns the bytes of the event with a number."""
     return b"id: %d\ndata: part %d\n\n" % (number, number)
 
 
 class StandInReplica:
-    """Answers by a list of replies, the last of them for all that follow.
+    """Answers requests with a list of replies; the last one repeats.
 
     Attributes:
-        address: Where it listens.
-        seen: The requests that arrived.
-        ran: The ids of those that it began to work on.
-        left: Requests whose caller left before the end of the answer.
-        crashes: The bodies of the requests that it ended under.
+        address: Address at which it listens, as `ip:port`.
+        received: The requests that it received.
+        ran: The ids of the requests that it began to run.
+        abandoned: The ids of requests whose caller disconnected before the
+            end of the answer.
+        crashes: The bodies of the requests that crashed it.
         request_abandoned: Set whenever `abandoned` grows.
         request_received: Set whenever `received` grows.
-        crashed: Set once it has ended under a request.
+        crashed: Set once it has crashed or stopped; `restart` clears it.
     """
 
     __slots__ = (
@@ -142,11 +144,11 @@
         self.crashes: list[bytes] = []
 
     def reply_from(self, replies: list[Reply]) -> None:
-        """Takes replies from a list that it may share with others."""
+        """Takes replies from a list that replicas may share."""
         self._replies = replies
 
     def decide_by(self, decide: Callable[[ReceivedRequest], Reply]) -> None:
-        """Takes each reply from a function of the request."""
+        """Computes each reply from the request."""
         self._decide = decide
 
     async def start(self) -> None:
@@ -161,14 +163,14 @@
         self.address = f"{host}:{port}"
 
     def refuse_connections(self) -> None:
-        """Refuses new connections, as one that leaves does; works on."""
+        """Refuses new connections, as when draining, and keeps open ones."""
         self._server.close()
 
     def become_unreachable(self) -> None:
-        """Answers no attempt to connect, as a machine without power does.
+        """Lets attempts to connect time out, as a machine without power does.
 
-        Connections that are open stay so. A listener whose queue is full has
-        the system drop what comes next.
+        Open connections stay open. The system drops connection attempts to a
+        listener whose accept queue is full.
         """
         self._server.close()
         host, _, port = self.address.rpartition(":")
@@ -184,7 +186,7 @@
             self._unreachable_sockets.append(waiting)
 
     def crash(self) -> None:
-        """Ends for everybody on it, as a process does."""
+        """Stops listening and aborts all connections, as a crash does."""
         self.crashed.set()
         self._server.close()
         for unreachable in self._unreachable_sockets:
@@ -193,14 +195,14 @@
             writer.transport.abort()
 
     async def restart(self, *, replica_id: str) -> None:
-        """Listens at the old address after a crash, as another start."""
+        """Listens at the old address after a crash, with a new id."""
         host, _, port = self.address.rpartition(":")
         self.replica_id = replica_id
         self.crashed.clear()
         await self._listen(host, int(port))
 
     async def stop(self) -> None:
-        """Stops listening and breaks all connections, as a crash does."""
+        """Crashes and waits for the tasks of its connections."""
         self.crash()
         await asyncio.gather(*self._tasks)
 
@@ -241,7 +243,7 @@
                 return False
             return await self._answer(reply, request, reader, writer)
         except ConnectionError:
-            # A caller that leaves with unread bytes resets the connection.
+            # A caller that closes a connection with unread bytes resets it.
             self._record_abandoned(request)
             raise
 
@@ -356,7 +358,7 @@
 
 
 def close_connection(writer: asyncio.StreamWriter, *, reset: bool) -> None:
-    """Closes a connection, by a reset where asked."""
+    """Closes a connection, optionally by a reset."""
     raw = writer.get_extra_info("socket")
     if reset:
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
--- a/src/nutmeghook/standins/users_store.py
+++ b/src/nutmeghook/standins/users_store.py
@@ -1,4 +1,4 @@
-"""The users' platform's store, in memory, over HTTP, with its faults."""
+"""In-memory store of the users' platform over HTTP, with fault injection."""
 
 import asyncio
 import base64
@@ -10,12 +10,16 @@
 
 from nutmeghook.standins import loopback_host
 
-# Feeds that wait are broken off when the stand-in stops.
+# Waiting feeds are closed when the stand-in stops.
 _CLOSE_TIMEOUT_S = 0.05
 
 
 class StoreFault(enum.Enum):
-    """How the store misbehaves."""
+    """A fault of the store.
+
+    `LOSING_ANSWERS` commits a write and closes the connection; `LATE_WRITES`
+    closes it and commits the write when the test says so.
+    """
 
     NONE = "none"
     REFUSING = "refusing"
@@ -38,9 +42,9 @@
     """Rows by table and key, with their history.
 
     Attributes:
-        fault: What happens to calls from now on.
-        calls: Every call that came, by path.
-        late: Writes that are done only when a test says so.
+        fault: The fault of all calls from now on.
+        calls: The path of every call, oldest first.
+        late_writes: Transactions that wait for `apply_late_writes`.
     """
 
     def __init__(self):
@@ -87,12 +91,12 @@
         return row.value if row else None
 
     def forget_history(self) -> None:
-        """Drops all history; feeds from before get 410."""
+        """Drops all history; feeds from an older revision get 410."""
         self._dropped_up_to = self._version
         self._history.clear()
 
     def apply_late_writes(self) -> None:
-        """Does the writes that were left for later, if they still may be."""
+        """Commits the late writes whose conditions still hold."""
         for transaction in self.late_writes:
             self._commit(transaction)
         self.late_writes.clear()
