--- a/src/nutmeghook/internal/standin_http/checked_body.py
+++ b/src/nutmeghook/internal/standin_http/checked_body.py
@@ -1,4 +1,4 @@
-"""A request's body that is written only if it may still be sent."""
+"""A request body that is written only if the request may still be sent."""
 
 import aiohttp
 from aiohttp import abc
@@ -9,19 +9,19 @@
 
 
 class CheckedBody(aiohttp.BytesPayload):
-    """Asks whether it may be sent in the step that sends it.
+    """Calls `check_send` immediately before it is written to the socket.
 
-    The failure: a request was checked, then its connection had to be made, or
-    its process was stopped for seconds; its bytes left by knowledge of before.
+    After an earlier check, opening a connection or a process that is stopped
+    for seconds can delay the request, which would then be sent on stale state.
 
-    The library keeps the head back and writes it together with the body, so
-    nothing has left before the check. And the transport sends at once: by
-    default uvloop keeps what is written until all other callbacks of the turn
-    have run, some of which take milliseconds. So what can still come between
-    are the few instructions up to the system call.
+    aiohttp writes the head together with the body, so nothing is sent before
+    the check. The transport's write buffer is disabled, because uvloop by
+    default sends only after all other callbacks of the loop iteration, some of
+    which take milliseconds. So only a few instructions run between the check
+    and the system call.
 
     Attributes:
-        withheld: Why nothing was written, if so.
+        withheld: The reason why nothing was written, else None.
     """
 
     def __init__(self, *, content: bytes, check_send: engine.SendCheck | None):
@@ -32,9 +32,9 @@
     async def write_with_length(
         self, writer: abc.AbstractStreamWriter, content_length: int | None
     ) -> None:
-        """Writes the body, unless it may not be sent any more."""
+        """Writes the body, unless the request may no longer be sent."""
         if self._check_send is not None:
-            # A transport that may keep nothing back tries to send at once.
+            # With a high-water mark of 0 the transport sends at once.
             if writer.transport is not None:
                 writer.transport.set_write_buffer_limits(high=0)
             try:
@@ -47,7 +47,7 @@
     def to_platform_error(
         self, error: Exception, peer: str
     ) -> failures.PlatformError:
-        """Returns the platform error that a client error stands for."""
+        """Returns the platform error for a client error."""
         if self.withheld is not None:
             return self.withheld
         return http_exchange.to_platform_error(error, peer)
--- a/src/nutmeghook/internal/standin_http/http_engine.py
+++ b/src/nutmeghook/internal/standin_http/http_engine.py
@@ -20,10 +20,10 @@
 CACHE_EVENTS_PATH = "/v1/cache/events"
 CACHE_CONTENT_PATH = "/v1/cache/content"
 
-# Longest silence on a stream, the wait in the engine's queue included.
+# Longest time without data on a stream, including the engine's queue.
 READ_TIMEOUT = datetime.timedelta(seconds=60)
-# The end of the body comes right behind the last line; waiting so long for it
-# saves a new connection for the next generation.
+# The end of the body follows the last line immediately. Waiting for it keeps
+# the connection reusable for the next generation.
 END_TIMEOUT = datetime.timedelta(seconds=1)
 MAX_LINE_BYTES = 1024 * 1024
 
@@ -35,11 +35,11 @@
 
 
 class EmptyAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer where there is nothing to say."""
+    """An empty answer."""
 
 
 class OrderAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of an order so far."""
+    """The current state of an order."""
 
     state: engine.OrderState
 
@@ -96,7 +96,7 @@
     async def generate(
         self, generation: engine.Generation
     ) -> AsyncIterator[engine.Chunk]:
-        """Runs the generation and yields its chunks as they come."""
+        """Runs the generation and yields its chunks as they arrive."""
         async with contextlib.aclosing(
             self.generate_batches(generation)
         ) as batches:
@@ -110,11 +110,11 @@
         *,
         check_send: engine.SendCheck | None = None,
     ) -> AsyncIterator[list[engine.Chunk]]:
-        """Yields the chunks of each piece that the connection hands over.
+        """Yields the chunks of each piece of data that the connection receives.
 
-        Leaving early closes the connection: a stream that was read in part is
-        never used again, so its late chunks can't reach another request. Use
-        `contextlib.aclosing` to make that happen at once.
+        Stopping early closes the connection: a partly read stream is never
+        reused, so its late chunks can't reach another request. Use
+        `contextlib.aclosing` to close it at once.
         """
         response = None
         read_timeout = None
@@ -133,8 +133,8 @@
             read_timeout = _ReadTimeout(response, self._read_timeout_s)
             if response.status != 200:
                 raise await self._refusal(response)
-            # Pieces, not lines: reading line by line cost a fifth more
-            # processor time a token, and this is the hot path.
+            # Reads pieces, because reading line by line takes a fifth more
+            # processor time per token on this hot path.
             rest = b""
             async for piece in response.content.iter_any():
                 read_timeout.record_data()
@@ -160,7 +160,7 @@
             if read_timeout is not None:
                 read_timeout.stop()
             if response is not None:
-                # Does nothing where the body was read to its end.
+                # Does nothing if the body was read to its end.
                 response.close()
 
     async def cancel(self, attempt_id: str) -> None:
@@ -169,11 +169,11 @@
         await self._exchange.write(CANCEL_PATH, body, _empty_decoder)
 
     async def load_report(self) -> engine.LoadReport:
-        """Returns the engine's latest figures."""
+        """Returns the engine's latest load report."""
         return await self._exchange.read(LOAD_PATH, _load_decoder)
 
     async def order(self, order: engine.Order) -> engine.OrderState:
-        """Gives an order, or asks how an earlier one with its id stands."""
+        """Sends an order, or gets the state of one with the same id."""
         answer = await self._exchange.write(
             ORDER_PATH, _encoder.encode(order), _order_decoder
         )
@@ -182,7 +182,7 @@
     async def cache_events(
         self, after_sequence: int
     ) -> list[engine.CacheEvent]:
-        """Returns the events after a sequence number that are still kept."""
+        """Returns the kept events after a sequence number."""
         answer = await self._exchange.read(
             CACHE_EVENTS_PATH, _events_decoder, after=str(after_sequence)
         )
@@ -195,7 +195,7 @@
         )
 
     async def import_cache(self, prefix_hash: str, content: bytes) -> None:
-        """Gives the engine the KV cache of a prefix."""
+        """Stores the KV cache of a prefix in the engine."""
         await self._exchange.write(
             CACHE_CONTENT_PATH, content, _empty_decoder, prefix_hash=prefix_hash
         )
@@ -211,10 +211,10 @@
 
 
 class _ReadTimeout:
-    """Closes a response on which nothing has come for too long.
+    """Closes a response that has received no data for `limit_s`.
 
-    The library's own read timeout sets a timer anew with each piece, at 2 us
-    each; this one looks now and then when the last piece came.
+    aiohttp's own read timeout restarts a timer for each piece, which takes
+    2 us; this one checks the time of the last piece only when its timer fires.
     """
 
     __slots__ = ("_last_data_s", "_limit_s", "_loop", "_response", "_timer")
@@ -227,11 +227,11 @@
         self._timer = self._loop.call_later(limit_s, self._check)
 
     def record_data(self) -> None:
-        """Notes that something came."""
+        """Records that data was received."""
         self._last_data_s = self._loop.time()
 
     def stop(self) -> None:
-        """Ends the watch."""
+        """Cancels the timeout."""
         self._timer.cancel()
 
     def _check(self) -> None:
@@ -243,7 +243,7 @@
 
 
 class HttpEngineConnector(engine.EngineConnector):
-    """Reaches engines over one session."""
+    """Connects to engines over one session."""
 
     __slots__ = (
         "_answer_timeout",
@@ -277,7 +277,7 @@
 
 
 def _whole_lines(data: bytes) -> tuple[bytes, bytes]:
-    """Splits behind the end of the last whole line."""
+    """Splits data after the last complete line."""
     if data.endswith(b"\n"):
         return data, b""
     end = data.rfind(b"\n") + 1
@@ -289,7 +289,7 @@
 
 
 async def _read_end(response: aiohttp.ClientResponse) -> None:
-    """Reads the body's end, so that the connection may be used again."""
+    """Reads the body's end, so that the connection can be reused."""
     if response.content.at_eof():
         return
     try:
--- a/src/nutmeghook/internal/standin_http/http_exchange.py
+++ b/src/nutmeghook/internal/standin_http/http_exchange.py
@@ -1,7 +1,7 @@
-"""HTTP calls with JSON bodies, their failures sorted for the adapters.
+"""HTTP calls with JSON bodies, and the classification of their failures.
 
-What counts as proof that a call had no effect stands here, once: the
-connection could not be made, or the other side answered a `Refusal`.
+A call counts as not run only if no connection could be opened, or if the
+server answered a `Refusal`.
 """
 
 import dataclasses
@@ -17,13 +17,14 @@
 
 CONNECT_TIMEOUT = datetime.timedelta(seconds=1)
 ANSWER_TIMEOUT = datetime.timedelta(seconds=5)
-# Shorter than the other side's own (docs/STANDIN_INTERFACES.md asks for 20 s
-# or more), so that it is nearly always our side that drops an idle connection.
-# A call written to one that the other side just closed has an unknown outcome.
+# Shorter than the server's keep-alive timeout (docs/STANDIN_INTERFACES.md
+# requires at least 20 s), so that nearly always the client closes an idle
+# connection. A call sent on one that the server just closed has an unknown
+# outcome.
 IDLE_CONNECTION_TIMEOUT = datetime.timedelta(seconds=10)
 JSON_HEADERS = {"Content-Type": "application/json"}
-# Reads that are made each second by every instance say no more than needed;
-# the library's own headers are half of their bytes.
+# Every instance makes conditional reads each second, and aiohttp's default
+# headers would be half of their bytes.
 _MINIMAL_HEADERS = {"Accept-Encoding": "identity"}
 _OMITTED_HEADERS = ("Accept", "User-Agent")
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -31,10 +32,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class TaggedBody:
-    """A body and what to ask with whether it has changed.
+    """A body and the entity tag for the next conditional read.
 
     Attributes:
-        entity_tag: The `ETag` as it came; empty if there was none.
+        entity_tag: The `ETag` as received; empty if there was none.
     """
 
     body: bytes
@@ -42,13 +43,13 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of an answer that says: nothing was done.
+    """The body of an answer which states that the call was not run.
 
     Attributes:
-        not_run: The call had, and will have, no effect.
+        not_run: The call had no effect and will have none.
         overloaded: It was refused because of load or a rate limit.
-        leaving: It was refused because the other side is shutting down.
-        retry_after_ms: When to call again, if that may help.
+        leaving: It was refused because the server is shutting down.
+        retry_after_ms: Delay before a retry, if a retry may succeed.
     """
 
     not_run: bool = False
@@ -62,11 +63,11 @@
 
 
 def open_session(*, reuse_connections: bool = True) -> aiohttp.ClientSession:
-    """Returns a session as the adapters need it; call it in a running loop.
+    """Returns a session for the adapters; call it in a running loop.
 
     Args:
-        reuse_connections: False makes a connection for each call, which
-            `http_plain` demands.
+        reuse_connections: False opens a connection for each call, which
+            `http_plain` requires.
     """
     if reuse_connections:
         connector = aiohttp.TCPConnector(
@@ -74,8 +75,8 @@
         )
     else:
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
-    # One session carries the calls of all teams: a cookie that a backend
-    # server sets in an answer to one must not be sent along for another.
+    # All teams share the session, so a cookie that a backend server sets in an
+    # answer to one team must not be sent with a call of another.
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
@@ -87,7 +88,7 @@
 def timeouts(
     *, connect: datetime.timedelta, answer: datetime.timedelta
 ) -> aiohttp.ClientTimeout:
-    """Returns the library's form of two timeouts."""
+    """Returns two timeouts in aiohttp's form."""
     if not datetime.timedelta() < connect < answer:
         raise ValueError(
             f"connect timeout is {connect} and answer timeout is {answer}; "
@@ -99,11 +100,11 @@
 
 
 def to_platform_error(error: Exception, peer: str) -> failures.PlatformError:
-    """Returns the platform error that an HTTP client error stands for.
+    """Returns the platform error for an HTTP client error.
 
-    A reused connection that the other side closed meanwhile shows as a
-    disconnection, as does a crash in the middle of the call. They can't be
-    told apart, so both are unknown.
+    A disconnection may mean that the server had closed a reused connection, or
+    that it crashed during the call. As these can't be distinguished, the
+    outcome is unknown.
     """
     message = f"{peer}: {type(error).__name__}: {error}"
     no_connection = (
@@ -158,16 +159,16 @@
     async def read(
         self, path: str, decoder: msgspec.json.Decoder[_T], **params: str
     ) -> _T:
-        """Makes a call without effects and decodes its answer.
+        """Makes a call without side effects and decodes its answer.
 
         Raises:
-            failures.NotDoneError: Whatever went wrong, a read did nothing.
+            failures.NotDoneError: It failed; a read never has an effect.
         """
         body = await self.read_bytes(path, **params)
         return self._decode_read(body or b"", decoder)
 
     async def read_bytes(self, path: str, **params: str) -> bytes | None:
-        """Makes a call without effects; None stands for "no content"."""
+        """Makes a call without side effects; None for "no content"."""
         try:
             return await self._call("GET", path, b"", params)
         except failures.OutcomeUnknownError as error:
@@ -176,18 +177,18 @@
     async def read_if_changed(
         self, path: str, *, entity_tag: str, **params: str
     ) -> TaggedBody | None:
-        """Makes a conditional call without effects.
+        """Makes a conditional call without side effects.
 
         Args:
-            path: Of the call.
-            entity_tag: Of the body that is known; empty asks unconditionally.
-            **params: The query.
+            path: Path of the call.
+            entity_tag: Tag of the known body; empty reads unconditionally.
+            **params: Query parameters.
 
         Returns:
-            The body, or None if the known one still holds.
+            The body, or None if the known one is unchanged.
 
         Raises:
-            failures.NotDoneError: Whatever went wrong, a read did nothing.
+            failures.NotDoneError: It failed; a read never has an effect.
         """
         headers = dict(_MINIMAL_HEADERS)
         if entity_tag:
@@ -221,10 +222,11 @@
         decoder: msgspec.json.Decoder[_T],
         **params: str,
     ) -> _T:
-        """Makes a call that may have effects and decodes its answer."""
-        # Always POST: the library sends other methods again by itself when a
-        # kept connection breaks, and the second answer (a condition that
-        # fails by the first one's own write) would hide the first's success.
+        """Makes a call that may have side effects and decodes its answer."""
+        # Always POST: aiohttp repeats idempotent methods when a reused
+        # connection breaks, and the answer to the repetition (a condition that
+        # fails because of the first call's own write) would hide the success
+        # of the first call.
         answer = await self._call("POST", path, body, params)
         try:
             return decoder.decode(answer or b"")
@@ -275,7 +277,7 @@
 
 
 def checked_address(address: str) -> str:
-    """Returns the address if it is written as `ip:port`."""
+    """Returns the address if it has the form `ip:port`, else raises."""
     host, separator, port = address.rpartition(":")
     if not (host and separator and port.isdigit()) or "/" in host:
         raise ValueError(f"address is {address!r}; write it as 'ip:port'")
--- a/src/nutmeghook/internal/standin_http/http_instances.py
+++ b/src/nutmeghook/internal/standin_http/http_instances.py
@@ -1,9 +1,9 @@
 """The instance list over HTTP; docs/STANDIN_INTERFACES.md has the contract.
 
-Every instance reads the list each second, and at the planned size it is
-720 KB. So a read names the last list's entity tag, and the answer is "not
-modified" or the changed lines; docs/design/instance-list.md has the figures.
-A service that knows neither gives whole lists, which always works.
+Every instance reads the list each second, and at the planned size it has
+720 KB. So a read sends the last list's entity tag, and the answer is "not
+modified" or the changed entries; docs/design/instance-list.md has the figures.
+A service that supports neither always answers with the whole list.
 """
 
 import dataclasses
@@ -15,18 +15,18 @@
 from nutmeghook.internal.standin_http import http_exchange
 
 LIST_PATH = "/v1/instances"
-# Query parameter: the changed lines will do.
+# Query parameter: the client accepts the changed entries only.
 CHANGES_ONLY = "changes"
 
 
 class InstancesAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole list, or what has changed in it.
+    """The whole list, or the changes since an earlier one.
 
     Attributes:
-        instances: All lines; with `since`, those that are new or changed.
-        since: The entity tag of the list that this is the change of.
-        removed: With `since`, the addresses that are on the list no more.
-        total: With `since`, how many lines the list has after the change.
+        instances: All entries; with `since`, the new and changed ones.
+        since: The entity tag of the list to which the changes apply.
+        removed: With `since`, the addresses that were removed.
+        total: With `since`, the number of entries after the changes.
     """
 
     instances: list[instances.ListedInstance]
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _KnownList:
-    """A list as it was read; never changed, so reads may overlap."""
+    """A list as it was read; immutable, so that reads may overlap."""
 
     entity_tag: str
     entries: _Entries
@@ -51,7 +51,7 @@
 
 
 class HttpInstances(instances.InstanceList):
-    """Asks for the list at one address, and keeps the last one."""
+    """Reads the list from one address and keeps the last one."""
 
     __slots__ = ("_exchange", "_known")
 
@@ -63,8 +63,9 @@
         """Returns all instances; may raise `failures.NotDoneError`."""
         read = await self._read(self._known)
         if read is None:
-            # The changes don't fit to what is known. Kept, they would hide
-            # a line for as long as the tag matches; so all is read anew.
+            # The changes do not apply to the known list. The result could lack
+            # an entry for as long as the tag matches, so the whole list is
+            # read again.
             read = await self._read(_NOTHING_KNOWN)
         if read is None:
             self._known = _NOTHING_KNOWN
@@ -75,7 +76,7 @@
         return list(read.entries.values())
 
     async def _read(self, known: _KnownList) -> _KnownList | None:
-        """Returns the list after `known`; None if the answer doesn't fit."""
+        """Returns the list after `known`; None if changes don't apply."""
         params = {CHANGES_ONLY: "1"} if known.entity_tag else {}
         tagged = await self._exchange.read_if_changed(
             LIST_PATH, entity_tag=known.entity_tag, **params
@@ -95,7 +96,7 @@
 def _entries_after(
     known: _KnownList, answer: InstancesAnswer
 ) -> _Entries | None:
-    """Returns the lines that an answer stands for; None if it doesn't fit."""
+    """Returns the entries after an answer; None if it does not apply."""
     changed = {entry.address: entry for entry in answer.instances}
     if answer.since is None:
         return changed
--- a/src/nutmeghook/internal/standin_http/http_objects.py
+++ b/src/nutmeghook/internal/standin_http/http_objects.py
@@ -11,7 +11,7 @@
 
 
 class PutAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a put: whether the key was free."""
+    """The answer to a put: whether the blob was stored."""
 
     stored: bool
 
@@ -40,14 +40,14 @@
         self._exchange = exchange
 
     async def put_if_absent(self, key: str, content: bytes) -> bool:
-        """Stores the blob; returns False where the key exists already."""
+        """Stores the blob; returns False if the key exists already."""
         answer = await self._exchange.write(
             BLOB_PATH, content, _put_decoder, key=key
         )
         return answer.stored
 
     async def get(self, key: str) -> bytes | None:
-        """Returns the blob, or None where there is none."""
+        """Returns the blob, or None if there is none."""
         return await self._exchange.read_bytes(BLOB_PATH, key=key)
 
     async def list_keys(
--- a/src/nutmeghook/internal/standin_http/http_plain.py
+++ b/src/nutmeghook/internal/standin_http/http_plain.py
@@ -23,10 +23,10 @@
 
 
 class HttpPlainServices(plain.PlainServiceConnector):
-    """Makes each call once, on a connection of its own.
+    """Makes each call once, on a new connection.
 
-    Whether the service saw a call on a kept connection that it was just
-    closing can't be known, so refusals could no longer say "not run".
+    If the service closes a reused connection during a call, it is unknown
+    whether the call ran, so it could not be refused as "not run".
     """
 
     __slots__ = ("_max_answer_bytes", "_session", "_timeout")
@@ -96,11 +96,11 @@
 async def _send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keeps the library from sending a call again by itself.
+    """Prevents aiohttp from repeating a call.
 
-    It repeats GET, PUT and DELETE once after a broken connection, a new one
-    too, so a booking would run twice. Only its own errors make it do so; the
-    platform's errors pass through it.
+    It repeats GET, PUT and DELETE once after a connection breaks, even a new
+    one, so a booking would run twice. It does so only for its own errors; the
+    platform's errors pass through.
     """
     try:
         return await handler(request)
@@ -111,7 +111,7 @@
 
 
 def _checked_url(address: str, path: str) -> yarl.URL:
-    """Returns the URL; a path that would end the request line is an error."""
+    """Returns the URL; rejects a path that would break the request line."""
     if not path.startswith("/") or not path.isascii() or " " in path:
         raise ValueError(
             f"path is {path!r}; give an absolute path in its encoded form"
@@ -125,7 +125,7 @@
 def _forwarded(
     headers: Collection[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Returns the headers that do not belong to one connection."""
+    """Returns the headers to forward, without hop-by-hop ones."""
     named = {
         name.strip().lower()
         for key, value in headers
@@ -142,7 +142,7 @@
 def _raise_if_refused(
     address: str, response: aiohttp.ClientResponse, body: bytes
 ) -> None:
-    """Raises only if the service itself says that it did not run the call."""
+    """Raises only if the service states that it did not run the call."""
     if response.status not in _REFUSING_STATUSES:
         return
     if response.content_type != _JSON:
--- a/src/nutmeghook/internal/standin_http/http_ratings.py
+++ b/src/nutmeghook/internal/standin_http/http_ratings.py
@@ -10,7 +10,7 @@
 
 
 class TasksBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Answers handed in together."""
+    """Answers submitted together."""
 
     tasks: list[ratings.RatingTask]
 
@@ -20,7 +20,7 @@
 
 
 class RatingsAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Ratings behind a cursor, in its order."""
+    """Ratings after a cursor, in its order."""
 
     ratings: list[ratings.Rating]
 
@@ -39,14 +39,14 @@
         self._exchange = exchange
 
     async def submit(self, tasks: list[ratings.RatingTask]) -> None:
-        """Hands in answers; one request and stage is rated only once."""
+        """Submits answers; each request and stage is rated only once."""
         body = _encoder.encode(TasksBody(tasks=tasks))
         await self._exchange.write(TASKS_PATH, body, _tasks_decoder)
 
     async def ratings_after(
         self, cursor: int, *, limit: int = 1000
     ) -> list[ratings.Rating]:
-        """Returns the ratings behind a cursor, in order."""
+        """Returns the ratings after a cursor, in order."""
         answer = await self._exchange.read(
             RATINGS_PATH, _ratings_decoder, after=str(cursor), limit=str(limit)
         )
--- a/src/nutmeghook/internal/standin_http/http_table.py
+++ b/src/nutmeghook/internal/standin_http/http_table.py
@@ -11,7 +11,7 @@
 
 
 class ReadAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a read; values travel as base64."""
+    """The answer to a read; values are base64-encoded."""
 
     row: table.Row | None
 
@@ -37,14 +37,14 @@
         self._exchange = exchange
 
     async def read(self, key: str) -> table.Row | None:
-        """Returns the row, or None where there is none."""
+        """Returns the row, or None if there is none."""
         answer = await self._exchange.read(READ_PATH, _read_decoder, key=key)
         return answer.row
 
     async def scan(
         self, *, prefix: str, after: str = "", limit: int = 1000
     ) -> list[table.Row]:
-        """Returns rows whose key has the prefix, in order of their keys."""
+        """Returns rows whose key has the prefix, in key order."""
         answer = await self._exchange.read(
             SCAN_PATH,
             _scan_decoder,
--- a/src/nutmeghook/internal/standin_http/http_weights.py
+++ b/src/nutmeghook/internal/standin_http/http_weights.py
@@ -11,20 +11,20 @@
 
 
 class InfoAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What the store knows of a version; null for an unknown one."""
+    """A version's weights; null for an unknown version."""
 
     info: weights.WeightInfo | None
 
 
 class GrantBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for leave for one engine to download one version."""
+    """Requests a download ticket for one engine and one version."""
 
     model_version: engine.ModelVersion
     address: str
 
 
 class GrantAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The ticket to hand to the engine."""
+    """The ticket to send to the engine."""
 
     ticket: str
 
@@ -45,7 +45,7 @@
     async def describe(
         self, model_version: engine.ModelVersion
     ) -> weights.WeightInfo | None:
-        """Returns what the store knows, or None for an unknown version."""
+        """Returns a version's weights, or None for an unknown version."""
         answer = await self._exchange.read(
             INFO_PATH, _info_decoder, model_version=str(model_version)
         )
@@ -54,7 +54,7 @@
     async def grant_download(
         self, model_version: engine.ModelVersion, address: str
     ) -> str:
-        """Returns a ticket with which the engine at `address` may download."""
+        """Returns a ticket that lets the engine at `address` download."""
         body = GrantBody(model_version=model_version, address=address)
         answer = await self._exchange.write(
             GRANT_PATH, _encoder.encode(body), _grant_decoder
