--- a/tests/cover/test_loopback_host.py
+++ b/tests/cover/test_loopback_host.py
@@ -1,4 +1,4 @@
-"""Where stand-ins listen, so that trials side by side don't meet."""
+"""Concurrent test processes use different addresses for their stand-ins."""
 
 import asyncio
 import sys
@@ -15,9 +15,9 @@
 
 class LoopbackHostTest(unittest.IsolatedAsyncioTestCase):
     async def test_processes_never_share_an_address(self):
-        """A replica of one trial ends and its port goes to another trial's.
-        Routers that still call it are heard by the stranger, whose trial then
-        reports requests that nobody sent.
+        """If two processes shared an address, a port that one released could
+        be reused by the other, which would then receive requests of the
+        first's routers.
         """
         replica = users_replica.StandInReplica(replica_id="id-1")
         await replica.start()
--- a/tests/cover/test_standins_engine.py
+++ b/tests/cover/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""The model engine stand-in behaves as engines do, on a fake clock."""
+"""The model engine stand-in behaves like a real engine, on a fake clock."""
 
 import asyncio
 import contextlib
@@ -47,7 +47,7 @@
 
 
 class EngineCase(unittest.IsolatedAsyncioTestCase):
-    """An engine with a batch of two."""
+    """Fixture: an engine with a batch capacity of two."""
 
     def setUp(self):
         self.clock = clock.FakeClock()
@@ -71,11 +71,11 @@
             return [chunk async for chunk in chunks]
 
     def start(self, name: str, **changes: object) -> asyncio.Task:
-        """Starts to read a stream."""
+        """Starts a task that reads a stream."""
         return asyncio.ensure_future(self.read(generation(name, **changes)))
 
     async def time_until_done(self, *readers: asyncio.Task) -> float:
-        """Advances the clock until all are read; returns milliseconds."""
+        """Advances the clock until all are done; returns milliseconds."""
         started = self.clock.monotonic()
         while not all(reader.done() for reader in readers):
             await self.clock.advance(5 * MILLISECOND)
@@ -83,10 +83,11 @@
 
 
 class BatchTest(EngineCase):
-    """Speed, order and memory."""
+    """Speed, order and retention of generations."""
 
     async def test_a_cached_prompt_and_an_empty_batch_are_faster(self):
-        same = generation("same").messages  # Hence answers of one length.
+        # The same prompt gives answers of the same length.
+        same = generation("same").messages
 
         def start(name, session):
             return self.start(name, messages=same, session=session)
@@ -98,10 +99,10 @@
         self.assertLess(alone, both)
 
     async def test_queue_is_ordered_by_priority(self):
-        """The third to come runs before the second: it has priority.
+        """With a full batch, a queued attempt of higher priority runs first.
 
-        Both places of the batch are taken; two more wait. Whoever is
-        cancelled while waiting has not run, and the log agrees.
+        An attempt that is cancelled in the queue has not run and is not in the
+        log.
         """
         first = [self.start("a"), self.start("b")]
         await self.clock.advance(MILLISECOND)
@@ -124,10 +125,10 @@
         self.assertEqual(len(self.engine.runs), 2)
 
     async def test_an_attempt_is_kept_for_a_while_after_a_cut(self):
-        """The reader may come back within 10 s and finds all tokens.
+        """A reader can resume within 10 s and gets all tokens.
 
-        Later, the same question is refused: the tokens are forgotten, and
-        starting anew would splice two answers.
+        Later its attempt is refused, because the tokens are dropped and a new
+        run would splice two answers.
         """
         self.settings.cut_next_streams = 1
         reader = self.start("a")
@@ -160,7 +161,7 @@
 
 
 class DelayedReportsTest(EngineCase):
-    """Reports and events that come late or not at all."""
+    """Reports, events and loading that are delayed or lost."""
 
     async def test_load_reports_are_delayed(self):
         reader = self.start("a")
@@ -207,7 +208,7 @@
 
 
 class AnswersTest(unittest.TestCase):
-    """The checker of answers sees each kind of damage."""
+    """Parsing an answer detects each kind of damage."""
 
     @hypothesis.given(
         strategies.integers(3, 8), strategies.data(), strategies.booleans()
--- a/tests/cover/test_standins_memory.py
+++ b/tests/cover/test_standins_memory.py
@@ -1,4 +1,4 @@
-"""The in-memory stand-ins keep the promises that the interfaces make."""
+"""The in-memory stand-ins fulfil the contracts of the interfaces."""
 
 import asyncio
 import datetime
@@ -104,7 +104,7 @@
 
 
 class LimitsAndFaultsTest(unittest.IsolatedAsyncioTestCase):
-    """What callers see of limits and lost outcomes."""
+    """Rate limits and lost outcomes as callers see them."""
 
     def setUp(self):
         self.clock = clock.FakeClock()
@@ -117,10 +117,10 @@
         )
 
     async def test_writes_over_the_limit_are_refused_until_retry_after(self):
-        """The caller sees: refused as overloaded, with a time to wait.
+        """A write over the limit is refused as overloaded, with a delay.
 
-        Ten one-row commits spend the second's writes; the eleventh has no
-        effect. After the time it was told, the same commit goes through.
+        Ten one-row commits use up the writes of a second; the eleventh has no
+        effect. After the delay the same commit succeeds.
         """
         for index in range(10):
             await self.table.commit(put(f"k{index}"))
@@ -133,10 +133,9 @@
         self.assertEqual((self.table.writes, self.table.commits), (11, 11))
 
     async def test_lost_outcomes_did_or_did_not_take_effect(self):
-        """The caller sees the same error three times, each meaning another.
-
-        One answer is lost after the effect, one request before it, and one
-        write takes effect two seconds after its caller was told nothing.
+        """The same error has three meanings: the answer was lost after the
+        effect, the request was lost before it, or the write takes effect two
+        seconds after its caller got the error.
         """
         for fault, expected in (
             ({"lose_next_answers": 1}, True),
@@ -154,7 +153,7 @@
         self.assertIsNotNone(await self.table.read("late_effect"))
 
     async def test_a_slow_write_outlives_its_caller(self):
-        """The caller sees a timeout; the row is there all the same."""
+        """The caller times out, but the row is written."""
         self.faults.delay = 5 * SECOND
         waiting = asyncio.ensure_future(
             self.clock.wait_for(self.table.commit(put("slow")), SECOND)
@@ -167,7 +166,7 @@
 
 
 class LagTest(unittest.IsolatedAsyncioTestCase):
-    """What comes late, and when."""
+    """Delays of the instance list and of ratings."""
 
     async def test_instance_list_lags_behind(self):
         fake = clock.FakeClock()
--- a/tests/cover/test_standins_process.py
+++ b/tests/cover/test_standins_process.py
@@ -1,4 +1,4 @@
-"""The stand-ins as a process of their own, as a run of nutmeghook uses it."""
+"""The stand-ins as a separate process."""
 
 import signal
 import subprocess
@@ -13,7 +13,7 @@
 
 
 class ProcessTest(unittest.TestCase):
-    """Starting, telling addresses, stopping."""
+    """Start, printed addresses, errors in the spec, and stop."""
 
     def run_with(self, spec: bytes) -> subprocess.Popen:
         """Starts the process with a spec on its standard input."""
--- a/tests/cover/test_standins_replica.py
+++ b/tests/cover/test_standins_replica.py
@@ -1,4 +1,4 @@
-"""What the stand-in of a replica notes of callers that leave."""
+"""The stand-in replica records callers that disconnect."""
 
 import asyncio
 import unittest
@@ -9,9 +9,9 @@
 
 class AbandonedRequestTest(unittest.IsolatedAsyncioTestCase):
     async def test_reset_connection_counts_as_abandoned(self):
-        """A router drops a connection on which it has not read everything, so
-        the replica meets a reset and no end of file. Only an end of file was
-        noted, and on a busy machine tests that wait for the note never ended.
+        """A router that closes a connection with unread data resets it, so the
+        replica gets a reset instead of an end of file. If only the latter
+        counted, tests that wait for the event would hang on a busy machine.
         """
         for reply in (
             users_replica.Reply(silent=True),
@@ -28,7 +28,7 @@
                 await replica.stop()
 
     async def reset_during_the_response(self, replica) -> None:
-        """Asks, and resets the connection once the replica works."""
+        """Sends a request, and resets the connection once it was received."""
         host, _, port = replica.address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(
