--- a/src/nutmeghook/internal/commands/timeline.py
+++ b/src/nutmeghook/internal/commands/timeline.py
@@ -1,4 +1,4 @@
-"""`nutmeghook timeline`: what happened, over all instances."""
+"""`nutmeghook timeline`: the events of all instances."""
 
 import asyncio
 import os
@@ -8,7 +8,7 @@
 import aiohttp
 import msgspec
 
-from nutmeghook.internal.administration import running
+from nutmeghook.internal.administration import command_runner
 from nutmeghook.internal.assembly import observation
 from nutmeghook.internal.observe import timeline
 
@@ -17,7 +17,7 @@
 
 
 async def fetch(url: str, token: str) -> list[timeline.ProcessEvents]:
-    """Asks any instance for the events of all that it can reach."""
+    """Asks an instance for the events of all instances that it can reach."""
     async with (
         aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=_TIMEOUT_S)
@@ -34,9 +34,9 @@
 
 
 def run(*, about: str, html: str, url: str, token: str) -> None:
-    """Prints the time line, and draws it if a page is asked for."""
-    url = url or os.environ.get(running.URL_VARIABLE, "")
-    token = token or os.environ.get(running.TOKEN_VARIABLE, "")
+    """Prints the timeline, and writes it as a page if `html` names a file."""
+    url = url or os.environ.get(command_runner.URL_VARIABLE, "")
+    token = token or os.environ.get(command_runner.TOKEN_VARIABLE, "")
     try:
         processes = asyncio.run(fetch(url, token))
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
@@ -44,7 +44,7 @@
         sys.exit(EXIT_NO_ANSWER)
     entries = timeline.merge(processes)
     if about:
-        entries = timeline.about(entries, about)
+        entries = timeline.filter_by_subject(entries, about)
     print("\n".join(timeline.text_lines(entries)))
     for process in processes:
         print(
--- a/src/nutmeghook/internal/observe/attempt_waits.py
+++ b/src/nutmeghook/internal/observe/attempt_waits.py
@@ -1,7 +1,7 @@
-"""How long attempts waited for their replicas, joined from log lines.
+"""Joins log lines into how long each attempt waited for its replica.
 
-A line of an attempt's sending says what was expected, another one of the same
-instance what came of it. Neither files nor lines need to be in any order.
+The `attempt:sent` line holds the forecast; a later line of the same instance
+holds the result. Files and lines may come in any order.
 """
 
 from collections.abc import Iterable
@@ -9,13 +9,13 @@
 import dataclasses
 from typing import TypeVar
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_reading
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
-# Answers from here on are refusals and failures, which may come at once.
+# Statuses from here on are refusals and failures, which may come at once.
 _FIRST_FAILED_STATUS = 400
-# Nothing was written, so that nothing waited for the replica.
+# The outcome of an attempt that wrote nothing, and so did not wait.
 _NOT_SENT = "NotSentError"
 
 _Key = tuple[log_reading.Source, str]
@@ -28,18 +28,18 @@
     """One attempt that was answered, or waited without an answer.
 
     Attributes:
-        instance: The one that sent it.
-        service: The replica's, as far as some log says so.
-        model: The model asked for; empty for plain services.
-        route: The request's; empty if its end is not in the log.
+        instance: The instance that sent the attempt.
+        service: The replica's service; empty if no log names it.
+        model: The requested model; empty for plain services.
+        route: The request's route; empty if its end is not in the log.
         sent_s: When it was sent, by the instance's wall clock.
-        forecast_ms: What the instance expected; 0 for plain services, of
-            which it expects nothing.
-        waited_ms: Until the answer began; at least that if there was none.
+        forecast_ms: The instance's forecast; 0 for plain services, which have
+            none.
+        waited_ms: Until the answer began; a lower bound if there was none.
         is_answered: An answer began.
-        is_left: The replica was given up as silent or dark.
-        running: What the replica said that it runs.
-        waiting: What it said that it has waiting.
+        is_abandoned: The replica was given up as silent or unreachable.
+        running: How many requests the replica reported to run.
+        waiting: How many it reported to have queued.
     """
 
     instance: log_reading.Source
@@ -55,19 +55,19 @@
     forecast_ms: float
     waited_ms: float
     is_answered: bool
-    is_left: bool
+    is_abandoned: bool
     running: int | None
     waiting: int | None
 
     @property
     def group(self) -> tuple[str, str]:
-        """What it may be compared within: the service and the model."""
+        """Waits are compared within a group: the service and the model."""
         return self.service, self.model
 
 
 @dataclasses.dataclass(slots=True)
-class _Gathered:
-    """Lines by what they are about."""
+class _LinesBySubject:
+    """Lines by attempt, by request and by replica."""
 
     attempts: dict[_AttemptKey, list[tuple[float, log_records.AttemptRecord]]]
     ends: dict[_Key, list[tuple[float, str]]]
@@ -75,16 +75,16 @@
 
 
 def gather(lines: Iterable[log_reading.Line]) -> list[Wait]:
-    """Returns all waits, by when they began."""
-    gathered = _gathered(lines)
+    """Returns all waits, ordered by when they began."""
+    grouped = _group_lines(lines)
     waits = [
         wait
-        for (source, request, _), events in gathered.attempts.items()
+        for (source, request, _), events in grouped.attempts.items()
         for wait in _waits(
-            source, events, sorted(gathered.ends.get((source, request), []))
+            source, events, sorted(grouped.ends.get((source, request), []))
         )
     ]
-    waits = _with_services(waits, gathered.services)
+    waits = _with_services(waits, grouped.services)
     return sorted(waits, key=_order)
 
 
@@ -92,24 +92,24 @@
     return wait.sent_s, wait.instance, wait.request, wait.attempt
 
 
-def _gathered(lines: Iterable[log_reading.Line]) -> _Gathered:
-    gathered = _Gathered({}, {}, {})
+def _group_lines(lines: Iterable[log_reading.Line]) -> _LinesBySubject:
+    grouped = _LinesBySubject({}, {}, {})
     for line in lines:
         record = line.record
         if isinstance(record, log_records.AttemptRecord):
             key = line.source, record.request, record.attempt
-            events = gathered.attempts.setdefault(key, [])
+            events = grouped.attempts.setdefault(key, [])
             events.append((line.at_s, record))
         elif isinstance(record, log_records.RequestEnded):
-            ends = gathered.ends.setdefault((line.source, record.request), [])
+            ends = grouped.ends.setdefault((line.source, record.request), [])
             ends.append((line.at_s, record.route))
         elif (
-            isinstance(record, belief_records.ReplicaChange)
+            isinstance(record, state_records.ReplicaChange)
             and record.service is not None
         ):
-            known = gathered.services.get(record.replica, record.service)
-            gathered.services[record.replica] = min(known, record.service)
-    return gathered
+            known = grouped.services.get(record.replica, record.service)
+            grouped.services[record.replica] = min(known, record.service)
+    return grouped
 
 
 def _waits(
@@ -117,8 +117,8 @@
     events: list[tuple[float, log_records.AttemptRecord]],
     ends: list[tuple[float, str]],
 ) -> Iterator[Wait]:
-    """Yields an attempt's wait; several if callers gave one id repeatedly."""
-    sents = sorted(
+    """Yields an attempt's waits; several if callers reused a request id."""
+    sendings = sorted(
         (
             (at_s, record)
             for at_s, record in events
@@ -126,8 +126,8 @@
         ),
         key=lambda sent: (sent[0], sent[1].replica),
     )
-    for number, (at_s, sent) in enumerate(sents):
-        next_s = sents[number + 1][0] if number + 1 < len(sents) else None
+    for number, (at_s, sent) in enumerate(sendings):
+        next_s = sendings[number + 1][0] if number + 1 < len(sendings) else None
         later = sorted(
             (event for event in events if _is_within(event[0], at_s, next_s)),
             key=lambda event: (event[0], event[1].event),
@@ -149,7 +149,7 @@
     later: list[tuple[float, log_records.AttemptRecord]],
     end: tuple[float, str] | None,
 ) -> Wait | None:
-    """Returns a wait; None if nothing is known of its length."""
+    """Returns a wait; None if its length is not known."""
     answer = _first(later, log_records.AttemptAnswered)
     left = _first(later, log_records.AttemptLeft)
     failed = _first(later, log_records.AttemptFailed)
@@ -163,8 +163,8 @@
     else:
         if failed is not None and failed[1].outcome == _NOT_SENT:
             return None
-        over = left or failed or end
-        waited_ms = (over[0] - sent_s) * 1000.0 if over else None
+        last_event = left or failed or end
+        waited_ms = (last_event[0] - sent_s) * 1000.0 if last_event else None
     if waited_ms is None:
         return None
     return Wait(
@@ -181,7 +181,7 @@
         forecast_ms=(sent.waiting_ms or 0.0) + (sent.reading_ms or 0.0),
         waited_ms=waited_ms,
         is_answered=answer is not None,
-        is_left=left is not None,
+        is_abandoned=left is not None,
         running=running,
         waiting=waiting,
     )
@@ -198,28 +198,32 @@
 
 
 def _with_services(waits: list[Wait], services: dict[str, str]) -> list[Wait]:
-    """Fills in services; of replicas no log lists, by what is asked there.
+    """Fills in the waits' services.
 
-    The failure: collectors keep a log's end, where only the replicas that
-    came late are listed. Told apart from the others by that, they would have
-    nothing to be compared with.
+    A replica that no log lists gets the service that alone has waits of the
+    same model, or of the same route for plain services. Collectors that keep
+    only a log's end lose the `replica:listed` lines of earlier replicas;
+    without this the replicas listed later would have none to be compared with.
     """
-    by_work: dict[tuple[str, str], set[str]] = {}
+    services_by_workload: dict[tuple[str, str], set[str]] = {}
     for wait in waits:
         if wait.replica in services:
-            names = by_work.setdefault(_work(wait), set())
+            names = services_by_workload.setdefault(_workload(wait), set())
             names.add(services[wait.replica])
-    only = {
-        work: min(names) for work, names in by_work.items() if len(names) == 1
+    unambiguous = {
+        workload: min(names)
+        for workload, names in services_by_workload.items()
+        if len(names) == 1
     }
     return [
         dataclasses.replace(
             wait,
-            service=services.get(wait.replica) or only.get(_work(wait), ""),
+            service=services.get(wait.replica)
+            or unambiguous.get(_workload(wait), ""),
         )
         for wait in waits
     ]
 
 
-def _work(wait: Wait) -> tuple[str, str]:
+def _workload(wait: Wait) -> tuple[str, str]:
     return wait.model, "" if wait.model else wait.route
--- a/tests/cover/test_orders_pages.py
+++ b/tests/cover/test_orders_pages.py
@@ -1,4 +1,4 @@
-"""What one cell tells, and orders that are planned by it."""
+"""Report pages of cells, and orders that are planned by them."""
 
 import asyncio
 import copy
@@ -14,7 +14,7 @@
 from nutmeghook.internal.orders import cell_reports
 from nutmeghook.internal.orders import report_pages
 from nutmeghook.internal.routing import backends
-from tests.cover import orders_floor
+from tests.cover import orders_fixture
 from tests.cover import test_orders_planning as planning_case
 
 SECOND = datetime.timedelta(seconds=1)
@@ -22,22 +22,22 @@
 
 
 class LatePages(cell_reports.ReportSource):
-    """Tells what was loaded on a floor's engines some time ago."""
+    """Reports what was loaded on a fixture's engines some time ago."""
 
-    def __init__(self, floor, *, lag_s):
-        self._floor = floor
+    def __init__(self, fixture, *, lag_s):
+        self._fixture = fixture
         self._lag = lag_s * SECOND
         self._pages = []
 
     async def gather(self):
-        now = self._floor.clock.monotonic()
+        now = self._fixture.clock.monotonic()
         engines = [
             report_pages.ReportedEngine(
                 address=address,
                 loaded=frozenset((await one.load_report()).loaded),
                 leaving=False,
             )
-            for address, one in self._floor.engines.items()
+            for address, one in self._fixture.engines.items()
         ]
         self._pages.append(
             report_pages.ReportPage(
@@ -45,28 +45,28 @@
             )
         )
         late = [p for p in self._pages if now - p.oldest_at >= self._lag]
-        return cell_reports.Gathered(pages=tuple(late[-1:]))
+        return cell_reports.GatheredReports(pages=tuple(late[-1:]))
 
 
 class LatePagesTest(unittest.TestCase):
-    """The holder orders by what the cells told 20 s late."""
+    """The holder orders by pages that are 20 s late."""
 
     def test_no_load_is_ordered_twice(self):
         """A load is done, and the cells' pages don't show it yet.
 
-        Its engine says "done" when it is asked again. By the pages alone the
-        holder would take the load for undone since, and order it anew.
+        The engine answers "done" to the repeated order. By the pages alone the
+        holder would conclude that the load was undone, and order it again.
         """
 
         async def scenario():
-            floor = orders_floor.Floor()
-            pages = LatePages(floor, lag_s=20)
+            fixture = orders_fixture.OrdersFixture()
+            pages = LatePages(fixture, lag_s=20)
             await pages.gather()
-            await floor.clock.advance(30 * SECOND)
-            holder = floor.holder(orders_floor.FakeLease(1), reports=pages)
-            await floor.run(holder, 150)
-            self.assertEqual(len(await floor.replicas(V2)), 2)
-            ids = {record.order_id for record in floor.orders()}
+            await fixture.clock.advance(30 * SECOND)
+            holder = fixture.holder(orders_fixture.FakeLease(1), reports=pages)
+            await fixture.run(holder, 150)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
+            ids = {record.order_id for record in fixture.orders()}
             self.assertEqual(len(ids), 2)
 
         asyncio.run(scenario())
@@ -74,42 +74,42 @@
     def test_a_load_that_is_done_makes_room_for_the_next(self):
         """Eight loads, four at once, of ten seconds each.
 
-        Engines with an order under way are read by the holder itself: the
-        second four must not wait for the pages to show the first.
+        The second four must not wait until the pages show the first four:
+        engines with an open order are read directly.
         """
 
         async def scenario():
-            floor = orders_floor.Floor(8, grants_per_s=100.0)
-            pages = LatePages(floor, lag_s=20)
+            fixture = orders_fixture.OrdersFixture(8, grants_per_s=100.0)
+            pages = LatePages(fixture, lag_s=20)
             await pages.gather()
-            await floor.clock.advance(30 * SECOND)
+            await fixture.clock.advance(30 * SECOND)
             config = planning_case.snapshot(
                 v1="serving:50", v2="rolling_out:50"
             )
-            holder = floor.holder(
-                orders_floor.FakeLease(1), config=config, reports=pages
+            holder = fixture.holder(
+                orders_fixture.FakeLease(1), config=config, reports=pages
             )
-            await floor.run(holder, 40)
-            self.assertEqual(len(await floor.replicas(V2)), 8)
+            await fixture.run(holder, 40)
+            self.assertEqual(len(await fixture.replicas(V2)), 8)
 
         asyncio.run(scenario())
 
-    def test_a_load_that_was_undone_before_anyone_saw_it(self):
+    def test_a_load_undone_before_it_was_reported(self):
         """An order of a former holder unloads what was just loaded.
 
-        The engine goes on to say "done" to the load, and its reports never
-        show it. The load must be ordered anew, under another id, and not
-        when the order times out a quarter of an hour later.
+        The engine keeps answering "done" to the load, and its reports never
+        show it. The load must be ordered again under another id before the
+        order times out after a quarter of an hour.
         """
 
         async def scenario():
-            floor = orders_floor.Floor(2)
-            pages = LatePages(floor, lag_s=20)
-            holder = floor.holder(orders_floor.FakeLease(1), reports=pages)
+            fixture = orders_fixture.OrdersFixture(2)
+            pages = LatePages(fixture, lag_s=20)
+            holder = fixture.holder(orders_fixture.FakeLease(1), reports=pages)
             running = asyncio.ensure_future(holder.run())
-            while not (loaded := await floor.replicas(V2)):
-                await floor.clock.advance(0.01 * SECOND)
-            await floor.engines[loaded[0]].order(
+            while not (loaded := await fixture.replicas(V2)):
+                await fixture.clock.advance(0.01 * SECOND)
+            await fixture.engines[loaded[0]].order(
                 engine.Order(
                     order_id="late",
                     kind=engine.OrderKind.UNLOAD,
@@ -117,31 +117,31 @@
                     fencing_token=1,
                 )
             )
-            await floor.clock.advance(60 * SECOND)
+            await fixture.clock.advance(60 * SECOND)
             running.cancel()
-            self.assertEqual(len(await floor.replicas(V2)), 2)
+            self.assertEqual(len(await fixture.replicas(V2)), 2)
 
         asyncio.run(scenario())
 
     def test_a_withdrawn_version_goes_as_soon_as_its_engine_is_idle(self):
-        """Pages don't say that an engine is idle; it has to be asked itself.
+        """Pages don't say whether an engine is idle, so it is read directly.
 
-        Without that the version stays for twice the longest deadline.
+        Otherwise the version would stay for twice the longest deadline.
         """
 
         async def scenario():
-            floor = orders_floor.Floor(3)
-            await floor.load_everywhere(V2)
-            pages = LatePages(floor, lag_s=20)
+            fixture = orders_fixture.OrdersFixture(3)
+            await fixture.load_everywhere(V2)
+            pages = LatePages(fixture, lag_s=20)
             await pages.gather()
-            await floor.clock.advance(30 * SECOND)
+            await fixture.clock.advance(30 * SECOND)
             config = planning_case.snapshot(v1="withdrawn", v2="serving:100")
-            holder = floor.holder(
-                orders_floor.FakeLease(1), config=config, reports=pages
+            holder = fixture.holder(
+                orders_fixture.FakeLease(1), config=config, reports=pages
             )
-            await floor.run(holder, 40)
-            self.assertEqual(await floor.replicas(V1), [])
-            self.assertEqual(len(await floor.replicas(V2)), 3)
+            await fixture.run(holder, 40)
+            self.assertEqual(await fixture.replicas(V1), [])
+            self.assertEqual(len(await fixture.replicas(V2)), 3)
 
         asyncio.run(scenario())
 
@@ -156,10 +156,10 @@
 
 
 class PageTest(unittest.TestCase):
-    """Pages over the wire."""
+    """Encoding and decoding of pages."""
 
     @hypothesis.given(_REPORTED, strategies.integers(0, 19_000))
-    def test_they_arrive_as_they_were(self, reported, age_ms):
+    def test_pages_survive_encoding_and_decoding(self, reported, age_ms):
         now = 100 * SECOND
         age = datetime.timedelta(milliseconds=age_ms)
         known = [
@@ -176,8 +176,8 @@
             )
             for number, (loaded, leaving) in enumerate(reported)
         ]
-        # Polled now and then; its own cell tells of it, and sooner.
-        stranger = backends.Backend(
+        # Of another cell, which reports it more often than this one polls it.
+        remote = backends.Backend(
             address="10.0.2.1:80",
             region="r",
             data_centre="c0",
@@ -188,7 +188,7 @@
             ),
             reported_at=now,
         )
-        page = report_pages.page_of([*known, stranger], now)
+        page = report_pages.page_of([*known, remote], now)
         self.assertEqual(len(page.engines), len(known))
         for known_page in (None, page):
             message = report_pages.write_page(
@@ -202,7 +202,7 @@
             )
             self.assertEqual(got, page)
 
-    def test_what_does_not_fit_is_no_page(self):
+    def test_inconsistent_fields_are_rejected(self):
         page = ttypes.LoadedPage(
             content_hash=5,
             age_ms=0,
