--- a/src/nutmeghook/standins/memory_engine.py
+++ b/src/nutmeghook/standins/memory_engine.py
@@ -1,4 +1,4 @@
-"""A model engine in memory: batches, caches, queues, and fails on demand."""
+"""In-memory model engine with batching, a queue, a prefix cache and faults."""
 
 from collections.abc import AsyncIterator
 import datetime
@@ -23,7 +23,7 @@
 
 
 class CacheContent(msgspec.Struct, frozen=True, kw_only=True):
-    """What an exported KV cache holds: only its size."""
+    """An exported KV cache, of which only the size is modelled."""
 
     tokens: int
 
@@ -31,13 +31,13 @@
 class MemoryEngine(engine.Engine):
     """One engine.
 
-    An attempt runs at most once, however often it is asked for: asking again
-    reads on from the tokens that it has. It goes on while nobody reads, for a
-    while, so that a cut stream can be resumed.
+    An attempt runs at most once: a repeated call reads the tokens that the
+    attempt already has. For `keep_attempt_ms` it continues without a reader,
+    so that an interrupted stream can be resumed.
 
     Attributes:
-        faults: Down and slow; the faults of writes apply to orders and to
-            imports of caches.
+        faults: `down` and `delay` apply to all calls, the faults of writes to
+            orders and cache imports.
     """
 
     __slots__ = (
@@ -77,9 +77,9 @@
             clock=clock,
             settings=self.settings,
             cache=self._cache,
-            on_change=self.note_load,
+            on_change=self.record_load,
         )
-        self._reports = engine_reports.LateReports(
+        self._reports = engine_reports.DelayedReports(
             clock=clock, settings=self.settings, measure=self._load_now
         )
 
@@ -94,19 +94,19 @@
         return self._orders.log
 
     def crash(self) -> None:
-        """Loses generations and caches; loaded versions come back with it."""
+        """Loses generations and caches; loaded versions stay loaded."""
         self._batch.lose_all()
         self._cache.clear()
         self._attempts.clear()
 
-    def note_load(self) -> None:
-        """Takes a change of settings or load into the reports to come."""
-        self._reports.note()
+    def record_load(self) -> None:
+        """Records a change of settings or load for later reports."""
+        self._reports.record()
 
     async def generate(
         self, generation: engine.Generation
     ) -> AsyncIterator[engine.Chunk]:
-        """Runs the generation and yields its chunks as they come."""
+        """Runs the generation and yields its chunks as they are generated."""
         await self.faults.before_read()
         self._forget_old_attempts()
         run = self._attempts.get(generation.attempt_id)
@@ -128,18 +128,18 @@
             self._batch.cancel(run)
 
     async def load_report(self) -> engine.LoadReport:
-        """Returns figures that are as old as the settings say."""
+        """Returns the load report of `report_lag_ms` ago."""
         await self.faults.before_read()
-        return self._reports.latest()
+        return self._reports.visible()
 
     async def order(self, order: engine.Order) -> engine.OrderState:
-        """Gives an order, or asks how an earlier one with its id stands."""
+        """Executes an order, or returns the state of one with the same id."""
         return await self.faults.write(lambda: self._handle_order(order))
 
     async def cache_events(
         self, after_sequence: int
     ) -> list[engine.CacheEvent]:
-        """Returns the events after a sequence number that are still kept."""
+        """Returns the kept events after a sequence number."""
         await self.faults.before_read()
         return self._cache.events(after_sequence)
 
@@ -152,7 +152,7 @@
         return msgspec.json.encode(CacheContent(tokens=tokens))
 
     async def import_cache(self, prefix_hash: str, content: bytes) -> None:
-        """Gives the engine the KV cache of a prefix."""
+        """Stores the KV cache of a prefix in the engine."""
         try:
             decoded = msgspec.json.decode(content, type=CacheContent)
         except msgspec.DecodeError as error:
@@ -162,11 +162,11 @@
         )
 
     def _new_run(self, generation: engine.Generation) -> engine_runs.Run:
-        self._refuse_if_unfit(generation)
+        self._check_acceptable(generation)
         now = self._clock.monotonic()
         run = engine_runs.Run(
             generation=generation,
-            wanted_tokens=self._wanted_tokens(generation),
+            answer_tokens=self._answer_tokens(generation),
             deadline=now + generation.deadline_ms * _MILLISECOND,
             now=now,
         )
@@ -174,7 +174,7 @@
         self._attempts[generation.attempt_id] = run
         return run
 
-    def _refuse_if_unfit(self, generation: engine.Generation) -> None:
+    def _check_acceptable(self, generation: engine.Generation) -> None:
         if generation.resume_at_token:
             raise failures.NotDoneError(
                 f"attempt {generation.attempt_id} is not kept here"
@@ -188,7 +188,7 @@
                 f"{generation.model_version} is not loaded"
             )
 
-    def _wanted_tokens(self, generation: engine.Generation) -> int:
+    def _answer_tokens(self, generation: engine.Generation) -> int:
         mean = self.settings.mean_answer_tokens
         digest = xxhash.xxh64_intdigest(answers.prompt_of(generation).encode())
         wanted = max(1, mean // 2 + digest % (mean + 1))
@@ -216,7 +216,7 @@
                 raise failures.OutcomeUnknownError("the stream was cut")
             if crossed and index > start:
                 crossed = False
-                yield _chunk_of_another(run, index)
+                yield _foreign_chunk(run, index)
 
     def _chunk(
         self, run: engine_runs.Run, start: int, end: int
@@ -240,7 +240,7 @@
             finish=run.finish,
             prompt_tokens=record.prompt_tokens,
             cached_tokens=record.cached_tokens,
-            load=self._reports.latest() if along else None,
+            load=self._reports.visible() if along else None,
         )
 
     def _next_cut(self, start: int) -> int | None:
@@ -266,7 +266,7 @@
 
     def _handle_order(self, order: engine.Order) -> engine.OrderState:
         state = self._orders.handle(order)
-        self.note_load()
+        self.record_load()
         return state
 
     def _load_now(self) -> engine.LoadReport:
@@ -299,7 +299,7 @@
     return failures.OutcomeUnknownError("the engine lost the generation")
 
 
-def _chunk_of_another(run: engine_runs.Run, index: int) -> engine.Chunk:
+def _foreign_chunk(run: engine_runs.Run, index: int) -> engine.Chunk:
     return engine.Chunk(
         attempt_id=f"another-{run.generation.attempt_id}",
         token_index=index,
--- a/src/nutmeghook/standins/platform_apps.py
+++ b/src/nutmeghook/standins/platform_apps.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP, around the stand-ins in memory."""
+"""The platform's services over HTTP, backed by the in-memory stand-ins."""
 
 import datetime
 
@@ -13,7 +13,7 @@
 from nutmeghook.internal.standin_http import http_ratings
 from nutmeghook.internal.standin_http import http_table
 from nutmeghook.internal.standin_http import http_weights
-from nutmeghook.standins import listed_changes
+from nutmeghook.standins import instance_list_deltas
 from nutmeghook.standins import memory_instances
 from nutmeghook.standins import memory_objects
 from nutmeghook.standins import memory_ratings
@@ -26,7 +26,7 @@
 
 
 class Counters(msgspec.Struct, frozen=True, kw_only=True):
-    """What a store counted against its limits since it started."""
+    """Operations that a store counted against its limits so far."""
 
     writes: int
     reads: int
@@ -40,7 +40,7 @@
 
 
 class LagBody(msgspec.Struct, frozen=True, kw_only=True):
-    """How far the instance list is behind."""
+    """The lag of the instance list."""
 
     lag_ms: float
 
@@ -48,7 +48,7 @@
 class RatingSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a test can set on the rating service."""
+    """Settings of the rating service; tests may change them."""
 
     delay_ms: float = 200.0
     stopped: bool = False
@@ -59,20 +59,20 @@
 
 
 class WeightSizes(msgspec.Struct, frozen=True, kw_only=True):
-    """The versions in the weight store, `model@version` to bytes."""
+    """The versions in the weight store: size by `model@version`."""
 
     sizes_bytes: dict[str, int]
 
     def by_version(self) -> dict[engine.ModelVersion, int]:
-        """Returns the sizes under parsed versions."""
+        """Returns the sizes by parsed version."""
         return {
             engine.ModelVersion.parse(text): size_bytes
             for text, size_bytes in self.sizes_bytes.items()
         }
 
 
-class _StoreStandIn(serving.LastingStandIn):
-    """What both stores' stand-ins share: faults and counters."""
+class _StoreStandIn(serving.DurableStandIn):
+    """Base class of both stores' stand-ins: faults and counters."""
 
     def __init__(
         self, *, memory: memory_table.MemoryTable | memory_objects.MemoryObjects
@@ -81,14 +81,14 @@
         self.faults = memory.faults
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the counters' path."""
+        """Returns the counters' route."""
         return [web.get(f"{base}/counters", self._counters)]
 
-    def _counted(self) -> Counters:
+    def _current_counters(self) -> Counters:
         return Counters(writes=self.memory.writes, reads=self.memory.reads)
 
     async def _counters(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self._counted())
+        return serving.json_response(self._current_counters())
 
 
 class TableStandIn(_StoreStandIn):
@@ -97,7 +97,7 @@
     role = "table"
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_table`."""
+        """Returns the routes of `http_table`."""
         return [
             web.get(http_table.READ_PATH, self._read),
             web.get(http_table.SCAN_PATH, self._scan),
@@ -106,7 +106,7 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         row = await self.memory.read(request.query["key"])
-        return serving.json_answer(http_table.ReadAnswer(row=row))
+        return serving.json_response(http_table.ReadAnswer(row=row))
 
     async def _scan(self, request: web.Request) -> web.Response:
         rows = await self.memory.scan(
@@ -114,16 +114,16 @@
             after=request.query["after"],
             limit=int(request.query["limit"]),
         )
-        return serving.json_answer(http_table.ScanAnswer(rows=rows))
+        return serving.json_response(http_table.ScanAnswer(rows=rows))
 
     async def _commit(self, request: web.Request) -> web.Response:
         body = await request.read()
         transaction = msgspec.json.decode(body, type=table.Transaction)
-        return serving.json_answer(await self.memory.commit(transaction))
+        return serving.json_response(await self.memory.commit(transaction))
 
-    def _counted(self) -> Counters:
+    def _current_counters(self) -> Counters:
         return msgspec.structs.replace(
-            super()._counted(), commits=self.memory.commits
+            super()._current_counters(), commits=self.memory.commits
         )
 
 
@@ -133,7 +133,7 @@
     role = "objects"
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_objects`."""
+        """Returns the routes of `http_objects`."""
         return [
             web.get(http_objects.BLOB_PATH, self._get),
             web.post(http_objects.BLOB_PATH, self._put),
@@ -151,7 +151,7 @@
         stored = await self.memory.put_if_absent(
             request.query["key"], await request.read()
         )
-        return serving.json_answer(http_objects.PutAnswer(stored=stored))
+        return serving.json_response(http_objects.PutAnswer(stored=stored))
 
     async def _list(self, request: web.Request) -> web.Response:
         keys = await self.memory.list_keys(
@@ -159,14 +159,14 @@
             after=request.query["after"],
             limit=int(request.query["limit"]),
         )
-        return serving.json_answer(http_objects.KeysAnswer(keys=keys))
+        return serving.json_response(http_objects.KeysAnswer(keys=keys))
 
     async def _delete(self, request: web.Request) -> web.Response:
         await self.memory.delete(request.query["key"])
-        return serving.json_answer(http_objects.DeleteAnswer())
+        return serving.json_response(http_objects.DeleteAnswer())
 
 
-class InstancesStandIn(serving.LastingStandIn):
+class InstancesStandIn(serving.DurableStandIn):
     """The instance list."""
 
     role = "instances"
@@ -174,14 +174,14 @@
     def __init__(self, *, memory: memory_instances.MemoryInstances):
         self.memory = memory
         self.faults = memory.faults
-        self._changes = listed_changes.ListedChanges()
+        self._changes = instance_list_deltas.InstanceListDeltas()
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the path of `http_instances`."""
+        """Returns the route of `http_instances`."""
         return [web.get(http_instances.LIST_PATH, self._list)]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the paths that change the list."""
+        """Returns the routes that change the list."""
         return [
             web.post(f"{base}/put", self._put),
             web.post(f"{base}/leaving", self._leaving),
@@ -199,7 +199,7 @@
         headers = {"ETag": answer.entity_tag}
         if answer.body is None:
             return web.Response(status=304, headers=headers)
-        response = serving.json_answer(answer.body)
+        response = serving.json_response(answer.body)
         response.headers.update(headers)
         return response
 
@@ -224,7 +224,7 @@
         return web.Response(status=204)
 
 
-class RatingsStandIn(serving.LastingStandIn):
+class RatingsStandIn(serving.DurableStandIn):
     """The rating service."""
 
     role = "ratings"
@@ -235,7 +235,7 @@
         self.settings = RatingSettings()
 
     def apply(self, settings: RatingSettings) -> None:
-        """Sets how it rates from now on."""
+        """Applies settings to the ratings from now on."""
         self.settings = settings
         self.memory.delay = settings.delay_ms * _MILLISECOND
         self.memory.stopped = settings.stopped
@@ -245,14 +245,14 @@
         )
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_ratings`."""
+        """Returns the routes of `http_ratings`."""
         return [
             web.post(http_ratings.TASKS_PATH, self._submit),
             web.get(http_ratings.RATINGS_PATH, self._ratings),
         ]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the path of its settings."""
+        """Returns the routes of its settings."""
         return [
             web.get(f"{base}/settings", self._show),
             web.post(f"{base}/settings", self._set),
@@ -262,24 +262,24 @@
         body = await request.read()
         decoded = msgspec.json.decode(body, type=http_ratings.TasksBody)
         await self.memory.submit(decoded.tasks)
-        return serving.json_answer(http_ratings.TasksAnswer())
+        return serving.json_response(http_ratings.TasksAnswer())
 
     async def _ratings(self, request: web.Request) -> web.Response:
         given = await self.memory.ratings_after(
             int(request.query["after"]), limit=int(request.query["limit"])
         )
-        return serving.json_answer(http_ratings.RatingsAnswer(ratings=given))
+        return serving.json_response(http_ratings.RatingsAnswer(ratings=given))
 
     async def _show(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.settings)
+        return serving.json_response(self.settings)
 
     async def _set(self, request: web.Request) -> web.Response:
         body = await request.read()
         self.apply(msgspec.json.decode(body, type=RatingSettings))
-        return serving.json_answer(self.settings)
+        return serving.json_response(self.settings)
 
 
-class WeightsStandIn(serving.LastingStandIn):
+class WeightsStandIn(serving.DurableStandIn):
     """The weight store."""
 
     role = "weights"
@@ -289,20 +289,20 @@
         self.faults = memory.faults
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_weights`."""
+        """Returns the routes of `http_weights`."""
         return [
             web.get(http_weights.INFO_PATH, self._info),
             web.post(http_weights.GRANT_PATH, self._grant),
         ]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the path that sets the versions."""
+        """Returns the route that sets the versions."""
         return [web.post(f"{base}/versions", self._set_versions)]
 
     async def _info(self, request: web.Request) -> web.Response:
         version = engine.ModelVersion.parse(request.query["model_version"])
         info = await self.memory.describe(version)
-        return serving.json_answer(http_weights.InfoAnswer(info=info))
+        return serving.json_response(http_weights.InfoAnswer(info=info))
 
     async def _grant(self, request: web.Request) -> web.Response:
         body = await request.read()
@@ -310,7 +310,7 @@
         ticket = await self.memory.grant_download(
             wanted.model_version, wanted.address
         )
-        return serving.json_answer(http_weights.GrantAnswer(ticket=ticket))
+        return serving.json_response(http_weights.GrantAnswer(ticket=ticket))
 
     async def _set_versions(self, request: web.Request) -> web.Response:
         body = msgspec.json.decode(await request.read(), type=WeightSizes)
