--- a/bench/history.py
+++ b/bench/history.py
@@ -88,7 +88,7 @@
         await asyncio.sleep(FIRST_FAULT_AFTER_S)
         await asyncio.gather(*(fault(trial) for fault in drawn_faults(seed)))
         await load
-        found = await trial.judge()
+        found = await trial.find_violations()
     finally:
         await trial.end()
     return sum(len(work.tries) for work in trial.history.works), found
--- a/bench/plot_heavy_days.py
+++ b/bench/plot_heavy_days.py
@@ -63,8 +63,8 @@
                     {
                         "load": load_name,
                         "way": way,
-                        "worth_share": round(outcome.worth_share, 3),
-                        "larger_share": round(outcome.larger_share, 3),
+                        "worth_share": round(outcome.utility_share, 3),
+                        "larger_share": round(outcome.larger_model_share, 3),
                         "wait_p90_s": round(outcome.wait_s(0.9), 2),
                     }
                 )
@@ -89,12 +89,12 @@
         3, len(played), figsize=(15, 9), sharex=True, sharey="row"
     )
     for column, (load_name, outcomes) in enumerate(played.items()):
-        worth, larger, queues = (grid[row][column] for row in range(3))
-        worth.set_title(load_name)
+        utility, larger, queues = (grid[row][column] for row in range(3))
+        utility.set_title(load_name)
         for way, outcome in outcomes.items():
-            seconds, shares = _by_second(outcome, _worth_share)
-            worth.plot(seconds, shares, label=way)
-            seconds, shares = _by_second(outcome, _larger_share)
+            seconds, shares = _by_second(outcome, _utility_share)
+            utility.plot(seconds, shares, label=way)
+            seconds, shares = _by_second(outcome, _larger_model_share)
             larger.plot(seconds, shares, label=way)
             queues.plot(
                 [sample.at_s for sample in outcome.queues],
@@ -120,11 +120,15 @@
     return seconds, [share(some) if some else 0.0 for some in answered]
 
 
-def _worth_share(answered: list[emulated_outcome.Answered]) -> float:
-    return sum(a.worth for a in answered) / sum(a.owed for a in answered)
+def _utility_share(answered: list[emulated_outcome.AnsweredRequest]) -> float:
+    return sum(a.utility for a in answered) / sum(
+        a.max_utility for a in answered
+    )
 
 
-def _larger_share(answered: list[emulated_outcome.Answered]) -> float:
+def _larger_model_share(
+    answered: list[emulated_outcome.AnsweredRequest],
+) -> float:
     return sum(a.model_index > 0 for a in answered) / len(answered)
 
 
--- a/src/nutmeghook/experiment/balancer.py
+++ b/src/nutmeghook/experiment/balancer.py
@@ -12,8 +12,8 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 
-ASK_EVERY = datetime.timedelta(milliseconds=500)
-ASK_TIMEOUT_S = 1.0
+POLL_PERIOD = datetime.timedelta(milliseconds=500)
+POLL_TIMEOUT_S = 1.0
 
 
 class Balancer:
@@ -52,14 +52,14 @@
     async def run(self) -> None:
         """Asks all instances again and again."""
         while True:
-            await asyncio.gather(*(self._ask(a) for a in self._instances))
-            await self._clock.sleep(ASK_EVERY)
+            await asyncio.gather(*(self._poll(a) for a in self._instances))
+            await self._clock.sleep(POLL_PERIOD)
 
-    async def _ask(self, address: str) -> None:
+    async def _poll(self, address: str) -> None:
         try:
             async with self._http.get(
                 f"http://{address}/readyz",
-                timeout=aiohttp.ClientTimeout(total=ASK_TIMEOUT_S),
+                timeout=aiohttp.ClientTimeout(total=POLL_TIMEOUT_S),
             ) as response:
                 ready = response.status == 200
         except (aiohttp.ClientError, TimeoutError):
--- a/src/nutmeghook/experiment/caller.py
+++ b/src/nutmeghook/experiment/caller.py
@@ -12,8 +12,8 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.standins import answers
 
-MOST_TRIES = 12
-LONGEST_WAIT_MS = 3_000
+MAX_TRIES = 12
+MAX_WAIT_MS = 3_000
 DEFAULT_WAIT_MS = 200
 TRY_TIMEOUT_S = 40
 REQUEST_ID_HEADER = "X-Request-Id"
@@ -71,17 +71,17 @@
         self._tokens = tokens
         self._history = record
 
-    async def do(self, assignment: workload.Assignment) -> history.Work:
+    async def perform(self, assignment: workload.Assignment) -> history.Work:
         """Tries until there is an answer or a final word; records it."""
         tries: list[history.Try] = []
         while True:
             attempt = await self._try(assignment)
             tries.append(attempt)
-            if len(tries) >= MOST_TRIES or _is_final(assignment, attempt):
+            if len(tries) >= MAX_TRIES or _is_final(assignment, attempt):
                 break
             wait_ms = attempt.retry_after_ms or DEFAULT_WAIT_MS
             await self._clock.sleep(
-                datetime.timedelta(milliseconds=min(wait_ms, LONGEST_WAIT_MS))
+                datetime.timedelta(milliseconds=min(wait_ms, MAX_WAIT_MS))
             )
         work = history.Work(
             marker=assignment.marker,
@@ -99,7 +99,7 @@
 
     async def _try(self, assignment: workload.Assignment) -> history.Try:
         instance = self._balancer.pick()
-        seen = _Seen(instance=instance)
+        try_record = _TryRecord(instance=instance)
         try:
             async with self._http.request(
                 _method(assignment),
@@ -108,18 +108,22 @@
                 data=_body(assignment),
                 timeout=aiohttp.ClientTimeout(total=TRY_TIMEOUT_S),
             ) as response:
-                seen.request_id = response.headers.get(REQUEST_ID_HEADER, "")
+                try_record.request_id = response.headers.get(
+                    REQUEST_ID_HEADER, ""
+                )
                 if response.status >= 400:
-                    seen.take_error(await response.read())
+                    try_record.record_error(await response.read())
                 elif assignment.streamed:
-                    await _read_stream(response, seen)
+                    await _read_stream(response, try_record)
                 else:
-                    _take_whole(assignment, await response.read(), seen)
+                    _read_whole_answer(
+                        assignment, await response.read(), try_record
+                    )
         except aiohttp.ClientConnectorError:
-            seen.outcome = history.TryOutcome.NOT_RUN
+            try_record.outcome = history.TryOutcome.NOT_RUN
         except (aiohttp.ClientError, TimeoutError, ConnectionError):
-            seen.outcome = history.TryOutcome.CUT
-        return seen.finished()
+            try_record.outcome = history.TryOutcome.CUT
+        return try_record.to_try()
 
     def _headers(self, assignment: workload.Assignment) -> dict[str, str]:
         headers = {
@@ -133,7 +137,7 @@
         return headers
 
 
-class _Seen:
+class _TryRecord:
     """What one try has seen so far."""
 
     __slots__ = (
@@ -157,28 +161,28 @@
         self.first_token_ms: float | None = None
         self.text: list[str] = []
 
-    def take_error(self, body: bytes) -> None:
+    def record_error(self, body: bytes) -> None:
         """Takes an error reply; one that can't be read says nothing."""
         try:
             error = msgspec.json.decode(body, type=_ErrorReply).error
         except msgspec.MsgspecError:
             return
-        self.take_coded(error)
+        self.record_coded_error(error)
 
-    def take_coded(self, error: _ErrorBody) -> None:
+    def record_coded_error(self, error: _ErrorBody) -> None:
         """Takes a numbered error."""
         self.outcome = _OUTCOME_BY_STATE[error.run_state]
         self.code_number = error.code
         self.request_id = error.request_id or self.request_id
         self.retry_after_ms = error.retry_after_ms or 0
 
-    def take_text(self, text: str) -> None:
+    def record_text(self, text: str) -> None:
         """Takes a piece of the answer."""
         if self.first_token_ms is None:
             self.first_token_ms = time.time() * 1000 - self.started_ms
         self.text.append(text)
 
-    def finished(self) -> history.Try:
+    def to_try(self) -> history.Try:
         """Returns the record of the try."""
         text = "".join(self.text)
         return history.Try(
@@ -204,13 +208,13 @@
     if attempt.outcome is history.TryOutcome.ANSWERED:
         return True
     if attempt.outcome is history.TryOutcome.NOT_RUN:
-        return attempt.code_number > 0 and not _may_come_back(attempt)
+        return attempt.code_number > 0 and not _has_retry_delay(attempt)
     if attempt.outcome is history.TryOutcome.CUT:
         return False
     return bool(assignment.key)
 
 
-def _may_come_back(attempt: history.Try) -> bool:
+def _has_retry_delay(attempt: history.Try) -> bool:
     return attempt.retry_after_ms > 0
 
 
@@ -252,31 +256,33 @@
     )
 
 
-def _take_whole(
-    assignment: workload.Assignment, body: bytes, seen: _Seen
+def _read_whole_answer(
+    assignment: workload.Assignment, body: bytes, try_record: _TryRecord
 ) -> None:
     if _is_plain(assignment):
-        seen.text.append(body.decode(errors="replace"))
+        try_record.text.append(body.decode(errors="replace"))
     else:
         completion = msgspec.json.decode(body, type=_Completion)
         message = completion.choices[0].message
-        seen.take_text((message and message.content) or "")
-    seen.outcome = history.TryOutcome.ANSWERED
+        try_record.record_text((message and message.content) or "")
+    try_record.outcome = history.TryOutcome.ANSWERED
 
 
-async def _read_stream(response: aiohttp.ClientResponse, seen: _Seen) -> None:
+async def _read_stream(
+    response: aiohttp.ClientResponse, try_record: _TryRecord
+) -> None:
     """Reads the events; only `[DONE]` or an error event end it properly."""
     async for line in response.content:
         if not line.startswith(_DATA):
             continue
         event = line[len(_DATA) :].strip()
         if event == _DONE:
-            seen.outcome = history.TryOutcome.ANSWERED
+            try_record.outcome = history.TryOutcome.ANSWERED
             return
         chunk = msgspec.json.decode(event, type=_Completion)
         if chunk.error is not None:
-            seen.take_coded(chunk.error)
+            try_record.record_coded_error(chunk.error)
             return
         for choice in chunk.choices:
             if choice.delta and choice.delta.content:
-                seen.take_text(choice.delta.content)
+                try_record.record_text(choice.delta.content)
--- a/src/nutmeghook/experiment/checks.py
+++ b/src/nutmeghook/experiment/checks.py
@@ -61,7 +61,7 @@
     model_version: str = ""
 
 
-class BillSeen(msgspec.Struct, frozen=True, kw_only=True):
+class ObservedBill(msgspec.Struct, frozen=True, kw_only=True):
     """One bill after reading the ledger back."""
 
     request_id: str
@@ -81,7 +81,7 @@
     in_force_ms: float
 
 
-class RevisionSeen(msgspec.Struct, frozen=True, kw_only=True):
+class ObservedRevision(msgspec.Struct, frozen=True, kw_only=True):
     """The configuration that one instance said to have in force.
 
     Attributes:
@@ -93,7 +93,7 @@
     revision: int
 
 
-class RevisionAccepted(msgspec.Struct, frozen=True, kw_only=True):
+class AcceptedRevision(msgspec.Struct, frozen=True, kw_only=True):
     """A committed change, from when on it must be in force."""
 
     revision: int
@@ -117,7 +117,7 @@
 
     works: list[history.Work]
     runs: list[Run]
-    bills: list[BillSeen]
+    bills: list[ObservedBill]
     withdrawals: list[Withdrawal]
     allowed: dict[str, set[str]]
 
@@ -157,7 +157,7 @@
     """An answer is one piece, from first to last token, of its own work."""
     for work in evidence.works:
         for answer in work.answers:
-            broken = _broken_rule(work, answer.text)
+            broken = _violated_rule(work, answer.text)
             if broken:
                 yield Violation(
                     rule=broken,
@@ -166,7 +166,7 @@
                 )
 
 
-def _broken_rule(work: history.Work, text: str) -> Rule | None:
+def _violated_rule(work: history.Work, text: str) -> Rule | None:
     if work.kind in history.PLAIN_KINDS:
         return None if work.marker in text else Rule.CROSSED
     try:
@@ -309,8 +309,8 @@
 
 
 def check_revisions(
-    seen: list[RevisionSeen],
-    accepted: list[RevisionAccepted],
+    seen: list[ObservedRevision],
+    accepted: list[AcceptedRevision],
     *,
     frozen: frozenset[str] = frozenset(),
 ) -> Iterable[Violation]:
@@ -341,7 +341,7 @@
             )
 
 
-def _revision_due(accepted: list[RevisionAccepted], at_ms: float) -> int:
+def _revision_due(accepted: list[AcceptedRevision], at_ms: float) -> int:
     due = [a.revision for a in accepted if a.in_force_ms < at_ms]
     return max(due, default=0)
 
--- a/src/nutmeghook/experiment/configuration_steps.py
+++ b/src/nutmeghook/experiment/configuration_steps.py
@@ -21,12 +21,12 @@
 from nutmeghook.experiment import checks
 from nutmeghook.internal.observe import events as events_module
 
-IN_FORCE_LINE = "configuration:in_force"
-STARTED_LINE = "process:started"
+IN_FORCE_EVENT = "configuration:in_force"
+STARTED_EVENT = "process:started"
 _NONE = 0
 
 
-class NotesLostError(Exception):
+class EventsLostError(Exception):
     """Not all notes were kept, so nothing can be said of the steps."""
 
 
@@ -45,7 +45,7 @@
     before: int
 
 
-class _Line(msgspec.Struct):
+class _LogLine(msgspec.Struct):
     message_type: str = ""
     version: int = _NONE
     before: int | None = None
@@ -63,20 +63,22 @@
     """
     last: dict[str, int] = {}
     for step in steps:
-        yield from _follows(step.holder, last.get(step.holder), step.before)
+        yield from _check_continuity(
+            step.holder, last.get(step.holder), step.before
+        )
         if step.revision <= step.before:
-            yield _reverted(step.holder, step.before, step.revision)
+            yield _reversion(step.holder, step.before, step.revision)
         last[step.holder] = step.revision
     for holder, revision in (now or {}).items():
-        yield from _follows(holder, last.get(holder), revision)
+        yield from _check_continuity(holder, last.get(holder), revision)
 
 
-def _follows(
+def _check_continuity(
     holder: str, known: int | None, before: int
 ) -> Iterator[checks.Violation]:
     known = known or _NONE
     if before < known:
-        yield _reverted(holder, known, before)
+        yield _reversion(holder, known, before)
     elif before > known:
         yield checks.Violation(
             rule=checks.Rule.STEP_NOT_NOTED,
@@ -85,7 +87,7 @@
         )
 
 
-def _reverted(holder: str, before: int, after: int) -> checks.Violation:
+def _reversion(holder: str, before: int, after: int) -> checks.Violation:
     return checks.Violation(
         rule=checks.Rule.REVERTED,
         marker=holder,
@@ -104,7 +106,7 @@
     steps = []
     for number, event in enumerate(events, start=1):
         if event.sequence != number:
-            raise NotesLostError(
+            raise EventsLostError(
                 f"{holder}: event {number} is lost; read the ring more often"
             )
         if event.kind is events_module.EventKind.CONFIG_APPLIED:
@@ -124,13 +126,13 @@
     starts = 0
     for line in lines:
         try:
-            read = msgspec.json.decode(line, type=_Line)
+            read = msgspec.json.decode(line, type=_LogLine)
         except msgspec.DecodeError:
             # A traceback, or a line that a kill cut short.
             continue
-        if read.message_type == STARTED_LINE:
+        if read.message_type == STARTED_EVENT:
             starts += 1
-        if read.message_type == IN_FORCE_LINE:
+        if read.message_type == IN_FORCE_EVENT:
             steps.append(
                 Step(
                     holder=f"{router}#{starts}",
--- a/src/nutmeghook/experiment/demo.py
+++ b/src/nutmeghook/experiment/demo.py
@@ -17,11 +17,11 @@
 from nutmeghook.standins import control
 from nutmeghook.standins import serving
 
-FIRST_INSTANCES = 3
+INITIAL_INSTANCES = 3
 WORKS_PER_S = 70.0
 STORE_OUTAGE_S = 10.0
 ROLLOUT_STOP_TIMEOUT_S = 60.0
-PROGRESS_EVERY_S = 5.0
+PROGRESS_PERIOD_S = 5.0
 
 
 class Demo:
@@ -39,47 +39,51 @@
 
     async def run(self) -> report_module.Summary:
         """Runs everything and returns the summary."""
-        _say("starting the platform's stand-ins and 3 entry instances")
+        _print_status("starting the platform's stand-ins and 3 entry instances")
         try:
-            await self._trial.start(instances=FIRST_INSTANCES, preloaded=False)
+            await self._trial.start(
+                instances=INITIAL_INSTANCES, preloaded=False
+            )
             load = asyncio.create_task(
                 self._trial.load(works=self._works, rate_per_s=WORKS_PER_S)
             )
             progress = asyncio.create_task(self._show_progress())
-            await self._faults()
+            await self._inject_faults()
             await load
-            await self._until_rollout_stopped()
+            await self._wait_for_rollout_stop()
             progress.cancel()
-            return await self._judge()
+            return await self._evaluate()
         finally:
             await self._trial.end()
 
     async def _show_progress(self) -> None:
         while True:
-            await asyncio.sleep(PROGRESS_EVERY_S)
-            _say(f"{len(self._trial.history.works)} of {self._works} done")
+            await asyncio.sleep(PROGRESS_PERIOD_S)
+            _print_status(
+                f"{len(self._trial.history.works)} of {self._works} done"
+            )
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         """What happens meanwhile; each step at its own moment."""
         await asyncio.sleep(2)
-        _say("accepting a template change")
+        _print_status("accepting a template change")
         await self._change_template()
-        _say(f"rolling out {example_fleet.BAD_VERSION}, which is bad")
+        _print_status(f"rolling out {example_fleet.BAD_VERSION}, which is bad")
         await faults.bad_rollout(self._trial)
         await asyncio.sleep(3)
-        _say("SIGKILL for one instance; a new one takes its place")
+        _print_status("SIGKILL for one instance; a new one takes its place")
         await faults.kill_instance(self._trial)
         await asyncio.sleep(3)
-        _say("SIGTERM for one instance; another takes its place")
+        _print_status("SIGTERM for one instance; another takes its place")
         await faults.drain_instance(self._trial)
         self._drained_clean = True
-        _say(f"the table service goes out for {STORE_OUTAGE_S:.0f} s")
+        _print_status(f"the table service goes out for {STORE_OUTAGE_S:.0f} s")
         await self._trial.system.set_faults(
             "table", control.FaultSettings(down=serving.DownMode.CUTTING)
         )
         await asyncio.sleep(STORE_OUTAGE_S)
         await self._trial.system.set_faults("table", control.FaultSettings())
-        _say("the table service is back")
+        _print_status("the table service is back")
 
     async def _change_template(self) -> None:
         template = next(
@@ -95,22 +99,22 @@
             reason="shorter answers",
         )
 
-    async def _until_rollout_stopped(self) -> None:
+    async def _wait_for_rollout_stop(self) -> None:
         """Goes on with work until the bad version is withdrawn, bounded."""
         deadline_s = time.monotonic() + ROLLOUT_STOP_TIMEOUT_S
         while time.monotonic() < deadline_s:
             if await self._rollout_stopped():
                 return
-            await self._trial.do_one()
+            await self._trial.perform_one()
 
     async def _rollout_stopped(self) -> bool:
         withdrawn = await self._trial.withdrawn()
         return str(example_fleet.BAD_VERSION) in withdrawn
 
-    async def _judge(self) -> report_module.Summary:
-        _say("collecting the evidence")
+    async def _evaluate(self) -> report_module.Summary:
+        _print_status("collecting the evidence")
         works = self._trial.history.works
-        violations = await self._trial.judge()
+        violations = await self._trial.find_violations()
         await self._draw_timeline()
         self._trial.history.write(self._folder / "history.jsonl")
         for line in report_module.kinds_table(works):
@@ -137,7 +141,7 @@
         print(f"time line of {len(processes)} processes: {path}")
 
 
-def _say(text: str) -> None:
+def _print_status(text: str) -> None:
     print(f"[{time.strftime('%H:%M:%S')}] {text}", flush=True)
 
 
--- a/src/nutmeghook/experiment/emulated_fleet.py
+++ b/src/nutmeghook/experiment/emulated_fleet.py
@@ -67,7 +67,7 @@
     duration_s: float
     instances: int = 24
     replicas: int = 12
-    read_tokens_per_s: tuple[float, float] = (273_000.0, 27_300.0)
+    prefill_tokens_per_s: tuple[float, float] = (273_000.0, 27_300.0)
     model_prices: tuple[float, float] = (0.005, 0.07)
     prompt_tokens: int = 5000
     data_centres: int = 1
@@ -81,11 +81,11 @@
             still meanwhile.
     """
 
-    __slots__ = ("busy_until_s", "queue", "read_s", "running")
+    __slots__ = ("busy_until_s", "prefill_s", "queue", "running")
 
     def __init__(self):
         self.busy_until_s = 0.0
-        self.read_s = 0.0
+        self.prefill_s = 0.0
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.running = 0
 
@@ -93,7 +93,7 @@
 class Instance:
     """The deciding parts of one instance."""
 
-    def __init__(self, *, number, load, clock, post, draw, chooser_type):
+    def __init__(self, *, number, load, clock, receivers, draw, chooser_type):
         self.directory = directory_module.ReplicaDirectory(clock=clock)
         for replica in range(load.replicas):
             self.directory.put(replica_entry(replica))
@@ -105,14 +105,14 @@
         )
         self.times = generation_times.GenerationTimes()
         messages = sealed_messages.SealedMessages(
-            datagrams=_Post(post, str(number)), seal=_SEAL
+            datagrams=_InstantDatagrams(receivers, str(number)), seal=_SEAL
         )
         self.gossip = load_gossip.ReplicaLoadGossip(
             directory=self.directory,
             messages=messages,
             local_addresses=lambda: [
                 a
-                for a in post
+                for a in receivers
                 if a != str(number)
                 and (int(a) - number) % load.data_centres == 0
             ],
@@ -123,20 +123,24 @@
             instance_id=str(number),
             directory=self.directory,
             messages=messages,
-            sample_peers=lambda: _some_others(post, number, draw),
+            sample_peers=lambda: _sample_peers(receivers, number, draw),
             clock=clock,
             random_source=draw,
         )
 
 
-def _some_others(post: dict, number: int, draw: random.Random) -> list[str]:
+def _sample_peers(
+    receivers: dict, number: int, draw: random.Random
+) -> list[str]:
     """Returns the addresses that an instance tells of its backlogs."""
-    others = [address for address in post if address != str(number)]
-    most = backlog_gossip.LOCAL_FANOUT + round(backlog_gossip.REMOTE_FANOUT)
-    return draw.sample(others, min(most, len(others)))
+    others = [address for address in receivers if address != str(number)]
+    max_peers = backlog_gossip.LOCAL_FANOUT + round(
+        backlog_gossip.REMOTE_FANOUT
+    )
+    return draw.sample(others, min(max_peers, len(others)))
 
 
-class _Post(datagrams.Datagrams):
+class _InstantDatagrams(datagrams.Datagrams):
     """Delivers at once."""
 
     def __init__(self, receivers, own):
--- a/src/nutmeghook/experiment/emulated_outcome.py
+++ b/src/nutmeghook/experiment/emulated_outcome.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Answered:
+class AnsweredRequest:
     """What one request came to.
 
     Attributes:
@@ -15,13 +15,13 @@
 
     arrived_s: float
     wait_s: float
-    owed: float
-    worth: float
+    max_utility: float
+    utility: float
     model_index: int
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Queues:
+class QueueSample:
     """How many requests waited at all replicas together."""
 
     at_s: float
@@ -36,18 +36,18 @@
         generations_s: From an answer's first event to its last, each.
     """
 
-    answered: list[Answered] = dataclasses.field(default_factory=list)
-    queues: list[Queues] = dataclasses.field(default_factory=list)
-    generations_s: list[float] = dataclasses.field(default_factory=list)
+    answered: list[AnsweredRequest] = dataclasses.field(default_factory=list)
+    queues: list[QueueSample] = dataclasses.field(default_factory=list)
+    generation_times_s: list[float] = dataclasses.field(default_factory=list)
 
     @property
-    def worth_share(self) -> float:
+    def utility_share(self) -> float:
         """The worth that callers got of what they were owed."""
-        owed = sum(answer.owed for answer in self.answered)
-        return sum(answer.worth for answer in self.answered) / owed
+        max_utility = sum(answer.max_utility for answer in self.answered)
+        return sum(answer.utility for answer in self.answered) / max_utility
 
     @property
-    def larger_share(self) -> float:
+    def larger_model_share(self) -> float:
         """The share of requests that the largest model answered."""
         larger = sum(answer.model_index > 0 for answer in self.answered)
         return larger / len(self.answered)
--- a/src/nutmeghook/experiment/evidence.py
+++ b/src/nutmeghook/experiment/evidence.py
@@ -17,7 +17,7 @@
 from nutmeghook.standins import memory_plain
 
 
-async def runs_of(system: system_module.System) -> list[checks.Run]:
+async def read_runs(system: system_module.System) -> list[checks.Run]:
     """Returns all executions, as the backend servers logged them."""
     runs: list[checks.Run] = []
     for served in system.addresses.stand_ins:
@@ -57,7 +57,7 @@
     )
 
 
-async def bill_records(
+async def read_bill_records(
     system: system_module.System,
 ) -> list[records.FinishRecord]:
     """Returns every bill record with its copies, straight from the stores."""
@@ -82,9 +82,9 @@
         await session.close()
 
 
-def bills_seen(
+def observed_bills(
     found: list[records.FinishRecord],
-) -> list[checks.BillSeen]:
+) -> list[checks.ObservedBill]:
     """Returns the bills; copies of one record are one bill.
 
     A bill on its way from the overflow to the log stands in both for a
@@ -96,12 +96,12 @@
         for record in found
     }
     return [
-        checks.BillSeen(request_id=request_id, team=team, key=key)
+        checks.ObservedBill(request_id=request_id, team=team, key=key)
         for team, key, request_id, _ in sorted(distinct)
     ]
 
 
-async def withdrawals_of(
+async def read_withdrawals(
     system: system_module.System,
     *,
     through: system_module.RunningInstance,
@@ -134,11 +134,11 @@
     return answer.changes[0].accepted_at
 
 
-def evidence_of(
+def build_evidence(
     *,
     works: list[history.Work],
     runs: list[checks.Run],
-    bills: list[checks.BillSeen],
+    bills: list[checks.ObservedBill],
     withdrawals: list[checks.Withdrawal],
     teams: tuple[documents.Team, ...],
 ) -> checks.Evidence:
--- a/src/nutmeghook/experiment/faults.py
+++ b/src/nutmeghook/experiment/faults.py
@@ -27,10 +27,10 @@
 LOST_ANSWERS = 25
 SERVICE_SLOW_MS = 800.0
 WITHDRAWN_AFTER_S = 2.0
-LOOK_EVERY_S = 0.25
-MOST_LOOKS = 80
+POLL_PERIOD_S = 0.25
+MAX_POLLS = 80
 RACES = 5
-LONG_ANSWER = 60
+LONG_ANSWER_TOKENS = 60
 LONG_ANSWER_STEP_MS = 60.0
 
 
@@ -45,7 +45,7 @@
     victim.process.kill()
     await victim.process.ended()
     await trial.add_instance()
-    await trial.forget_instance(victim)
+    await trial.remove_instance(victim)
 
 
 async def freeze_instance(trial: trial_module.Trial) -> None:
@@ -55,9 +55,9 @@
     happen together.
     """
     victim = trial.running()[1]
-    victim.process.freeze()
+    victim.process.pause()
     await asyncio.sleep(FREEZE_S)
-    victim.process.thaw()
+    victim.process.resume()
 
 
 async def drain_instance(trial: trial_module.Trial) -> None:
@@ -71,9 +71,9 @@
     trial: trial_module.Trial, victim: system_module.RunningInstance
 ) -> None:
     """SIGTERM; it must end with status 0."""
-    victim.process.ask_to_end()
+    victim.process.terminate()
     status = await victim.process.ended()
-    await trial.forget_instance(victim)
+    await trial.remove_instance(victim)
     if status != 0:
         raise AssertionError(
             f"{victim.name} ended with status {status}\n"
@@ -159,7 +159,10 @@
     """Engines take seconds for an answer, so that streams are long."""
     await _set_engines(
         trial,
-        {"step_ms": LONG_ANSWER_STEP_MS, "mean_answer_tokens": LONG_ANSWER},
+        {
+            "step_ms": LONG_ANSWER_STEP_MS,
+            "mean_answer_tokens": LONG_ANSWER_TOKENS,
+        },
     )
 
 
@@ -267,15 +270,15 @@
     )
 
 
-async def _answered_by(
+async def _wait_for_run(
     trial: trial_module.Trial, version: engine.ModelVersion
 ) -> None:
     """Waits until an engine has run work on a version, within limits."""
-    for _ in range(MOST_LOOKS):
-        runs = await evidence.runs_of(trial.system)
+    for _ in range(MAX_POLLS):
+        runs = await evidence.read_runs(trial.system)
         if any(run.model_version == str(version) for run in runs):
             return
-        await asyncio.sleep(LOOK_EVERY_S)
+        await asyncio.sleep(POLL_PERIOD_S)
 
 
 async def withdrawal(trial: trial_module.Trial) -> None:
@@ -286,7 +289,7 @@
     to has nothing to withdraw.
     """
     await good_rollout(trial)
-    await _answered_by(trial, example_fleet.GOOD_VERSION)
+    await _wait_for_run(trial, example_fleet.GOOD_VERSION)
     await asyncio.sleep(WITHDRAWN_AFTER_S)
     await trial.accept(
         edits.WithdrawVersion(
--- a/src/nutmeghook/experiment/fleet_emulator.py
+++ b/src/nutmeghook/experiment/fleet_emulator.py
@@ -22,7 +22,7 @@
 from nutmeghook.internal.routes import model
 
 # Between an instance and a replica, one way; a first event also takes a step.
-_WIRE_S = 0.001
+_NETWORK_DELAY_S = 0.001
 _FIRST_STEP_S = 0.04
 # How long an answer generates after its first event.
 _GENERATION_S = 0.8
@@ -60,13 +60,13 @@
         self._order = itertools.count()
         self._engines = [emulated_fleet.Engine() for _ in range(load.replicas)]
         self._shares_loads = shares_loads
-        post: dict = {}
+        receivers: dict = {}
         self._instances = [
             emulated_fleet.Instance(
                 number=number,
                 load=load,
                 clock=self._clock,
-                post=post,
+                receivers=receivers,
                 draw=self._draw,
                 chooser_type=chooser_type,
             )
@@ -90,23 +90,23 @@
 
     def run(self) -> emulated_outcome.Outcome:
         """Plays the load to its end and returns what callers got."""
-        self._at(0.0, self._arrive)
-        self._at(0.1, self._gossip)
+        self._schedule(0.0, self._arrive)
+        self._schedule(0.1, self._gossip)
         while self._events:
             at_s, _, action = heapq.heappop(self._events)
             self._clock.at_s = at_s
             action()
         return self.outcome
 
-    def _at(self, at_s: float, action: Callable[[], None]) -> None:
+    def _schedule(self, at_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (at_s, next(self._order), action))
 
     def _gossip(self) -> None:
         if self._clock.at_s > self._load.duration_s:
             return
-        self._follow_list()
+        self._update_replicas()
         self.outcome.queues.append(
-            emulated_outcome.Queues(
+            emulated_outcome.QueueSample(
                 at_s=self._clock.at_s,
                 waiting=sum(len(engine.queue) for engine in self._engines),
             )
@@ -116,9 +116,9 @@
                 instance.gossip.send_update()
                 instance.backlogs.send_update()
         period_s = load_gossip.GOSSIP_PERIOD.total_seconds()
-        self._at(self._clock.at_s + period_s, self._gossip)
+        self._schedule(self._clock.at_s + period_s, self._gossip)
 
-    def _follow_list(self) -> None:
+    def _update_replicas(self) -> None:
         living = self._load.replicas_at(self._clock.at_s)
         for instance in self._instances:
             for number in range(self._load.replicas):
@@ -145,7 +145,7 @@
         )
         self._send(self._draw.choice(self._instances), request)
         gap_s = self._draw.expovariate(self._load.per_s(now_s))
-        self._at(now_s + gap_s, self._arrive)
+        self._schedule(now_s + gap_s, self._arrive)
 
     def _send(
         self, instance: emulated_fleet.Instance, request: _Request
@@ -164,8 +164,10 @@
         def begin() -> None:
             engine.running += 1
             instance.directory.end_prefill(replica, prefill)
-            began_s, read_s = self._clock.at_s, engine.read_s
-            self._at(began_s + _GENERATION_S, lambda: end(began_s, read_s))
+            began_s, prefill_s = self._clock.at_s, engine.prefill_s
+            self._schedule(
+                began_s + _GENERATION_S, lambda: end(began_s, prefill_s)
+            )
             instance.directory.note_load(
                 replica, running=engine.running, waiting=len(engine.queue)
             )
@@ -175,22 +177,25 @@
                 tokens=request.tokens,
                 took=datetime.timedelta(seconds=self._clock.at_s - sent_s),
             )
-            self._answered(instance, request)
+            self._handle_first_event(instance, request)
 
-        def end(began_s: float, read_s: float) -> None:
-            stood_s = engine.read_s - read_s
-            if stood_s > 0:
-                again_s, now_read_s = self._clock.at_s + stood_s, engine.read_s
-                self._at(again_s, lambda: end(began_s, now_read_s))
+        def end(began_s: float, prefill_s: float) -> None:
+            stalled_s = engine.prefill_s - prefill_s
+            if stalled_s > 0:
+                again_s, now_prefill_s = (
+                    self._clock.at_s + stalled_s,
+                    engine.prefill_s,
+                )
+                self._schedule(again_s, lambda: end(began_s, now_prefill_s))
                 return
             engine.running -= 1
             replica.in_flight -= 1
-            self.outcome.generations_s.append(self._clock.at_s - began_s)
+            self.outcome.generation_times_s.append(self._clock.at_s - began_s)
 
         urgency = 3 * request.model_index
-        self._at(
-            sent_s + _WIRE_S,
-            lambda: self._queue(engine, urgency, request, begin),
+        self._schedule(
+            sent_s + _NETWORK_DELAY_S,
+            lambda: self._enqueue(engine, urgency, request, begin),
         )
 
     def _criteria(
@@ -214,42 +219,44 @@
             ),
         )
 
-    def _queue(
+    def _enqueue(
         self,
         engine: emulated_fleet.Engine,
         urgency: int,
         request: _Request,
         begin: Callable[[], None],
     ) -> None:
-        per_s = self._load.read_tokens_per_s[request.model_index]
-        reading_s = request.tokens / per_s
+        per_s = self._load.prefill_tokens_per_s[request.model_index]
+        duration_s = request.tokens / per_s
 
-        def read() -> None:
+        def prefill() -> None:
             now_s = self._clock.at_s
-            engine.busy_until_s = now_s + reading_s
-            engine.read_s += reading_s
-            self._at(engine.busy_until_s + _FIRST_STEP_S, begin)
-            self._at(engine.busy_until_s, lambda: self._read_next(engine))
+            engine.busy_until_s = now_s + duration_s
+            engine.prefill_s += duration_s
+            self._schedule(engine.busy_until_s + _FIRST_STEP_S, begin)
+            self._schedule(
+                engine.busy_until_s, lambda: self._start_next_prefill(engine)
+            )
 
-        heapq.heappush(engine.queue, (urgency, next(self._order), read))
+        heapq.heappush(engine.queue, (urgency, next(self._order), prefill))
         if engine.busy_until_s <= self._clock.at_s:
-            self._read_next(engine)
+            self._start_next_prefill(engine)
 
-    def _read_next(self, engine: emulated_fleet.Engine) -> None:
+    def _start_next_prefill(self, engine: emulated_fleet.Engine) -> None:
         if engine.queue and engine.busy_until_s <= self._clock.at_s:
             heapq.heappop(engine.queue)[2]()
 
-    def _answered(
+    def _handle_first_event(
         self, instance: emulated_fleet.Instance, request: _Request
     ) -> None:
-        if request.model_index == 0 and self._is_replaced(instance, request):
+        if request.model_index == 0 and self._is_escalated(instance, request):
             request.model_index = 1
             request.poor = False
             self._send(instance, request)
             return
-        self._count(request)
+        self._record_answer(request)
 
-    def _is_replaced(
+    def _is_escalated(
         self, instance: emulated_fleet.Instance, request: _Request
     ) -> bool:
         larger = self._route.models[1]
@@ -277,19 +284,19 @@
             ),
         )
 
-    def _count(self, request: _Request) -> None:
+    def _record_answer(self, request: _Request) -> None:
         wait_s = self._clock.at_s - request.arrived_s
-        size_worth = 0.3 + 0.7 * request.tokens / self._load.prompt_tokens
-        worth = model_choice.Utility()
-        share = worth.poor if request.poor else 1.0
+        size_utility = 0.3 + 0.7 * request.tokens / self._load.prompt_tokens
+        utility = model_choice.Utility()
+        share = utility.poor if request.poor else 1.0
         if wait_s > self._route.target.total_seconds():
-            share *= worth.late
+            share *= utility.late
         self.outcome.answered.append(
-            emulated_outcome.Answered(
+            emulated_outcome.AnsweredRequest(
                 arrived_s=request.arrived_s,
                 wait_s=wait_s,
-                owed=size_worth,
-                worth=share * size_worth,
+                max_utility=size_utility,
+                utility=share * size_utility,
                 model_index=request.model_index,
             )
         )
--- a/src/nutmeghook/experiment/load.py
+++ b/src/nutmeghook/experiment/load.py
@@ -20,10 +20,10 @@
 from nutmeghook.internal.settings import loading
 
 EXIT_USAGE = 2
-MOST_AT_ONCE = 2000
+MAX_CONCURRENT = 2000
 
 
-async def do_drawn_works(
+async def perform_random_work(
     *,
     addresses: list[str],
     tokens: dict[str, str],
@@ -53,7 +53,9 @@
             agency_teams=example_fleet.AGENCY_TEAMS,
             airline_teams=example_fleet.AIRLINE_TEAMS,
         )
-        await asyncio.gather(*(caller.do(drawn.draw()) for _ in range(works)))
+        await asyncio.gather(
+            *(caller.perform(drawn.draw()) for _ in range(works))
+        )
     return record.works
 
 
@@ -140,11 +142,11 @@
     loop = asyncio.get_running_loop()
     count = int(settings.rate_per_s * settings.duration_s)
     start_s = loop.time()
-    slots = asyncio.Semaphore(MOST_AT_ONCE)
+    slots = asyncio.Semaphore(MAX_CONCURRENT)
 
     async def one(number: int) -> None:
         async with slots:
-            await caller.do(_assignment(settings, number))
+            await caller.perform(_assignment(settings, number))
 
     async with asyncio.TaskGroup() as tasks:
         for number in range(count):
--- a/src/nutmeghook/experiment/loopback_proxy.py
+++ b/src/nutmeghook/experiment/loopback_proxy.py
@@ -23,8 +23,8 @@
     REFUSING = "refusing"
 
 
-_HOLDS_TO_TARGET = (LinkFault.SILENT, LinkFault.SILENT_TO_TARGET)
-_HOLDS_FROM_TARGET = (LinkFault.SILENT, LinkFault.SILENT_FROM_TARGET)
+_BLOCKS_TO_TARGET = (LinkFault.SILENT, LinkFault.SILENT_TO_TARGET)
+_BLOCKS_FROM_TARGET = (LinkFault.SILENT, LinkFault.SILENT_FROM_TARGET)
 
 
 class LoopbackProxy:
@@ -64,14 +64,14 @@
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
-    def close_door(self) -> None:
+    def close(self) -> None:
         """Stops listening and breaks all connections, as a process's end."""
         self._server.close()
         self.reset_all()
 
     async def stop(self) -> None:
         """Ends whatever is under way."""
-        self.close_door()
+        self.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -105,10 +105,10 @@
             self._writers.add(upstream)
             async with asyncio.TaskGroup() as pumps:
                 pumps.create_task(
-                    self._pump(reader, upstream, _HOLDS_TO_TARGET)
+                    self._pump(reader, upstream, _BLOCKS_TO_TARGET)
                 )
                 pumps.create_task(
-                    self._pump(upstream_reader, writer, _HOLDS_FROM_TARGET)
+                    self._pump(upstream_reader, writer, _BLOCKS_FROM_TARGET)
                 )
         except* (OSError, asyncio.IncompleteReadError):
             # Either side broke off: the other one sees a reset below.
@@ -124,12 +124,12 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        held_by: tuple[LinkFault, ...],
+        blocking_faults: tuple[LinkFault, ...],
     ) -> None:
         while data := await reader.read(_READ_BYTES):
             if self._fault is LinkFault.DELAYED:
                 await asyncio.sleep(self.delay_s)
-            while self._fault in held_by:
+            while self._fault in blocking_faults:
                 await self._changed.wait()
             writer.write(data)
             await writer.drain()
--- a/src/nutmeghook/experiment/platform_checks.py
+++ b/src/nutmeghook/experiment/platform_checks.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class CallSeen:
+class ObservedCall:
     """What a caller saw of one request.
 
     Attributes:
@@ -46,7 +46,7 @@
 
 def violations(
     *,
-    calls: Iterable[CallSeen],
+    calls: Iterable[ObservedCall],
     runs: dict[str, int],
     removed_key: str,
     removed_at_s: float | None,
@@ -64,14 +64,14 @@
     found = []
     for call in calls:
         ran = runs.get(call.request_id, 0)
-        found.extend(_of_runs(call, ran))
-        found.extend(_of_answer(call))
+        found.extend(_run_violations(call, ran))
+        found.extend(_answer_violations(call))
         late = (
             removed_at_s is not None
             and call.sent_s > removed_at_s + CONFIGURATION_BOUND_S
         )
-        let_in = call.status == 200 or ran
-        if late and call.key == removed_key and let_in:
+        admitted = call.status == 200 or ran
+        if late and call.key == removed_key and admitted:
             found.append(f"{call.request_id} was let in by a removed key")
     found.extend(
         f"a stopped router ended with status {status}"
@@ -81,14 +81,14 @@
     return found
 
 
-def _of_runs(call: CallSeen, ran: int) -> Iterator[str]:
+def _run_violations(call: ObservedCall, ran: int) -> Iterator[str]:
     if call.kind == "once" and ran > 1:
         yield f"{call.request_id} ran {ran} times"
     if call.status in _NOT_RUN_STATUSES and ran:
         yield f"{call.request_id} ran and was called not run"
 
 
-def _of_answer(call: CallSeen) -> Iterator[str]:
+def _answer_violations(call: ObservedCall) -> Iterator[str]:
     if call.status != 200:
         return
     expected = WHOLE_STREAM if call.kind == "stream" else WHOLE_ANSWER
--- a/src/nutmeghook/experiment/platform_trial.py
+++ b/src/nutmeghook/experiment/platform_trial.py
@@ -60,19 +60,19 @@
     def __init__(self, *, folder: pathlib.Path, seed: int, routers: int = 3):
         self._folder = folder
         self._random = random.Random(seed)
-        self._numbers = 0
+        self._call_count = 0
         self.store = users_store.StandInStore()
         self.operator = users_operator.StandInOperator(
             store=self.store, host=HOST, service=SERVICE
         )
         self.replicas: dict[str, users_replica.StandInReplica] = {}
         self.ended_replicas: dict[str, users_replica.StandInReplica] = {}
-        self.routers_wanted = routers
+        self.router_count = routers
         self.routers: list[trial_routers.RouterProcess] = []
-        self.calls: list[platform_checks.CallSeen] = []
-        self.given_up: set[str] = set()
+        self.calls: list[platform_checks.ObservedCall] = []
+        self.abandoned: set[str] = set()
         self.crashes: list[ReplicaCrash] = []
-        self._returns: set[asyncio.Task[None]] = set()
+        self._restarts: set[asyncio.Task[None]] = set()
         self.removed_at_s: float | None = None
         self.stop_statuses: list[int] = []
         self._session: aiohttp.ClientSession | None = None
@@ -86,7 +86,7 @@
         self.operator.write_configuration(KEYS)
         for number in range(3):
             await self.add_replica(f"v1-{number}", "v1")
-        for number in range(self.routers_wanted):
+        for number in range(self.router_count):
             name = f"router-{number}"
             router = trial_routers.RouterProcess(
                 name=name,
@@ -96,12 +96,12 @@
             self.routers.append(router)
             await router.start()
         for router in self.routers:
-            await self.until_served(router)
+            await self.wait_until_serving(router)
 
     async def end(self) -> None:
         """Ends everything that was started here."""
-        for returning in self._returns:
-            returning.cancel()
+        for restart in self._restarts:
+            restart.cancel()
         for router in self.routers:
             if router.process and router.process.returncode is None:
                 await router.kill()
@@ -121,7 +121,9 @@
         """Returns where routers find a replica."""
         return replica.address
 
-    async def until_served(self, router: trial_routers.RouterProcess) -> None:
+    async def wait_until_serving(
+        self, router: trial_routers.RouterProcess
+    ) -> None:
         """Asks until a router answers a request."""
         async with asyncio.timeout(_CALL_TIMEOUT_S):
             while True:
@@ -147,9 +149,11 @@
         address = await self.replica_address(replica)
         # Troubles may choose it from now on.
         self.replicas[replica_id] = replica
-        returning = asyncio.create_task(self._return(replica, version))
-        self._returns.add(returning)
-        returning.add_done_callback(self._returns.discard)
+        restart = asyncio.create_task(
+            self._restart_after_crash(replica, version)
+        )
+        self._restarts.add(restart)
+        restart.add_done_callback(self._restarts.discard)
         self.operator.list_replica(
             replica_id,
             address=address,
@@ -158,7 +162,7 @@
             cold_left_s=cold_left_s,
         )
 
-    async def _return(
+    async def _restart_after_crash(
         self, replica: users_replica.StandInReplica, version: str
     ) -> None:
         """Has a replica that ended under a request come back as a new one."""
@@ -173,9 +177,9 @@
             )
         )
         number = len(self.crashes)
-        self.close_door(replica.replica_id)
+        self.close_replica_address(replica.replica_id)
         await asyncio.sleep(RESTART_S)
-        self.forget(replica.replica_id)
+        self.mark_ended(replica.replica_id)
         self.operator.strike_replica(replica.replica_id)
         await self.add_replica(f"{version}-after-crash-{number}", version)
 
@@ -206,10 +210,10 @@
         key: str = KEYS[0],
         router: trial_routers.RouterProcess | None = None,
         body: bytes = platform_checks.REQUEST_BODY,
-    ) -> platform_checks.CallSeen:
+    ) -> platform_checks.ObservedCall:
         """Makes one request and notes what came of it."""
-        self._numbers += 1
-        request_id = f"{kind}-{self._numbers}"
+        self._call_count += 1
+        request_id = f"{kind}-{self._call_count}"
         router = router or self._random.choice(self.routers)
         sent_s = asyncio.get_running_loop().time()
         status, received, complete, sealed = 0, b"", False, False
@@ -221,7 +225,7 @@
                     "Host": HOST,
                     headers.REQUEST_ID: request_id,
                     headers.TIME_LEFT: "8000",
-                    headers.SESSION: f"session-{self._numbers % 40}",
+                    headers.SESSION: f"session-{self._call_count % 40}",
                     "Authorization": f"Token {key}",
                 },
             ) as answer:
@@ -235,9 +239,9 @@
             pass
         except asyncio.CancelledError:
             # Whoever asked gave up, but a replica may have it.
-            self.given_up.add(request_id)
+            self.abandoned.add(request_id)
             raise
-        seen = platform_checks.CallSeen(
+        seen = platform_checks.ObservedCall(
             request_id=request_id,
             kind=kind,
             key=key,
@@ -257,13 +261,13 @@
         """Returns every replica that was started, ended ones too."""
         return self.replicas | self.ended_replicas
 
-    def forget(self, replica_id: str) -> None:
+    def mark_ended(self, replica_id: str) -> None:
         """Counts a replica among those that have ended."""
         replica = self.replicas.pop(replica_id, None)
         if replica is not None:
             self.ended_replicas[replica_id] = replica
 
-    def close_door(self, replica_id: str) -> None:
+    def close_replica_address(self, replica_id: str) -> None:
         """Has nobody listen any more where a replica was."""
 
     def runs(self) -> dict[str, int]:
@@ -333,14 +337,14 @@
         trial.order_bad_version()
         for number in range(3):
             await trial.add_replica(f"v2-{number}", "v2")
-        await _disturb(trial)
+        await _inject_faults(trial)
         await load
         return _report(trial)
     finally:
         await trial.end()
 
 
-async def _disturb(trial: PlatformTrial) -> None:
+async def _inject_faults(trial: PlatformTrial) -> None:
     """Kills, stops, cuts off and changes, one over the other."""
     await asyncio.sleep(1.0)
     killed = trial.routers[0]
@@ -358,7 +362,7 @@
     trial.operator.strike_replica("v1-0")
     trial.stop_statuses.append(await stopping)
     await stopped.start()
-    await trial.until_served(stopped)
+    await trial.wait_until_serving(stopped)
 
 
 def _report(trial: PlatformTrial) -> TrialReport:
--- a/src/nutmeghook/experiment/processes.py
+++ b/src/nutmeghook/experiment/processes.py
@@ -49,15 +49,15 @@
         """Ends it at once, with no chance to tidy up."""
         self._process.send_signal(signal.SIGKILL)
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Stops it where it stands."""
         self._process.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Lets it go on as if nothing had happened."""
         self._process.send_signal(signal.SIGCONT)
 
-    def ask_to_end(self) -> None:
+    def terminate(self) -> None:
         """Asks it to leave gracefully."""
         self._process.send_signal(signal.SIGTERM)
 
@@ -69,8 +69,8 @@
         """Asks it to end, and kills it if it takes too long."""
         if self._process.returncode is not None:
             return self._process.returncode
-        self.thaw()
-        self.ask_to_end()
+        self.resume()
+        self.terminate()
         try:
             async with asyncio.timeout(END_TIMEOUT_S):
                 return await self.ended()
--- a/src/nutmeghook/experiment/report.py
+++ b/src/nutmeghook/experiment/report.py
@@ -53,7 +53,7 @@
 
 
 MICROS_PER_EURO = 1_000_000
-_FEWEST_FOR_P95 = 20
+_MIN_FOR_P95 = 20
 
 
 def summarize(
@@ -105,7 +105,7 @@
         for answer in work.answers
         if work.streamed and answer.first_token_ms is not None
     ]
-    if len(times) < _FEWEST_FOR_P95:
+    if len(times) < _MIN_FOR_P95:
         return max(times, default=0.0)
     return statistics.quantiles(times, n=20)[-1]
 
--- a/src/nutmeghook/experiment/soak.py
+++ b/src/nutmeghook/experiment/soak.py
@@ -18,8 +18,8 @@
 from nutmeghook.experiment import platform_trial
 from nutmeghook.experiment import soak_checks
 from nutmeghook.experiment import soak_evacuations
+from nutmeghook.experiment import soak_faults
 from nutmeghook.experiment import soak_trial
-from nutmeghook.experiment import soak_troubles
 
 # For how long troubles begin.
 SECONDS = 12.0
@@ -27,7 +27,7 @@
 SETTLE_S = 4.0
 RECOVERY_S = 6.0
 # On a machine that may be busy: only a router that never serves is found.
-_PATIENT_RECOVERY_S = 60.0
+_LENIENT_RECOVERY_S = 60.0
 PROBES = 5
 
 
@@ -81,14 +81,16 @@
                 )
         stop_load = asyncio.Event()
         load = asyncio.create_task(_load(trial, rate_per_s, stop_load))
-        troubles = soak_troubles.Troubles(trial=trial, draw=random.Random(seed))
+        injector = soak_faults.FaultInjector(
+            trial=trial, draw=random.Random(seed)
+        )
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(troubles.run(seconds=seconds))
+            tasks.create_task(injector.run(seconds=seconds))
             if with_crashing:
                 # Drawn from a source of its own, so that seeds stay what they
                 # were.
                 tasks.create_task(
-                    troubles.send_crashing_copies(
+                    injector.send_crashing_requests(
                         random.Random(seed), seconds=seconds
                     )
                 )
@@ -98,9 +100,9 @@
                 )
         await asyncio.sleep(SETTLE_S)
         if with_crashing:
-            await troubles.send_last_copies()
-        unserved = await _not_recovered(
-            trial, RECOVERY_S if with_bounds else _PATIENT_RECOVERY_S
+            await injector.send_final_copies()
+        unrecovered = await _unrecovered_routers(
+            trial, RECOVERY_S if with_bounds else _LENIENT_RECOVERY_S
         )
         stop_load.set()
         await load
@@ -108,14 +110,14 @@
         return SoakReport(
             seed=seed,
             routers=routers,
-            troubles=len(trial.troubles),
+            troubles=len(trial.injected_faults),
             calls=len(trial.calls),
             answered=sum(c.status == 200 and c.complete for c in trial.calls),
             violations=soak_checks.violations(history, with_bounds=with_bounds)
             + trial.reverts()
-            + trial.ended_routers()
-            + (trial.unserved if with_bounds else [])
-            + unserved,
+            + trial.unexpected_exits()
+            + (trial.not_serving if with_bounds else [])
+            + unrecovered,
         )
     finally:
         await trial.end()
@@ -133,7 +135,7 @@
             await asyncio.sleep(1 / rate_per_s)
 
 
-async def _not_recovered(
+async def _unrecovered_routers(
     trial: soak_trial.SoakTrial, within_s: float
 ) -> list[str]:
     """Asks every router, and says which do not serve."""
@@ -142,13 +144,13 @@
         try:
             async with asyncio.timeout(within_s):
                 for _ in range(PROBES):
-                    await trial.until_served(router)
+                    await trial.wait_until_serving(router)
         except TimeoutError:
             found.append(f"{router.name} does not serve after all troubles")
     return found
 
 
-async def _run_until_told_to_stop(
+async def _run_until_sigterm(
     work: Coroutine[Any, Any, SoakReport],
 ) -> SoakReport:
     """Ends the routers too when this process is told to stop."""
@@ -164,7 +166,7 @@
         place = pathlib.Path(keep) if keep else pathlib.Path(folder)
         place.mkdir(parents=True, exist_ok=True)
         report = asyncio.run(
-            _run_until_told_to_stop(
+            _run_until_sigterm(
                 run(folder=place, seed=seed, seconds=seconds, routers=routers)
             )
         )
--- a/src/nutmeghook/experiment/soak_checks.py
+++ b/src/nutmeghook/experiment/soak_checks.py
@@ -15,30 +15,30 @@
 
 # The users' bounds: for a configuration and a leaving replica to be in force,
 # and for how long a router has to be without trouble before they hold.
-IN_FORCE_S = 2.0
-DRAINED_S = 2.0
-CONTACT_S = 3.0
+CONFIGURATION_BOUND_S = 2.0
+DRAIN_BOUND_S = 2.0
+UNDISTURBED_S = 3.0
 # What a caller's and the soak's own clocks may differ by in a busy process.
 SLACK_S = 0.5
 RETRY_RATIO = 0.9
 RETRY_ALLOWANCE = 54
 EXPOSURE_SHARE = 0.15
 EXPOSURE_ALLOWANCE = 30
-EVACUATED_S = 5.0
+EVACUATION_BOUND_S = 5.0
 # What a cold replica of the soak's service bears, and the bound that follows
 # from its routers' settings.
-COLD_PER_S = 6.0
-MOST_COLD_IN_ONE_SECOND = COLD_PER_S * 1.5 + 5.0
+MAX_COLD_RATE_PER_S = 6.0
+MAX_COLD_IN_ONE_SECOND = MAX_COLD_RATE_PER_S * 1.5 + 5.0
 ALL_ROUTERS = ""
 # The users' bound on sends of a request that has ended so many replicas.
 CRASHED_REPLICAS = 3
-CRASHING_RETRIES = 3
+MAX_CRASHING_RETRIES = 3
 # Disturbs everybody else, and not what is known of the request itself.
-CRASHING_COPY = "copy of a crashing request"
+CRASHING_REQUEST = "copy of a crashing request"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Trouble:
+class InjectedFault:
     """Something that was done to the fleet.
 
     Attributes:
@@ -97,14 +97,14 @@
         order_s: When the bad version was ordered; None if none was.
     """
 
-    calls: list[platform_checks.CallSeen]
-    troubles: list[Trouble]
+    calls: list[platform_checks.ObservedCall]
+    injected_faults: list[InjectedFault]
     removals: list[KeyRemoval]
-    seen: dict[str, list[users_replica.SeenRequest]]
+    received: dict[str, list[users_replica.SeenRequest]]
     runs: dict[str, int]
     broken: set[str]
-    given_up: set[str]
-    left_at_s: dict[str, float]
+    abandoned: set[str]
+    leaving_since_s: dict[str, float]
     stop_statuses: list[int]
     crashes: list[platform_trial.ReplicaCrash] = dataclasses.field(
         default_factory=list
@@ -113,16 +113,16 @@
     evacuations: list[Evacuation] = dataclasses.field(default_factory=list)
     cold: list[ColdTime] = dataclasses.field(default_factory=list)
     data_centres: dict[str, str] = dataclasses.field(default_factory=dict)
-    order_s: float | None = None
+    ordered_at_s: float | None = None
     final_state: str = ""
 
-    def is_calm(self, router: str, from_s: float, to_s: float) -> bool:
+    def is_undisturbed(self, router: str, from_s: float, to_s: float) -> bool:
         """Tells whether a router had no trouble from long enough before."""
         return not any(
-            trouble.router in (ALL_ROUTERS, _name(router))
-            and trouble.from_s <= to_s
-            and trouble.to_s >= from_s - CONTACT_S
-            for trouble in self.troubles
+            fault.router in (ALL_ROUTERS, _name(router))
+            and fault.from_s <= to_s
+            and fault.to_s >= from_s - UNDISTURBED_S
+            for fault in self.injected_faults
         )
 
 
@@ -148,10 +148,10 @@
 
 def _changed_requests(history: History) -> Iterator[str]:
     sent = {call.request_id: call for call in history.calls}
-    for requests in history.seen.values():
+    for requests in history.received.values():
         for request in requests:
             call = sent.get(request.request_id)
-            if request.request_id in history.given_up:
+            if request.request_id in history.abandoned:
                 continue
             if call is None:
                 sent_line = f"{request.method} {request.target}"
@@ -168,15 +168,15 @@
 
 def _removed_keys(history: History) -> Iterator[str]:
     for call, removal in _calls_with_removed_keys(history):
-        in_force_s = removal.from_s + IN_FORCE_S + SLACK_S
-        let_in = call.status == 200 or history.runs.get(call.request_id)
-        if not let_in or call.sent_s <= in_force_s:
+        in_force_s = removal.from_s + CONFIGURATION_BOUND_S + SLACK_S
+        admitted = call.status == 200 or history.runs.get(call.request_id)
+        if not admitted or call.sent_s <= in_force_s:
             continue
-        if history.is_calm(call.router, removal.from_s, call.sent_s):
+        if history.is_undisturbed(call.router, removal.from_s, call.sent_s):
             yield f"{call.request_id} was let in by a removed key"
 
 
-def _keys_that_came_back(history: History) -> Iterator[str]:
+def _readmitted_keys(history: History) -> Iterator[str]:
     """A router that refused a key once must not let it in again."""
     refused_at_s: dict[tuple[str, KeyRemoval], float] = {}
     for call, removal in _calls_with_removed_keys(history):
@@ -194,7 +194,7 @@
 
 def _calls_with_removed_keys(
     history: History,
-) -> Iterator[tuple[platform_checks.CallSeen, KeyRemoval]]:
+) -> Iterator[tuple[platform_checks.ObservedCall, KeyRemoval]]:
     for removal in history.removals:
         # Until a while before it was given back: the news may be faster than
         # the note of it.
@@ -208,21 +208,21 @@
 
 def _drained_replicas(history: History) -> Iterator[str]:
     sent = {call.request_id: call for call in history.calls}
-    for replica_id, left_s in history.left_at_s.items():
-        bound_s = left_s + DRAINED_S + SLACK_S
-        for request in history.seen.get(replica_id, ()):
+    for replica_id, left_s in history.leaving_since_s.items():
+        bound_s = left_s + DRAIN_BOUND_S + SLACK_S
+        for request in history.received.get(replica_id, ()):
             call = sent.get(request.request_id)
             if call is None or call.sent_s <= bound_s:
                 continue
-            if history.is_calm(call.router, left_s, request.arrived_s):
+            if history.is_undisturbed(call.router, left_s, request.arrived_s):
                 yield f"{call.request_id} reached {replica_id}, which had left"
 
 
 def _evacuated_replicas(history: History) -> Iterator[str]:
     sent = {call.request_id: call for call in history.calls}
     for evacuation in history.evacuations:
-        in_force_s = evacuation.from_s + EVACUATED_S + SLACK_S
-        for replica_id, requests in history.seen.items():
+        in_force_s = evacuation.from_s + EVACUATION_BOUND_S + SLACK_S
+        for replica_id, requests in history.received.items():
             if history.data_centres.get(replica_id) != evacuation.data_centre:
                 continue
             for request in requests:
@@ -232,12 +232,14 @@
                 ):
                     continue
                 # What the router sends it may have been told of long before.
-                from_s = request.arrived_s - CONTACT_S
-                if history.is_calm(call.router, from_s, request.arrived_s):
+                from_s = request.arrived_s - UNDISTURBED_S
+                if history.is_undisturbed(
+                    call.router, from_s, request.arrived_s
+                ):
                     yield f"{call.request_id} reached an evacuated {replica_id}"
 
 
-def most_in_one_second(moments_s: Iterable[float]) -> int:
+def max_in_one_second(moments_s: Iterable[float]) -> int:
     """Returns the most moments that lie within one second."""
     known_s = list(moments_s)
     return max(
@@ -248,18 +250,18 @@
 
 def _cold_replicas(history: History) -> Iterator[str]:
     for cold in history.cold:
-        most = most_in_one_second(
+        most = max_in_one_second(
             request.arrived_s
-            for request in history.seen.get(cold.replica_id, ())
+            for request in history.received.get(cold.replica_id, ())
             if cold.from_s <= request.arrived_s < cold.to_s
         )
-        if most > MOST_COLD_IN_ONE_SECOND:
+        if most > MAX_COLD_IN_ONE_SECOND:
             yield f"cold {cold.replica_id} got {most} requests in one second"
 
 
-def _cut_by_a_stop(history: History) -> Iterator[str]:
-    stops = [trouble for trouble in history.troubles if trouble.is_stop]
-    others = [trouble for trouble in history.troubles if not trouble.is_stop]
+def _requests_cut_by_stops(history: History) -> Iterator[str]:
+    stops = [fault for fault in history.injected_faults if fault.is_stop]
+    others = [fault for fault in history.injected_faults if not fault.is_stop]
     for call in history.calls:
         if call.status and call.complete:
             continue
@@ -268,14 +270,14 @@
         stop = _stop_around(call, stops)
         if stop is None:
             continue
-        alone = dataclasses.replace(history, troubles=others)
-        if alone.is_calm(call.router, call.sent_s, call.ended_s):
+        alone = dataclasses.replace(history, injected_faults=others)
+        if alone.is_undisturbed(call.router, call.sent_s, call.ended_s):
             yield f"{call.request_id} was cut by a graceful stop"
 
 
 def _stop_around(
-    call: platform_checks.CallSeen, stops: Iterable[Trouble]
-) -> Trouble | None:
+    call: platform_checks.ObservedCall, stops: Iterable[InjectedFault]
+) -> InjectedFault | None:
     """Returns the stop during which a request that was taken in ended."""
     for stop in stops:
         if stop.router != _name(call.router):
@@ -287,9 +289,11 @@
     return None
 
 
-def _budget(history: History) -> Iterator[str]:
-    arrived = sum(len(requests) for requests in history.seen.values())
-    distinct = len({r.request_id for rs in history.seen.values() for r in rs})
+def _retry_budget(history: History) -> Iterator[str]:
+    arrived = sum(len(requests) for requests in history.received.values())
+    distinct = len(
+        {r.request_id for rs in history.received.values() for r in rs}
+    )
     if arrived - distinct > RETRY_RATIO * distinct + RETRY_ALLOWANCE:
         yield f"{arrived} arrivals of {distinct} requests"
 
@@ -297,32 +301,32 @@
 def _crashing_requests(history: History) -> Iterator[str]:
     if len(history.crashes) < CRASHED_REPLICAS:
         return
-    bound_s = history.crashes[CRASHED_REPLICAS - 1].at_s + CONTACT_S
+    bound_s = history.crashes[CRASHED_REPLICAS - 1].at_s + UNDISTURBED_S
     sent = {call.request_id: call for call in history.calls}
-    others = [t for t in history.troubles if t.kind != CRASHING_COPY]
-    alone = dataclasses.replace(history, troubles=others)
+    others = [t for t in history.injected_faults if t.kind != CRASHING_REQUEST]
+    alone = dataclasses.replace(history, injected_faults=others)
     late = 0
     for request in _arrivals(history):
         call = sent.get(request.request_id)
         if request.body != platform_checks.CRASHING_BODY or call is None:
             continue
         is_late = request.arrived_s > bound_s
-        late += is_late and alone.is_calm(
+        late += is_late and alone.is_undisturbed(
             call.router, request.arrived_s, request.arrived_s
         )
-    if late > CRASHING_RETRIES:
+    if late > MAX_CRASHING_RETRIES:
         yield f"a request that had ended three replicas was sent {late} times"
 
 
 def _arrivals(history: History) -> Iterator[users_replica.SeenRequest]:
-    for requests in history.seen.values():
+    for requests in history.received.values():
         yield from requests
 
 
 def _exposure(history: History) -> Iterator[str]:
-    if history.order_s is None:
+    if history.ordered_at_s is None:
         return
-    since = sum(call.sent_s >= history.order_s for call in history.calls)
+    since = sum(call.sent_s >= history.ordered_at_s for call in history.calls)
     bound = EXPOSURE_SHARE * since + EXPOSURE_ALLOWANCE
     if history.bad_runs > bound:
         yield f"the bad version ran {history.bad_runs} of {since} requests"
@@ -337,9 +341,9 @@
 
 _CHECKS = (
     _changed_requests,
-    _keys_that_came_back,
-    _cut_by_a_stop,
-    _budget,
+    _readmitted_keys,
+    _requests_cut_by_stops,
+    _retry_budget,
     _exposure,
     _crashing_requests,
     _cold_replicas,
--- a/src/nutmeghook/experiment/soak_evacuations.py
+++ b/src/nutmeghook/experiment/soak_evacuations.py
@@ -8,7 +8,7 @@
 
 COLD_S = 3.0
 # What the operator's service says of its cold replicas.
-COLD_LIMITS = {"coldS": COLD_S, "coldPerS": soak_checks.COLD_PER_S}
+COLD_LIMITS = {"coldS": COLD_S, "coldPerS": soak_checks.MAX_COLD_RATE_PER_S}
 DATA_CENTRE = "annex"
 # Of them at the start.
 REPLICAS = 2
@@ -20,7 +20,7 @@
     await asyncio.sleep(draw.uniform(0.2, 2.0))
     from_s = loop.time()
     trial.operator.evacuate(DATA_CENTRE)
-    await asyncio.sleep(soak_checks.EVACUATED_S + draw.uniform(1.5, 3.0))
+    await asyncio.sleep(soak_checks.EVACUATION_BOUND_S + draw.uniform(1.5, 3.0))
     trial.evacuations.append(
         soak_checks.Evacuation(
             data_centre=DATA_CENTRE, from_s=from_s, to_s=loop.time()
@@ -28,7 +28,7 @@
     )
     trial.operator.take_back(DATA_CENTRE)
     await asyncio.sleep(draw.uniform(0.0, 2.0))
-    with trial.noted("cold return"):
+    with trial.recorded_fault("cold return"):
         await _return_cold(trial, draw)
     await asyncio.sleep(COLD_S)
 
@@ -45,7 +45,7 @@
     ]
     for replica_id in ended:
         replica = trial.replicas[replica_id]
-        trial.forget(replica_id)
+        trial.mark_ended(replica_id)
         await replica.stop()
         trial.replica_proxies[replica_id].reset_all()
         trial.operator.strike_replica(replica_id)
--- a/src/nutmeghook/experiment/soak_troubles.py
+++ b/src/nutmeghook/experiment/soak_faults.py
@@ -13,8 +13,8 @@
 from nutmeghook.standins import users_store
 
 ORDER_WITHIN_S = 12.0
-_LONGEST_TROUBLE_S = 3.0
-_LAST_COPIES = 2
+_MAX_FAULT_S = 3.0
+_FINAL_COPIES = 2
 _LISTED_WITHIN_S = 0.3
 _LinkFault = loopback_proxy.LinkFault
 _STORE_FAULTS = (
@@ -33,7 +33,7 @@
 )
 
 
-class Troubles:
+class FaultInjector:
     """Draws troubles and plays them, one over the other."""
 
     def __init__(self, *, trial: soak_trial.SoakTrial, draw: random.Random):
@@ -44,13 +44,13 @@
             self._kill_router,
             self._stop_router,
             self._freeze_router,
-            self._harm_store,
+            self._fail_store,
             self._forget_history,
-            self._harm_way_to_store,
-            self._reset_way_to_store,
-            self._harm_way_to_replica,
+            self._fail_store_link,
+            self._reset_store_link,
+            self._fail_replica_link,
             self._crash_replica,
-            self._empty_replica,
+            self._drain_replica,
             self._remove_key,
             self._order_bad_version,
         )
@@ -65,19 +65,19 @@
                 kind = self._draw.choice(self._kinds)
                 # Each draws from a source of its own: what one draws does not
                 # depend on when the others come to it.
-                own_draw = random.Random(self._draw.getrandbits(64))
-                tasks.create_task(kind(own_draw))
+                fault_draw = random.Random(self._draw.getrandbits(64))
+                tasks.create_task(kind(fault_draw))
 
-    async def send_last_copies(self) -> None:
+    async def send_final_copies(self) -> None:
         """Sends some to each router, as replicas come back.
 
         Nothing else is wrong by now, so that the bound holds for all.
         """
-        for router in self._trial.routers * _LAST_COPIES:
-            await self._send_crashing_copy(router)
+        for router in self._trial.routers * _FINAL_COPIES:
+            await self._send_crashing_request(router)
             await asyncio.sleep(platform_trial.RESTART_S + _LISTED_WITHIN_S)
 
-    async def send_crashing_copies(
+    async def send_crashing_requests(
         self, draw: random.Random, *, seconds: float
     ) -> None:
         """Sends copies of a request that ends its replicas to any router."""
@@ -85,12 +85,12 @@
         end_s = loop.time() + seconds
         while loop.time() < end_s:
             await asyncio.sleep(draw.uniform(0.2, 1.5))
-            await self._send_crashing_copy(draw.choice(self._trial.routers))
+            await self._send_crashing_request(draw.choice(self._trial.routers))
 
-    async def _send_crashing_copy(
+    async def _send_crashing_request(
         self, router: trial_routers.RouterProcess
     ) -> None:
-        with self._trial.noted(soak_checks.CRASHING_COPY):
+        with self._trial.recorded_fault(soak_checks.CRASHING_REQUEST):
             await self._trial.call(
                 "stream", router=router, body=platform_checks.CRASHING_BODY
             )
@@ -115,22 +115,22 @@
             self._trial.busy.discard(chosen.name)
 
     async def _kill_router(self, draw: random.Random) -> None:
-        pause_s = _while_s(draw)
+        pause_s = _random_pause_s(draw)
         with self._one_router(draw) as router:
             if router is None:
                 return
-            with self._trial.noted("kill", router.name):
+            with self._trial.recorded_fault("kill", router.name):
                 await router.kill()
                 await asyncio.sleep(pause_s)
-                await self._start_again(router)
+                await self._restart(router)
 
-    async def _start_again(self, router: trial_routers.RouterProcess) -> None:
+    async def _restart(self, router: trial_routers.RouterProcess) -> None:
         """Starts a router; notes it if it does not come to serve."""
         await router.start()
         try:
-            await self._trial.until_served(router)
+            await self._trial.wait_until_serving(router)
         except TimeoutError:
-            self._trial.unserved.append(
+            self._trial.not_serving.append(
                 f"{router.name} does not serve after its start"
             )
 
@@ -138,87 +138,87 @@
         with self._one_router(draw) as router:
             if router is None:
                 return
-            with self._trial.noted("stop", router.name, is_stop=True):
+            with self._trial.recorded_fault("stop", router.name, is_stop=True):
                 self._trial.stop_statuses.append(await router.stop())
-            with self._trial.noted("start", router.name):
-                await self._start_again(router)
+            with self._trial.recorded_fault("start", router.name):
+                await self._restart(router)
 
     async def _freeze_router(self, draw: random.Random) -> None:
-        pause_s = _while_s(draw)
+        pause_s = _random_pause_s(draw)
         with self._one_router(draw) as router:
             if router is None:
                 return
-            with self._trial.noted("freeze", router.name):
+            with self._trial.recorded_fault("freeze", router.name):
                 router.pause()
                 await asyncio.sleep(pause_s)
                 router.resume()
 
-    async def _harm_store(self, draw: random.Random) -> None:
-        fault, pause_s = draw.choice(_STORE_FAULTS), _while_s(draw)
+    async def _fail_store(self, draw: random.Random) -> None:
+        fault, pause_s = draw.choice(_STORE_FAULTS), _random_pause_s(draw)
         store = self._trial.store
         if store.fault is not users_store.StoreFault.NONE:
             return
-        with self._trial.noted(f"store {fault.value}"):
+        with self._trial.recorded_fault(f"store {fault.value}"):
             store.fault = fault
             await asyncio.sleep(pause_s)
             store.fault = users_store.StoreFault.NONE
             store.do_late_writes()
 
     async def _forget_history(self, draw: random.Random) -> None:
-        with self._trial.noted("store forgets its history"):
+        with self._trial.recorded_fault("store forgets its history"):
             self._trial.store.forget_history()
 
-    async def _harm_way_to_store(self, draw: random.Random) -> None:
-        fault, pause_s = draw.choice(_LINK_FAULTS), _while_s(draw)
+    async def _fail_store_link(self, draw: random.Random) -> None:
+        fault, pause_s = draw.choice(_LINK_FAULTS), _random_pause_s(draw)
         name = draw.choice(sorted(self._trial.store_proxies))
         proxy = self._trial.store_proxies[name]
-        with self._trial.noted(f"way to store {fault.value}", name):
+        with self._trial.recorded_fault(f"way to store {fault.value}", name):
             proxy.set_fault(fault, delay_s=draw.uniform(0.05, 0.4))
             await asyncio.sleep(pause_s)
             proxy.set_fault(_LinkFault.NONE)
 
-    async def _reset_way_to_store(self, draw: random.Random) -> None:
+    async def _reset_store_link(self, draw: random.Random) -> None:
         name = draw.choice(sorted(self._trial.store_proxies))
-        with self._trial.noted("way to store reset", name):
+        with self._trial.recorded_fault("way to store reset", name):
             self._trial.store_proxies[name].reset_all()
 
-    async def _harm_way_to_replica(self, draw: random.Random) -> None:
-        fault, pause_s = draw.choice(_LINK_FAULTS), _while_s(draw)
-        proxy = self._trial.replica_proxies[self._some_replica(draw)]
-        with self._trial.noted(f"way to replica {fault.value}"):
+    async def _fail_replica_link(self, draw: random.Random) -> None:
+        fault, pause_s = draw.choice(_LINK_FAULTS), _random_pause_s(draw)
+        proxy = self._trial.replica_proxies[self._random_replica(draw)]
+        with self._trial.recorded_fault(f"way to replica {fault.value}"):
             proxy.set_fault(fault, delay_s=draw.uniform(0.02, 0.2))
             await asyncio.sleep(pause_s)
             proxy.set_fault(_LinkFault.NONE)
 
     async def _crash_replica(self, draw: random.Random) -> None:
-        replica_id = self._some_replica(draw)
-        with self._trial.noted("replica crashes"):
+        replica_id = self._random_replica(draw)
+        with self._trial.recorded_fault("replica crashes"):
             await self._trial.replicas[replica_id].stop()
             self._trial.replica_proxies[replica_id].reset_all()
-            await asyncio.sleep(_while_s(draw))
+            await asyncio.sleep(_random_pause_s(draw))
             self._trial.operator.strike_replica(replica_id)
-            self._trial.forget(replica_id)
+            self._trial.mark_ended(replica_id)
             await self._replace_replica()
 
-    async def _empty_replica(self, draw: random.Random) -> None:
+    async def _drain_replica(self, draw: random.Random) -> None:
         """Has a replica leave; its successor comes first."""
-        replica_id = self._some_replica(draw)
+        replica_id = self._random_replica(draw)
         await self._replace_replica()
         replica = self._trial.replicas[replica_id]
-        self._trial.forget(replica_id)
+        self._trial.mark_ended(replica_id)
         self._trial.operator.list_replica(
             replica_id,
             address=self._trial.replica_proxies[replica_id].address,
             version="v1",
             leaving=True,
         )
-        self._trial.left_at_s[replica.replica_id] = (
+        self._trial.leaving_since_s[replica.replica_id] = (
             asyncio.get_running_loop().time()
         )
-        await asyncio.sleep(2 * soak_checks.DRAINED_S)
+        await asyncio.sleep(2 * soak_checks.DRAIN_BOUND_S)
         self._trial.operator.strike_replica(replica_id)
 
-    def _some_replica(self, draw: random.Random) -> str:
+    def _random_replica(self, draw: random.Random) -> str:
         return draw.choice(
             sorted(i for i in self._trial.replicas if i.startswith("v1"))
         )
@@ -236,7 +236,7 @@
         loop = asyncio.get_running_loop()
         from_s = loop.time()
         trial.operator.write_configuration(platform_trial.KEYS[:1])
-        await asyncio.sleep(2 * soak_checks.IN_FORCE_S)
+        await asyncio.sleep(2 * soak_checks.CONFIGURATION_BOUND_S)
         trial.removals.append(
             soak_checks.KeyRemoval(key=key, from_s=from_s, to_s=loop.time())
         )
@@ -245,9 +245,9 @@
 
     async def _order_bad_version(self, draw: random.Random) -> None:
         trial = self._trial
-        if trial.order_s is not None:
+        if trial.ordered_at_s is not None:
             return
-        trial.order_s = asyncio.get_running_loop().time()
+        trial.ordered_at_s = asyncio.get_running_loop().time()
         trial.operator.order_roll_out(
             soak_trial.BAD_VERSION, within_s=ORDER_WITHIN_S
         )
@@ -257,5 +257,5 @@
             )
 
 
-def _while_s(draw: random.Random) -> float:
-    return draw.uniform(0.3, _LONGEST_TROUBLE_S)
+def _random_pause_s(draw: random.Random) -> float:
+    return draw.uniform(0.3, _MAX_FAULT_S)
--- a/src/nutmeghook/experiment/soak_trial.py
+++ b/src/nutmeghook/experiment/soak_trial.py
@@ -24,15 +24,15 @@
         self.store_proxies: dict[str, loopback_proxy.LoopbackProxy] = {}
         self.replica_proxies: dict[str, loopback_proxy.LoopbackProxy] = {}
         self.broken: set[str] = set()
-        self.left_at_s: dict[str, float] = {}
-        self.troubles: list[soak_checks.Trouble] = []
+        self.leaving_since_s: dict[str, float] = {}
+        self.injected_faults: list[soak_checks.InjectedFault] = []
         self.removals: list[soak_checks.KeyRemoval] = []
         self.evacuations: list[soak_checks.Evacuation] = []
         self.cold: list[soak_checks.ColdTime] = []
         self.data_centres: dict[str, str] = {}
-        self.order_s: float | None = None
+        self.ordered_at_s: float | None = None
         self.busy: set[str] = set()
-        self.unserved: list[str] = []
+        self.not_serving: list[str] = []
 
     async def add_replica(
         self,
@@ -98,7 +98,7 @@
             await proxy.stop()
 
     @contextlib.contextmanager
-    def noted(
+    def recorded_fault(
         self,
         kind: str,
         router: str = soak_checks.ALL_ROUTERS,
@@ -109,32 +109,32 @@
         loop = asyncio.get_running_loop()
         from_s = loop.time()
         # Noted as lasting for ever until it ends: a check may come first.
-        position = len(self.troubles)
-        trouble = soak_checks.Trouble(
+        position = len(self.injected_faults)
+        fault = soak_checks.InjectedFault(
             kind=kind,
             router=router,
             from_s=from_s,
             to_s=float("inf"),
             is_stop=is_stop,
         )
-        self.troubles.append(trouble)
+        self.injected_faults.append(fault)
         try:
             yield
         finally:
-            self.troubles[position] = dataclasses.replace(
-                trouble, to_s=loop.time()
+            self.injected_faults[position] = dataclasses.replace(
+                fault, to_s=loop.time()
             )
 
-    def close_door(self, replica_id: str) -> None:
+    def close_replica_address(self, replica_id: str) -> None:
         """Has the proxy of a replica that has ended refuse connections."""
-        self.replica_proxies[replica_id].close_door()
+        self.replica_proxies[replica_id].close()
 
-    def ended_routers(self) -> list[str]:
+    def unexpected_exits(self) -> list[str]:
         """Returns which routers ended by themselves."""
         return [
             f"{router.name} ended by itself with status {status}"
             for router in self.routers
-            for status in router.ended
+            for status in router.unexpected_exits
         ]
 
     def history(self) -> soak_checks.History:
@@ -142,13 +142,13 @@
         replicas = self.all_replicas()
         return soak_checks.History(
             calls=self.calls,
-            troubles=self.troubles,
+            injected_faults=self.injected_faults,
             removals=self.removals,
-            seen={i: replica.seen for i, replica in replicas.items()},
+            received={i: replica.seen for i, replica in replicas.items()},
             runs=self.runs(),
             broken=self.broken,
-            given_up=self.given_up,
-            left_at_s=self.left_at_s,
+            abandoned=self.abandoned,
+            leaving_since_s=self.leaving_since_s,
             stop_statuses=self.stop_statuses,
             crashes=self.crashes,
             bad_runs=sum(
@@ -156,7 +156,7 @@
                 for replica_id, replica in replicas.items()
                 if replica_id.startswith(BAD_VERSION)
             ),
-            order_s=self.order_s,
+            ordered_at_s=self.ordered_at_s,
             evacuations=self.evacuations,
             cold=self.cold,
             data_centres=self.data_centres,
--- a/src/nutmeghook/experiment/system.py
+++ b/src/nutmeghook/experiment/system.py
@@ -28,7 +28,7 @@
 READY_PATH = "/readyz"
 READY_TIMEOUT_S = 30.0
 CONFIG_WAIT_MS = 8_000
-_POLL_S = 0.1
+_POLL_PERIOD_S = 0.1
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -210,7 +210,7 @@
             through=self.instances[0],
         )
         for instance in self.instances:
-            await self.until_ready(instance)
+            await self.wait_until_ready(instance)
         return answer
 
     async def start_agency_instance(self) -> RunningInstance:
@@ -233,7 +233,7 @@
             clock=self._clock,
         )
 
-    async def until_ready(self, instance: RunningInstance) -> None:
+    async def wait_until_ready(self, instance: RunningInstance) -> None:
         """Waits until an instance says that it can serve."""
         url = f"http://{instance.listen_address}{READY_PATH}"
         async with asyncio.timeout(READY_TIMEOUT_S):
@@ -241,7 +241,7 @@
                 async with self._http.get(url) as response:
                     if response.status == 200:
                         return
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_PERIOD_S)
 
     async def end(self) -> None:
         """Ends all processes, the instances first."""
--- a/src/nutmeghook/experiment/trial.py
+++ b/src/nutmeghook/experiment/trial.py
@@ -22,7 +22,7 @@
 from nutmeghook.internal.ledger import records
 
 CONFIG_BOUND = datetime.timedelta(seconds=4)
-MOST_AT_ONCE = 200
+MAX_CONCURRENT = 200
 ROLLOUT_TEAM = "inspectors-north"
 ROLLOUT_TEMPLATE = "certificate-lookup"
 GOOD_ROLLOUT_TEAM = "siam-charter"
@@ -35,16 +35,16 @@
     Attributes:
         history: What callers saw.
         config_times_s: How long each accepted change took to be in force.
-        bills: Every bill record, set by `judge`.
+        bills: Every bill record, set by `find_violations`.
     """
 
     __slots__ = (
-        "_asking",
         "_balancer",
         "_caller",
         "_clock",
         "_http",
         "_random",
+        "_readiness_polling",
         "_tokens",
         "_workload",
         "bills",
@@ -65,7 +65,7 @@
             agency_teams=example_fleet.AGENCY_TEAMS,
             airline_teams=example_fleet.AIRLINE_TEAMS,
         )
-        self._asking: asyncio.Task[None] | None = None
+        self._readiness_polling: asyncio.Task[None] | None = None
         self._http: aiohttp.ClientSession | None = None
         self.history = history_module.History()
         self.config_times_s: list[float] = []
@@ -99,7 +99,7 @@
         for _ in range(instances):
             await self.add_instance()
         await self.system.import_example(self._tokens)
-        self._asking = asyncio.create_task(self._balancer.run())
+        self._readiness_polling = asyncio.create_task(self._balancer.run())
 
     def teams(self) -> tuple[documents.Team, ...]:
         """Returns the teams as they were imported."""
@@ -111,7 +111,7 @@
         self._balancer.add(instance.listen_address)
         return instance
 
-    async def forget_instance(
+    async def remove_instance(
         self, instance: system_module.RunningInstance
     ) -> None:
         """Takes an ended instance off the balancer and the list."""
@@ -134,11 +134,11 @@
 
     async def load(self, *, works: int, rate_per_s: float) -> None:
         """Starts work at a steady rate, whatever becomes of earlier work."""
-        slots = asyncio.Semaphore(MOST_AT_ONCE)
+        slots = asyncio.Semaphore(MAX_CONCURRENT)
 
         async def one(assignment: workload_module.Assignment) -> None:
             try:
-                await self._caller.do(assignment)
+                await self._caller.perform(assignment)
             finally:
                 slots.release()
 
@@ -148,9 +148,9 @@
                 tasks.create_task(one(self._workload.draw()))
                 await asyncio.sleep(1 / rate_per_s)
 
-    async def do_one(self) -> None:
+    async def perform_one(self) -> None:
         """Does one more piece of work."""
-        await self._caller.do(self._workload.draw())
+        await self._caller.perform(self._workload.draw())
 
     async def withdrawn(self) -> set[str]:
         """Returns the withdrawn versions, as an instance tells them."""
@@ -158,15 +158,15 @@
             status = await client.status()
         return {item.model_version for item in status.withdrawn}
 
-    async def judge(self) -> list[checks.Violation]:
+    async def find_violations(self) -> list[checks.Violation]:
         """Compares callers, backend servers and bills."""
-        self.bills = await evidence_module.bill_records(self.system)
+        self.bills = await evidence_module.read_bill_records(self.system)
         return checks.check_all(
-            evidence_module.evidence_of(
+            evidence_module.build_evidence(
                 works=self.history.works,
-                runs=await evidence_module.runs_of(self.system),
-                bills=evidence_module.bills_seen(self.bills),
-                withdrawals=await evidence_module.withdrawals_of(
+                runs=await evidence_module.read_runs(self.system),
+                bills=evidence_module.observed_bills(self.bills),
+                withdrawals=await evidence_module.read_withdrawals(
                     self.system,
                     through=self.running()[0],
                     bound=CONFIG_BOUND,
@@ -177,8 +177,8 @@
 
     async def end(self) -> None:
         """Ends all processes, also after a start that failed half-way."""
-        if self._asking is not None:
-            self._asking.cancel()
+        if self._readiness_polling is not None:
+            self._readiness_polling.cancel()
         await self.system.end()
         if self._http is not None:
             await self._http.close()
--- a/src/nutmeghook/experiment/trial_routers.py
+++ b/src/nutmeghook/experiment/trial_routers.py
@@ -48,10 +48,10 @@
         "_file",
         "_log",
         "address",
-        "ended",
         "name",
         "process",
         "starts",
+        "unexpected_exits",
     )
 
     def __init__(self, *, name: str, folder: pathlib.Path, store: str):
@@ -70,7 +70,7 @@
         )
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        self.ended: list[int] = []
+        self.unexpected_exits: list[int] = []
 
     async def start(self) -> None:
         """Starts the process."""
@@ -115,8 +115,8 @@
         status = self.process.returncode
         if status is None:
             self.process.send_signal(number)
-        elif len(self.ended) < self.starts:
-            self.ended.append(status)
+        elif len(self.unexpected_exits) < self.starts:
+            self.unexpected_exits.append(status)
 
 
 def free_port() -> int:
--- a/src/nutmeghook/experiment/workload.py
+++ b/src/nutmeghook/experiment/workload.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class KindOfWork:
+class WorkProfile:
     """How one kind of work looks.
 
     Attributes:
@@ -48,8 +48,8 @@
     once: bool = False
 
 
-AGENCY_WORK: tuple[KindOfWork, ...] = (
-    KindOfWork(
+AGENCY_WORK: tuple[WorkProfile, ...] = (
+    WorkProfile(
         kind=history.WorkKind.LOOKUP,
         target="certificate-lookup",
         share=0.6,
@@ -59,7 +59,7 @@
         prompt_words=40,
         max_tokens=24,
     ),
-    KindOfWork(
+    WorkProfile(
         kind=history.WorkKind.DOSSIER_REVIEW,
         target="dossier-review",
         share=0.15,
@@ -69,7 +69,7 @@
         prompt_words=300,
         max_tokens=80,
     ),
-    KindOfWork(
+    WorkProfile(
         kind=history.WorkKind.PLAIN_READ,
         target="registry/certificates",
         share=0.15,
@@ -79,7 +79,7 @@
         prompt_words=0,
         max_tokens=0,
     ),
-    KindOfWork(
+    WorkProfile(
         kind=history.WorkKind.PLAIN_BOOKING,
         target="registry/findings",
         share=0.1,
@@ -91,8 +91,8 @@
         once=True,
     ),
 )
-AIRLINE_WORK: tuple[KindOfWork, ...] = (
-    KindOfWork(
+AIRLINE_WORK: tuple[WorkProfile, ...] = (
+    WorkProfile(
         kind=history.WorkKind.LEGALITY_CHECK,
         target="legality-check",
         share=0.6,
@@ -102,7 +102,7 @@
         prompt_words=60,
         max_tokens=24,
     ),
-    KindOfWork(
+    WorkProfile(
         kind=history.WorkKind.FULL_REBUILD,
         target="full-rebuild",
         share=0.15,
@@ -112,7 +112,7 @@
         prompt_words=250,
         max_tokens=100,
     ),
-    KindOfWork(
+    WorkProfile(
         kind=history.WorkKind.PLAIN_READ,
         target="scheduler/pairings",
         share=0.1,
@@ -122,7 +122,7 @@
         prompt_words=0,
         max_tokens=0,
     ),
-    KindOfWork(
+    WorkProfile(
         kind=history.WorkKind.PLAIN_BOOKING,
         target="scheduler/bookings",
         share=0.15,
@@ -137,7 +137,7 @@
 # Sessions that are open at once, by how many pieces of work (of all teams) they
 # last. New ones begin all the time: only those may get a version that is
 # rolling out. Long ones are still open after its withdrawal.
-SESSION_LIVES_WORKS = (150, 420)
+SESSION_LENGTHS_WORKS = (150, 420)
 
 
 class Workload:
@@ -180,13 +180,13 @@
             max_tokens=kind.max_tokens,
         )
 
-    def _session(self, team: str, kind: KindOfWork) -> str:
+    def _session(self, team: str, kind: WorkProfile) -> str:
         if not self._chance(kind.session_share):
             return ""
-        life = self._randomness.choice(SESSION_LIVES_WORKS)
+        length = self._randomness.choice(SESSION_LENGTHS_WORKS)
         # An offset: long sessions begin in the middle of a run as well.
-        generation = (self._count + life // 2) // life
-        return f"{team}-{kind.target}-{life}-{generation}"
+        generation = (self._count + length // 2) // length
+        return f"{team}-{kind.target}-{length}-{generation}"
 
     def _chance(self, share: float) -> bool:
         return self._randomness.random() < share
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -13,7 +13,7 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-MODULES_AT_ONCE = max(2, (os.cpu_count() or 2) // 2)
+MAX_PARALLEL_MODULES = max(2, (os.cpu_count() or 2) // 2)
 MODULE_TIMEOUT_S = 240
 _FAILED = re.compile(r"^(?:FAIL|ERROR): (\w+) \(([\w.]+)\)", re.MULTILINE)
 _RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
@@ -41,7 +41,7 @@
         for name in _modules()
         if not wanted or any(part in name for part in wanted)
     ]
-    with concurrent.futures.ThreadPoolExecutor(MODULES_AT_ONCE) as pool:
+    with concurrent.futures.ThreadPoolExecutor(MAX_PARALLEL_MODULES) as pool:
         results = list(pool.map(_run_module, modules))
     return _sum_up(results, complete=not wanted)
 
--- a/tests/cover/test_configuration_steps.py
+++ b/tests/cover/test_configuration_steps.py
@@ -75,7 +75,7 @@
                 str(revision),
                 before=str(revision - 1),
             )
-        with self.assertRaises(configuration_steps.NotesLostError):
+        with self.assertRaises(configuration_steps.EventsLostError):
             configuration_steps.steps_of_events("a", ring.since(0))
 
 
@@ -87,7 +87,7 @@
         self.fleet = config_fleet.ConfigFleet()
         self.fleet.start()
         self.addAsyncCleanup(self.fleet.stop)
-        self.told: list[checks.RevisionSeen] = []
+        self.told: list[checks.ObservedRevision] = []
         self.address = self.fleet.addresses[0]
         first = config_fleet.operation("first", config_fleet.first_import())
         await self.fleet.accept(self.address, first)
@@ -113,7 +113,7 @@
         """Asks all instances from outside, as a trial does."""
         now_ms = self.fleet.clock.now().timestamp() * 1000
         self.told.extend(
-            checks.RevisionSeen(
+            checks.ObservedRevision(
                 instance=address,
                 asked_ms=now_ms,
                 revision=parts.replica.revision,
@@ -188,7 +188,7 @@
 
     def offer(self, held, *versions: int) -> None:
         """Offers configurations to one start of a router."""
-        logs.note(configuration_steps.STARTED_LINE)
+        logs.note(configuration_steps.STARTED_EVENT)
         for version in versions:
             held.offer(
                 relay_fixture.configuration(version=version), source="test"
@@ -213,7 +213,7 @@
                 before = self.current.version if self.current else None
                 self.current = configuration
                 logs.note(
-                    configuration_steps.IN_FORCE_LINE,
+                    configuration_steps.IN_FORCE_EVENT,
                     version=configuration.version,
                     before=before,
                     source=source,
--- a/tests/cover/test_guarantees_checks.py
+++ b/tests/cover/test_guarantees_checks.py
@@ -5,14 +5,16 @@
 from nutmeghook.experiment import checks
 
 ACCEPTED = [
-    checks.RevisionAccepted(revision=2, in_force_ms=100.0),
-    checks.RevisionAccepted(revision=3, in_force_ms=200.0),
+    checks.AcceptedRevision(revision=2, in_force_ms=100.0),
+    checks.AcceptedRevision(revision=3, in_force_ms=200.0),
 ]
 
 
 def seen(*told):
     return [
-        checks.RevisionSeen(instance=name, asked_ms=asked_ms, revision=revision)
+        checks.ObservedRevision(
+            instance=name, asked_ms=asked_ms, revision=revision
+        )
         for name, asked_ms, revision in told
     ]
 
--- a/tests/cover/test_history_checks.py
+++ b/tests/cover/test_history_checks.py
@@ -56,7 +56,7 @@
             for w in answered
         ],
         "bills": [
-            checks.BillSeen(
+            checks.ObservedBill(
                 request_id=f"req-{w.marker}", team=w.team, key=w.key
             )
             for w in answered
@@ -119,8 +119,8 @@
     def test_bills_missing_and_doubled(self):
         missing = evidence_of([one_work("a")], bills=[])
         self.assertEqual(rules_broken(missing), {checks.Rule.BILL_MISSING})
-        bill = checks.BillSeen(request_id="req-a", team="t", key="key-a")
-        other = checks.BillSeen(request_id="req-b", team="t", key="key-a")
+        bill = checks.ObservedBill(request_id="req-a", team="t", key="key-a")
+        other = checks.ObservedBill(request_id="req-b", team="t", key="key-a")
         for second in (bill, other):
             twice = evidence_of([one_work("a")], bills=[bill, second])
             self.assertEqual(rules_broken(twice), {checks.Rule.BILLED_TWICE})
--- a/tests/cover/test_soak_checks.py
+++ b/tests/cover/test_soak_checks.py
@@ -7,7 +7,7 @@
 from nutmeghook.experiment import soak_checks
 from nutmeghook.standins import users_replica
 
-CALL = platform_checks.CallSeen(
+CALL = platform_checks.ObservedCall(
     request_id="id",
     kind="once",
     key="key",
@@ -30,23 +30,23 @@
 REMOVAL = soak_checks.KeyRemoval(key="key", from_s=45.0, to_s=60.0)
 
 
-def trouble(**changes) -> soak_checks.Trouble:
+def injected_fault(**changes) -> soak_checks.InjectedFault:
     """Returns a trouble of the call's router at its time, changed."""
     fields = {"kind": "k", "router": "router-1", "from_s": 49.0, "to_s": 51.0}
-    return soak_checks.Trouble(**(fields | changes))
+    return soak_checks.InjectedFault(**(fields | changes))
 
 
 def history(**changes) -> soak_checks.History:
     """Returns a history of one good call, changed."""
     fields = {
         "calls": [CALL],
-        "troubles": [],
+        "injected_faults": [],
         "removals": [],
-        "seen": {"r": [REQUEST]},
+        "received": {"r": [REQUEST]},
         "runs": {"id": 1},
         "broken": set(),
-        "given_up": set(),
-        "left_at_s": {},
+        "abandoned": set(),
+        "leaving_since_s": {},
         "stop_statuses": [0],
     }
     return soak_checks.History(**(fields | changes))
@@ -93,10 +93,10 @@
         for words, fields in changed.items():
             request = dataclasses.replace(REQUEST, **fields)
             with self.subTest(words):
-                self.assert_found(words, seen={"r": [request]})
+                self.assert_found(words, received={"r": [request]})
 
     def test_a_request_that_was_given_up_is_nobody_s_fault(self):
-        self.assert_nothing(calls=[], given_up={"id"})
+        self.assert_nothing(calls=[], abandoned={"id"})
 
     def test_a_removed_key_that_is_let_in(self):
         self.assert_found("by a removed key", removals=[REMOVAL])
@@ -111,15 +111,17 @@
             "by a removed key", calls=[denied], removals=[REMOVAL]
         )
         self.assert_nothing(
-            calls=[denied], removals=[REMOVAL], runs={}, seen={}
+            calls=[denied], removals=[REMOVAL], runs={}, received={}
         )
 
     def test_the_bound_holds_for_routers_without_trouble_only(self):
-        self.assert_nothing(removals=[REMOVAL], troubles=[trouble()])
+        self.assert_nothing(
+            removals=[REMOVAL], injected_faults=[injected_fault()]
+        )
         self.assert_found(
             "by a removed key",
             removals=[REMOVAL],
-            troubles=[trouble(router="router-2")],
+            injected_faults=[injected_fault(router="router-2")],
         )
 
     def test_a_key_that_comes_back_at_one_start_of_a_router(self):
@@ -131,17 +133,21 @@
             "after the key's refusal",
             calls=[refused, CALL],
             removals=[REMOVAL],
-            troubles=[trouble()],
+            injected_faults=[injected_fault()],
         )
         elsewhere = dataclasses.replace(refused, router="router-1#2")
         self.assert_nothing(
-            calls=[elsewhere, CALL], removals=[REMOVAL], troubles=[trouble()]
+            calls=[elsewhere, CALL],
+            removals=[REMOVAL],
+            injected_faults=[injected_fault()],
         )
 
     def test_a_request_at_a_replica_that_has_left(self):
-        self.assert_found("which had left", left_at_s={"r": 47.0})
-        self.assert_nothing(left_at_s={"r": 48.0})
-        self.assert_nothing(left_at_s={"r": 47.0}, troubles=[trouble()])
+        self.assert_found("which had left", leaving_since_s={"r": 47.0})
+        self.assert_nothing(leaving_since_s={"r": 48.0})
+        self.assert_nothing(
+            leaving_since_s={"r": 47.0}, injected_faults=[injected_fault()]
+        )
 
     def test_a_request_at_an_evacuated_replica(self):
         place = {"data_centres": {"r": "annex"}}
@@ -154,35 +160,39 @@
 
         self.assert_found("an evacuated r", **emptied(40.0))
         self.assert_nothing(**emptied(48.0))
-        self.assert_nothing(**emptied(40.0), troubles=[trouble()])
+        self.assert_nothing(**emptied(40.0), injected_faults=[injected_fault()])
 
     def test_a_cold_replica_that_gets_too_much(self):
         cold = soak_checks.ColdTime(replica_id="r", from_s=40.0, to_s=60.0)
         self.assert_found(
             "cold r got 20",
             cold=[cold],
-            seen={"r": [REQUEST] * 20},
+            received={"r": [REQUEST] * 20},
         )
         self.assert_nothing(cold=[cold])
 
     def test_a_request_cut_by_a_graceful_stop(self):
         cut = dataclasses.replace(CALL, status=0, body=b"", complete=False)
-        stop = trouble(is_stop=True, from_s=50.1)
-        self.assert_found("graceful stop", calls=[cut], troubles=[stop])
-        self.assert_nothing(calls=[cut], troubles=[stop], broken={"id"})
-        self.assert_nothing(calls=[cut], troubles=[stop, trouble()])
+        stop = injected_fault(is_stop=True, from_s=50.1)
+        self.assert_found("graceful stop", calls=[cut], injected_faults=[stop])
+        self.assert_nothing(calls=[cut], injected_faults=[stop], broken={"id"})
+        self.assert_nothing(
+            calls=[cut], injected_faults=[stop, injected_fault()]
+        )
 
     def test_a_router_that_does_not_end_well(self):
         self.assert_found("status 1", stop_statuses=[1])
 
     def test_more_repeats_than_the_budget_allows(self):
-        self.assert_found("arrivals of", seen={"r": [REQUEST] * 60})
+        self.assert_found("arrivals of", received={"r": [REQUEST] * 60})
 
     def test_a_bad_version_that_reaches_too_many(self):
-        self.assert_found("bad version ran", order_s=1.0, bad_runs=40)
+        self.assert_found("bad version ran", ordered_at_s=1.0, bad_runs=40)
 
     def test_a_bad_version_that_is_completed(self):
-        self.assert_found("was completed", order_s=1.0, final_state="completed")
+        self.assert_found(
+            "was completed", ordered_at_s=1.0, final_state="completed"
+        )
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_trial_routers.py
+++ b/tests/cover/test_trial_routers.py
@@ -40,7 +40,7 @@
             router.pause()
             router.resume()
             await router.kill()
-            self.assertEqual(len(trial.ended_routers()), 1)
+            self.assertEqual(len(trial.unexpected_exits()), 1)
 
 
 if __name__ == "__main__":
--- a/tests/load_scene.py
+++ b/tests/load_scene.py
@@ -49,7 +49,7 @@
         replicas=5,
         data_centres=4,
         prompt_tokens=9000,
-        read_tokens_per_s=(126_000.0, 12_600.0),
+        prefill_tokens_per_s=(126_000.0, 12_600.0),
     )
 
 
@@ -66,10 +66,10 @@
 
 def worth(outcomes: list[emulated_outcome.Outcome]) -> float:
     """Returns the mean share of the maximum utility."""
-    return sum(o.worth_share for o in outcomes) / len(outcomes)
+    return sum(o.utility_share for o in outcomes) / len(outcomes)
 
 
 def mean_generation_s(outcomes: list[emulated_outcome.Outcome]) -> float:
     """Returns the mean duration of answers after their first event."""
-    times_s = [t for outcome in outcomes for t in outcome.generations_s]
+    times_s = [t for outcome in outcomes for t in outcome.generation_times_s]
     return sum(times_s) / len(times_s)
--- a/tests/whole/guarantee_case.py
+++ b/tests/whole/guarantee_case.py
@@ -35,7 +35,7 @@
 # older than any edit of these short runs.
 HISTORY_LIMIT = 50
 
-Body = Callable[[trial_module.Trial], Awaitable[None]]
+Scenario = Callable[[trial_module.Trial], Awaitable[None]]
 
 
 class _LogLine(msgspec.Struct, frozen=True, kw_only=True):
@@ -48,43 +48,45 @@
 class GuaranteeCase(unittest.TestCase):
     """A trial with three instances; each run is judged by all checks."""
 
-    def run_trial(self, body: Body, *, drain_lag_ms: int = DRAIN_LAG_MS):
+    def run_trial(
+        self, scenario: Scenario, *, drain_lag_ms: int = DRAIN_LAG_MS
+    ):
         """Runs a test's own course of events, then judges callers' works."""
         with tempfile.TemporaryDirectory() as folder:
             return asyncio.run(
-                self._run(pathlib.Path(folder), body, drain_lag_ms)
+                self._run(pathlib.Path(folder), scenario, drain_lag_ms)
             )
 
-    async def _run(self, folder, body, drain_lag_ms):
+    async def _run(self, folder, scenario, drain_lag_ms):
         trial = trial_module.Trial(
             folder=folder, seed=SEED, drain_lag_ms=drain_lag_ms
         )
         try:
             await trial.start(instances=INSTANCES, preloaded=True)
-            await body(trial)
-            violations = await trial.judge()
+            await scenario(trial)
+            violations = await trial.find_violations()
         finally:
             await trial.end()
         self.assertEqual(violations, [])
         return trial.history.works
 
 
-class RevisionWatch:
+class RevisionPoller:
     """Asks running instances again and again what they have in force."""
 
     __slots__ = ("_system", "seen")
 
     def __init__(self, system: system_module.System):
         self._system = system
-        self.seen: list[checks.RevisionSeen] = []
+        self.seen: list[checks.ObservedRevision] = []
 
     async def run(self, instances: list[system_module.RunningInstance]) -> None:
         """Asks until cancelled; an instance that can't answer is asked on."""
         async with asyncio.TaskGroup() as tasks:
             for instance in instances:
-                tasks.create_task(self._follow(instance))
+                tasks.create_task(self._poll(instance))
 
-    async def _follow(self, instance: system_module.RunningInstance) -> None:
+    async def _poll(self, instance: system_module.RunningInstance) -> None:
         async with self._system.administration(instance) as client:
             while instance.process.exit_status is None:
                 await self._ask(client, instance.name)
@@ -104,7 +106,7 @@
         ):
             return
         self.seen.append(
-            checks.RevisionSeen(
+            checks.ObservedRevision(
                 instance=name,
                 asked_ms=asked_ms,
                 revision=answer.configuration_revision,
@@ -114,14 +116,14 @@
 
 async def accepted_changes(
     trial: trial_module.Trial, document: str
-) -> list[checks.RevisionAccepted]:
+) -> list[checks.AcceptedRevision]:
     """Returns a document's committed changes, as the history tells them."""
     async with trial.system.administration(trial.running()[0]) as client:
         answer = await client.history(
             document=document, before=0, limit=HISTORY_LIMIT
         )
     return [
-        checks.RevisionAccepted(
+        checks.AcceptedRevision(
             revision=change.revision,
             in_force_ms=_in_force_ms(change.accepted_at),
         )
@@ -133,7 +135,7 @@
     return (accepted_at + trial_module.CONFIG_BOUND).timestamp() * 1000
 
 
-async def own_caller(
+async def new_caller(
     trial: trial_module.Trial,
     http: aiohttp.ClientSession,
     *,
@@ -173,7 +175,7 @@
 
 
 def generation(
-    *, marker: str, team: str, kind: workload.KindOfWork, session: str
+    *, marker: str, team: str, kind: workload.WorkProfile, session: str
 ) -> workload.Assignment:
     """Returns one generation that belongs to a session.
 
--- a/tests/whole/test_binary.py
+++ b/tests/whole/test_binary.py
@@ -24,7 +24,7 @@
 GIVEN_BINARY = os.environ.get("TESTED_BINARY")
 WORKS = 20
 # The machine's own: its C library and its locales.
-_OF_THE_MACHINE = re.compile(
+_SYSTEM_FILES = re.compile(
     r"/(ld-linux|libc\.|libm\.|libdl\.|librt\.|libpthread\.|libutil\.|"
     r"libresolv\.)|^/usr/(lib|share)/(locale|.*gconv)"
 )
@@ -130,7 +130,7 @@
             for path in mapped
             if path.startswith("/")
             and "/memfd:" not in path
-            and not _OF_THE_MACHINE.search(path)
+            and not _SYSTEM_FILES.search(path)
         ]
         self.assertEqual(foreign, [])
         self.assertLessEqual(
@@ -161,7 +161,7 @@
         )
         tokens = example_fleet.new_tokens()
         await system.import_example(tokens)
-        works = await load.do_drawn_works(
+        works = await load.perform_random_work(
             addresses=[instance.listen_address],
             tokens=tokens,
             works=WORKS,
--- a/tests/whole/test_cold_and_evacuated.py
+++ b/tests/whole/test_cold_and_evacuated.py
@@ -86,7 +86,7 @@
         await asyncio.sleep(cold_senders.SETTLING_TIME.total_seconds())
         await self.calls(150)
         arrived_s = self.seen("cold-1")
-        worst = soak_checks.most_in_one_second(arrived_s)
+        worst = soak_checks.max_in_one_second(arrived_s)
         self.assertLessEqual(worst, MOST_IN_ONE_SECOND)
         self.assertGreater(len(arrived_s), 0)
 
--- a/tests/whole/test_crashing_requests.py
+++ b/tests/whole/test_crashing_requests.py
@@ -76,11 +76,11 @@
         killed = self.trial.routers[0]
         await killed.kill()
         await killed.start()
-        await self.trial.until_served(killed)
+        await self.trial.wait_until_serving(killed)
         # Replicas are back by then, and each router has been in touch.
-        await asyncio.sleep(soak_checks.CONTACT_S)
+        await asyncio.sleep(soak_checks.UNDISTURBED_S)
         bound_s = asyncio.get_running_loop().time()
-        self.assertGreater(bound_s, third_s + soak_checks.CONTACT_S)
+        self.assertGreater(bound_s, third_s + soak_checks.UNDISTURBED_S)
         for _ in range(COPIES):
             for router in self.trial.routers:
                 await self.copy(router)
--- a/tests/whole/test_thin_path.py
+++ b/tests/whole/test_end_to_end.py
@@ -30,7 +30,7 @@
                 await system.start_agency_instance()
             tokens = example_fleet.new_tokens()
             await system.import_example(tokens)
-            works = await load.do_drawn_works(
+            works = await load.perform_random_work(
                 addresses=[i.listen_address for i in system.instances],
                 tokens=tokens,
                 works=60,
--- a/tests/whole/test_guarantees_leaving.py
+++ b/tests/whole/test_guarantees_leaving.py
@@ -72,7 +72,7 @@
         await asyncio.gather(
             faults.kill_instance(trial),
             faults.freeze_instance(trial),
-            _ask_the_frozen_one(trial),
+            _send_to_frozen(trial),
         )
         await load
         for name in (reports, *listed):
@@ -85,10 +85,10 @@
             )
 
 
-async def _ask_the_frozen_one(trial: trial_module.Trial) -> None:
+async def _send_to_frozen(trial: trial_module.Trial) -> None:
     """Sends requests that wait in its sockets until it wakes."""
     async with aiohttp.ClientSession() as http:
-        caller = await guarantee_case.own_caller(
+        caller = await guarantee_case.new_caller(
             trial, http, team=TEAM, instances=[trial.running()[1]]
         )
         await asyncio.sleep(NO_NEW_WORK_AFTER_S)
@@ -97,7 +97,7 @@
                 assignment = guarantee_case.generation(
                     marker=f"waits{number}", team=TEAM, kind=KIND, session=""
                 )
-                tasks.create_task(caller.do(assignment))
+                tasks.create_task(caller.perform(assignment))
 
 
 async def _busiest(trial: trial_module.Trial, pool: str) -> str:
@@ -126,9 +126,13 @@
         tries = [one for work in works for one in work.tries]
         cut = [t for t in tries if t.outcome is history.TryOutcome.CUT]
         self.assertEqual(cut, [])
-        self.assertEqual(len(self.told_ms), guarantee_case.INSTANCES)
-        for address, told_ms in self.told_ms.items():
-            long_ones = [t for t in tries if _outlived(t, address, told_ms)]
+        self.assertEqual(len(self.terminated_ms), guarantee_case.INSTANCES)
+        for address, terminated_ms in self.terminated_ms.items():
+            long_ones = [
+                t
+                for t in tries
+                if _outlasted_drain_lag(t, address, terminated_ms)
+            ]
             self.assertGreater(len(long_ones), 0, address)
 
     async def _replace_all(self, trial: trial_module.Trial) -> None:
@@ -138,26 +142,28 @@
         # all of the load, and no stream would be left to cut.
         successors = [await trial.add_instance() for _ in first]
         for successor in successors:
-            await trial.system.until_ready(successor)
+            await trial.system.wait_until_ready(successor)
         load = asyncio.create_task(
             trial.load(works=DRAIN_WORKS, rate_per_s=DRAIN_WORKS_PER_S)
         )
         await asyncio.sleep(DRAIN_AFTER_S)
-        self.told_ms = {}
+        self.terminated_ms = {}
         async with asyncio.TaskGroup() as tasks:
             for instance in first:
-                self.told_ms[instance.listen_address] = time.time() * 1000
+                self.terminated_ms[instance.listen_address] = time.time() * 1000
                 tasks.create_task(faults.end_gracefully(trial, instance))
                 await asyncio.sleep(DRAIN_APART_S)
         await load
 
 
-def _outlived(one: history.Try, address: str, told_ms: float) -> bool:
+def _outlasted_drain_lag(
+    one: history.Try, address: str, terminated_ms: float
+) -> bool:
     """Tells whether it began before the order and ended after the lag."""
     lag_ms = guarantee_case.DRAIN_LAG_MS
     return (
         one.instance == address
         and one.outcome is history.TryOutcome.ANSWERED
-        and one.started_ms < told_ms
-        and one.ended_ms > told_ms + lag_ms
+        and one.started_ms < terminated_ms
+        and one.ended_ms > terminated_ms + lag_ms
     )
--- a/tests/whole/test_guarantees_versions.py
+++ b/tests/whole/test_guarantees_versions.py
@@ -53,10 +53,10 @@
     async def _withdraw(self, trial: trial_module.Trial) -> None:
         await _let_both_versions_serve(trial)
         async with aiohttp.ClientSession() as http:
-            caller = await guarantee_case.own_caller(
+            caller = await guarantee_case.new_caller(
                 trial, http, team=TEAM, instances=trial.running()
             )
-            frozen = await guarantee_case.own_caller(
+            frozen = await guarantee_case.new_caller(
                 trial, http, team=TEAM, instances=[trial.running()[1]]
             )
             ends_s = time.monotonic() + BEFORE_S + AFTER_S
@@ -80,9 +80,9 @@
 
 
 async def _freeze(process: processes.ManagedProcess) -> None:
-    process.freeze()
+    process.pause()
     await asyncio.sleep(FREEZE_S)
-    process.thaw()
+    process.resume()
 
 
 async def _let_both_versions_serve(trial: trial_module.Trial) -> None:
@@ -116,7 +116,7 @@
 
 
 async def _ask(caller, number: int, mark: str) -> None:
-    await caller.do(
+    await caller.perform(
         guarantee_case.generation(
             marker=f"g{number}x{mark}",
             team=TEAM,
@@ -137,8 +137,8 @@
         and learns from its peers. The frozen one wakes with messages
         of before in its sockets; nobody may take anything old from it.
         """
-        self.seen: list[checks.RevisionSeen] = []
-        self.accepted: list[checks.RevisionAccepted] = []
+        self.seen: list[checks.ObservedRevision] = []
+        self.accepted: list[checks.AcceptedRevision] = []
         self.run_trial(self._race)
         self.assertGreaterEqual(len(self.accepted), faults.RACES)
         told = {said.instance for said in self.seen}
@@ -166,22 +166,22 @@
 
     async def _race(self, trial: trial_module.Trial) -> None:
         self.frozen = trial.running()[1].name
-        watch = guarantee_case.RevisionWatch(trial.system)
+        poller = guarantee_case.RevisionPoller(trial.system)
         load = asyncio.create_task(trial.load(works=120, rate_per_s=20.0))
-        watching = [asyncio.create_task(watch.run(trial.running()))]
+        polling = [asyncio.create_task(poller.run(trial.running()))]
         try:
             await asyncio.gather(
                 faults.freeze_instance(trial),
                 faults.table_loses_answers(trial),
                 faults.operators_race(trial),
-                self._replace_one(trial, watch, watching),
+                self._replace_one(trial, poller, polling),
             )
             await load
             await asyncio.sleep(IN_FORCE_S)
         finally:
-            for task in watching:
+            for task in polling:
                 task.cancel()
-        self.seen = watch.seen
+        self.seen = poller.seen
         self.noted = await timeline.fetch(
             f"http://{trial.running()[0].listen_address}",
             trial.system.administrator_token,
@@ -190,12 +190,12 @@
             trial, _raced_document()
         )
 
-    async def _replace_one(self, trial, watch, watching) -> None:
+    async def _replace_one(self, trial, poller, polling) -> None:
         """Kills an instance; follows its successor once that is ready."""
         await faults.kill_instance(trial)
         successor = trial.running()[-1]
-        await trial.system.until_ready(successor)
-        watching.append(asyncio.create_task(watch.run([successor])))
+        await trial.system.wait_until_ready(successor)
+        polling.append(asyncio.create_task(poller.run([successor])))
 
 
 def _raced_document() -> str:
--- a/tests/whole/test_platform_trial.py
+++ b/tests/whole/test_platform_trial.py
@@ -10,7 +10,7 @@
 from nutmeghook.experiment import platform_trial
 
 SEED = 1
-GOOD = platform_checks.CallSeen(
+GOOD = platform_checks.ObservedCall(
     request_id="id",
     kind="stream",
     key="key",
--- a/tests/whole/test_trials_backends.py
+++ b/tests/whole/test_trials_backends.py
@@ -13,7 +13,7 @@
         and die with their memory. Callers get their own whole answers, or an
         error that says whether the work ran; never a spliced text.
         """
-        self.hold_under(faults.engines_cut_streams, faults.engine_crashes)
+        self.check_under(faults.engines_cut_streams, faults.engine_crashes)
 
     def test_bad_rollout_without_ratings_and_with_a_freeze(self):
         """A bad version is rolled out while the rating service is out and an
@@ -21,7 +21,7 @@
         Without ratings the share must not grow, and sessions stay on their
         version.
         """
-        self.hold_under(
+        self.check_under(
             faults.bad_rollout, faults.ratings_down, faults.freeze_instance
         )
 
@@ -30,7 +30,7 @@
         find out by themselves, and the replacement must join by its peers'
         word or as soon as the list is back.
         """
-        self.hold_under(faults.instance_list_down, faults.kill_instance)
+        self.check_under(faults.instance_list_down, faults.kill_instance)
 
     def test_good_rollout_with_a_freeze(self):
         """A good version goes from 30 to 60 to 100% of new sessions while an
@@ -38,7 +38,7 @@
         old version must stay there, on every instance, however the shares
         move; the frozen one wakes with shares that are seconds old.
         """
-        works = self.hold_under(
+        works = self.check_under(
             faults.good_rollout, faults.freeze_instance, works=480
         )
         versions = {a.served_version for w in works for a in w.answers}
@@ -50,7 +50,7 @@
         the withdrawal, and requests wait in it that were admitted before; it
         must not give the version new work once the change is to be in force.
         """
-        works = self.hold_under(
+        works = self.check_under(
             faults.withdrawal, faults.freeze_instance, works=480
         )
         versions = {a.served_version for w in works for a in w.answers}
--- a/tests/whole/test_trials_instances.py
+++ b/tests/whole/test_trials_instances.py
@@ -14,7 +14,7 @@
         and hear the first answer, or that it is unknown: another instance
         must not run the work again, nor bill it twice.
         """
-        self.hold_under(faults.services_slow, faults.kill_instance)
+        self.check_under(faults.services_slow, faults.kill_instance)
 
     def test_freeze_past_the_lease_with_a_kill(self):
         """An instance stands still for longer than its leases last, and
@@ -22,14 +22,14 @@
         The frozen one wakes in the middle of its commits and still believes
         that it may write; its rows must not take effect.
         """
-        self.hold_under(faults.freeze_instance, faults.kill_instance)
+        self.check_under(faults.freeze_instance, faults.kill_instance)
 
     def test_drain_while_services_lose_answers(self):
         """An instance is told to leave while plain services run calls and
         lose the answers. Nobody's request may be cut by the shutdown, and a
         booking whose answer was lost must not be sent a second time.
         """
-        works = self.hold_under(
+        works = self.check_under(
             faults.services_lose_answers, faults.drain_instance
         )
         tries = [one for work in works for one in work.tries]
--- a/tests/whole/test_trials_stores.py
+++ b/tests/whole/test_trials_stores.py
@@ -12,27 +12,27 @@
         durable. Callers are refused as "not run", and that is true; answers
         that were under way wait for their bill, and none is given unbilled.
         """
-        self.hold_under(faults.table_down, faults.objects_down)
+        self.check_under(faults.table_down, faults.objects_down)
 
     def test_lost_answers_with_a_kill(self):
         """Commits take effect but their answers are lost, and an instance
         dies before it has found out. Its successor reads the rows back; no
         bill may be missing or doubled, no claim won by two.
         """
-        self.hold_under(faults.table_loses_answers, faults.kill_instance)
+        self.check_under(faults.table_loses_answers, faults.kill_instance)
 
     def test_late_effects_with_racing_operators(self):
         """Commits whose outcome is unknown take effect half a second later,
         while two operators replace the same template five times from the
         same revision. One of the two is accepted each time, never both.
         """
-        self.hold_under(faults.table_effects_late, faults.operators_race)
+        self.check_under(faults.table_effects_late, faults.operators_race)
 
     def test_slow_table_with_a_freeze(self):
         """Each call takes 0.4 s longer, renewals of leases too, while an
         instance stands still past its leases and wakes.
         """
-        self.hold_under(faults.table_slow, faults.freeze_instance)
+        self.check_under(faults.table_slow, faults.freeze_instance)
 
     def test_hanging_table_with_a_kill(self):
         """The table service takes requests and never answers; an instance
@@ -40,4 +40,4 @@
         whole must be billed: so none may have been given before its bill was
         durable, here or in the object store.
         """
-        self.hold_under(faults.table_hangs, faults.kill_instance)
+        self.check_under(faults.table_hangs, faults.kill_instance)
--- a/tests/whole/trial_case.py
+++ b/tests/whole/trial_case.py
@@ -18,7 +18,7 @@
 class TrialCase(unittest.TestCase):
     """A trial ends without a violation, whatever was answered or refused."""
 
-    def hold_under(self, *together: faults.Fault, works: int = WORKS):
+    def check_under(self, *together: faults.Fault, works: int = WORKS):
         """Brings faults about together under load and checks ten rules."""
         with tempfile.TemporaryDirectory() as folder:
             ended = asyncio.run(
@@ -37,7 +37,7 @@
             await asyncio.sleep(FIRST_FAULT_AFTER_S)
             await asyncio.gather(*(fault(trial) for fault in together))
             await load
-            violations = await trial.judge()
+            violations = await trial.find_violations()
         finally:
             await trial.end()
         self.assertEqual(violations, [])
