--- a/src/nutmeghook/internal/orders/weight_grants.py
+++ b/src/nutmeghook/internal/orders/weight_grants.py
@@ -1,4 +1,4 @@
-"""Leave of the weight store for downloads, paced over the whole fleet."""
+"""Download grants of the weight store, paced for the whole fleet."""
 
 import datetime
 import random
@@ -10,15 +10,15 @@
 
 GRANT_INTERVAL = datetime.timedelta(seconds=1)
 GRANT_TIMEOUT = datetime.timedelta(seconds=3)
-_FIRST_BACKOFF = datetime.timedelta(seconds=1)
-_LONGEST_BACKOFF = datetime.timedelta(seconds=60)
+_INITIAL_BACKOFF = datetime.timedelta(seconds=1)
+_MAX_BACKOFF = datetime.timedelta(seconds=60)
 
 
 class GrantPacer:
-    """Asks for grants no faster than allowed, and keeps unused tickets.
+    """Requests grants no faster than allowed, and keeps unused tickets.
 
-    Only the holder of the orders' lease asks, so pacing here paces the fleet.
-    A former holder that still asks is refused by the store like anybody.
+    Only the holder of the orders' lease requests grants, so pacing here paces
+    the fleet. A former holder that goes on is refused by the store's own limit.
     """
 
     __slots__ = (
@@ -44,20 +44,20 @@
         self._random = randomness
         self._interval = interval
         self._not_before = datetime.timedelta()
-        self._backoff = _FIRST_BACKOFF
+        self._backoff = _INITIAL_BACKOFF
         self._tickets: dict[planning.Placement, str] = {}
 
-    def next_in(self) -> datetime.timedelta:
+    def time_until_next(self) -> datetime.timedelta:
         """Returns how long until the store may be asked again."""
         wait = self._not_before - self._clock.monotonic()
         return max(datetime.timedelta(), wait)
 
     async def ticket_for(self, placement: planning.Placement) -> str | None:
-        """Returns a ticket, or None if there is none to be had now."""
+        """Returns a ticket, or None if the store can't grant one now."""
         kept = self._tickets.pop(placement, None)
         if kept is not None:
             return kept
-        if self.next_in():
+        if self.time_until_next():
             return None
         try:
             ticket = await self._clock.wait_for(
@@ -69,20 +69,20 @@
         except (failures.PlatformError, TimeoutError) as error:
             self._back_off(error)
             return None
-        self._backoff = _FIRST_BACKOFF
+        self._backoff = _INITIAL_BACKOFF
         self._not_before = self._clock.monotonic() + self._interval
         return ticket
 
-    def give_back(self, placement: planning.Placement, ticket: str) -> None:
-        """Keeps a ticket whose order surely did not reach the engine."""
+    def return_ticket(self, placement: planning.Placement, ticket: str) -> None:
+        """Keeps a ticket whose order certainly did not reach the engine."""
         self._tickets[placement] = ticket
 
     def _back_off(self, error: Exception) -> None:
-        """Waits as long as the store asks, else longer each time."""
+        """Waits as long as the store asks, else doubles the delay."""
         wait = self._backoff
         if isinstance(error, failures.NotDoneError) and error.retry_after:
             wait = error.retry_after
         else:
-            self._backoff = min(2 * self._backoff, _LONGEST_BACKOFF)
+            self._backoff = min(2 * self._backoff, _MAX_BACKOFF)
         jitter = 1 + 0.25 * self._random.random()
         self._not_before = self._clock.monotonic() + wait * jitter
