--- a/src/nutmeghook/experiment/__init__.py
+++ b/src/nutmeghook/experiment/__init__.py
@@ -1,5 +1,5 @@
-"""Load, experiments and their proof: runs a whole system and judges it.
+"""Load generation and trials: runs a whole system and checks the outcome.
 
-Nothing here is imported by a serving instance. Unlike an instance, the
-experiment may start processes and write files.
+No serving instance imports this package. Unlike an instance, an experiment
+may start processes and write files.
 """
--- a/src/nutmeghook/experiment/balancer.py
+++ b/src/nutmeghook/experiment/balancer.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's balancer, inside the load's process.
+"""A stand-in of the platform's load balancer, in the load generator's process.
 
-It asks each instance's /readyz now and then and sends callers to a random
-instance that was ready when last asked, so it is wrong for up to one period.
+It polls each instance's /readyz and sends callers to a random instance that
+was ready at the last poll, so its view may be one poll period old.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class Balancer:
-    """Knows which instances were ready a moment ago."""
+    """Selects among the instances that were ready at the last poll."""
 
     __slots__ = ("_clock", "_http", "_instances", "_randomness", "_ready")
 
@@ -35,22 +35,22 @@
         self._ready: set[str] = set()
 
     def add(self, address: str) -> None:
-        """Adds an instance, taken as ready until asked."""
+        """Adds an instance, assumed ready until it is polled."""
         self._instances.add(address)
         self._ready.add(address)
 
     def remove(self, address: str) -> None:
-        """Forgets an instance."""
+        """Removes an instance."""
         self._instances.discard(address)
         self._ready.discard(address)
 
     def pick(self) -> str:
-        """Returns an instance's address; any, if none was ready."""
+        """Returns a ready instance's address, or any if none is ready."""
         candidates = sorted(self._ready) or sorted(self._instances)
         return self._randomness.choice(candidates)
 
     async def run(self) -> None:
-        """Asks all instances again and again."""
+        """Polls all instances periodically."""
         while True:
             await asyncio.gather(*(self._poll(a) for a in self._instances))
             await self._clock.sleep(POLL_PERIOD)
--- a/src/nutmeghook/experiment/caller.py
+++ b/src/nutmeghook/experiment/caller.py
@@ -1,4 +1,4 @@
-"""A well-behaved caller: sends work, retries as told, records what it saw."""
+"""A caller that sends requests, follows retry hints and records outcomes."""
 
 import datetime
 import time
@@ -52,7 +52,7 @@
 
 
 class Caller:
-    """Does assignments against the instances behind a balancer."""
+    """Performs assignments on the instances behind a balancer."""
 
     __slots__ = ("_balancer", "_clock", "_history", "_http", "_tokens")
 
@@ -72,7 +72,7 @@
         self._history = record
 
     async def perform(self, assignment: workload.Assignment) -> history.Work:
-        """Tries until there is an answer or a final word; records it."""
+        """Retries until an answer or a final error, and records the work."""
         tries: list[history.Try] = []
         while True:
             attempt = await self._try(assignment)
@@ -138,7 +138,7 @@
 
 
 class _TryRecord:
-    """What one try has seen so far."""
+    """The state of one try so far."""
 
     __slots__ = (
         "code_number",
@@ -162,7 +162,7 @@
         self.text: list[str] = []
 
     def record_error(self, body: bytes) -> None:
-        """Takes an error reply; one that can't be read says nothing."""
+        """Records an error response; one that can't be decoded is ignored."""
         try:
             error = msgspec.json.decode(body, type=_ErrorReply).error
         except msgspec.MsgspecError:
@@ -170,20 +170,20 @@
         self.record_coded_error(error)
 
     def record_coded_error(self, error: _ErrorBody) -> None:
-        """Takes a numbered error."""
+        """Records an error with a result code."""
         self.outcome = _OUTCOME_BY_STATE[error.run_state]
         self.code_number = error.code
         self.request_id = error.request_id or self.request_id
         self.retry_after_ms = error.retry_after_ms or 0
 
     def record_text(self, text: str) -> None:
-        """Takes a piece of the answer."""
+        """Records a piece of the answer."""
         if self.first_token_ms is None:
             self.first_token_ms = time.time() * 1000 - self.started_ms
         self.text.append(text)
 
     def to_try(self) -> history.Try:
-        """Returns the record of the try."""
+        """Returns the completed try."""
         text = "".join(self.text)
         return history.Try(
             outcome=self.outcome,
@@ -200,10 +200,10 @@
 
 
 def _is_final(assignment: workload.Assignment, attempt: history.Try) -> bool:
-    """Tells whether the caller would leave it at this.
+    """Tells whether the caller stops retrying after this try.
 
-    A cut connection or an unknown outcome of keyed work is asked about again
-    under the same key, until the system itself says that it is unknown.
+    A broken connection is retried. An unknown outcome that the system itself
+    reports is final for work with an idempotency key; other work is retried.
     """
     if attempt.outcome is history.TryOutcome.ANSWERED:
         return True
@@ -271,7 +271,7 @@
 async def _read_stream(
     response: aiohttp.ClientResponse, try_record: _TryRecord
 ) -> None:
-    """Reads the events; only `[DONE]` or an error event end it properly."""
+    """Reads the events; only `[DONE]` or an error event is a proper end."""
     async for line in response.content:
         if not line.startswith(_DATA):
             continue
--- a/src/nutmeghook/experiment/checks.py
+++ b/src/nutmeghook/experiment/checks.py
@@ -1,8 +1,8 @@
-"""The judges of a run: one check for each thing that must hold.
+"""Checks of a run: one for each guarantee.
 
-Each check compares what callers saw with what backend servers and the bills
-say, and returns a violation for every contradiction. None of them trusts an
-instance's own word alone.
+Each check compares what callers saw with the backend servers' logs and the
+bills, and returns a violation for every contradiction. No check relies on an
+instance's statements alone.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 
 
 class Rule(enum.Enum):
-    """What a violation is counted as."""
+    """The guarantee that a violation breaks."""
 
     LOST = "lost"
     DOUBLED = "doubled"
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Violation:
-    """One contradiction between what must hold and what was seen."""
+    """One contradiction between a guarantee and what was observed."""
 
     rule: Rule
     marker: str
@@ -62,7 +62,7 @@
 
 
 class ObservedBill(msgspec.Struct, frozen=True, kw_only=True):
-    """One bill after reading the ledger back."""
+    """One bill, as read from the ledger."""
 
     request_id: str
     team: str
@@ -70,7 +70,7 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True, kw_only=True):
-    """A version that may get no new work after a moment.
+    """A version that may get no new work after a given time.
 
     Attributes:
         document: `template/TEAM/NAME`, or `fleet` for all templates.
@@ -82,10 +82,10 @@
 
 
 class ObservedRevision(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration that one instance said to have in force.
+    """The configuration that an instance reported as in force.
 
     Attributes:
-        asked_ms: When the question was sent.
+        asked_ms: When the request for it was sent.
     """
 
     instance: str
@@ -94,14 +94,14 @@
 
 
 class AcceptedRevision(msgspec.Struct, frozen=True, kw_only=True):
-    """A committed change, from when on it must be in force."""
+    """A committed change and when it must be in force."""
 
     revision: int
     in_force_ms: float
 
 
 class Departure(msgspec.Struct, frozen=True, kw_only=True):
-    """A leaving backend server, from when on it may get no new work."""
+    """A leaving backend server and when it may get no more new work."""
 
     name: str
     runs: list[Run]
@@ -109,10 +109,10 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, kw_only=True):
-    """All that the checks compare.
+    """The input of the checks.
 
     Attributes:
-        allowed: For each team, the models it may use.
+        allowed: For each team, the models that it may use.
     """
 
     works: list[history.Work]
@@ -131,18 +131,18 @@
 
 
 def check_nothing_lost(evidence: Evidence) -> Iterable[Violation]:
-    """Every piece of work ended in an answer or a true word about it."""
+    """Every piece of work ended in an answer or a definite error."""
     for work in evidence.works:
         if work.last.outcome is history.TryOutcome.CUT:
             yield Violation(
                 rule=Rule.LOST,
                 marker=work.marker,
-                detail=f"no word on its end after {len(work.tries)} tries",
+                detail=f"no outcome after {len(work.tries)} tries",
             )
 
 
 def check_answered_once(evidence: Evidence) -> Iterable[Violation]:
-    """Two answers to one key must be the same answer."""
+    """All answers under one idempotency key are the same."""
     for work in evidence.works:
         texts = {answer.text for answer in work.answers}
         if work.key and len(texts) > 1:
@@ -154,7 +154,7 @@
 
 
 def check_own_answer(evidence: Evidence) -> Iterable[Violation]:
-    """An answer is one piece, from first to last token, of its own work."""
+    """An answer is complete and belongs to its own work."""
     for work in evidence.works:
         for answer in work.answers:
             broken = _violated_rule(work, answer.text)
@@ -194,12 +194,12 @@
 
 
 def check_not_run_is_true(evidence: Evidence) -> Iterable[Violation]:
-    """A refusal that says "not run" is absent from backend servers' logs."""
+    """A request refused as "not run" is in no backend server's log."""
     ran = {run.request_id for run in evidence.runs}
     for work in evidence.works:
         for attempt in work.tries:
-            said = attempt.outcome is history.TryOutcome.NOT_RUN
-            if said and attempt.request_id and attempt.request_id in ran:
+            refused = attempt.outcome is history.TryOutcome.NOT_RUN
+            if refused and attempt.request_id and attempt.request_id in ran:
                 yield Violation(
                     rule=Rule.FALSE_NOT_RUN,
                     marker=work.marker,
@@ -246,7 +246,7 @@
 
 
 def check_allowed(evidence: Evidence) -> Iterable[Violation]:
-    """Runs and answers are on models that the team allows."""
+    """Runs are only on models that the team allows."""
     team_of = {work.marker: work.team for work in evidence.works}
     for run in evidence.runs:
         team = team_of.get(run.marker)
@@ -260,7 +260,7 @@
 
 
 def check_withdrawn(evidence: Evidence) -> Iterable[Violation]:
-    """No run of a withdrawn version started after it was out of force."""
+    """No run of a version started after its withdrawal was in force."""
     document_of = {
         work.marker: f"template/{work.team}/{work.template}"
         for work in evidence.works
@@ -283,10 +283,10 @@
 
 
 def check_sessions_stay(evidence: Evidence) -> Iterable[Violation]:
-    """A session's answers of one model come from one version.
+    """All answers of one model in a session come from one version.
 
-    A withdrawal moves a session once, so a change away from a withdrawn
-    version is no violation.
+    A session moves away from a withdrawn version, so that change is no
+    violation.
     """
     withdrawn = {w.model_version for w in evidence.withdrawals}
     pinned: dict[tuple[str, str, str, str], str] = {}
@@ -314,30 +314,30 @@
     *,
     frozen: frozenset[str] = frozenset(),
 ) -> Iterable[Violation]:
-    """No instance goes back, and each has a change in force in time.
+    """No instance reverts, and each has a change in force in time.
 
     Args:
         seen: In the order in which the instances answered.
         accepted: All committed changes.
-        frozen: Instances that stood still, which no bound can hold for; they
-            may not go back all the same.
+        frozen: Instances that were stopped for a time. The time bound does
+            not apply to them, but they may not revert either.
     """
     newest: dict[str, int] = {}
-    for said in seen:
-        before = newest.get(said.instance, 0)
-        newest[said.instance] = max(before, said.revision)
-        if said.revision < before:
+    for observed in seen:
+        before = newest.get(observed.instance, 0)
+        newest[observed.instance] = max(before, observed.revision)
+        if observed.revision < before:
             yield Violation(
                 rule=Rule.REVERTED,
-                marker=said.instance,
-                detail=f"revision {before} became {said.revision}",
+                marker=observed.instance,
+                detail=f"revision {before} became {observed.revision}",
             )
-        due = _revision_due(accepted, said.asked_ms)
-        if said.revision < due and said.instance not in frozen:
+        due = _revision_due(accepted, observed.asked_ms)
+        if observed.revision < due and observed.instance not in frozen:
             yield Violation(
                 rule=Rule.NOT_IN_FORCE,
-                marker=said.instance,
-                detail=f"{said.revision} was in force, {due} was due",
+                marker=observed.instance,
+                detail=f"{observed.revision} was in force, {due} was due",
             )
 
 
@@ -347,7 +347,7 @@
 
 
 def check_departures(departures: list[Departure]) -> Iterable[Violation]:
-    """A leaving backend server's own log shows no run begun too late."""
+    """A leaving backend server's log shows no run that began too late."""
     for departure in departures:
         for run in departure.runs:
             late_ms = run.started_ms - departure.no_work_from_ms
--- a/src/nutmeghook/experiment/configuration_steps.py
+++ b/src/nutmeghook/experiment/configuration_steps.py
@@ -1,15 +1,14 @@
-"""Judges each step of an instance's configuration, however short it lasted.
-
-Asked from outside ten times a second, an instance that goes back to an older
-configuration and forward again between two questions looks as if it had never
-moved. But each instance notes every configuration that it puts in force, and
-what that replaced: products' instances in their event ring, routers in their
-logs. The notes of one start must form an unbroken chain that only rises. A
-step back shows as a note that falls, or as a gap before the next one.
-
-What it can't see: a step that is noted neither on the way back nor on the way
-forward. Both parts that hold a configuration write it in one place, which
-notes it.
+"""Checks every change of an instance's configuration, however short-lived.
+
+Polling an instance ten times a second misses a configuration that reverts to
+an older revision and advances again between two polls. But each instance
+records every configuration that it puts in force and the one that it
+replaced: instances in their event ring, routers in their logs. The records
+since one start of a process must form an unbroken chain of rising revisions.
+A reversion shows as a falling revision or as a gap before the next record.
+
+A reversion is missed if neither it nor the following advance is recorded. In
+both programs the configuration is assigned in one place, which records it.
 """
 
 from collections.abc import Iterable
@@ -27,7 +26,7 @@
 
 
 class EventsLostError(Exception):
-    """Not all notes were kept, so nothing can be said of the steps."""
+    """Some events were dropped, so the steps can't be checked."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -35,9 +34,9 @@
     """A configuration put in force.
 
     Attributes:
-        holder: The instance, and which of its starts.
-        revision: What is in force since.
-        before: What it replaced; 0 if there was none.
+        holder: The instance; for a router also the number of its start.
+        revision: The revision put in force.
+        before: The revision that it replaced; 0 if there was none.
     """
 
     holder: str
@@ -54,12 +53,12 @@
 def check_steps(
     steps: Iterable[Step], *, now: dict[str, int] | None = None
 ) -> Iterator[checks.Violation]:
-    """Tells of each step back and of each step that was not noted.
+    """Yields each reversion and each step that was not recorded.
 
     Args:
-        steps: Of any number of instances, each one's in their order.
-        now: What instances said in the end, by holder; it must be what their
-            last step put in force.
+        steps: Of any number of instances, each instance's in order.
+        now: The revision that instances reported at the end, by holder; it
+            must be the one that their last step put in force.
     """
     last: dict[str, int] = {}
     for step in steps:
@@ -83,7 +82,7 @@
         yield checks.Violation(
             rule=checks.Rule.STEP_NOT_NOTED,
             marker=holder,
-            detail=f"{known} became {before} without a note",
+            detail=f"{known} became {before} without a record",
         )
 
 
@@ -98,10 +97,10 @@
 def steps_of_events(
     holder: str, events: Iterable[events_module.Event]
 ) -> list[Step]:
-    """Returns the steps that a product's instance noted since its start.
+    """Returns the steps that an instance recorded since its start.
 
     Raises:
-        NotesLostError: The ring has let go of some events.
+        NotesLostError: The ring has dropped some events.
     """
     steps = []
     for number, event in enumerate(events, start=1):
@@ -121,14 +120,14 @@
 
 
 def steps_of_log(router: str, lines: Iterable[bytes]) -> list[Step]:
-    """Returns the steps in a router's log; each start is a holder."""
+    """Returns the steps in a router's log; each start is its own holder."""
     steps = []
     starts = 0
     for line in lines:
         try:
             read = msgspec.json.decode(line, type=_LogLine)
         except msgspec.DecodeError:
-            # A traceback, or a line that a kill cut short.
+            # A traceback, or a line truncated by a kill.
             continue
         if read.message_type == STARTED_EVENT:
             starts += 1
--- a/src/nutmeghook/experiment/demo.py
+++ b/src/nutmeghook/experiment/demo.py
@@ -1,4 +1,4 @@
-"""The demo: both users' work, every fault at once, and what came of it."""
+"""The demo: work of both users under several faults, with a summary."""
 
 import asyncio
 import pathlib
@@ -38,7 +38,7 @@
         self._trial = trial_module.Trial(folder=folder, seed=seed)
 
     async def run(self) -> report_module.Summary:
-        """Runs everything and returns the summary."""
+        """Runs the load and the faults and returns the summary."""
         _print_status("starting the platform's stand-ins and 3 entry instances")
         try:
             await self._trial.start(
@@ -64,7 +64,7 @@
             )
 
     async def _inject_faults(self) -> None:
-        """What happens meanwhile; each step at its own moment."""
+        """Injects the faults one after the other, during the load."""
         await asyncio.sleep(2)
         _print_status("accepting a template change")
         await self._change_template()
@@ -100,7 +100,7 @@
         )
 
     async def _wait_for_rollout_stop(self) -> None:
-        """Goes on with work until the bad version is withdrawn, bounded."""
+        """Sends work until the bad version is withdrawn or time is up."""
         deadline_s = time.monotonic() + ROLLOUT_STOP_TIMEOUT_S
         while time.monotonic() < deadline_s:
             if await self._rollout_stopped():
@@ -146,7 +146,7 @@
 
 
 def main(*, folder: str, works: int, seed: int) -> None:
-    """Runs the demo; exits with 1 if something that must hold did not."""
+    """Runs the demo; exits with status 1 if a check failed."""
     demo = Demo(folder=pathlib.Path(folder), works=works, seed=seed)
     summary = asyncio.run(demo.run())
     print(msgspec.json.encode(summary).decode())
--- a/src/nutmeghook/experiment/emulated_fleet.py
+++ b/src/nutmeghook/experiment/emulated_fleet.py
@@ -1,6 +1,6 @@
-"""What the emulated fleet is made of: a clock, engines, and instances.
+"""Parts of the emulated fleet: the clock, engines and instances.
 
-Everything that decides in an instance is the product's own.
+The parts of an instance that make decisions are the production code.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class VirtualClock(clock_module.Clock):
-    """A clock that the emulator sets.
+    """A clock whose time the emulator sets.
 
     Attributes:
         at_s: Seconds since its start.
@@ -35,7 +35,7 @@
         self.at_s = 0.0
 
     def now(self) -> datetime.datetime:
-        """Returns a fixed start plus the time since."""
+        """Returns a fixed start time plus the time since."""
         return datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC) + (
             self.monotonic()
         )
@@ -45,21 +45,21 @@
         return datetime.timedelta(seconds=self.at_s)
 
     async def sleep(self, duration: datetime.timedelta) -> None:
-        """Not to be called: nothing waits here."""
+        """Always raises: the emulator has no tasks."""
         raise RuntimeError("the emulator has no tasks that could wait")
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Load:
-    """What happens to the fleet.
+    """The load on the fleet and the fleet's size.
 
     Attributes:
-        per_s: Requests a second at a moment.
-        replicas_at: Replicas that live at a moment.
-        read_tokens_per_s: Of each model, small to large, by one engine.
-        model_prices: Of each model, for 1,000 read tokens.
-        prompt_tokens: Usual length of a prompt.
-        data_centres: Instances of one tell each other replicas' counts.
+        per_s: Requests a second, as a function of the time in seconds.
+        replicas_at: Live replicas, as a function of the time in seconds.
+        prefill_tokens_per_s: Of one engine, for each model, small to large.
+        model_prices: Of each model, per 1,000 prompt tokens.
+        prompt_tokens: Mean length of a prompt.
+        data_centres: Instances of the same one exchange load reports.
     """
 
     per_s: Callable[[float], float]
@@ -74,11 +74,11 @@
 
 
 class Engine:
-    """Reads prompts one after the other, urgent ones first.
+    """Prefills prompts one at a time, urgent ones first.
 
     Attributes:
-        read_s: Time spent reading, or about to be; what it generates stands
-            still meanwhile.
+        prefill_s: Total prefill time, including the prefill under way;
+            generation pauses during prefill.
     """
 
     __slots__ = ("busy_until_s", "prefill_s", "queue", "running")
@@ -91,7 +91,7 @@
 
 
 class Instance:
-    """The deciding parts of one instance."""
+    """The parts of one instance that choose replicas and share load."""
 
     def __init__(self, *, number, load, clock, receivers, draw, chooser_type):
         self.directory = directory_module.ReplicaDirectory(clock=clock)
@@ -132,7 +132,7 @@
 def _sample_peers(
     receivers: dict, number: int, draw: random.Random
 ) -> list[str]:
-    """Returns the addresses that an instance tells of its backlogs."""
+    """Returns random peers to which an instance sends its backlogs."""
     others = [address for address in receivers if address != str(number)]
     max_peers = backlog_gossip.LOCAL_FANOUT + round(
         backlog_gossip.REMOTE_FANOUT
@@ -141,7 +141,7 @@
 
 
 class _InstantDatagrams(datagrams.Datagrams):
-    """Delivers at once."""
+    """Delivers datagrams immediately."""
 
     def __init__(self, receivers, own):
         self._receivers = receivers
@@ -155,7 +155,7 @@
 
 
 def replica_entry(number: int) -> entries.ReplicaEntry:
-    """Returns what the list says of a replica."""
+    """Returns a replica's list entry."""
     return entries.ReplicaEntry(
         replica_id=str(number),
         service=SERVICE,
--- a/src/nutmeghook/experiment/emulated_outcome.py
+++ b/src/nutmeghook/experiment/emulated_outcome.py
@@ -1,15 +1,15 @@
-"""What callers of an emulated fleet got."""
+"""The outcome of an emulated load for its callers."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class AnsweredRequest:
-    """What one request came to.
+    """The outcome of one request.
 
     Attributes:
-        owed: What a good answer in time is worth.
-        worth: With late and poor answers counted for less.
+        max_utility: The utility of a good answer in time.
+        utility: The utility of the answer; less if it was late or poor.
         model_index: Of the model whose answer the caller got.
     """
 
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class QueueSample:
-    """How many requests waited at all replicas together."""
+    """The number of requests waiting at all replicas at one time."""
 
     at_s: float
     waiting: int
@@ -30,10 +30,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What callers got, as parts of what they could have got.
+    """All answers, queue samples and generation times of a run.
 
     Attributes:
-        generations_s: From an answer's first event to its last, each.
+        generation_times_s: Of each answer, from its first event to its last.
     """
 
     answered: list[AnsweredRequest] = dataclasses.field(default_factory=list)
@@ -42,7 +42,7 @@
 
     @property
     def utility_share(self) -> float:
-        """The worth that callers got of what they were owed."""
+        """The sum of the utility as a share of the maximum."""
         max_utility = sum(answer.max_utility for answer in self.answered)
         return sum(answer.utility for answer in self.answered) / max_utility
 
--- a/src/nutmeghook/experiment/evidence.py
+++ b/src/nutmeghook/experiment/evidence.py
@@ -1,4 +1,4 @@
-"""Collects what the checks need from the stand-ins of a run."""
+"""Collects the input of the checks from the stand-ins of a run."""
 
 import datetime
 
@@ -87,9 +87,9 @@
 ) -> list[checks.ObservedBill]:
     """Returns the bills; copies of one record are one bill.
 
-    A bill on its way from the overflow to the log stands in both for a
-    moment, so equal records count once. Two that differ under one identity
-    are two bills, and the checks will say so.
+    A bill that is being moved from the overflow to the log is in both for a
+    moment, so equal records count once. Two different records with one
+    identity are two bills, which the checks report.
     """
     distinct = {
         (record.team, record.key, record.request_id, record.cost_micros)
@@ -107,11 +107,11 @@
     through: system_module.RunningInstance,
     bound: datetime.timedelta,
 ) -> list[checks.Withdrawal]:
-    """Returns what was withdrawn, from when on it must be in force.
+    """Returns the withdrawals and when each must be in force.
 
     Args:
         system: The running system.
-        through: The instance asked for the history.
+        through: The instance whose history is read.
         bound: Time within which a change must be in force everywhere.
     """
     found: list[checks.Withdrawal] = []
@@ -142,7 +142,7 @@
     withdrawals: list[checks.Withdrawal],
     teams: tuple[documents.Team, ...],
 ) -> checks.Evidence:
-    """Puts the evidence together."""
+    """Builds the input of the checks."""
     return checks.Evidence(
         works=works,
         runs=runs,
--- a/src/nutmeghook/experiment/example_fleet.py
+++ b/src/nutmeghook/experiment/example_fleet.py
@@ -1,4 +1,4 @@
-"""The configuration and stand-ins that the demo and the load tool run on."""
+"""The configuration and stand-ins of the demo and the load generator."""
 
 import secrets
 
@@ -19,12 +19,12 @@
 LARGE_MODEL = "inspect-large"
 FAST_MODEL = "roster-fast"
 DEEP_MODEL = "roster-deep"
-# A version that is bad wherever it runs, and one that is as good as its
-# predecessor; engines load them only when a roll-out wants them.
+# A version that gives bad answers on every engine, and one that is as good as
+# its predecessor. Engines load them only for a roll-out.
 BAD_VERSION = engine.ModelVersion(model=SMALL_MODEL, version="2")
 GOOD_VERSION = engine.ModelVersion(model=FAST_MODEL, version="2")
-# The steps are large and few, so that a roll-out's end is seen within a short
-# run; the Agency asks for more ratings a step, as it fears bad versions more.
+# The steps are large and few so that a roll-out ends within a short run. The
+# Agency requires more ratings a step, as it is more wary of bad versions.
 AGENCY_ROLL_OUTS = documents.RollOutPolicy(
     steps_percent=(20.0, 50.0, 100.0), ratings_per_step=30
 )
@@ -39,7 +39,7 @@
 
 
 def new_tokens() -> dict[str, str]:
-    """Returns a caller's token for each team."""
+    """Returns a new caller token for each team."""
     return {
         team: secrets.token_urlsafe(24) for team in AGENCY_TEAMS + AIRLINE_TEAMS
     }
@@ -190,11 +190,11 @@
 ) -> fleet.FleetSpec:
     """Returns the platform of both users: their replicas and services.
 
-    Version 2 of the small inspection model is bad wherever it runs.
+    Version 2 of the small inspection model is bad on every engine.
 
     Args:
-        mean_answer_tokens: How long answers are.
-        preloaded: The versions that wait for a roll-out are loaded already.
+        mean_answer_tokens: Mean length of an answer.
+        preloaded: The versions to be rolled out are loaded already.
     """
     return fleet.FleetSpec(
         table=fleet.StoreSpec(),
--- a/src/nutmeghook/experiment/faults.py
+++ b/src/nutmeghook/experiment/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a trial can bring about, each with its own end."""
+"""The faults that a trial can inject; each ends by itself."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,7 +19,7 @@
 
 Fault = Callable[[trial_module.Trial], Awaitable[None]]
 
-# Longer than a lease lasts with its margin, so that others take over.
+# Longer than a lease and its margin, so that other instances take over.
 FREEZE_S = 7.0
 OUTAGE_S = 4.0
 KILL_AFTER_S = 1.2
@@ -37,8 +37,8 @@
 async def kill_instance(trial: trial_module.Trial) -> None:
     """SIGKILL for the newest instance; another takes its place.
 
-    It comes a moment after the other faults of a pair, so that it finds their
-    work half done: bills that wait for a slow store, calls without an answer.
+    It begins after the faults that it is combined with, while their work is
+    half done: bills wait for a slow store, and calls have no answer yet.
     """
     victim = trial.running()[-1]
     await asyncio.sleep(KILL_AFTER_S)
@@ -49,10 +49,10 @@
 
 
 async def freeze_instance(trial: trial_module.Trial) -> None:
-    """SIGSTOP past every lease, then SIGCONT.
+    """SIGSTOP until every lease has expired, then SIGCONT.
 
-    Another instance than the one that `kill_instance` takes, so that both can
-    happen together.
+    It takes another instance than `kill_instance`, so that both faults can be
+    combined.
     """
     victim = trial.running()[1]
     victim.process.pause()
@@ -61,7 +61,7 @@
 
 
 async def drain_instance(trial: trial_module.Trial) -> None:
-    """SIGTERM; it must end with status 0 and cut nothing."""
+    """SIGTERM; the instance must end with status 0 and cut no request."""
     victim = trial.running()[-1]
     await trial.add_instance()
     await end_gracefully(trial, victim)
@@ -70,7 +70,7 @@
 async def end_gracefully(
     trial: trial_module.Trial, victim: system_module.RunningInstance
 ) -> None:
-    """SIGTERM; it must end with status 0."""
+    """SIGTERM; the instance must end with status 0."""
     victim.process.terminate()
     status = await victim.process.ended()
     await trial.remove_instance(victim)
@@ -102,12 +102,12 @@
 
 
 async def ratings_down(trial: trial_module.Trial) -> None:
-    """The rating service is out."""
+    """The rating service cuts every connection."""
     await _outage(trial, "ratings", serving.DownMode.CUTTING)
 
 
 async def instance_list_down(trial: trial_module.Trial) -> None:
-    """The instance list is out."""
+    """The instance list cuts every connection."""
     await _outage(trial, "instances", serving.DownMode.CUTTING)
 
 
@@ -147,7 +147,7 @@
 
 
 async def engines_cut_streams(trial: trial_module.Trial) -> None:
-    """Each engine breaks five streams and crosses three."""
+    """Each engine cuts five streams and sends wrong chunks in three."""
     for name in engine_names(trial):
         change = {"cut_next_streams": 5, "crossed_next_streams": 3}
         await trial.system.control(
@@ -156,7 +156,7 @@
 
 
 async def engines_give_long_answers(trial: trial_module.Trial) -> None:
-    """Engines take seconds for an answer, so that streams are long."""
+    """Engines take seconds for an answer, so streams are long."""
     await _set_engines(
         trial,
         {
@@ -176,7 +176,7 @@
 
 
 async def engine_crashes(trial: trial_module.Trial) -> None:
-    """One engine of each pool dies and comes back empty."""
+    """One engine of each pool crashes and restarts without its state."""
     for name in ("inspection-0", "rostering-0"):
         await trial.system.control(name, "crash", b"")
 
@@ -247,7 +247,7 @@
 
 
 async def bad_rollout(trial: trial_module.Trial) -> None:
-    """A version that is bad from its first answer on is rolled out."""
+    """Rolls out a version that is bad from its first answer on."""
     await trial.accept(
         edits.RollOutVersion(
             team=trial_module.ROLLOUT_TEAM,
@@ -259,7 +259,7 @@
 
 
 async def good_rollout(trial: trial_module.Trial) -> None:
-    """A version that is as good as its predecessor is rolled out."""
+    """Rolls out a version that is as good as its predecessor."""
     await trial.accept(
         edits.RollOutVersion(
             team=trial_module.GOOD_ROLLOUT_TEAM,
@@ -273,7 +273,7 @@
 async def _wait_for_run(
     trial: trial_module.Trial, version: engine.ModelVersion
 ) -> None:
-    """Waits until an engine has run work on a version, within limits."""
+    """Waits, for a limited time, until an engine has run a version."""
     for _ in range(MAX_POLLS):
         runs = await evidence.read_runs(trial.system)
         if any(run.model_version == str(version) for run in runs):
@@ -282,11 +282,11 @@
 
 
 async def withdrawal(trial: trial_module.Trial) -> None:
-    """A version rolls out, and an operator withdraws it half-way.
+    """Rolls out a version and withdraws it during the roll-out.
 
-    Half-way is when callers are being answered by it, not some time: on a
-    busy machine engines are ready later, and a version that nobody was sent
-    to has nothing to withdraw.
+    It waits for answers by the version rather than for a fixed time: on a
+    busy machine engines load it later, and withdrawing a version that has
+    served nobody tests nothing.
     """
     await good_rollout(trial)
     await _wait_for_run(trial, example_fleet.GOOD_VERSION)
--- a/src/nutmeghook/experiment/fleet_emulator.py
+++ b/src/nutmeghook/experiment/fleet_emulator.py
@@ -1,9 +1,9 @@
-"""A fleet of instances and engines in virtual time, for trying policies.
+"""Emulates a fleet of instances and engines in virtual time.
 
-Everything that decides is the product's own: choice of replica, gossip of
-loads, choice of model. Only what surrounds it is emulated: callers that
-arrive by chance, and engines that read prompts one after the other. No
-network, no tasks, and the same result for the same seed.
+The choice of replica, the load gossip and the choice of model are the
+production code. Emulated are the callers, who arrive at random, and the
+engines, which prefill prompts one at a time. There is no network and there are
+no tasks; the same seed gives the same result.
 """
 
 from collections.abc import Callable
@@ -21,10 +21,11 @@
 from nutmeghook.internal.replicas import load_gossip
 from nutmeghook.internal.routes import model
 
-# Between an instance and a replica, one way; a first event also takes a step.
+# One way between an instance and a replica.
 _NETWORK_DELAY_S = 0.001
+# From the end of the prefill to the first event.
 _FIRST_STEP_S = 0.04
-# How long an answer generates after its first event.
+# From the first event to the last, without pauses for prefill.
 _GENERATION_S = 0.8
 
 
@@ -39,7 +40,7 @@
 
 
 class FleetEmulator:
-    """Plays one load against one choice of models and of replicas."""
+    """Runs one load with one policy for models and one for replicas."""
 
     def __init__(
         self,
@@ -89,7 +90,7 @@
         self.outcome = emulated_outcome.Outcome()
 
     def run(self) -> emulated_outcome.Outcome:
-        """Plays the load to its end and returns what callers got."""
+        """Runs the load to its end and returns the outcome."""
         self._schedule(0.0, self._arrive)
         self._schedule(0.1, self._gossip)
         while self._events:
--- a/src/nutmeghook/experiment/history.py
+++ b/src/nutmeghook/experiment/history.py
@@ -1,4 +1,4 @@
-"""What callers saw, recorded so that checks can judge it afterwards."""
+"""What callers observed, recorded for the checks after a run."""
 
 import enum
 import pathlib
@@ -7,7 +7,7 @@
 
 
 class WorkKind(enum.Enum):
-    """The kinds of work that the users named."""
+    """The users' kinds of work."""
 
     LOOKUP = "lookup"
     LEGALITY_CHECK = "legality_check"
@@ -21,7 +21,7 @@
 
 
 class TryOutcome(enum.Enum):
-    """How one HTTP request ended, as its caller can know."""
+    """How one HTTP request ended, as far as its caller knows."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -34,9 +34,9 @@
     """One HTTP request; a piece of work may need several.
 
     Attributes:
-        request_id: As the instance named it; empty if the caller never saw.
+        request_id: Assigned by the instance; empty if the caller got none.
         code_number: The result code of an error, else 0.
-        served_version: Which model and version answered, if any.
+        served_version: The model and version that answered, if any.
     """
 
     outcome: TryOutcome
@@ -57,7 +57,7 @@
     Attributes:
         marker: Unique; the prompt or body carries it to the backend servers.
         key: The idempotency key, the same for all tries; may be empty.
-        once: The work may not be repeated.
+        once: The work may run at most once.
     """
 
     marker: str
@@ -77,7 +77,7 @@
 
     @property
     def answers(self) -> list[Try]:
-        """The tries that gave a whole answer."""
+        """The tries that got a complete answer."""
         return [t for t in self.tries if t.outcome is TryOutcome.ANSWERED]
 
 
@@ -94,7 +94,7 @@
         self.works.append(work)
 
     def write(self, path: pathlib.Path) -> None:
-        """Writes one JSON line a piece of work."""
+        """Writes one JSON line per piece of work."""
         lines = [msgspec.json.encode(work) for work in self.works]
         path.write_bytes(b"\n".join(lines) + b"\n")
 
--- a/src/nutmeghook/experiment/load.py
+++ b/src/nutmeghook/experiment/load.py
@@ -1,4 +1,4 @@
-"""Steady load on running instances, and what its callers saw."""
+"""Sends steady load to running instances and reports the outcome."""
 
 import asyncio
 import os
@@ -31,7 +31,7 @@
     run_name: str,
     seed: int = 2,
 ) -> list[history_module.Work]:
-    """Does works of both example users, all at once, and returns them."""
+    """Performs random work of both example users concurrently."""
     clock = clock_module.SystemClock()
     record = history_module.History()
     async with aiohttp.ClientSession() as http:
@@ -60,11 +60,11 @@
 
 
 class LoadSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What to send where.
+    """The load and where to send it.
 
     Attributes:
-        addresses: `ip:port` of instances or of a balancer.
-        rate_per_s: Requests started a second, whatever became of others.
+        addresses: `ip:port` of instances or of a load balancer.
+        rate_per_s: Requests started a second, independent of responses.
     """
 
     addresses: list[str]
@@ -78,7 +78,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What the callers saw; times are of answered requests."""
+    """Outcomes for the callers; times are those of answered requests."""
 
     sent: int
     answered: int
@@ -90,7 +90,7 @@
 
 
 def checked(settings: LoadSettings) -> LoadSettings:
-    """Returns the settings if all of them are good.
+    """Returns the settings if all of them are valid.
 
     Raises:
         ExceptionGroup: A ValueError for each fault.
@@ -117,7 +117,7 @@
 
 
 async def run(settings: LoadSettings) -> LoadReport:
-    """Sends the load and returns what came of it."""
+    """Sends the load and returns its report."""
     clock = clock_module.SystemClock()
     record = history_module.History()
     connector = aiohttp.TCPConnector(limit=0)
--- a/src/nutmeghook/experiment/loopback_proxy.py
+++ b/src/nutmeghook/experiment/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that harms the connections through it."""
+"""A TCP proxy on loopback that injects faults into its connections."""
 
 import asyncio
 import enum
@@ -9,10 +9,10 @@
 
 
 class LinkFault(enum.Enum):
-    """What happens to bytes and connections from now on.
+    """The fault of all connections through a proxy.
 
-    A silent direction holds its bytes back; they go on when the fault ends,
-    as after a partition. New connections are accepted all the same.
+    A silent direction delays its bytes until the fault ends, as a network
+    partition does. New connections are still accepted.
     """
 
     NONE = "none"
@@ -32,7 +32,7 @@
 
     Attributes:
         address: Where it listens.
-        delay_s: Of each piece while the fault is `DELAYED`.
+        delay_s: Of each read while the fault is `DELAYED`.
     """
 
     __slots__ = (
@@ -65,26 +65,26 @@
         self.address = f"{host}:{port}"
 
     def close(self) -> None:
-        """Stops listening and breaks all connections, as a process's end."""
+        """Stops listening and resets all connections, as on a process exit."""
         self._server.close()
         self.reset_all()
 
     async def stop(self) -> None:
-        """Ends whatever is under way."""
+        """Stops listening and ends all connections and their tasks."""
         self.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set_fault(self, fault: LinkFault, *, delay_s: float = 0.0) -> None:
-        """Changes what happens from now on."""
+        """Sets the fault of all connections, open ones too."""
         self._fault = fault
         self.delay_s = delay_s
         self._changed.set()
         self._changed = asyncio.Event()
 
     def reset_all(self) -> None:
-        """Resets all connections that are open."""
+        """Resets all open connections."""
         for writer in self._writers:
             writer.transport.abort()
 
@@ -111,7 +111,7 @@
                     self._pump(upstream_reader, writer, _BLOCKS_FROM_TARGET)
                 )
         except* (OSError, asyncio.IncompleteReadError):
-            # Either side broke off: the other one sees a reset below.
+            # One side closed the connection; the other one is reset below.
             pass
         finally:
             for end in (writer, upstream):
--- a/src/nutmeghook/experiment/platform_checks.py
+++ b/src/nutmeghook/experiment/platform_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of callers' histories, judged by the replicas' own logs."""
+"""Checks callers' histories against the replicas' logs."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -10,25 +10,25 @@
 WHOLE_STREAM = b"".join(users_replica.event(n) for n in STREAM_EVENTS)
 WHOLE_ANSWER = b"done"
 REQUEST_BODY = b"prompt"
-# Ends each replica that begins to run it.
+# Crashes each replica that begins to run it.
 CRASHING_BODY = b"prompt that no replica survives"
-# After a key was removed it is served no more; what the users' platform asks.
+# The users' bound on serving an API key after its removal.
 CONFIGURATION_BOUND_S = 2.0
 _NOT_RUN_STATUSES = (429, 503)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ObservedCall:
-    """What a caller saw of one request.
+    """What a caller observed of one request.
 
     Attributes:
-        kind: The route that it was sent on.
-        status: 0 where the connection broke before an answer began.
-        complete: The answer came to its end.
+        kind: The route.
+        status: 0 if the connection broke before the response headers.
+        complete: The answer ended normally.
         sent_s: When it was sent, in the event loop's time.
         ended_s: When the answer ended or the connection broke.
-        router: Who took it.
-        sent_body: What the caller sent.
+        router: The router's name and the number of its start.
+        sent_body: The request's body.
     """
 
     request_id: str
@@ -52,14 +52,14 @@
     removed_at_s: float | None,
     stop_statuses: Iterable[int],
 ) -> list[str]:
-    """Returns everything that did not hold.
+    """Returns all violations.
 
     Args:
-        calls: What callers saw.
+        calls: What callers observed.
         runs: How often each request was run.
-        removed_key: The key that was taken away.
+        removed_key: The API key that was removed.
         removed_at_s: When its removal was accepted; None if it was not.
-        stop_statuses: How stopped routers ended.
+        stop_statuses: Exit statuses of stopped routers.
     """
     found = []
     for call in calls:
@@ -72,7 +72,7 @@
         )
         admitted = call.status == 200 or ran
         if late and call.key == removed_key and admitted:
-            found.append(f"{call.request_id} was let in by a removed key")
+            found.append(f"{call.request_id} was admitted with a removed key")
     found.extend(
         f"a stopped router ended with status {status}"
         for status in stop_statuses
@@ -85,7 +85,7 @@
     if call.kind == "once" and ran > 1:
         yield f"{call.request_id} ran {ran} times"
     if call.status in _NOT_RUN_STATUSES and ran:
-        yield f"{call.request_id} ran and was called not run"
+        yield f"{call.request_id} ran but was refused as not run"
 
 
 def _answer_violations(call: ObservedCall) -> Iterator[str]:
@@ -95,6 +95,6 @@
     if not expected.startswith(call.body):
         yield f"{call.request_id} got {call.body[:80]!r}"
     elif call.complete and call.body != expected:
-        yield f"{call.request_id} got a part as if it were whole"
+        yield f"{call.request_id} got a partial answer that ended normally"
     if not call.sealed:
         yield f"{call.request_id} got an answer without a seal"
--- a/src/nutmeghook/experiment/platform_trial.py
+++ b/src/nutmeghook/experiment/platform_trial.py
@@ -1,7 +1,7 @@
-"""Routers as processes on a stand-in of the users' platform, with faults.
+"""Runs router processes on a stand-in of the users' platform, with faults.
 
 The store and the replicas are stand-ins in this process; the routers are the
-real program. Callers' histories are compared with the replicas' own logs.
+real program. Callers' histories are compared with the replicas' logs.
 """
 
 import asyncio
@@ -25,20 +25,21 @@
 SERVICE = "pool"
 KEYS = ("key-that-stays", "key-to-be-removed")
 ROLL_OUT_S = 12.0
-# Of a replica's answers, in the course of the whole trial.
+# Shares of a replica's answers.
 _RESETS = 0.03
 _REFUSALS = 0.03
 _BAD_VERSION_FAILURES = 0.5
 _CALL_TIMEOUT_S = 20.0
-# From a replica's end until another start of it is listed.
+# From a replica's crash until its replacement is listed.
 RESTART_S = 1.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ReplicaCrash:
-    """A replica ended under a request.
+    """A crash of a replica while it ran a request.
 
     Attributes:
+        body: The request's body.
         at_s: In the event loop's time.
     """
 
@@ -51,9 +52,9 @@
     """A platform, routers and callers.
 
     Attributes:
-        calls: What callers saw.
-        crashes: Replicas that ended under a request.
-        given_up: Ids of requests whose caller did not wait for the end.
+        calls: What callers observed.
+        crashes: Replicas that crashed while they ran a request.
+        abandoned: Ids of requests that were cancelled by their caller.
         routers: The router processes.
     """
 
@@ -78,7 +79,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Starts everything and waits until each router serves."""
+        """Starts all parts and waits until each router serves."""
         await self.store.start()
         self._session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S)
@@ -99,7 +100,7 @@
             await self.wait_until_serving(router)
 
     async def end(self) -> None:
-        """Ends everything that was started here."""
+        """Ends all parts."""
         for restart in self._restarts:
             restart.cancel()
         for router in self.routers:
@@ -112,19 +113,19 @@
         await self.store.stop()
 
     async def store_address(self, router_name: str) -> str:
-        """Returns where a router finds the store."""
+        """Returns the store's address for a router."""
         return self.store.address
 
     async def replica_address(
         self, replica: users_replica.StandInReplica
     ) -> str:
-        """Returns where routers find a replica."""
+        """Returns a replica's address for routers."""
         return replica.address
 
     async def wait_until_serving(
         self, router: trial_routers.RouterProcess
     ) -> None:
-        """Asks until a router answers a request."""
+        """Sends requests until the router answers one."""
         async with asyncio.timeout(_CALL_TIMEOUT_S):
             while True:
                 seen = await self.call("probe", router=router)
@@ -147,7 +148,7 @@
         )
         await replica.start()
         address = await self.replica_address(replica)
-        # Troubles may choose it from now on.
+        # Faults may choose it from now on.
         self.replicas[replica_id] = replica
         restart = asyncio.create_task(
             self._restart_after_crash(replica, version)
@@ -165,7 +166,7 @@
     async def _restart_after_crash(
         self, replica: users_replica.StandInReplica, version: str
     ) -> None:
-        """Has a replica that ended under a request come back as a new one."""
+        """Replaces a replica once it has crashed under a request."""
         await replica.crashed.wait()
         if not replica.crashes:
             return
@@ -188,7 +189,7 @@
         self.operator.order_roll_out("v2", within_s=ROLL_OUT_S)
 
     def remove_key(self) -> None:
-        """Takes a key away."""
+        """Removes the second API key."""
         self.operator.write_configuration(KEYS[:1])
         self.removed_at_s = asyncio.get_running_loop().time()
 
@@ -211,7 +212,7 @@
         router: trial_routers.RouterProcess | None = None,
         body: bytes = platform_checks.REQUEST_BODY,
     ) -> platform_checks.ObservedCall:
-        """Makes one request and notes what came of it."""
+        """Sends one request and records its outcome."""
         self._call_count += 1
         request_id = f"{kind}-{self._call_count}"
         router = router or self._random.choice(self.routers)
@@ -235,10 +236,10 @@
                     received += piece
                 complete = True
         except (aiohttp.ClientError, TimeoutError, OSError):
-            # The caller saw a broken connection: complete stays False.
+            # The connection broke: complete stays False.
             pass
         except asyncio.CancelledError:
-            # Whoever asked gave up, but a replica may have it.
+            # The caller gave up, but a replica may have the request.
             self.abandoned.add(request_id)
             raise
         seen = platform_checks.ObservedCall(
@@ -262,16 +263,16 @@
         return self.replicas | self.ended_replicas
 
     def mark_ended(self, replica_id: str) -> None:
-        """Counts a replica among those that have ended."""
+        """Moves a replica to those that have ended."""
         replica = self.replicas.pop(replica_id, None)
         if replica is not None:
             self.ended_replicas[replica_id] = replica
 
     def close_replica_address(self, replica_id: str) -> None:
-        """Has nobody listen any more where a replica was."""
+        """Closes the address of a crashed replica, if it is proxied."""
 
     def runs(self) -> dict[str, int]:
-        """Returns how often each request was run, by the replicas' logs."""
+        """Returns how often each request was run, from the replicas' logs."""
         counts: dict[str, int] = {}
         for replica in self.all_replicas().values():
             for request_id in replica.ran:
@@ -279,14 +280,14 @@
         return counts
 
     def reverts(self) -> list[str]:
-        """Returns where a router's configuration went back, by its log."""
+        """Returns the configuration reversions in the routers' logs."""
         found = []
         for router in self.routers:
             steps = configuration_steps.steps_of_log(
                 router.name, router.log_lines()
             )
             if not steps:
-                found.append(f"{router.name} noted no configuration")
+                found.append(f"{router.name} logged no configuration")
             for violation in configuration_steps.check_steps(steps):
                 found.append(f"{violation.marker}: {violation.detail}")
         return found
@@ -294,7 +295,7 @@
     def reply(
         self, request: users_replica.SeenRequest, version: str
     ) -> users_replica.Reply:
-        """Returns what a replica does with a request."""
+        """Returns a replica's response to a request, faults included."""
         drawn = self._random.random()
         if version == "v2" and drawn < _BAD_VERSION_FAILURES:
             return users_replica.Reply(status=500, body=b"bad version")
@@ -315,7 +316,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class TrialReport:
-    """What a trial came to."""
+    """A trial's outcome."""
 
     calls: int
     answered: int
@@ -328,7 +329,7 @@
 
 
 async def run(*, folder: pathlib.Path, seed: int) -> TrialReport:
-    """Runs one trial: every fault once, overlapping, under load."""
+    """Runs one trial under load, with every fault once, overlapping."""
     trial = PlatformTrial(folder=folder, seed=seed)
     try:
         await trial.start()
@@ -345,7 +346,7 @@
 
 
 async def _inject_faults(trial: PlatformTrial) -> None:
-    """Kills, stops, cuts off and changes, one over the other."""
+    """Injects overlapping faults."""
     await asyncio.sleep(1.0)
     killed = trial.routers[0]
     await killed.kill()
@@ -392,7 +393,7 @@
 
 
 def main(*, seed: int) -> int:
-    """Prints a trial's report as JSON; 1 if something did not hold."""
+    """Prints a trial's report as JSON; returns 1 if a check failed."""
     with tempfile.TemporaryDirectory() as folder:
         report = asyncio.run(run(folder=pathlib.Path(folder), seed=seed))
     print(msgspec.json.encode(report).decode())
--- a/src/nutmeghook/experiment/processes.py
+++ b/src/nutmeghook/experiment/processes.py
@@ -1,4 +1,4 @@
-"""Starts, freezes and ends the processes of an experiment."""
+"""Starts, pauses and ends the processes of an experiment."""
 
 import asyncio
 import collections.abc
@@ -16,11 +16,11 @@
 
 
 class StartError(RuntimeError):
-    """A process ended or said nothing instead of getting ready."""
+    """A process ended or printed no ready line in time."""
 
 
 class ManagedProcess:
-    """One process of ours; its log goes to a file."""
+    """A process started here; its log goes to a file."""
 
     __slots__ = ("_log", "_process", "name")
 
@@ -42,23 +42,23 @@
 
     @property
     def exit_status(self) -> int | None:
-        """How it ended; None while it runs."""
+        """The exit status; None while it runs."""
         return self._process.returncode
 
     def kill(self) -> None:
-        """Ends it at once, with no chance to tidy up."""
+        """Sends SIGKILL."""
         self._process.send_signal(signal.SIGKILL)
 
     def pause(self) -> None:
-        """Stops it where it stands."""
+        """Sends SIGSTOP."""
         self._process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on as if nothing had happened."""
+        """Sends SIGCONT."""
         self._process.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Asks it to leave gracefully."""
+        """Sends SIGTERM, for a graceful shutdown."""
         self._process.send_signal(signal.SIGTERM)
 
     async def ended(self) -> int:
@@ -66,7 +66,7 @@
         return await self._process.wait()
 
     async def end(self) -> int:
-        """Asks it to end, and kills it if it takes too long."""
+        """Terminates it, or kills it after a timeout; returns its status."""
         if self._process.returncode is not None:
             return self._process.returncode
         self.resume()
@@ -93,14 +93,14 @@
     environment: dict[str, str] | None = None,
     standard_input: bytes = b"",
 ) -> tuple[ManagedProcess, _Ready]:
-    """Starts a process of ours and reads the line it prints when ready.
+    """Starts a process and reads the line that it prints when ready.
 
     Args:
-        name: Names the log file too.
+        name: Also of the log file.
         arguments: After `program`, which is `python -m` if not given.
         folder: Where the log file goes.
-        ready_type: What the first line of standard output decodes to.
-        program: The executable, and arguments that come first.
+        ready_type: Type of the first line of standard output, which is JSON.
+        program: The executable and its first arguments.
         environment: The whole environment; None for this process's own.
         standard_input: Written to the process before anything is read.
 
--- a/src/nutmeghook/experiment/report.py
+++ b/src/nutmeghook/experiment/report.py
@@ -1,4 +1,4 @@
-"""The demo's report: for people, and one JSON line for programs."""
+"""The demo's report: a table for people, one JSON line for programs."""
 
 import statistics
 
@@ -14,14 +14,14 @@
     """The last line of the demo's standard output.
 
     Attributes:
-        exposed: Answers that callers got of the bad version.
+        exposed: Answers by the bad version that reached callers.
         cost: Price of all bills, in euros.
         spent: Cost of all attempts of billed requests, in euros.
-        config_in_force_s: The slowest accepted change, from the submission
-            to the last instance's word that it has it.
-        violations: All rules together.
-        by_rule: Violations of each rule; the fields of the same names above
-            repeat those that the users count.
+        config_in_force_s: The slowest accepted change, from its submission
+            until the last instance has confirmed it.
+        violations: Of all rules.
+        by_rule: Violations of each rule; those that the users count are
+            repeated in the fields of the same names.
     """
 
     sent: int
@@ -46,7 +46,7 @@
     by_rule: dict[str, int]
 
     def holds(self) -> bool:
-        """Tells whether all that must hold did."""
+        """Tells whether all checks passed."""
         return (
             self.violations == 0 and self.drained_clean and self.rollout_stopped
         )
@@ -65,7 +65,7 @@
     drained_clean: bool,
     rollout_stopped: bool,
 ) -> Summary:
-    """Counts everything."""
+    """Builds the summary of a run."""
     counts = {
         rule.value: sum(v.rule is rule for v in violations)
         for rule in checks.Rule
@@ -115,7 +115,7 @@
 
 
 def kinds_table(works: list[history.Work]) -> list[str]:
-    """Returns a line a kind of work, with outcomes and times."""
+    """Returns one line per kind of work, with outcomes and times."""
     lines = [
         f"{'kind of work':16} {'sent':>6} {'answered':>9} {'not run':>8}"
         f" {'unknown':>8} {'tries':>6} {'p95 first token':>16}"
--- a/src/nutmeghook/experiment/soak.py
+++ b/src/nutmeghook/experiment/soak.py
@@ -1,8 +1,8 @@
-"""A randomized soak: routers as processes, harmed from outside, judged.
+"""A randomized soak test of router processes under injected faults.
 
-Troubles come in series and overlap. They are drawn from the seed, so that a
-seed plays the same troubles again; when exactly each request meets them is
-the machine's affair.
+Faults follow each other and overlap. They are drawn from the seed, so a seed
+repeats the same faults; their timing relative to requests varies with the
+machine.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 from nutmeghook.experiment import soak_faults
 from nutmeghook.experiment import soak_trial
 
-# For how long troubles begin.
+# For how long new faults begin.
 SECONDS = 12.0
-# After the last trouble, before every router is asked to serve.
+# From the last fault until every router is probed.
 SETTLE_S = 4.0
 RECOVERY_S = 6.0
-# On a machine that may be busy: only a router that never serves is found.
+# For a busy machine: finds only routers that never serve again.
 _LENIENT_RECOVERY_S = 60.0
 PROBES = 5
 
 
 class SoakReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a soak came to."""
+    """A soak's outcome."""
 
     seed: int
     routers: int
@@ -53,17 +53,17 @@
     with_crashing: bool = True,
     with_evacuation: bool = True,
 ) -> SoakReport:
-    """Plays one seed and judges what was seen.
+    """Runs one seed and checks the history.
 
     Args:
         folder: For settings and logs.
-        seed: Of the troubles.
-        seconds: For how long troubles begin.
-        routers: How many.
+        seed: Of the faults and the load.
+        seconds: For how long new faults begin.
+        routers: Number of router processes.
         rate_per_s: Of requests.
-        with_bounds: Judge bounds in time too.
-        with_crashing: A request that ends its replicas comes again and again.
-        with_evacuation: A data centre is emptied, and returns cold.
+        with_bounds: Check time bounds too.
+        with_crashing: Send copies of a request that crashes its replicas.
+        with_evacuation: Evacuate a data centre; its replicas return cold.
     """
     trial = soak_trial.SoakTrial(folder=folder, seed=seed, routers=routers)
     if with_evacuation:
@@ -87,8 +87,8 @@
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(injector.run(seconds=seconds))
             if with_crashing:
-                # Drawn from a source of its own, so that seeds stay what they
-                # were.
+                # A separate random source leaves the other faults of a seed
+                # unchanged.
                 tasks.create_task(
                     injector.send_crashing_requests(
                         random.Random(seed), seconds=seconds
@@ -126,7 +126,7 @@
 async def _load(
     trial: soak_trial.SoakTrial, rate_per_s: float, stop: asyncio.Event
 ) -> None:
-    """Sends steady load of all kinds to all routers until told to stop."""
+    """Sends steady load of all kinds to all routers until `stop` is set."""
     async with asyncio.TaskGroup() as tasks:
         while not stop.is_set():
             kind = trial.draw.choice(("stream", "stream", "once"))
@@ -138,7 +138,7 @@
 async def _unrecovered_routers(
     trial: soak_trial.SoakTrial, within_s: float
 ) -> list[str]:
-    """Asks every router, and says which do not serve."""
+    """Probes every router and reports those that do not serve."""
     found = []
     for router in trial.routers:
         try:
@@ -146,14 +146,14 @@
                 for _ in range(PROBES):
                     await trial.wait_until_serving(router)
         except TimeoutError:
-            found.append(f"{router.name} does not serve after all troubles")
+            found.append(f"{router.name} does not serve after all faults")
     return found
 
 
 async def _run_until_sigterm(
     work: Coroutine[Any, Any, SoakReport],
 ) -> SoakReport:
-    """Ends the routers too when this process is told to stop."""
+    """Cancels the soak on SIGTERM, which also ends its routers."""
     task = asyncio.ensure_future(work)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, task.cancel)
@@ -161,7 +161,7 @@
 
 
 def main(*, seed: int, seconds: float, routers: int, keep: str) -> int:
-    """Prints a soak's report as JSON; 1 if something did not hold."""
+    """Prints a soak's report as JSON; returns 1 if a check failed."""
     with tempfile.TemporaryDirectory() as folder:
         place = pathlib.Path(keep) if keep else pathlib.Path(folder)
         place.mkdir(parents=True, exist_ok=True)
--- a/src/nutmeghook/experiment/soak_checks.py
+++ b/src/nutmeghook/experiment/soak_checks.py
@@ -1,7 +1,8 @@
-"""What must hold at every moment of a soak, from callers and replicas alone.
+"""Checks of a soak, from what callers and replicas observed.
 
-Bounds in time hold for routers that had no trouble of their own, nor the
-store, for a while before. Whatever holds without a bound is judged always.
+Time bounds apply only to routers that neither had a fault themselves nor were
+affected by one of the store or the links for some time before. All other
+checks always apply.
 """
 
 from collections.abc import Iterable
@@ -13,36 +14,38 @@
 from nutmeghook.platform import headers
 from nutmeghook.standins import users_replica
 
-# The users' bounds: for a configuration and a leaving replica to be in force,
-# and for how long a router has to be without trouble before they hold.
+# The users' bounds: for a configuration and for a leaving replica to be in
+# force, and for how long a router has to be without faults before they apply.
 CONFIGURATION_BOUND_S = 2.0
 DRAIN_BOUND_S = 2.0
 UNDISTURBED_S = 3.0
-# What a caller's and the soak's own clocks may differ by in a busy process.
+# Timestamps of callers and of the soak may differ by this in a busy process.
 SLACK_S = 0.5
 RETRY_RATIO = 0.9
 RETRY_ALLOWANCE = 54
 EXPOSURE_SHARE = 0.15
 EXPOSURE_ALLOWANCE = 30
 EVACUATION_BOUND_S = 5.0
-# What a cold replica of the soak's service bears, and the bound that follows
-# from its routers' settings.
+# The rate limit of a cold replica of the soak's service, and the bound that
+# follows from its routers' settings coldOverrun (1.5) and coldAllowance (5).
 MAX_COLD_RATE_PER_S = 6.0
 MAX_COLD_IN_ONE_SECOND = MAX_COLD_RATE_PER_S * 1.5 + 5.0
 ALL_ROUTERS = ""
-# The users' bound on sends of a request that has ended so many replicas.
+# The users' bound: a request that has crashed so many replicas is sent at most
+# so many times more.
 CRASHED_REPLICAS = 3
 MAX_CRASHING_RETRIES = 3
-# Disturbs everybody else, and not what is known of the request itself.
+# The kind of a fault that affects other requests, but not what routers know
+# about the crashing request itself.
 CRASHING_REQUEST = "copy of a crashing request"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class InjectedFault:
-    """Something that was done to the fleet.
+    """A fault that was injected into the fleet.
 
     Attributes:
-        router: Whose trouble it is; empty for all.
+        router: The router that it affects; empty for all.
         is_stop: A graceful stop, which may cut no request.
     """
 
@@ -55,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class KeyRemoval:
-    """A key was taken away and, perhaps, given back."""
+    """The removal of an API key, until it was restored."""
 
     key: str
     from_s: float
@@ -64,7 +67,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Evacuation:
-    """A data centre was emptied, and taken back."""
+    """The evacuation of a data centre, until it was ended."""
 
     data_centre: str
     from_s: float
@@ -82,19 +85,19 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class History:
-    """All that was seen of a soak.
+    """The history of a soak.
 
     Attributes:
-        seen: What reached replicas, by replica id.
+        received: Requests that reached replicas, by replica id.
         broken: Ids of requests whose answer a replica broke off.
-        given_up: Ids of requests whose caller did not wait for the end.
-        left_at_s: When each leaving replica's word was accepted.
-        crashes: Replicas that ended under a request, in order.
-        bad_runs: Requests that the bad version ran.
-        evacuations: What the operator emptied.
+        abandoned: Ids of requests that were cancelled by their caller.
+        leaving_since_s: When each leaving replica was listed as leaving.
+        crashes: Replicas that crashed under a request, in order.
+        bad_runs: Number of requests that the bad version ran.
+        evacuations: Of data centres, by the operator.
         cold: When replicas were cold.
         data_centres: Of replicas, by their ids.
-        order_s: When the bad version was ordered; None if none was.
+        ordered_at_s: When the bad version was ordered; None if it was not.
     """
 
     calls: list[platform_checks.ObservedCall]
@@ -117,7 +120,7 @@
     final_state: str = ""
 
     def is_undisturbed(self, router: str, from_s: float, to_s: float) -> bool:
-        """Tells whether a router had no trouble from long enough before."""
+        """Tells whether a router had no fault then and for some time before."""
         return not any(
             fault.router in (ALL_ROUTERS, _name(router))
             and fault.from_s <= to_s
@@ -127,12 +130,12 @@
 
 
 def violations(history: History, *, with_bounds: bool = True) -> list[str]:
-    """Returns everything that did not hold.
+    """Returns all violations.
 
     Args:
-        history: What was seen.
-        with_bounds: Judge bounds in time too. On a machine that is busy with
-            other work a router may be late without being wrong.
+        history: The soak's history.
+        with_bounds: Check time bounds too. On a machine that is busy with
+            other work a router may be late without a fault of its own.
     """
     found = platform_checks.violations(
         calls=history.calls,
@@ -161,9 +164,9 @@
             ):
                 yield f"{call.request_id} reached a replica changed"
             elif "authorization" in request.headers:
-                yield f"{call.request_id}'s key was passed on"
+                yield f"{call.request_id}'s key was forwarded"
             elif request.headers.get(headers.TEAM.lower()) != "team":
-                yield f"{call.request_id} came without its team"
+                yield f"{call.request_id} reached a replica without its team"
 
 
 def _removed_keys(history: History) -> Iterator[str]:
@@ -173,11 +176,11 @@
         if not admitted or call.sent_s <= in_force_s:
             continue
         if history.is_undisturbed(call.router, removal.from_s, call.sent_s):
-            yield f"{call.request_id} was let in by a removed key"
+            yield f"{call.request_id} was admitted with a removed key"
 
 
 def _readmitted_keys(history: History) -> Iterator[str]:
-    """A router that refused a key once must not let it in again."""
+    """A router that has refused a removed key must not admit it again."""
     refused_at_s: dict[tuple[str, KeyRemoval], float] = {}
     for call, removal in _calls_with_removed_keys(history):
         if call.status == 401:
@@ -189,15 +192,15 @@
         if call.status != 200 or known_s is None:
             continue
         if call.sent_s > known_s + SLACK_S:
-            yield f"{call.request_id} was let in after the key's refusal"
+            yield f"{call.request_id} was admitted after its key was refused"
 
 
 def _calls_with_removed_keys(
     history: History,
 ) -> Iterator[tuple[platform_checks.ObservedCall, KeyRemoval]]:
     for removal in history.removals:
-        # Until a while before it was given back: the news may be faster than
-        # the note of it.
+        # Calls shortly before the end are left out: routers may see the
+        # restored key before its restoration is recorded.
         end_s = removal.to_s - SLACK_S
         for call in history.calls:
             if call.key != removal.key:
@@ -231,7 +234,8 @@
                     in_force_s < request.arrived_s < evacuation.to_s
                 ):
                     continue
-                # What the router sends it may have been told of long before.
+                # The evacuation may be much older than the request, so only
+                # faults shortly before the request matter.
                 from_s = request.arrived_s - UNDISTURBED_S
                 if history.is_undisturbed(
                     call.router, from_s, request.arrived_s
@@ -240,7 +244,7 @@
 
 
 def max_in_one_second(moments_s: Iterable[float]) -> int:
-    """Returns the most moments that lie within one second."""
+    """Returns the largest number of moments within one second."""
     known_s = list(moments_s)
     return max(
         (sum(begin <= at < begin + 1.0 for at in known_s) for begin in known_s),
@@ -278,12 +282,11 @@
 def _stop_around(
     call: platform_checks.ObservedCall, stops: Iterable[InjectedFault]
 ) -> InjectedFault | None:
-    """Returns the stop during which a request that was taken in ended."""
+    """Returns the stop during which a request that was sent before ended."""
     for stop in stops:
         if stop.router != _name(call.router):
             continue
-        # Connections that were not yet taken in when the door closed are
-        # refused, and promise nothing.
+        # A request sent after the stop began may be refused.
         if call.sent_s < stop.from_s and call.ended_s >= stop.from_s:
             return stop
     return None
@@ -315,7 +318,7 @@
             call.router, request.arrived_s, request.arrived_s
         )
     if late > MAX_CRASHING_RETRIES:
-        yield f"a request that had ended three replicas was sent {late} times"
+        yield f"a request that crashed three replicas was sent {late} times"
 
 
 def _arrivals(history: History) -> Iterator[users_replica.SeenRequest]:
@@ -335,7 +338,7 @@
 
 
 def _name(router: str) -> str:
-    """Returns a router's name without the number of its start."""
+    """Returns a router's name, without the number of its start."""
     return router.partition("#")[0]
 
 
--- a/src/nutmeghook/experiment/soak_evacuations.py
+++ b/src/nutmeghook/experiment/soak_evacuations.py
@@ -1,4 +1,4 @@
-"""A data centre is emptied, taken back, and its replicas return cold."""
+"""Evacuates a data centre, ends the evacuation and restarts it cold."""
 
 import asyncio
 import random
@@ -7,15 +7,15 @@
 from nutmeghook.experiment import soak_trial
 
 COLD_S = 3.0
-# What the operator's service says of its cold replicas.
+# Fields of the operator's service for its cold replicas.
 COLD_LIMITS = {"coldS": COLD_S, "coldPerS": soak_checks.MAX_COLD_RATE_PER_S}
 DATA_CENTRE = "annex"
-# Of them at the start.
+# In that data centre, at the start.
 REPLICAS = 2
 
 
 async def play(trial: soak_trial.SoakTrial, draw: random.Random) -> None:
-    """Empties a data centre for longer than the bound, then restarts it."""
+    """Evacuates a data centre for longer than the bound, then restarts it."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(draw.uniform(0.2, 2.0))
     from_s = loop.time()
@@ -36,7 +36,7 @@
 async def _return_cold(
     trial: soak_trial.SoakTrial, draw: random.Random
 ) -> None:
-    """Ends all replicas of the data centre and starts others there."""
+    """Replaces all replicas of the data centre with cold ones."""
     ended = [
         replica_id
         for replica_id in list(trial.replicas)
--- a/src/nutmeghook/experiment/soak_faults.py
+++ b/src/nutmeghook/experiment/soak_faults.py
@@ -1,4 +1,4 @@
-"""Troubles of a soak: drawn from a seed, played one over the other."""
+"""Injects the faults of a soak: drawn from a seed, overlapping."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 
 class FaultInjector:
-    """Draws troubles and plays them, one over the other."""
+    """Draws faults at random and injects them, overlapping."""
 
     def __init__(self, *, trial: soak_trial.SoakTrial, draw: random.Random):
         self._trial = trial
@@ -56,22 +56,23 @@
         )
 
     async def run(self, *, seconds: float) -> None:
-        """Plays troubles for a while, and waits for the last to end."""
+        """Injects faults for a time and waits until the last has ended."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         async with asyncio.TaskGroup() as tasks:
             while loop.time() < end_s:
                 await asyncio.sleep(self._draw.uniform(0.2, 1.2))
                 kind = self._draw.choice(self._kinds)
-                # Each draws from a source of its own: what one draws does not
-                # depend on when the others come to it.
+                # A separate random source for each fault makes its draws
+                # independent of the timing of the others.
                 fault_draw = random.Random(self._draw.getrandbits(64))
                 tasks.create_task(kind(fault_draw))
 
     async def send_final_copies(self) -> None:
-        """Sends some to each router, as replicas come back.
+        """Sends copies of the crashing request to each router.
 
-        Nothing else is wrong by now, so that the bound holds for all.
+        All other faults have ended, so the bound applies to every router.
+        Between two copies a crashed replica has time to be replaced.
         """
         for router in self._trial.routers * _FINAL_COPIES:
             await self._send_crashing_request(router)
@@ -80,7 +81,7 @@
     async def send_crashing_requests(
         self, draw: random.Random, *, seconds: float
     ) -> None:
-        """Sends copies of a request that ends its replicas to any router."""
+        """Sends copies of a crashing request to random routers."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + seconds
         while loop.time() < end_s:
@@ -97,13 +98,13 @@
 
     @contextlib.contextmanager
     def _one_router(self, draw: random.Random):
-        """Takes a router that no other trouble has; None if all are taken."""
+        """Reserves a router without another fault; None if there is none."""
         free = [
             router
             for router in self._trial.routers
             if router.name not in self._trial.busy
         ]
-        # One router at least is left alone, as callers retry elsewhere.
+        # At least one router stays without a fault, for callers to use.
         if len(free) < 2:
             yield None
             return
@@ -125,7 +126,7 @@
                 await self._restart(router)
 
     async def _restart(self, router: trial_routers.RouterProcess) -> None:
-        """Starts a router; notes it if it does not come to serve."""
+        """Starts a router; records it if it does not begin to serve."""
         await router.start()
         try:
             await self._trial.wait_until_serving(router)
@@ -172,20 +173,20 @@
         fault, pause_s = draw.choice(_LINK_FAULTS), _random_pause_s(draw)
         name = draw.choice(sorted(self._trial.store_proxies))
         proxy = self._trial.store_proxies[name]
-        with self._trial.recorded_fault(f"way to store {fault.value}", name):
+        with self._trial.recorded_fault(f"link to store {fault.value}", name):
             proxy.set_fault(fault, delay_s=draw.uniform(0.05, 0.4))
             await asyncio.sleep(pause_s)
             proxy.set_fault(_LinkFault.NONE)
 
     async def _reset_store_link(self, draw: random.Random) -> None:
         name = draw.choice(sorted(self._trial.store_proxies))
-        with self._trial.recorded_fault("way to store reset", name):
+        with self._trial.recorded_fault("link to store reset", name):
             self._trial.store_proxies[name].reset_all()
 
     async def _fail_replica_link(self, draw: random.Random) -> None:
         fault, pause_s = draw.choice(_LINK_FAULTS), _random_pause_s(draw)
         proxy = self._trial.replica_proxies[self._random_replica(draw)]
-        with self._trial.recorded_fault(f"way to replica {fault.value}"):
+        with self._trial.recorded_fault(f"link to replica {fault.value}"):
             proxy.set_fault(fault, delay_s=draw.uniform(0.02, 0.2))
             await asyncio.sleep(pause_s)
             proxy.set_fault(_LinkFault.NONE)
@@ -201,7 +202,7 @@
             await self._replace_replica()
 
     async def _drain_replica(self, draw: random.Random) -> None:
-        """Has a replica leave; its successor comes first."""
+        """Starts a replica's successor, then has the replica leave."""
         replica_id = self._random_replica(draw)
         await self._replace_replica()
         replica = self._trial.replicas[replica_id]
--- a/src/nutmeghook/experiment/soak_trial.py
+++ b/src/nutmeghook/experiment/soak_trial.py
@@ -1,4 +1,4 @@
-"""A platform behind loopback proxies, with routers that come and go."""
+"""A platform trial with loopback proxies before the store and replicas."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class SoakTrial(platform_trial.PlatformTrial):
-    """A platform behind proxies, with routers that come and go."""
+    """A platform trial with a proxy on each link and a record of faults."""
 
     def __init__(self, *, folder: pathlib.Path, seed: int, routers: int):
         super().__init__(folder=folder, seed=seed, routers=routers)
@@ -42,7 +42,7 @@
         data_centre: str = "hall",
         cold_left_s: float = 0.0,
     ) -> None:
-        """Starts a replica and notes where, and until when it is cold."""
+        """Starts a replica; records its data centre and when it is cold."""
         self.data_centres[replica_id] = data_centre
         if cold_left_s:
             listed_s = asyncio.get_running_loop().time()
@@ -79,14 +79,14 @@
     def reply(
         self, request: users_replica.SeenRequest, version: str
     ) -> users_replica.Reply:
-        """Notes which answers the replica itself breaks off."""
+        """Records which answers the replica itself breaks off."""
         reply = super().reply(request, version)
         if reply.send_bytes is not None or reply.status >= 500:
             self.broken.add(request.request_id)
         return reply
 
     async def end(self) -> None:
-        """Ends everything that was started here."""
+        """Resumes paused routers, then ends all parts and the proxies."""
         for router in self.routers:
             if router.process and router.process.returncode is None:
                 router.resume()
@@ -105,10 +105,10 @@
         *,
         is_stop: bool = False,
     ):
-        """Notes a trouble once it has ended."""
+        """Records a fault that lasts as long as the context."""
         loop = asyncio.get_running_loop()
         from_s = loop.time()
-        # Noted as lasting for ever until it ends: a check may come first.
+        # Recorded as endless at first: the checks may run before it ends.
         position = len(self.injected_faults)
         fault = soak_checks.InjectedFault(
             kind=kind,
@@ -126,19 +126,19 @@
             )
 
     def close_replica_address(self, replica_id: str) -> None:
-        """Has the proxy of a replica that has ended refuse connections."""
+        """Has the proxy of a crashed replica refuse connections."""
         self.replica_proxies[replica_id].close()
 
     def unexpected_exits(self) -> list[str]:
-        """Returns which routers ended by themselves."""
+        """Returns the routers that exited unexpectedly."""
         return [
-            f"{router.name} ended by itself with status {status}"
+            f"{router.name} exited unexpectedly with status {status}"
             for router in self.routers
             for status in router.unexpected_exits
         ]
 
     def history(self) -> soak_checks.History:
-        """Returns all that was seen."""
+        """Returns the soak's history."""
         replicas = self.all_replicas()
         return soak_checks.History(
             calls=self.calls,
--- a/src/nutmeghook/experiment/system.py
+++ b/src/nutmeghook/experiment/system.py
@@ -1,4 +1,4 @@
-"""A whole running system: stand-ins and entry instances as processes."""
+"""Runs a whole system: stand-ins and entry instances as processes."""
 
 import asyncio
 import collections.abc
@@ -44,12 +44,12 @@
 
 
 class System:
-    """Starts and ends everything; knows the addresses.
+    """Starts and ends all processes and calls the stand-ins.
 
     Attributes:
-        addresses: Where the stand-ins are.
+        addresses: Of the stand-ins.
         instances: The entry instances that were started, ended ones too.
-        administrator_token: May change everything.
+        administrator_token: A token with all permissions.
     """
 
     __slots__ = (
@@ -100,7 +100,7 @@
     async def start_instance(
         self, *, name: str, region: str, data_centre: str
     ) -> RunningInstance:
-        """Starts an entry instance and has it listed."""
+        """Starts an entry instance and adds it to the platform's list."""
         process, ready = await processes.start(
             name=name,
             program=self._program,
@@ -159,12 +159,12 @@
         await self.control("instances", "put", msgspec.json.encode(listed))
 
     async def unlist_instance(self, instance: RunningInstance) -> None:
-        """Takes an entry instance off the platform's list."""
+        """Removes an entry instance from the platform's list."""
         body = msgspec.json.encode({"address": instance.listen_address})
         await self.control("instances", "remove", body)
 
     async def control(self, name: str, verb: str, body: bytes) -> None:
-        """Calls a stand-in's control path."""
+        """Posts to a stand-in's control path."""
         url = f"{self.addresses.named(name).control}/{verb}"
         async with self._http.post(url, data=body) as response:
             response.raise_for_status()
@@ -185,7 +185,7 @@
     async def accept(
         self, edit: edits.Edit, *, reason: str, through: RunningInstance
     ) -> bodies.OperationAnswer:
-        """Has a change accepted by an instance."""
+        """Submits a change through an instance."""
         self._operations += 1
         async with self.administration(through) as client:
             return await client.submit(
@@ -198,7 +198,7 @@
     async def import_example(
         self, tokens: dict[str, str]
     ) -> bodies.OperationAnswer:
-        """Imports the example's configuration, and waits for its use."""
+        """Imports the example's configuration and waits until it is used."""
         answer = await self.accept(
             edits.ImportDocuments(
                 expected_revision=0,
@@ -214,7 +214,7 @@
         return answer
 
     async def start_agency_instance(self) -> RunningInstance:
-        """Starts the next instance, in the next of the Agency's centres."""
+        """Starts an instance in the next data centre of the Agency."""
         number = len(self.instances)
         region = example_fleet.AGENCY_REGION
         return await self.start_instance(
@@ -234,7 +234,7 @@
         )
 
     async def wait_until_ready(self, instance: RunningInstance) -> None:
-        """Waits until an instance says that it can serve."""
+        """Waits until an instance reports that it is ready."""
         url = f"http://{instance.listen_address}{READY_PATH}"
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
--- a/src/nutmeghook/experiment/trial.py
+++ b/src/nutmeghook/experiment/trial.py
@@ -1,4 +1,4 @@
-"""One judged run: a system under load, faults at will, then the checks."""
+"""A trial: a system under load and faults, followed by the checks."""
 
 import asyncio
 import datetime
@@ -30,10 +30,10 @@
 
 
 class Trial:
-    """Starts a system, sends work, and judges what came of it.
+    """Starts a system, sends work and checks the outcome.
 
     Attributes:
-        history: What callers saw.
+        history: What callers observed.
         config_times_s: How long each accepted change took to be in force.
         bills: Every bill record, set by `find_violations`.
     """
@@ -75,12 +75,12 @@
         )
 
     async def start(self, *, instances: int, preloaded: bool) -> None:
-        """Starts everything and imports the example's configuration.
+        """Starts the system and imports the example's configuration.
 
         Args:
             instances: How many entry instances.
-            preloaded: Engines have the versions of roll-outs already, for
-                runs too short to wait for orders to load them.
+            preloaded: Engines have loaded the versions of roll-outs, for
+                runs too short to wait until they are loaded.
         """
         await self.system.start_stand_ins(
             example_fleet.stand_ins(preloaded=preloaded)
@@ -114,7 +114,7 @@
     async def remove_instance(
         self, instance: system_module.RunningInstance
     ) -> None:
-        """Takes an ended instance off the balancer and the list."""
+        """Removes an ended instance from the balancer and the list."""
         self._balancer.remove(instance.listen_address)
         await self.system.unlist_instance(instance)
 
@@ -127,13 +127,13 @@
         ]
 
     async def accept(self, edit: edits.Edit, *, reason: str) -> None:
-        """Has a change accepted by the first running instance."""
+        """Submits a change through the first running instance."""
         started_s = time.monotonic()
         await self.system.accept(edit, reason=reason, through=self.running()[0])
         self.config_times_s.append(time.monotonic() - started_s)
 
     async def load(self, *, works: int, rate_per_s: float) -> None:
-        """Starts work at a steady rate, whatever becomes of earlier work."""
+        """Starts work at a steady rate, independent of earlier work."""
         slots = asyncio.Semaphore(MAX_CONCURRENT)
 
         async def one(assignment: workload_module.Assignment) -> None:
@@ -149,17 +149,17 @@
                 await asyncio.sleep(1 / rate_per_s)
 
     async def perform_one(self) -> None:
-        """Does one more piece of work."""
+        """Performs one piece of work."""
         await self._caller.perform(self._workload.draw())
 
     async def withdrawn(self) -> set[str]:
-        """Returns the withdrawn versions, as an instance tells them."""
+        """Returns the withdrawn versions, as reported by an instance."""
         async with self.system.administration(self.running()[0]) as client:
             status = await client.status()
         return {item.model_version for item in status.withdrawn}
 
     async def find_violations(self) -> list[checks.Violation]:
-        """Compares callers, backend servers and bills."""
+        """Runs all checks on the callers' history, the logs and the bills."""
         self.bills = await evidence_module.read_bill_records(self.system)
         return checks.check_all(
             evidence_module.build_evidence(
@@ -176,7 +176,7 @@
         )
 
     async def end(self) -> None:
-        """Ends all processes, also after a start that failed half-way."""
+        """Ends all processes, also after an incomplete start."""
         if self._readiness_polling is not None:
             self._readiness_polling.cancel()
         await self.system.end()
--- a/src/nutmeghook/experiment/trial_routers.py
+++ b/src/nutmeghook/experiment/trial_routers.py
@@ -1,4 +1,4 @@
-"""Routers as processes: their settings, their ports, and signals to them."""
+"""Router processes: their settings, ports and signals."""
 
 import asyncio
 import os
@@ -30,8 +30,8 @@
 coldOverrun = 1.5
 coldAllowance = 5"""
 
-# Below those that the system gives to outgoing connections. Two at a time are
-# taken by a router, one after the other.
+# Below the ephemeral ports of outgoing connections. In steps of two, since a
+# router uses the next port as well.
 _PORTS = iter(range(12_000, 32_000, 2))
 
 
@@ -40,8 +40,8 @@
 
     Attributes:
         address: Where callers connect.
-        ended: Statuses of starts that ended by themselves.
         starts: How often it was started.
+        unexpected_exits: Statuses of starts that exited by themselves.
     """
 
     __slots__ = (
@@ -89,15 +89,15 @@
             )
 
     def log_lines(self) -> list[bytes]:
-        """Returns what all its starts have logged."""
+        """Returns the log lines of all its starts."""
         return self._log.read_bytes().splitlines()
 
     def pause(self) -> None:
-        """Freezes the process."""
+        """Sends SIGSTOP."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets a frozen process go on."""
+        """Sends SIGCONT."""
         self._signal(signal.SIGCONT)
 
     async def kill(self) -> None:
@@ -111,7 +111,7 @@
         return await self.process.wait()
 
     def _signal(self, number: signal.Signals) -> None:
-        """Sends a signal, or notes that nobody is there to get it."""
+        """Sends a signal, or records that the process has already exited."""
         status = self.process.returncode
         if status is None:
             self.process.send_signal(number)
@@ -120,11 +120,10 @@
 
 
 def free_port() -> int:
-    """Returns a port that nobody listens on.
+    """Returns a port that nobody listens on, below the ephemeral ports.
 
-    The failure: a router that is started again finds its port taken, by an
-    outgoing connection that got it from the system meanwhile. So it is none
-    of those that the system gives, and each is given once.
+    With an ephemeral port, a restarted router could find its port taken by an
+    outgoing connection. No port is returned twice.
     """
     while True:
         port = next(_PORTS)
@@ -143,9 +142,9 @@
 
     Args:
         name: The router's.
-        store: Where it finds the store.
+        store: The address of the store.
         front_port: Where callers connect; 0 lets the system choose.
-        bounds: Further lines on the bounds it has to keep.
+        bounds: Further lines of the section `[bounds]`.
     """
     inner = free_port()
     return _SETTINGS.format(
--- a/src/nutmeghook/experiment/workload.py
+++ b/src/nutmeghook/experiment/workload.py
@@ -1,4 +1,4 @@
-"""The users' kinds of work, as a stream of requests with a fixed seed."""
+"""Generates the users' kinds of work as random requests from a seed."""
 
 import dataclasses
 import random
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Assignment:
-    """One piece of work to be done, before any try.
+    """One piece of work to be performed.
 
     Attributes:
         target: The template, or for plain services the path below
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class WorkProfile:
-    """How one kind of work looks.
+    """The parameters of one kind of work.
 
     Attributes:
         share: Relative frequency.
@@ -134,8 +134,8 @@
         once=True,
     ),
 )
-# Sessions that are open at once, by how many pieces of work (of all teams) they
-# last. New ones begin all the time: only those may get a version that is
+# Lengths of concurrent sessions, in pieces of work of all teams. Short ones
+# begin throughout a run, since only new sessions may get a version that is
 # rolling out. Long ones are still open after its withdrawal.
 SESSION_LENGTHS_WORKS = (150, 420)
 
@@ -184,7 +184,7 @@
         if not self._chance(kind.session_share):
             return ""
         length = self._randomness.choice(SESSION_LENGTHS_WORKS)
-        # An offset: long sessions begin in the middle of a run as well.
+        # With the offset, long sessions also begin in the middle of a run.
         generation = (self._count + length // 2) // length
         return f"{team}-{kind.target}-{length}-{generation}"
 
--- a/tests/cover/test_soak_checks.py
+++ b/tests/cover/test_soak_checks.py
@@ -71,11 +71,11 @@
 
     def test_a_refusal_that_is_not_true(self):
         refused = dataclasses.replace(CALL, status=503)
-        self.assert_found("called not run", calls=[refused])
+        self.assert_found("refused as not run", calls=[refused])
 
     def test_a_part_as_if_it_were_whole(self):
         part = dataclasses.replace(CALL, body=b"do")
-        self.assert_found("as if it were whole", calls=[part])
+        self.assert_found("partial answer that ended normally", calls=[part])
 
     def test_an_answer_without_a_seal(self):
         unsealed = dataclasses.replace(CALL, sealed=False)
@@ -85,7 +85,7 @@
         changed = {
             "nobody sent": {"headers": {"x-attempt-id": "other"}},
             "changed": {"body": b"promp"},
-            "key was passed on": {
+            "key was forwarded": {
                 "headers": REQUEST.headers | {"authorization": "Token key"}
             },
             "without its team": {"headers": {"x-attempt-id": "id"}},
@@ -99,7 +99,7 @@
         self.assert_nothing(calls=[], abandoned={"id"})
 
     def test_a_removed_key_that_is_let_in(self):
-        self.assert_found("by a removed key", removals=[REMOVAL])
+        self.assert_found("with a removed key", removals=[REMOVAL])
         late = soak_checks.violations(
             history(removals=[REMOVAL]), with_bounds=False
         )
@@ -108,7 +108,7 @@
     def test_a_removed_key_whose_request_reached_a_replica(self):
         denied = dataclasses.replace(CALL, status=401)
         self.assert_found(
-            "by a removed key", calls=[denied], removals=[REMOVAL]
+            "with a removed key", calls=[denied], removals=[REMOVAL]
         )
         self.assert_nothing(
             calls=[denied], removals=[REMOVAL], runs={}, received={}
@@ -119,7 +119,7 @@
             removals=[REMOVAL], injected_faults=[injected_fault()]
         )
         self.assert_found(
-            "by a removed key",
+            "with a removed key",
             removals=[REMOVAL],
             injected_faults=[injected_fault(router="router-2")],
         )
@@ -130,7 +130,7 @@
             CALL, request_id="before", status=401, sent_s=46.0, ended_s=46.1
         )
         self.assert_found(
-            "after the key's refusal",
+            "after its key was refused",
             calls=[refused, CALL],
             removals=[REMOVAL],
             injected_faults=[injected_fault()],
