--- a/src/nutmeghook/experiment/checks.py
+++ b/src/nutmeghook/experiment/checks.py
@@ -309,7 +309,7 @@
 
 
 def check_revisions(
-    seen: list[ObservedRevision],
+    reports: list[ObservedRevision],
     accepted: list[AcceptedRevision],
     *,
     frozen: frozenset[str] = frozenset(),
@@ -317,13 +317,13 @@
     """No instance reverts, and each has a change in force in time.
 
     Args:
-        seen: In the order in which the instances answered.
+        reports: In the order in which the instances answered.
         accepted: All committed changes.
         frozen: Instances that were stopped for a time. The time bound does
             not apply to them, but they may not revert either.
     """
     newest: dict[str, int] = {}
-    for observed in seen:
+    for observed in reports:
         before = newest.get(observed.instance, 0)
         newest[observed.instance] = max(before, observed.revision)
         if observed.revision < before:
--- a/src/nutmeghook/experiment/platform_trial.py
+++ b/src/nutmeghook/experiment/platform_trial.py
@@ -128,8 +128,8 @@
         """Sends requests until the router answers one."""
         async with asyncio.timeout(_CALL_TIMEOUT_S):
             while True:
-                seen = await self.call("probe", router=router)
-                if seen.status == 200:
+                probe = await self.call("probe", router=router)
+                if probe.status == 200:
                     return
                 await asyncio.sleep(0.1)
 
@@ -242,7 +242,7 @@
             # The caller gave up, but a replica may have the request.
             self.abandoned.add(request_id)
             raise
-        seen = platform_checks.ObservedCall(
+        observed = platform_checks.ObservedCall(
             request_id=request_id,
             kind=kind,
             key=key,
@@ -255,8 +255,8 @@
             ended_s=asyncio.get_running_loop().time(),
             router=f"{router.name}#{router.starts}",
         )
-        self.calls.append(seen)
-        return seen
+        self.calls.append(observed)
+        return observed
 
     def all_replicas(self) -> dict[str, users_replica.StandInReplica]:
         """Returns every replica that was started, ended ones too."""
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,8 +1,8 @@
-"""Runs every test module in a process of its own and sums up.
+"""Runs each test module in its own process and prints a summary.
 
 A failure listed in KNOWN-RED.txt is printed but does not fail the run. A
-listed test that passes does fail it: its line has to go. Only where the line
-gives "sometimes" as its cause's first word may the test pass too.
+listed test that passes fails the run, so that its line is removed, unless the
+first word of the line's cause is "sometimes".
 """
 
 import concurrent.futures
@@ -20,7 +20,7 @@
 
 
 class ModuleResult:
-    """What one test module's run printed and counted."""
+    """The output and the counts of one test module's run."""
 
     __slots__ = ("failed", "module", "output", "passed")
 
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Runs all modules, or those whose name holds an argument."""
+    """Runs all modules, or those whose name contains an argument."""
     wanted = sys.argv[1:]
     modules = [
         name
@@ -47,7 +47,7 @@
 
 
 def _modules() -> list[str]:
-    """Lists the test modules, whole-system ones first: they run longest."""
+    """Lists the test modules, the longest, in `tests.whole`, first."""
     paths = sorted((ROOT / "tests").rglob("test_*.py"))
     names = [".".join(p.relative_to(ROOT).with_suffix("").parts) for p in paths]
     return sorted(names, key=lambda name: ".whole." not in name)
@@ -83,9 +83,9 @@
 
 
 def _known_red() -> dict[str, bool]:
-    """Reads the tests whose failure is a known, unmended fault.
+    """Returns the tests that are known to fail.
 
-    The value tells whether a test fails sometimes only.
+    The value tells whether a test fails only sometimes.
     """
     path = ROOT / "KNOWN-RED.txt"
     if not path.exists():
--- a/tests/cover/test_configuration_steps.py
+++ b/tests/cover/test_configuration_steps.py
@@ -1,4 +1,4 @@
-"""A configuration that steps back for an instant is seen, and by what."""
+"""The check of configuration steps finds short reversions."""
 
 import asyncio
 import json
@@ -19,14 +19,14 @@
 from tests import relay_fixture
 
 SECOND = config_fleet.SECOND
-# How often trials ask an instance from outside what it has in force.
-ASKED_EVERY = SECOND / 10
+# How often trials poll an instance for its revision in force.
+POLL_PERIOD = SECOND / 10
 REVERTED = checks.Rule.REVERTED
-NOT_NOTED = checks.Rule.STEP_NOT_NOTED
+NOT_RECORDED = checks.Rule.STEP_NOT_NOTED
 
 
 def rules(*steps: tuple[int, int], now: int | None = None):
-    """Returns what is found in one instance's steps, each `before, after`."""
+    """Returns the rules broken by one instance's steps `(before, after)`."""
     found = configuration_steps.check_steps(
         [
             configuration_steps.Step(holder="a", revision=after, before=before)
@@ -38,35 +38,35 @@
 
 
 class StepsTest(unittest.TestCase):
-    """The check by itself, on histories with one defect each."""
+    """The check alone, on histories with one defect each."""
 
-    def test_a_chain_that_rises_is_right(self):
+    def test_a_rising_chain_is_valid(self):
         self.assertEqual(rules((0, 2), (2, 3), (3, 9), now=9), [])
 
-    def test_a_step_back_is_told_though_the_next_one_repairs_it(self):
+    def test_a_reversion_is_found_though_the_next_step_repairs_it(self):
         self.assertEqual(rules((0, 3), (3, 2), (2, 3), now=3), [REVERTED])
 
-    def test_the_same_again_is_no_step_forward(self):
+    def test_the_same_revision_again_is_a_reversion(self):
         self.assertEqual(rules((0, 3), (3, 3)), [REVERTED])
 
-    def test_a_step_back_that_was_not_noted_shows_in_the_next_one(self):
+    def test_an_unrecorded_reversion_shows_in_the_next_step(self):
         self.assertEqual(rules((0, 3), (2, 3)), [REVERTED])
 
-    def test_a_step_back_that_was_not_noted_shows_in_the_end(self):
+    def test_an_unrecorded_reversion_shows_at_the_end(self):
         self.assertEqual(rules((0, 3), now=2), [REVERTED])
 
-    def test_a_step_forward_that_was_not_noted_is_told(self):
-        self.assertEqual(rules((0, 3), (4, 5)), [NOT_NOTED])
-        self.assertEqual(rules((0, 3), now=4), [NOT_NOTED])
+    def test_an_unrecorded_advance_is_found(self):
+        self.assertEqual(rules((0, 3), (4, 5)), [NOT_RECORDED])
+        self.assertEqual(rules((0, 3), now=4), [NOT_RECORDED])
 
-    def test_instances_are_judged_each_by_its_own_past(self):
+    def test_instances_are_checked_separately(self):
         steps = [
             configuration_steps.Step(holder=name, revision=after, before=0)
             for name, after in (("a", 9), ("b", 2))
         ]
         self.assertEqual(list(configuration_steps.check_steps(steps)), [])
 
-    def test_a_ring_that_has_lost_events_is_not_called_right(self):
+    def test_a_ring_that_has_dropped_events_is_rejected(self):
         clock = clock_module.FakeClock()
         ring = events_module.EventRing(clock=clock, capacity_events=2)
         for revision in (1, 2, 3):
@@ -80,14 +80,14 @@
 
 
 class ShortRevertTest(unittest.IsolatedAsyncioTestCase):
-    """An instance's own configuration goes back between two questions."""
+    """An instance's configuration reverts between two polls."""
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
         self.fleet = config_fleet.ConfigFleet()
         self.fleet.start()
         self.addAsyncCleanup(self.fleet.stop)
-        self.told: list[checks.ObservedRevision] = []
+        self.polled: list[checks.ObservedRevision] = []
         self.address = self.fleet.addresses[0]
         first = config_fleet.operation("first", config_fleet.first_import())
         await self.fleet.accept(self.address, first)
@@ -109,10 +109,10 @@
     def replica(self) -> replica_module.ConfigReplica:
         return self.fleet.parts[self.address].replica
 
-    def ask(self) -> None:
-        """Asks all instances from outside, as a trial does."""
+    def poll(self) -> None:
+        """Polls all instances, as a trial does."""
         now_ms = self.fleet.clock.now().timestamp() * 1000
-        self.told.extend(
+        self.polled.extend(
             checks.ObservedRevision(
                 instance=address,
                 asked_ms=now_ms,
@@ -122,26 +122,25 @@
         )
 
     async def play(self) -> None:
-        """Has old news come between two questions, and newer ones after."""
-        self.ask()
-        await self.fleet.clock.advance(ASKED_EVERY / 4)
+        """Applies an older state between two polls, then reads the store."""
+        self.poll()
+        await self.fleet.clock.advance(POLL_PERIOD / 4)
         self.replica.apply_state(self.older)
-        await self.fleet.clock.advance(ASKED_EVERY / 4)
+        await self.fleet.clock.advance(POLL_PERIOD / 4)
         reading = self.fleet.parts[self.address].distributor.read_store()
         await asyncio.ensure_future(reading)
-        await self.fleet.clock.advance(ASKED_EVERY / 2)
-        self.ask()
+        await self.fleet.clock.advance(POLL_PERIOD / 2)
+        self.poll()
 
-    async def test_old_news_moves_nothing(self):
+    async def test_an_older_state_changes_nothing(self):
         await self.play()
         self.assertEqual(self.fleet.violations(), [])
 
-    async def test_a_revert_between_two_questions_is_found(self):
-        """Old news is put in force, and a read of the store repairs it.
-
-        An operator's withdrawal was undone for a twentieth of a second. Both
-        questions before and after are answered with the newest revision, so
-        the check of answers finds nothing; the instance's own notes tell.
+    async def test_a_reversion_between_two_polls_is_found(self):
+        """An older state is put in force and a read of the store repairs it,
+        so an operator's change is undone for less than 0.1 s. The polls before
+        and after it return the newest revision, so only the instance's events
+        show it.
         """
 
         def apply(replica, state):
@@ -152,12 +151,12 @@
             replica_module.ConfigReplica, "apply_state", apply
         ):
             await self.play()
-        self.assertEqual(list(checks.check_revisions(self.told, [])), [])
+        self.assertEqual(list(checks.check_revisions(self.polled, [])), [])
         found = self.fleet.violations()
         self.assertEqual([v.rule for v in found], [REVERTED])
         self.assertIn(self.address, found[0].marker)
 
-    async def test_so_is_one_that_is_noted_on_the_way_forward_only(self):
+    async def test_a_reversion_that_is_not_recorded_is_found(self):
         def apply(replica, state):
             replica._state = state
             return True
@@ -166,12 +165,12 @@
             replica_module.ConfigReplica, "apply_state", apply
         ):
             await self.play()
-        self.assertEqual(list(checks.check_revisions(self.told, [])), [])
+        self.assertEqual(list(checks.check_revisions(self.polled, [])), [])
         self.assertEqual([v.rule for v in self.fleet.violations()], [REVERTED])
 
 
 class RouterLogTest(unittest.TestCase):
-    """The same of a router on the users' platform, by its log."""
+    """The same check on the log of a router."""
 
     def setUp(self):
         self.lines: list[bytes] = []
@@ -194,21 +193,20 @@
                 relay_fixture.configuration(version=version), source="test"
             )
 
-    def test_versions_that_only_grow_are_right_at_each_start(self):
+    def test_rising_versions_of_each_start_are_valid(self):
         self.offer(in_force_module.ConfigurationInForce(), 4, 5, 4, 5, 9)
         self.lines.append(b"Traceback (most recent call last):\n")
         self.lines.append(b'{"message_type": "configur')
         self.offer(in_force_module.ConfigurationInForce(), 3, 9)
         self.assertEqual(self.rules(), [])
 
-    def test_an_older_version_that_is_taken_is_found(self):
-        """A peer that lags offers a configuration with a removed key.
-
-        It is in force until the next row of the store; callers may have been
-        let in by that key, or nobody asked meanwhile.
+    def test_an_older_version_that_is_applied_is_found(self):
+        """A lagging peer offers a configuration with a removed API key. It
+        stays in force until the next row of the store, and callers may be
+        admitted with that key.
         """
 
-        class TakesAll(in_force_module.ConfigurationInForce):
+        class AppliesAll(in_force_module.ConfigurationInForce):
             def offer(self, configuration, *, source):
                 before = self.current.version if self.current else None
                 self.current = configuration
@@ -220,14 +218,13 @@
                 )
                 return True
 
-        self.offer(TakesAll(), 5, 4, 6)
+        self.offer(AppliesAll(), 5, 4, 6)
         self.assertEqual(self.rules(), [REVERTED])
 
-    def test_a_version_that_is_forgotten_is_found(self):
-        """The configuration is lost in mid-life, and an older one taken.
-
-        The line says that nothing was in force before, as after a start; but
-        the process did not start anew.
+    def test_a_lost_configuration_is_found(self):
+        """A router loses its configuration and takes an older one. The log line
+        says that nothing was in force before, as after a start, but the process
+        did not restart.
         """
         held = in_force_module.ConfigurationInForce()
         self.offer(held, 4, 5)
--- a/tests/cover/test_soak_checks.py
+++ b/tests/cover/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""Each check of the soak is shown a history with its own defect."""
+"""Each check of the soak finds its defect in a history made for it."""
 
 import dataclasses
 import unittest
@@ -31,13 +31,13 @@
 
 
 def injected_fault(**changes) -> soak_checks.InjectedFault:
-    """Returns a trouble of the call's router at its time, changed."""
+    """Returns a fault of the call's router at its time, with changes."""
     fields = {"kind": "k", "router": "router-1", "from_s": 49.0, "to_s": 51.0}
     return soak_checks.InjectedFault(**(fields | changes))
 
 
 def history(**changes) -> soak_checks.History:
-    """Returns a history of one good call, changed."""
+    """Returns a history of one good call, with changes."""
     fields = {
         "calls": [CALL],
         "injected_faults": [],
@@ -54,13 +54,13 @@
 
 class SoakChecksTest(unittest.TestCase):
     def assert_found(self, words: str, **changes) -> None:
-        """Checks that just one violation is found, and which."""
+        """Checks that exactly one violation with these words is found."""
         found = soak_checks.violations(history(**changes))
         self.assertEqual(len(found), 1, found)
         self.assertIn(words, found[0])
 
     def assert_nothing(self, **changes) -> None:
-        """Checks that nothing is found."""
+        """Checks that no violation is found."""
         self.assertEqual(soak_checks.violations(history(**changes)), [])
 
     def test_a_good_history_has_no_violations(self):
@@ -69,11 +69,11 @@
     def test_a_second_run_of_what_may_run_once(self):
         self.assert_found("ran 2 times", runs={"id": 2})
 
-    def test_a_refusal_that_is_not_true(self):
+    def test_a_refusal_as_not_run_that_is_false(self):
         refused = dataclasses.replace(CALL, status=503)
         self.assert_found("refused as not run", calls=[refused])
 
-    def test_a_part_as_if_it_were_whole(self):
+    def test_a_partial_answer_that_ends_normally(self):
         part = dataclasses.replace(CALL, body=b"do")
         self.assert_found("partial answer that ended normally", calls=[part])
 
@@ -95,10 +95,10 @@
             with self.subTest(words):
                 self.assert_found(words, received={"r": [request]})
 
-    def test_a_request_that_was_given_up_is_nobody_s_fault(self):
+    def test_an_abandoned_request_is_no_violation(self):
         self.assert_nothing(calls=[], abandoned={"id"})
 
-    def test_a_removed_key_that_is_let_in(self):
+    def test_a_removed_key_that_is_admitted(self):
         self.assert_found("with a removed key", removals=[REMOVAL])
         late = soak_checks.violations(
             history(removals=[REMOVAL]), with_bounds=False
@@ -114,7 +114,7 @@
             calls=[denied], removals=[REMOVAL], runs={}, received={}
         )
 
-    def test_the_bound_holds_for_routers_without_trouble_only(self):
+    def test_the_bound_applies_only_to_routers_without_faults(self):
         self.assert_nothing(
             removals=[REMOVAL], injected_faults=[injected_fault()]
         )
@@ -124,8 +124,8 @@
             injected_faults=[injected_fault(router="router-2")],
         )
 
-    def test_a_key_that_comes_back_at_one_start_of_a_router(self):
-        """Trouble excuses a late change, never one that is taken back."""
+    def test_a_removed_key_that_one_start_of_a_router_admits_again(self):
+        """A fault excuses a late change, but not its reversion."""
         refused = dataclasses.replace(
             CALL, request_id="before", status=401, sent_s=46.0, ended_s=46.1
         )
@@ -162,7 +162,7 @@
         self.assert_nothing(**emptied(48.0))
         self.assert_nothing(**emptied(40.0), injected_faults=[injected_fault()])
 
-    def test_a_cold_replica_that_gets_too_much(self):
+    def test_a_cold_replica_that_gets_too_many_requests(self):
         cold = soak_checks.ColdTime(replica_id="r", from_s=40.0, to_s=60.0)
         self.assert_found(
             "cold r got 20",
@@ -180,13 +180,13 @@
             calls=[cut], injected_faults=[stop, injected_fault()]
         )
 
-    def test_a_router_that_does_not_end_well(self):
+    def test_a_router_that_exits_with_an_error(self):
         self.assert_found("status 1", stop_statuses=[1])
 
-    def test_more_repeats_than_the_budget_allows(self):
+    def test_more_retries_than_the_budget_allows(self):
         self.assert_found("arrivals of", received={"r": [REQUEST] * 60})
 
-    def test_a_bad_version_that_reaches_too_many(self):
+    def test_a_bad_version_that_runs_too_many_requests(self):
         self.assert_found("bad version ran", ordered_at_s=1.0, bad_runs=40)
 
     def test_a_bad_version_that_is_completed(self):
--- a/tests/cover/test_trial_routers.py
+++ b/tests/cover/test_trial_routers.py
@@ -1,4 +1,4 @@
-"""Routers of trials: their ports, and those that end by themselves."""
+"""Router processes of trials: their ports and unexpected exits."""
 
 import pathlib
 import tempfile
@@ -12,10 +12,10 @@
 
 
 class PortsTest(unittest.TestCase):
-    def test_no_port_is_one_that_outgoing_connections_get(self):
-        """A router of a soak ends and is started again. Meanwhile an outgoing
-        connection has got its inner port from the system; the router finds
-        the address in use and ends, and the soak breaks off.
+    def test_no_port_is_an_ephemeral_one(self):
+        """A router of a soak restarts after an outgoing connection has got the
+        router's inner port as its ephemeral port. The router finds the address
+        in use and exits, and the soak is aborted.
         """
         first_given = int(LOCAL_PORTS.read_text().split()[0])
         ports = [trial_routers.free_port() for _ in range(PORTS)]
@@ -24,9 +24,9 @@
 
 
 class EndedRouterTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_router_that_ended_by_itself_is_told(self):
-        """A router ends by itself, and the soak goes on to freeze it. It is
-        gone, and the soak broke off in place of telling so.
+    async def test_an_unexpected_exit_is_reported(self):
+        """A router exits unexpectedly before the soak pauses it. The signal to
+        the dead process must not abort the soak; the exit is reported.
         """
         with tempfile.TemporaryDirectory() as folder:
             trial = soak_trial.SoakTrial(
--- a/tests/whole/guarantee_case.py
+++ b/tests/whole/guarantee_case.py
@@ -1,4 +1,4 @@
-"""Runs a trial whose test acts and looks by itself while it goes on."""
+"""Runs a trial with a scenario that the test provides."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -31,27 +31,26 @@
 DRAIN_LAG_MS = 700
 POLL_S = 0.1
 POLL_TIMEOUT_S = 1.0
-# A change's acceptance time is read from the history, whose entry may be
-# older than any edit of these short runs.
+# Changes read from the history; more than the edits of these short runs.
 HISTORY_LIMIT = 50
 
 Scenario = Callable[[trial_module.Trial], Awaitable[None]]
 
 
 class _LogLine(msgspec.Struct, frozen=True, kw_only=True):
-    """What engines' and plain services' log lines have in common."""
+    """The common fields of engines' and plain services' log lines."""
 
     marker: str
     started_ms: float
 
 
 class GuaranteeCase(unittest.TestCase):
-    """A trial with three instances; each run is judged by all checks."""
+    """A trial with three instances; all checks apply to each run."""
 
     def run_trial(
         self, scenario: Scenario, *, drain_lag_ms: int = DRAIN_LAG_MS
     ):
-        """Runs a test's own course of events, then judges callers' works."""
+        """Runs a scenario, expects no violation and returns all work."""
         with tempfile.TemporaryDirectory() as folder:
             return asyncio.run(
                 self._run(pathlib.Path(folder), scenario, drain_lag_ms)
@@ -72,16 +71,16 @@
 
 
 class RevisionPoller:
-    """Asks running instances again and again what they have in force."""
+    """Polls running instances for the revision that they have in force."""
 
-    __slots__ = ("_system", "seen")
+    __slots__ = ("_system", "observed")
 
     def __init__(self, system: system_module.System):
         self._system = system
-        self.seen: list[checks.ObservedRevision] = []
+        self.observed: list[checks.ObservedRevision] = []
 
     async def run(self, instances: list[system_module.RunningInstance]) -> None:
-        """Asks until cancelled; an instance that can't answer is asked on."""
+        """Polls until cancelled; failed polls are ignored."""
         async with asyncio.TaskGroup() as tasks:
             for instance in instances:
                 tasks.create_task(self._poll(instance))
@@ -105,7 +104,7 @@
             TimeoutError,
         ):
             return
-        self.seen.append(
+        self.observed.append(
             checks.ObservedRevision(
                 instance=name,
                 asked_ms=asked_ms,
@@ -117,7 +116,7 @@
 async def accepted_changes(
     trial: trial_module.Trial, document: str
 ) -> list[checks.AcceptedRevision]:
-    """Returns a document's committed changes, as the history tells them."""
+    """Returns a document's committed changes from the history."""
     async with trial.system.administration(trial.running()[0]) as client:
         answer = await client.history(
             document=document, before=0, limit=HISTORY_LIMIT
@@ -144,8 +143,8 @@
 ) -> caller_module.Caller:
     """Returns a caller of one team that spreads tries over some instances.
 
-    It asks nobody whether they are ready, so that a frozen instance gets its
-    share of requests, which it takes up when it wakes.
+    Its balancer does not poll for readiness, so a frozen instance gets its
+    share of requests and reads them when it resumes.
     """
     token = secrets.token_urlsafe(24)
     await trial.accept(
@@ -179,8 +178,8 @@
 ) -> workload.Assignment:
     """Returns one generation that belongs to a session.
 
-    It has no key: with one, a frozen instance that wakes would first ask for
-    a claim, and could have caught up by the time of the answer.
+    It has no idempotency key: with one, a resumed instance would first ask for
+    a claim and could have caught up when it got the answer.
     """
     return workload.Assignment(
         marker=marker,
@@ -199,7 +198,7 @@
 async def departure(
     trial: trial_module.Trial, name: str, *, no_work_from_ms: float
 ) -> checks.Departure:
-    """Returns what a backend server's own log says of its work."""
+    """Returns the runs in a backend server's log."""
     content = await trial.system.read_control(name, "runs")
     lines = msgspec.json.decode(content, type=list[_LogLine])
     return checks.Departure(
--- a/tests/whole/test_binary.py
+++ b/tests/whole/test_binary.py
@@ -19,11 +19,11 @@
 from nutmeghook.internal.foundation import clock as clock_module
 from tools import binary
 
-# `make binary` names the file it has built; else the test builds its own, so
-# that an old one in `dist` is not taken for today's.
+# Set by `make binary` to the file it has built. Otherwise the test builds its
+# own, so that it does not run an outdated file in `dist`.
 GIVEN_BINARY = os.environ.get("TESTED_BINARY")
 WORKS = 20
-# The machine's own: its C library and its locales.
+# Files of the operating system: its C library and locales.
 _SYSTEM_FILES = re.compile(
     r"/(ld-linux|libc\.|libm\.|libdl\.|librt\.|libpthread\.|libutil\.|"
     r"libresolv\.)|^/usr/(lib|share)/(locale|.*gconv)"
@@ -53,9 +53,9 @@
 
 
 class CommandTest(unittest.TestCase):
-    """What ends by itself."""
+    """Commands that end by themselves."""
 
-    def test_help_is_that_of_the_source_tree(self):
+    def test_help_equals_that_of_the_source_tree(self):
         for arguments in (["--help"], ["serve", "--help"]):
             source = subprocess.run(
                 [sys.executable, "-m", "nutmeghook", *arguments],
@@ -71,23 +71,23 @@
             )
 
     def test_wrong_settings_are_all_named(self):
-        """An operator starts the file with a value that can't be and others
-        missing; all faults come at once, each with what to do, status 2.
+        """An operator starts the file with one wrong and several missing
+        settings. All faults are reported at once, with exit status 2.
         """
         done = run("check-settings", "--drain-lag-ms=soon")
         self.assertEqual(done.returncode, 2, done.stderr)
         for setting in ("drain_lag_ms", "table_url", "inner_credential"):
             self.assertIn(f"wrong setting: {setting}", done.stderr)
 
-    def test_modules_in_the_working_directory_are_not_taken(self):
-        """Somebody leaves a `json.py` where the file is started.
-        An interpreter's `-c` would import it instead of its own; here it must
-        not run, or whoever may write there could run code as an instance.
+    def test_modules_in_the_working_directory_are_not_imported(self):
+        """There is a `json.py` in the working directory. An interpreter with
+        `-c` would import it, so whoever may write to that directory could run
+        code as the instance.
         """
         (folder / "json.py").write_text("raise SystemExit('taken')")
         self.assertEqual(run("version").stdout.strip(), "0.1.0")
 
-    def test_the_demo_says_where_it_is(self):
+    def test_demo_refers_to_make_demo(self):
         done = run("demo")
         self.assertEqual(done.returncode, 2)
         self.assertIn("make demo", done.stderr)
@@ -95,7 +95,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Observed:
-    """What a packed instance did, and how it looked while it served."""
+    """A packed instance's results and its process while it served."""
 
     works: list[history.Work]
     children: list[psutil.Process]
@@ -106,7 +106,7 @@
 
 
 class ServeTest(unittest.TestCase):
-    """Against stand-ins, which run from the source tree."""
+    """The packed instance with stand-ins from the source tree."""
 
     @classmethod
     def setUpClass(cls):
@@ -122,7 +122,7 @@
         self.assertEqual(self.observed.children, [])
         self.assertEqual(self.observed.name, "nutmeghook")
 
-    def test_its_code_is_in_memory_only(self):
+    def test_extension_modules_are_loaded_from_memory(self):
         mapped = self.observed.mapped
         self.assertTrue(any("/memfd:uvloop" in path for path in mapped))
         foreign = [
@@ -138,8 +138,8 @@
         )
 
     def test_uses_no_io_uring(self):
-        """A kernel shows a ring among an instance's maps if it has one.
-        Many hosts forbid rings, and no process of ours may use one.
+        """Many hosts forbid io_uring, so an instance must not use it. A ring
+        would show in the process's memory maps.
         """
         rings = [m for m in self.observed.mapped if "io_uring" in m]
         self.assertEqual(rings, [])
--- a/tests/whole/test_cold_and_evacuated.py
+++ b/tests/whole/test_cold_and_evacuated.py
@@ -1,4 +1,4 @@
-"""Router processes, data centres that are emptied, and cold replicas."""
+"""Router processes with evacuated data centres and cold replicas."""
 
 import asyncio
 import pathlib
@@ -11,8 +11,8 @@
 from nutmeghook.internal.replicas import cold_senders
 
 IN_FORCE_S = 2.0
-# The service's own limit on a cold replica, and what RouterProcess settings
-# say of the most that it may get.
+# The service's rate limit on a cold replica, and the most requests that the
+# settings of RouterProcess allow in one second (coldOverrun, coldAllowance).
 COLD_PER_S = 8.0
 MOST_IN_ONE_SECOND = COLD_PER_S * 1.5 + 5
 COLD_S = 4.0
@@ -32,8 +32,8 @@
         self.addAsyncCleanup(self.trial.end)
         await self.trial.start()
 
-    def seen(self, *replica_ids: str) -> list[float]:
-        """Returns when requests reached some replicas, in order."""
+    def arrivals_s(self, *replica_ids: str) -> list[float]:
+        """Returns the arrival times of requests at some replicas, in order."""
         replicas = self.trial.all_replicas()
         return sorted(
             request.arrived_s
@@ -57,35 +57,37 @@
                 await asyncio.sleep(gap_s)
         return [task.result().status for task in sent]
 
-    async def test_an_evacuated_data_centre_gets_nothing_until_taken_back(self):
-        """An evacuation goes unheard, and its replicas get requests.
-        It is in force on every instance, for all kinds, and ends with its row.
+    async def test_an_evacuated_data_centre_gets_no_requests_until_the_end(
+        self,
+    ):
+        """An evacuation must be in force on every router for all kinds of
+        requests, or evacuated replicas still get some. It ends with its row.
         """
         await self.trial.add_replica("far-1", "v1", data_centre="annex")
         await asyncio.sleep(IN_FORCE_S)
         self.trial.operator.evacuate("hall")
         await asyncio.sleep(IN_FORCE_S)
         in_hall = [i for i in self.trial.replicas if i != "far-1"]
-        before = len(self.seen(*in_hall))
+        before = len(self.arrivals_s(*in_hall))
         for kind in ("stream", "once", "probe"):
             await self.calls(12, kind=kind)
-        self.assertEqual(len(self.seen(*in_hall)), before)
-        self.assertGreaterEqual(len(self.seen("far-1")), 36)
+        self.assertEqual(len(self.arrivals_s(*in_hall)), before)
+        self.assertGreaterEqual(len(self.arrivals_s("far-1")), 36)
         self.trial.operator.take_back("hall")
         await asyncio.sleep(IN_FORCE_S + COLD_S)
         await self.calls(12)
-        self.assertGreater(len(self.seen(*in_hall)), before)
+        self.assertGreater(len(self.arrivals_s(*in_hall)), before)
 
-    async def test_a_cold_replica_gets_no_more_than_it_bears(self):
-        """All instances turn to the one that is empty because it is cold.
-        In no second it gets more than it bears, and still it gets some.
+    async def test_a_cold_replica_gets_no_more_than_its_limit(self):
+        """A cold replica has the lowest load, so all routers would send to it
+        at once. It gets some requests, but within its limit in every second.
         """
         for replica_id in list(self.trial.replicas):
             self.trial.operator.strike_replica(replica_id)
         await self.trial.add_replica("cold-1", "v1", cold_left_s=60.0)
         await asyncio.sleep(cold_senders.SETTLING_TIME.total_seconds())
         await self.calls(150)
-        arrived_s = self.seen("cold-1")
+        arrived_s = self.arrivals_s("cold-1")
         worst = soak_checks.max_in_one_second(arrived_s)
         self.assertLessEqual(worst, MOST_IN_ONE_SECOND)
         self.assertGreater(len(arrived_s), 0)
--- a/tests/whole/test_crashing_requests.py
+++ b/tests/whole/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Copies of a crashing request at several routers, as processes."""
+"""Copies of a crashing request at several router processes."""
 
 import asyncio
 import pathlib
@@ -11,13 +11,13 @@
 from nutmeghook.experiment import trial_routers
 
 REPLICAS = 6
-# What the users' rule allows the fleet once three have ended under a request.
+# The users' limit once a request has crashed three replicas.
 RETRIES_AFTER_THREE = 3
-# Within this a router knows a replica that was listed.
+# Within this time a router knows a newly listed replica.
 LISTED_S = 0.5
-# Other work, without which the retry budget allows next to nothing.
+# Other requests; without them the retry budget allows hardly any retry.
 RATE_PER_S = 30.0
-# Copies to each router, from long enough after the third end on.
+# Copies to each router, once the bound after the third crash has passed.
 COPIES = 2
 
 
@@ -34,9 +34,9 @@
             await self.trial.add_replica(f"v1-{number}", "v1")
 
     async def copy(self, router: trial_routers.RouterProcess) -> None:
-        """Sends the request that no replica survives.
+        """Sends the crashing request.
 
-        Waits until whichever replicas it ended are back.
+        Waits until the replicas that it crashed have been replaced.
         """
         await self.trial.call(
             "stream", router=router, body=platform_checks.CRASHING_BODY
@@ -45,24 +45,23 @@
 
     @staticmethod
     async def end_of(load: asyncio.Task[None]) -> None:
-        """Ends the load."""
+        """Cancels the load."""
         load.cancel()
         await asyncio.wait({load})
 
     def arrivals_after(self, from_s: float) -> int:
-        """Returns how often it has reached a replica since."""
+        """Returns how often the crashing request reached a replica since."""
         return sum(
-            seen.body == platform_checks.CRASHING_BODY
-            and seen.arrived_s > from_s
+            request.body == platform_checks.CRASHING_BODY
+            and request.arrived_s > from_s
             for replica in self.trial.all_replicas().values()
-            for seen in replica.seen
+            for request in replica.seen
         )
 
-    async def test_the_fleet_knows_a_request_that_ended_three_replicas(self):
-        """Copies of a request that ends its replicas come to each router, one
-        of which was started only after three had ended. No router saw more
-        than some of the ends, and each sent its copies to replica after
-        replica: what one learnt of the request the others did not know.
+    async def test_all_routers_know_a_request_that_crashed_three_replicas(self):
+        """Copies of a request that crashes its replicas come to each router,
+        one of which starts only after three crashes. If routers don't share
+        what they know of the request, each crashes further replicas.
         """
         load = asyncio.create_task(
             self.trial.load(seconds=60.0, rate_per_s=RATE_PER_S)
@@ -77,7 +76,7 @@
         await killed.kill()
         await killed.start()
         await self.trial.wait_until_serving(killed)
-        # Replicas are back by then, and each router has been in touch.
+        # By then replicas are replaced and routers have exchanged state.
         await asyncio.sleep(soak_checks.UNDISTURBED_S)
         bound_s = asyncio.get_running_loop().time()
         self.assertGreater(bound_s, third_s + soak_checks.UNDISTURBED_S)
--- a/tests/whole/test_end_to_end.py
+++ b/tests/whole/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""One request end to end, through separate processes over TCP."""
+"""Requests end to end, through separate processes over TCP."""
 
 import asyncio
 import pathlib
@@ -12,7 +12,7 @@
 from nutmeghook.internal.foundation import clock as clock_module
 
 
-class ThinPathTest(unittest.TestCase):
+class EndToEndTest(unittest.TestCase):
     """Stand-ins, three entry instances and a caller."""
 
     def test_each_kind_of_work_is_answered(self):
--- a/tests/whole/test_guarantees_bills.py
+++ b/tests/whole/test_guarantees_bills.py
@@ -1,4 +1,4 @@
-"""Answers and their bills while no store can keep anything."""
+"""Answers and their bills while neither store responds."""
 
 import asyncio
 
@@ -13,17 +13,14 @@
 
 
 class BillTest(guarantee_case.GuaranteeCase):
-    """An instance's memory is lost while its bills are nowhere else."""
+    """An instance crashes while its bills are only in its memory."""
 
     def test_no_answer_before_its_bill_with_both_stores_silent(self):
-        """Callers wait for the end of their answers, or hear an error.
-
-        Both stores take requests and never answer. A second later an instance
-        dies with everything that it held. Whoever has a whole answer from it
-        must have a bill in a store: none may have been given while its bill
-        was in memory only. Refusals as "not run" are true meanwhile.
+        """Both stores accept requests and never answer, and an instance is
+        killed. An answer completed while its bill was only in that instance's
+        memory would stay unbilled. Refusals as "not run" must be true.
         """
-        works = self.run_trial(self._silence)
+        works = self.run_trial(self._stores_hang)
         tries = [one for work in works for one in work.tries]
         by_outcome = {
             outcome: sum(t.outcome is outcome for t in tries)
@@ -31,10 +28,10 @@
         }
         self.assertEqual(len(works), WORKS)
         self.assertGreater(by_outcome[history.TryOutcome.CUT], 0)
-        told = [t for t in tries if t.outcome is history.TryOutcome.NOT_RUN]
-        self.assertGreater(len([t for t in told if t.request_id]), 0)
+        refused = [t for t in tries if t.outcome is history.TryOutcome.NOT_RUN]
+        self.assertGreater(len([t for t in refused if t.request_id]), 0)
 
-    async def _silence(self, trial: trial_module.Trial) -> None:
+    async def _stores_hang(self, trial: trial_module.Trial) -> None:
         load = asyncio.create_task(
             trial.load(works=WORKS, rate_per_s=WORKS_PER_S)
         )
--- a/tests/whole/test_guarantees_leaving.py
+++ b/tests/whole/test_guarantees_leaving.py
@@ -20,7 +20,7 @@
 DRAIN_WORKS = 150
 DRAIN_WORKS_PER_S = 18.0
 DRAIN_APART_S = 0.5
-# By then each of six instances has some six streams under way.
+# By then each of six instances has about six streams in progress.
 DRAIN_AFTER_S = 2.0
 TEAM = "inspectors-north"
 KIND = workload.AGENCY_WORK[0]
@@ -30,17 +30,15 @@
 
 
 class LeavingBackendTest(guarantee_case.GuaranteeCase):
-    """Backend servers' own logs after they have said that they leave."""
+    """The logs of backend servers that have announced that they leave."""
 
     def test_no_new_work_with_a_kill_and_a_freeze(self):
-        """Callers would be cut off when the backend server ends.
-
-        One engine says in its reports that it leaves, another engine and a
-        plain service are marked on the platform's list, whose news is a
-        second old. Meanwhile an instance dies and its successor starts from
-        the list, and another stands still for 7 s with requests waiting in
-        its sockets. Three seconds after their word none of the three may
-        begin new work, not even by the one that wakes and never heard it.
+        """One engine announces in its load reports that it leaves; another
+        engine and a plain service are marked on the platform's list, which is
+        a second old. One instance is killed and replaced, and one is frozen
+        for 7 s with requests in its sockets. After 3 s none of the three may
+        get new work, or callers are cut off: not even from the frozen
+        instance, which resumes without having learnt of it.
         """
         self.departures: list[checks.Departure] = []
         self.run_trial(self._leave)
@@ -86,7 +84,7 @@
 
 
 async def _send_to_frozen(trial: trial_module.Trial) -> None:
-    """Sends requests that wait in its sockets until it wakes."""
+    """Sends requests that wait in its sockets until it resumes."""
     async with aiohttp.ClientSession() as http:
         caller = await guarantee_case.new_caller(
             trial, http, team=TEAM, instances=[trial.running()[1]]
@@ -101,7 +99,7 @@
 
 
 async def _busiest(trial: trial_module.Trial, pool: str) -> str:
-    """Returns the backend server that had most work, and so may get more."""
+    """Returns the backend server with the most work, likely to get more."""
     work = {}
     for served in trial.system.addresses.stand_ins:
         if served.name.startswith(pool):
@@ -113,14 +111,12 @@
 
 
 class DrainTest(guarantee_case.GuaranteeCase):
-    """All instances are replaced while long streams run."""
+    """All instances are replaced during long streams."""
 
     def test_replacing_all_instances_cuts_no_stream(self):
-        """Callers read streams of seconds to their end.
-
-        Three instances are told to end, half a second apart, with streams
-        under way that last longer than the balancer's lag. Each must finish
-        its own first; nobody sees a cut connection, on whichever instance.
+        """Three instances get SIGTERM, 0.5 s apart, with streams in progress
+        that outlast the load balancer's lag. An instance that exits before its
+        streams end would cut them.
         """
         works = self.run_trial(self._replace_all)
         tries = [one for work in works for one in work.tries]
@@ -138,8 +134,8 @@
     async def _replace_all(self, trial: trial_module.Trial) -> None:
         await faults.engines_give_long_answers(trial)
         first = list(trial.running())
-        # Before the load begins: on a busy machine a start takes longer than
-        # all of the load, and no stream would be left to cut.
+        # Before the load: on a busy machine the starts may take longer than the
+        # whole load, and no stream would be in progress.
         successors = [await trial.add_instance() for _ in first]
         for successor in successors:
             await trial.system.wait_until_ready(successor)
@@ -159,7 +155,7 @@
 def _outlasted_drain_lag(
     one: history.Try, address: str, terminated_ms: float
 ) -> bool:
-    """Tells whether it began before the order and ended after the lag."""
+    """Tells whether a try spanned the signal and the drain lag after it."""
     lag_ms = guarantee_case.DRAIN_LAG_MS
     return (
         one.instance == address
--- a/tests/whole/test_guarantees_versions.py
+++ b/tests/whole/test_guarantees_versions.py
@@ -1,4 +1,4 @@
-"""Withdrawals and configuration, judged while instances stand still."""
+"""Withdrawals and configuration changes while instances are frozen."""
 
 import asyncio
 import time
@@ -22,27 +22,25 @@
 TEMPLATE = trial_module.GOOD_ROLLOUT_TEMPLATE
 KIND = next(k for k in workload.AIRLINE_WORK if k.target == TEMPLATE)
 SESSIONS = 16
-PAUSE_S = 0.05
+GAP_S = 0.05
 BEFORE_S = 1.5
-# The instance wakes after the bound, and takes work again before the end.
+# It resumes after the bound of the change and serves again before the end.
 FREEZE_S = 5.0
 AFTER_S = 11.5
-ASKED_AFTER_S = 3.0
+SEND_AFTER_S = 3.0
 IN_FORCE_S = 4.5
 
 
 class WithdrawalTest(guarantee_case.GuaranteeCase):
-    """Sessions that are pinned to a version when it is withdrawn."""
-
-    def test_pinned_sessions_leave_it_on_every_instance(self):
-        """Sessions of long life have a version that is withdrawn.
-
-        An instance stands still from before the withdrawal until a second
-        after its bound, with requests of these sessions waiting in its sockets.
-        When it wakes, its configuration still says that the version serves,
-        and the template's policy is to keep serving whatever its age. Callers
-        must hear "not run" there until it has caught up, and get the other
-        version's answers everywhere else.
+    """Withdrawal of a version to which sessions are pinned."""
+
+    def test_pinned_sessions_leave_a_withdrawn_version_everywhere(self):
+        """Long sessions use a version that is withdrawn while an instance is
+        frozen, until a second after the bound, with requests of these sessions
+        in its sockets. When it resumes, its stale configuration still allows
+        the version, and the template's policy is to keep serving at any age.
+        It must refuse as "not run" until it has caught up; all other instances
+        answer with the other version.
         """
         works = self.run_trial(self._withdraw)
         sessions = {w.session for w in works if w.session}
@@ -59,13 +57,13 @@
             frozen = await guarantee_case.new_caller(
                 trial, http, team=TEAM, instances=[trial.running()[1]]
             )
-            ends_s = time.monotonic() + BEFORE_S + AFTER_S
+            end_s = time.monotonic() + BEFORE_S + AFTER_S
             async with asyncio.TaskGroup() as tasks:
                 for number in range(SESSIONS):
-                    tasks.create_task(_converse(caller, number, ends_s))
+                    tasks.create_task(_send_repeatedly(caller, number, end_s))
                 await asyncio.sleep(BEFORE_S)
                 tasks.create_task(_freeze(trial.running()[1].process))
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(GAP_S)
                 await trial.accept(
                     edits.WithdrawVersion(
                         team=TEAM,
@@ -74,9 +72,9 @@
                     ),
                     reason="complaints",
                 )
-                await asyncio.sleep(ASKED_AFTER_S)
+                await asyncio.sleep(SEND_AFTER_S)
                 for number in range(SESSIONS):
-                    tasks.create_task(_ask(frozen, number, "waits"))
+                    tasks.create_task(_send_one(frozen, number, "waits"))
 
 
 async def _freeze(process: processes.ManagedProcess) -> None:
@@ -107,15 +105,15 @@
     )
 
 
-async def _converse(caller, number: int, ends_s: float) -> None:
+async def _send_repeatedly(caller, number: int, end_s: float) -> None:
     count = 0
-    while time.monotonic() < ends_s:
+    while time.monotonic() < end_s:
         count += 1
-        await _ask(caller, number, str(count))
-        await asyncio.sleep(PAUSE_S)
+        await _send_one(caller, number, str(count))
+        await asyncio.sleep(GAP_S)
 
 
-async def _ask(caller, number: int, mark: str) -> None:
+async def _send_one(caller, number: int, mark: str) -> None:
     await caller.perform(
         guarantee_case.generation(
             marker=f"g{number}x{mark}",
@@ -127,33 +125,31 @@
 
 
 class ConfigurationTest(guarantee_case.GuaranteeCase):
-    """What each instance says it has in force, asked ten times a second."""
-
-    def test_no_instance_goes_back_or_comes_late(self):
-        """Operators read a change as in force and never see it go again.
+    """The revision that each instance reports, polled ten times a second."""
 
-        Two operators race five times while the table service loses answers
-        and one instance stands still. Another dies, and its successor starts
-        and learns from its peers. The frozen one wakes with messages
-        of before in its sockets; nobody may take anything old from it.
+    def test_no_instance_reverts_or_is_late(self):
+        """Two operators race five times while the table service loses answers
+        and one instance is frozen. Another is killed, and its successor learns
+        the configuration from its peers. The frozen one resumes with old
+        messages in its sockets; no instance may revert to an older revision.
         """
-        self.seen: list[checks.ObservedRevision] = []
+        self.observed: list[checks.ObservedRevision] = []
         self.accepted: list[checks.AcceptedRevision] = []
-        self.run_trial(self._race)
+        self.run_trial(self._race_operators)
         self.assertGreaterEqual(len(self.accepted), faults.RACES)
-        told = {said.instance for said in self.seen}
-        self.assertGreater(len(told), guarantee_case.INSTANCES)
+        polled = {report.instance for report in self.observed}
+        self.assertGreater(len(polled), guarantee_case.INSTANCES)
         newest = max(change.revision for change in self.accepted)
-        last = {said.instance: said.revision for said in self.seen}
+        last = {report.instance: report.revision for report in self.observed}
         self.assertEqual(last[self.frozen], newest)
         found = checks.check_revisions(
-            self.seen, self.accepted, frozen=frozenset({self.frozen})
+            self.observed, self.accepted, frozen=frozenset({self.frozen})
         )
         self.assertEqual(list(found), [])
-        # What ten questions a second can't see: steps back in between.
+        # Reversions between two polls show only in the instances' events.
         steps = [
             step
-            for process in self.noted
+            for process in self.recorded
             for step in configuration_steps.steps_of_events(
                 process.process, process.events
             )
@@ -164,7 +160,7 @@
         found = configuration_steps.check_steps(steps, now=now)
         self.assertEqual(list(found), [])
 
-    async def _race(self, trial: trial_module.Trial) -> None:
+    async def _race_operators(self, trial: trial_module.Trial) -> None:
         self.frozen = trial.running()[1].name
         poller = guarantee_case.RevisionPoller(trial.system)
         load = asyncio.create_task(trial.load(works=120, rate_per_s=20.0))
@@ -181,8 +177,8 @@
         finally:
             for task in polling:
                 task.cancel()
-        self.seen = poller.seen
-        self.noted = await timeline.fetch(
+        self.observed = poller.observed
+        self.recorded = await timeline.fetch(
             f"http://{trial.running()[0].listen_address}",
             trial.system.administrator_token,
         )
@@ -191,7 +187,7 @@
         )
 
     async def _replace_one(self, trial, poller, polling) -> None:
-        """Kills an instance; follows its successor once that is ready."""
+        """Kills an instance; polls its successor once that is ready."""
         await faults.kill_instance(trial)
         successor = trial.running()[-1]
         await trial.system.wait_until_ready(successor)
--- a/tests/whole/test_openai_client.py
+++ b/tests/whole/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The official `openai` client works against the path, unmodified."""
+"""The unmodified official `openai` client with the request path."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class OpenAIClientTest(unittest.IsolatedAsyncioTestCase):
-    """Over TCP, with the engine and the ledger faked."""
+    """Over TCP, with fakes of the engine and the ledger."""
 
     async def asyncSetUp(self):
         self.fixture = fakes.Fixture(clock=clock.SystemClock())
@@ -29,7 +29,7 @@
         )
         self.addAsyncCleanup(self.client.close)
 
-    async def test_completes_whole(self):
+    async def test_completes_without_streaming(self):
         completion = await self.client.chat.completions.create(
             model="review", messages=QUESTION
         )
--- a/tests/whole/test_openai_system.py
+++ b/tests/whole/test_openai_system.py
@@ -1,4 +1,4 @@
-"""The unmodified openai client against stand-ins and a real instance."""
+"""The unmodified openai client with a real instance and stand-ins."""
 
 import asyncio
 import pathlib
--- a/tests/whole/test_platform_trial.py
+++ b/tests/whole/test_platform_trial.py
@@ -1,4 +1,4 @@
-"""Routers as processes on a stand-in platform, with overlapping faults."""
+"""Router processes on a stand-in platform, with overlapping faults."""
 
 import asyncio
 import dataclasses
@@ -25,9 +25,9 @@
 class TrialTest(unittest.TestCase):
     def test_kill_stop_outage_removed_key_and_bad_version_together(self):
         """Under load a bad version is ordered, one router is killed and
-        another stopped, the store refuses everybody, a replica crashes and a
-        key is taken away. Callers get whole answers or the truth, nothing
-        that may run once runs twice, and the version is reverted.
+        another stopped, the store refuses all requests, a replica crashes and
+        an API key is removed. Callers get complete answers or true errors,
+        requests that may run once don't run twice, and the version is reverted.
         """
         with tempfile.TemporaryDirectory() as folder:
             report = asyncio.run(
@@ -39,10 +39,10 @@
 
 
 class ChecksCanFailTest(unittest.TestCase):
-    """Each check is shown a history with its own defect."""
+    """Each check finds its defect in a history made for it."""
 
     def found(self, *, runs: int = 1, stop_status: int = 0, **changes):
-        """Returns what is found of one call."""
+        """Returns the violations of one call."""
         call = dataclasses.replace(GOOD, **changes)
         return platform_checks.violations(
             calls=[call],
--- a/tests/whole/test_router_process.py
+++ b/tests/whole/test_router_process.py
@@ -1,4 +1,4 @@
-"""The router as a process, between stand-ins of the users' platform."""
+"""The router as a process, with stand-ins of the users' platform."""
 
 import asyncio
 import json
@@ -74,7 +74,7 @@
         )
 
     def environment(self) -> dict[str, str]:
-        """Returns the process's variables; the system chooses its ports."""
+        """Returns the process's environment; the system chooses its ports."""
         return os.environ | {
             settings.FILE_VARIABLE: str(self.file),
             settings.METRICS_PORT_VARIABLE: "0",
@@ -97,13 +97,13 @@
         raise AssertionError(f"the process ended before {kind}")
 
     async def served(self) -> str:
-        """Waits until the process knows enough to serve."""
+        """Waits until the process can serve; returns its address."""
         self.started = await self.line("process:started")
         await self.line("replica:listed")
         return self.started["address"]
 
     def stream_request(self, address: str):
-        """Returns a call for a stream; its answer is read as it comes."""
+        """Returns a request for a stream, to be read as it arrives."""
         return aiohttp.request(
             "POST",
             f"http://{address}/s/x",
@@ -116,8 +116,8 @@
         )
 
     async def test_a_stop_cuts_no_stream(self):
-        """SIGTERM comes while a stream is under way.
-        The stream ends whole, then the process ends by itself, status 0.
+        """SIGTERM arrives during a stream. The stream must be complete, then
+        the process exits with status 0.
         """
         self.replica.reply_from(
             [users_replica.Reply(events=tuple(range(20)), pause_s=0.05)]
@@ -132,10 +132,10 @@
         await self.line("process:ended")
         self.assertEqual(await self.process.wait(), 0)
 
-    async def test_a_request_s_log_leads_to_its_cause(self):
-        """A replica refuses, and an engineer has only the request's id.
-        The log says which replica, version and configuration it met, what
-        was heard back and how it ended.
+    async def test_the_log_of_a_request_gives_the_cause_of_its_failure(self):
+        """A replica refuses, and an engineer has only the request's id. The
+        log must give the replica, version and configuration, the response and
+        the request's outcome.
         """
         self.replica.reply_from([users_replica.Reply(status=503, not_run=True)])
         address = await self.served()
@@ -151,9 +151,9 @@
         self.assertEqual(failed["outcome"], "RefusedError")
         self.assertIn("no replica", ended["outcome"])
 
-    async def test_changed_settings_are_applied_and_wrong_ones_named(self):
-        """The settings file changes under a running process, with a signal.
-        Wrong settings leave it running on those it has.
+    async def test_changed_settings_are_applied_and_wrong_ones_reported(self):
+        """The settings file changes and the process gets SIGHUP. Wrong
+        settings are reported, and the process keeps those in force.
         """
         await self.served()
         good = self.file.read_text()
--- a/tests/whole/test_soak.py
+++ b/tests/whole/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks: routers as processes under troubles drawn from a seed."""
+"""Short soaks: router processes under faults drawn from a seed."""
 
 import asyncio
 import pathlib
@@ -9,30 +9,29 @@
 
 SEED = 1
 SECONDS = 6.0
-# Seeds that found something, played in full. Their causes:
-# 8: the store was away while a bad version should have got everything; on its
-#    return a router that had just started completed the roll-out. See also
-#    cover/test_version_driver, no_completion_right_after_a_store_outage.
+# Seeds that have found a defect, run in full, with the cause of each:
+# 8: a store outage lasted until a bad version's roll-out was due for
+#    completion; after it, a router that had just started completed it. See
+#    also cover/test_version_driver, no_completion_right_after_a_store_outage.
 SEEDS_THAT_FOUND = (8,)
-# The same, with copies of a request that ends its replicas:
-# 14: a replica of the bad version failed a copy before it ran it, which was
-#    taken for an answer and cleared the request. See also
-#    cover/test_crashing_requests, a_replica_s_own_failure_clears_nobody.
+# The same, with copies of a crashing request:
+# 14: a replica of the bad version failed a copy without running it, which
+#    counted as an answer and cleared the request. See also
+#    cover/test_crashing_requests, an_error_response_clears_no_request.
 CRASHING_SEEDS_THAT_FOUND = (14,)
 
 
 class SoakTest(unittest.TestCase):
-    def test_troubles_that_overlap_break_nothing_that_must_hold(self):
-        """Routers are killed, frozen and stopped; the store, the ways to it
-        and to replicas fail in turn; replicas crash and leave; a key goes and
-        comes back; a bad version is ordered; copies of a request that ends
-        its replicas come to any router; a data centre is emptied and its
-        replicas return cold. Callers get whole answers or the
-        truth, and all routers serve again afterwards.
+    def test_overlapping_faults_violate_no_guarantee(self):
+        """Routers are killed, frozen and stopped; the store and the links to
+        it and to replicas fail; replicas crash and leave; an API key is removed
+        and restored; a bad version is ordered; a crashing request is repeated;
+        a data centre is evacuated and returns cold. Callers get complete
+        answers or true errors, and all routers serve again afterwards.
         """
         self.play(SEED, seconds=SECONDS)
 
-    def test_seeds_that_once_found_something_find_nothing(self):
+    def test_seeds_that_have_found_a_defect_pass(self):
         for seed in SEEDS_THAT_FOUND:
             with self.subTest(seed=seed):
                 self.play(
@@ -53,7 +52,7 @@
         with_crashing: bool = True,
         with_evacuation: bool = True,
     ) -> None:
-        """Plays a seed and checks that all held."""
+        """Runs a seed and expects no violation."""
         with tempfile.TemporaryDirectory() as folder:
             report = asyncio.run(
                 soak.run(
--- a/tests/whole/test_trials_instances.py
+++ b/tests/whole/test_trials_instances.py
@@ -1,4 +1,4 @@
-"""Instances that die, freeze and leave, alone and with other faults."""
+"""Trials with instances that are killed, frozen and drained."""
 
 from nutmeghook.experiment import faults
 from nutmeghook.experiment import history
@@ -9,25 +9,24 @@
     """Kills, freezes and drains of entry instances."""
 
     def test_kill_with_calls_under_way(self):
-        """An instance dies with requests, claims and bills in its memory.
-        Its callers' connections are cut; they ask again under the same key
-        and hear the first answer, or that it is unknown: another instance
-        must not run the work again, nor bill it twice.
+        """An instance is killed with requests, claims and bills in memory. Its
+        callers retry with the same key and get the first answer, or an unknown
+        outcome. No other instance may run the work again or bill it twice.
         """
         self.check_under(faults.services_slow, faults.kill_instance)
 
     def test_freeze_past_the_lease_with_a_kill(self):
-        """An instance stands still for longer than its leases last, and
-        another dies meanwhile. The third takes their ledger partitions over.
-        The frozen one wakes in the middle of its commits and still believes
-        that it may write; its rows must not take effect.
+        """An instance is frozen for longer than its leases, and another is
+        killed. The third takes over their ledger partitions. The frozen one
+        resumes during its commits, unaware that its leases have expired; its
+        rows must not take effect.
         """
         self.check_under(faults.freeze_instance, faults.kill_instance)
 
     def test_drain_while_services_lose_answers(self):
-        """An instance is told to leave while plain services run calls and
-        lose the answers. Nobody's request may be cut by the shutdown, and a
-        booking whose answer was lost must not be sent a second time.
+        """An instance gets SIGTERM while plain services run calls and lose the
+        answers. The shutdown may cut no request, and a booking whose answer
+        was lost must not be sent a second time.
         """
         works = self.check_under(
             faults.services_lose_answers, faults.drain_instance
--- a/tests/whole/test_trials_stores.py
+++ b/tests/whole/test_trials_stores.py
@@ -1,4 +1,4 @@
-"""The platform's stores down, hanging, slow, losing answers, too late."""
+"""Trials with stores that are down, hang, are slow or lose answers."""
 
 from nutmeghook.experiment import faults
 from tests.whole import trial_case
@@ -8,36 +8,35 @@
     """Outages of the table service and the object store."""
 
     def test_both_stores_down(self):
-        """Neither store takes anything, so no claim and no bill can be made
-        durable. Callers are refused as "not run", and that is true; answers
-        that were under way wait for their bill, and none is given unbilled.
+        """Both stores fail, so no claim and no bill can become durable. Callers
+        are refused as "not run", which must be true. Answers in progress wait
+        for their bill; none may be completed unbilled.
         """
         self.check_under(faults.table_down, faults.objects_down)
 
     def test_lost_answers_with_a_kill(self):
-        """Commits take effect but their answers are lost, and an instance
-        dies before it has found out. Its successor reads the rows back; no
-        bill may be missing or doubled, no claim won by two.
+        """Commits take effect but their answers are lost, and an instance is
+        killed with such writes in doubt. Its successor reads the rows; no bill
+        may be missing or duplicate, and no claim won twice.
         """
         self.check_under(faults.table_loses_answers, faults.kill_instance)
 
     def test_late_effects_with_racing_operators(self):
-        """Commits whose outcome is unknown take effect half a second later,
-        while two operators replace the same template five times from the
-        same revision. One of the two is accepted each time, never both.
+        """Commits with an unknown outcome take effect 0.5 s later, while two
+        operators replace the same template five times from the same revision.
+        Exactly one of the two must be accepted each time.
         """
         self.check_under(faults.table_effects_late, faults.operators_race)
 
     def test_slow_table_with_a_freeze(self):
-        """Each call takes 0.4 s longer, renewals of leases too, while an
-        instance stands still past its leases and wakes.
+        """Each table call, lease renewals included, takes 0.4 s longer while an
+        instance is frozen past its leases and resumes.
         """
         self.check_under(faults.table_slow, faults.freeze_instance)
 
     def test_hanging_table_with_a_kill(self):
-        """The table service takes requests and never answers; an instance
-        dies while the bills of its answers wait. An answer that a caller has
-        whole must be billed: so none may have been given before its bill was
-        durable, here or in the object store.
+        """The table service never answers, and an instance is killed while
+        bills wait. A completed answer must be billed, so none may be completed
+        before its bill is durable in the table or the object store.
         """
         self.check_under(faults.table_hangs, faults.kill_instance)
--- a/tests/whole/trial_case.py
+++ b/tests/whole/trial_case.py
@@ -1,4 +1,4 @@
-"""Runs judged trials as tests."""
+"""Runs trials with faults as tests."""
 
 import asyncio
 import pathlib
@@ -16,10 +16,10 @@
 
 
 class TrialCase(unittest.TestCase):
-    """A trial ends without a violation, whatever was answered or refused."""
+    """Expects no violation in a trial; work may be answered or refused."""
 
     def check_under(self, *together: faults.Fault, works: int = WORKS):
-        """Brings faults about together under load and checks ten rules."""
+        """Injects faults together under load and runs the ten checks."""
         with tempfile.TemporaryDirectory() as folder:
             ended = asyncio.run(
                 self._run(pathlib.Path(folder), together, works)
