--- a/src/nutmeghook/experiment/trial.py
+++ b/src/nutmeghook/experiment/trial.py
@@ -1,4 +1,4 @@
-"""One judged run: a system under load, faults at will, then the checks."""
+"""A trial: a system under load and faults, followed by the checks."""
 
 import asyncio
 import datetime
@@ -22,7 +22,7 @@
 from nutmeghook.internal.ledger import records
 
 CONFIG_BOUND = datetime.timedelta(seconds=4)
-MOST_AT_ONCE = 200
+MAX_CONCURRENT = 200
 ROLLOUT_TEAM = "inspectors-north"
 ROLLOUT_TEMPLATE = "certificate-lookup"
 GOOD_ROLLOUT_TEAM = "siam-charter"
@@ -30,21 +30,21 @@
 
 
 class Trial:
-    """Starts a system, sends work, and judges what came of it.
+    """Starts a system, sends work and checks the outcome.
 
     Attributes:
-        history: What callers saw.
+        history: What callers observed.
         config_times_s: How long each accepted change took to be in force.
-        bills: Every bill record, set by `judge`.
+        bills: Every bill record, set by `find_violations`.
     """
 
     __slots__ = (
-        "_asking",
         "_balancer",
         "_caller",
         "_clock",
         "_http",
         "_random",
+        "_readiness_polling",
         "_tokens",
         "_workload",
         "bills",
@@ -65,7 +65,7 @@
             agency_teams=example_fleet.AGENCY_TEAMS,
             airline_teams=example_fleet.AIRLINE_TEAMS,
         )
-        self._asking: asyncio.Task[None] | None = None
+        self._readiness_polling: asyncio.Task[None] | None = None
         self._http: aiohttp.ClientSession | None = None
         self.history = history_module.History()
         self.config_times_s: list[float] = []
@@ -75,12 +75,12 @@
         )
 
     async def start(self, *, instances: int, preloaded: bool) -> None:
-        """Starts everything and imports the example's configuration.
+        """Starts the system and imports the example's configuration.
 
         Args:
             instances: How many entry instances.
-            preloaded: Engines have the versions of roll-outs already, for
-                runs too short to wait for orders to load them.
+            preloaded: Engines have loaded the versions of roll-outs, for
+                runs too short to wait until they are loaded.
         """
         await self.system.start_stand_ins(
             example_fleet.stand_ins(preloaded=preloaded)
@@ -99,7 +99,7 @@
         for _ in range(instances):
             await self.add_instance()
         await self.system.import_example(self._tokens)
-        self._asking = asyncio.create_task(self._balancer.run())
+        self._readiness_polling = asyncio.create_task(self._balancer.run())
 
     def teams(self) -> tuple[documents.Team, ...]:
         """Returns the teams as they were imported."""
@@ -111,10 +111,10 @@
         self._balancer.add(instance.listen_address)
         return instance
 
-    async def forget_instance(
+    async def remove_instance(
         self, instance: system_module.RunningInstance
     ) -> None:
-        """Takes an ended instance off the balancer and the list."""
+        """Removes an ended instance from the balancer and the list."""
         self._balancer.remove(instance.listen_address)
         await self.system.unlist_instance(instance)
 
@@ -127,18 +127,18 @@
         ]
 
     async def accept(self, edit: edits.Edit, *, reason: str) -> None:
-        """Has a change accepted by the first running instance."""
+        """Submits a change through the first running instance."""
         started_s = time.monotonic()
         await self.system.accept(edit, reason=reason, through=self.running()[0])
         self.config_times_s.append(time.monotonic() - started_s)
 
     async def load(self, *, works: int, rate_per_s: float) -> None:
-        """Starts work at a steady rate, whatever becomes of earlier work."""
-        slots = asyncio.Semaphore(MOST_AT_ONCE)
+        """Starts work at a steady rate, independent of earlier work."""
+        slots = asyncio.Semaphore(MAX_CONCURRENT)
 
         async def one(assignment: workload_module.Assignment) -> None:
             try:
-                await self._caller.do(assignment)
+                await self._caller.perform(assignment)
             finally:
                 slots.release()
 
@@ -148,25 +148,25 @@
                 tasks.create_task(one(self._workload.draw()))
                 await asyncio.sleep(1 / rate_per_s)
 
-    async def do_one(self) -> None:
-        """Does one more piece of work."""
-        await self._caller.do(self._workload.draw())
+    async def perform_one(self) -> None:
+        """Performs one piece of work."""
+        await self._caller.perform(self._workload.draw())
 
     async def withdrawn(self) -> set[str]:
-        """Returns the withdrawn versions, as an instance tells them."""
+        """Returns the withdrawn versions, as reported by an instance."""
         async with self.system.administration(self.running()[0]) as client:
             status = await client.status()
         return {item.model_version for item in status.withdrawn}
 
-    async def judge(self) -> list[checks.Violation]:
-        """Compares callers, backend servers and bills."""
-        self.bills = await evidence_module.bill_records(self.system)
+    async def find_violations(self) -> list[checks.Violation]:
+        """Runs all checks on the callers' history, the logs and the bills."""
+        self.bills = await evidence_module.read_bill_records(self.system)
         return checks.check_all(
-            evidence_module.evidence_of(
+            evidence_module.build_evidence(
                 works=self.history.works,
-                runs=await evidence_module.runs_of(self.system),
-                bills=evidence_module.bills_seen(self.bills),
-                withdrawals=await evidence_module.withdrawals_of(
+                runs=await evidence_module.read_runs(self.system),
+                bills=evidence_module.observed_bills(self.bills),
+                withdrawals=await evidence_module.read_withdrawals(
                     self.system,
                     through=self.running()[0],
                     bound=CONFIG_BOUND,
@@ -176,9 +176,9 @@
         )
 
     async def end(self) -> None:
-        """Ends all processes, also after a start that failed half-way."""
-        if self._asking is not None:
-            self._asking.cancel()
+        """Ends all processes, also after an incomplete start."""
+        if self._readiness_polling is not None:
+            self._readiness_polling.cancel()
         await self.system.end()
         if self._http is not None:
             await self._http.close()
--- a/tests/cover/test_soak_checks.py
+++ b/tests/cover/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""Each check of the soak is shown a history with its own defect."""
+"""Each check of the soak finds its defect in a history made for it."""
 
 import dataclasses
 import unittest
@@ -7,7 +7,7 @@
 from nutmeghook.experiment import soak_checks
 from nutmeghook.standins import users_replica
 
-CALL = platform_checks.CallSeen(
+CALL = platform_checks.ObservedCall(
     request_id="id",
     kind="once",
     key="key",
@@ -30,23 +30,23 @@
 REMOVAL = soak_checks.KeyRemoval(key="key", from_s=45.0, to_s=60.0)
 
 
-def trouble(**changes) -> soak_checks.Trouble:
-    """Returns a trouble of the call's router at its time, changed."""
+def injected_fault(**changes) -> soak_checks.InjectedFault:
+    """Returns a fault of the call's router at its time, with changes."""
     fields = {"kind": "k", "router": "router-1", "from_s": 49.0, "to_s": 51.0}
-    return soak_checks.Trouble(**(fields | changes))
+    return soak_checks.InjectedFault(**(fields | changes))
 
 
 def history(**changes) -> soak_checks.History:
-    """Returns a history of one good call, changed."""
+    """Returns a history of one good call, with changes."""
     fields = {
         "calls": [CALL],
-        "troubles": [],
+        "injected_faults": [],
         "removals": [],
-        "seen": {"r": [REQUEST]},
+        "received": {"r": [REQUEST]},
         "runs": {"id": 1},
         "broken": set(),
-        "given_up": set(),
-        "left_at_s": {},
+        "abandoned": set(),
+        "leaving_since_s": {},
         "stop_statuses": [0],
     }
     return soak_checks.History(**(fields | changes))
@@ -54,13 +54,13 @@
 
 class SoakChecksTest(unittest.TestCase):
     def assert_found(self, words: str, **changes) -> None:
-        """Checks that just one violation is found, and which."""
+        """Checks that exactly one violation with these words is found."""
         found = soak_checks.violations(history(**changes))
         self.assertEqual(len(found), 1, found)
         self.assertIn(words, found[0])
 
     def assert_nothing(self, **changes) -> None:
-        """Checks that nothing is found."""
+        """Checks that no violation is found."""
         self.assertEqual(soak_checks.violations(history(**changes)), [])
 
     def test_a_good_history_has_no_violations(self):
@@ -69,13 +69,13 @@
     def test_a_second_run_of_what_may_run_once(self):
         self.assert_found("ran 2 times", runs={"id": 2})
 
-    def test_a_refusal_that_is_not_true(self):
+    def test_a_refusal_as_not_run_that_is_false(self):
         refused = dataclasses.replace(CALL, status=503)
-        self.assert_found("called not run", calls=[refused])
+        self.assert_found("refused as not run", calls=[refused])
 
-    def test_a_part_as_if_it_were_whole(self):
+    def test_a_partial_answer_that_ends_normally(self):
         part = dataclasses.replace(CALL, body=b"do")
-        self.assert_found("as if it were whole", calls=[part])
+        self.assert_found("partial answer that ended normally", calls=[part])
 
     def test_an_answer_without_a_seal(self):
         unsealed = dataclasses.replace(CALL, sealed=False)
@@ -85,7 +85,7 @@
         changed = {
             "nobody sent": {"headers": {"x-attempt-id": "other"}},
             "changed": {"body": b"promp"},
-            "key was passed on": {
+            "key was forwarded": {
                 "headers": REQUEST.headers | {"authorization": "Token key"}
             },
             "without its team": {"headers": {"x-attempt-id": "id"}},
@@ -93,13 +93,13 @@
         for words, fields in changed.items():
             request = dataclasses.replace(REQUEST, **fields)
             with self.subTest(words):
-                self.assert_found(words, seen={"r": [request]})
+                self.assert_found(words, received={"r": [request]})
 
-    def test_a_request_that_was_given_up_is_nobody_s_fault(self):
-        self.assert_nothing(calls=[], given_up={"id"})
+    def test_an_abandoned_request_is_no_violation(self):
+        self.assert_nothing(calls=[], abandoned={"id"})
 
-    def test_a_removed_key_that_is_let_in(self):
-        self.assert_found("by a removed key", removals=[REMOVAL])
+    def test_a_removed_key_that_is_admitted(self):
+        self.assert_found("with a removed key", removals=[REMOVAL])
         late = soak_checks.violations(
             history(removals=[REMOVAL]), with_bounds=False
         )
@@ -108,40 +108,46 @@
     def test_a_removed_key_whose_request_reached_a_replica(self):
         denied = dataclasses.replace(CALL, status=401)
         self.assert_found(
-            "by a removed key", calls=[denied], removals=[REMOVAL]
+            "with a removed key", calls=[denied], removals=[REMOVAL]
         )
         self.assert_nothing(
-            calls=[denied], removals=[REMOVAL], runs={}, seen={}
+            calls=[denied], removals=[REMOVAL], runs={}, received={}
         )
 
-    def test_the_bound_holds_for_routers_without_trouble_only(self):
-        self.assert_nothing(removals=[REMOVAL], troubles=[trouble()])
+    def test_the_bound_applies_only_to_routers_without_faults(self):
+        self.assert_nothing(
+            removals=[REMOVAL], injected_faults=[injected_fault()]
+        )
         self.assert_found(
-            "by a removed key",
+            "with a removed key",
             removals=[REMOVAL],
-            troubles=[trouble(router="router-2")],
+            injected_faults=[injected_fault(router="router-2")],
         )
 
-    def test_a_key_that_comes_back_at_one_start_of_a_router(self):
-        """Trouble excuses a late change, never one that is taken back."""
+    def test_a_removed_key_that_one_start_of_a_router_admits_again(self):
+        """A fault excuses a late change, but not its reversion."""
         refused = dataclasses.replace(
             CALL, request_id="before", status=401, sent_s=46.0, ended_s=46.1
         )
         self.assert_found(
-            "after the key's refusal",
+            "after its key was refused",
             calls=[refused, CALL],
             removals=[REMOVAL],
-            troubles=[trouble()],
+            injected_faults=[injected_fault()],
         )
         elsewhere = dataclasses.replace(refused, router="router-1#2")
         self.assert_nothing(
-            calls=[elsewhere, CALL], removals=[REMOVAL], troubles=[trouble()]
+            calls=[elsewhere, CALL],
+            removals=[REMOVAL],
+            injected_faults=[injected_fault()],
         )
 
     def test_a_request_at_a_replica_that_has_left(self):
-        self.assert_found("which had left", left_at_s={"r": 47.0})
-        self.assert_nothing(left_at_s={"r": 48.0})
-        self.assert_nothing(left_at_s={"r": 47.0}, troubles=[trouble()])
+        self.assert_found("which had left", leaving_since_s={"r": 47.0})
+        self.assert_nothing(leaving_since_s={"r": 48.0})
+        self.assert_nothing(
+            leaving_since_s={"r": 47.0}, injected_faults=[injected_fault()]
+        )
 
     def test_a_request_at_an_evacuated_replica(self):
         place = {"data_centres": {"r": "annex"}}
@@ -154,35 +160,39 @@
 
         self.assert_found("an evacuated r", **emptied(40.0))
         self.assert_nothing(**emptied(48.0))
-        self.assert_nothing(**emptied(40.0), troubles=[trouble()])
+        self.assert_nothing(**emptied(40.0), injected_faults=[injected_fault()])
 
-    def test_a_cold_replica_that_gets_too_much(self):
+    def test_a_cold_replica_that_gets_too_many_requests(self):
         cold = soak_checks.ColdTime(replica_id="r", from_s=40.0, to_s=60.0)
         self.assert_found(
             "cold r got 20",
             cold=[cold],
-            seen={"r": [REQUEST] * 20},
+            received={"r": [REQUEST] * 20},
         )
         self.assert_nothing(cold=[cold])
 
     def test_a_request_cut_by_a_graceful_stop(self):
         cut = dataclasses.replace(CALL, status=0, body=b"", complete=False)
-        stop = trouble(is_stop=True, from_s=50.1)
-        self.assert_found("graceful stop", calls=[cut], troubles=[stop])
-        self.assert_nothing(calls=[cut], troubles=[stop], broken={"id"})
-        self.assert_nothing(calls=[cut], troubles=[stop, trouble()])
+        stop = injected_fault(is_stop=True, from_s=50.1)
+        self.assert_found("graceful stop", calls=[cut], injected_faults=[stop])
+        self.assert_nothing(calls=[cut], injected_faults=[stop], broken={"id"})
+        self.assert_nothing(
+            calls=[cut], injected_faults=[stop, injected_fault()]
+        )
 
-    def test_a_router_that_does_not_end_well(self):
+    def test_a_router_that_exits_with_an_error(self):
         self.assert_found("status 1", stop_statuses=[1])
 
-    def test_more_repeats_than_the_budget_allows(self):
-        self.assert_found("arrivals of", seen={"r": [REQUEST] * 60})
+    def test_more_retries_than_the_budget_allows(self):
+        self.assert_found("arrivals of", received={"r": [REQUEST] * 60})
 
-    def test_a_bad_version_that_reaches_too_many(self):
-        self.assert_found("bad version ran", order_s=1.0, bad_runs=40)
+    def test_a_bad_version_that_runs_too_many_requests(self):
+        self.assert_found("bad version ran", ordered_at_s=1.0, bad_runs=40)
 
     def test_a_bad_version_that_is_completed(self):
-        self.assert_found("was completed", order_s=1.0, final_state="completed")
+        self.assert_found(
+            "was completed", ordered_at_s=1.0, final_state="completed"
+        )
 
 
 if __name__ == "__main__":
