--- a/src/nutmeghook/internal/relay/attempts.py
+++ b/src/nutmeghook/internal/relay/attempts.py
@@ -113,7 +113,7 @@
     def _choose_attempt(self, job: job_module.Job) -> job_module.Grant:
         """Returns where an attempt goes that was not permitted before."""
         self._permission.reject_quarantined(job)
-        may_have_run = job.possibly_run
+        may_have_run = job.may_have_run
         service = self._routes.service_for(job, may_have_run=may_have_run)
         chosen = self._search.best(job, service, may_have_run=may_have_run)
         if chosen is not None:
--- a/src/nutmeghook/internal/relay/crash_detector.py
+++ b/src/nutmeghook/internal/relay/crash_detector.py
@@ -23,7 +23,7 @@
     requests that lost it.
     """
 
-    __slots__ = ("_metrics", "_pool", "_probes", "_registry")
+    __slots__ = ("_connection_probes", "_metrics", "_pool", "_registry")
 
     def __init__(
         self,
@@ -35,7 +35,9 @@
         self._registry = registry
         self._pool = pool
         self._metrics = metrics
-        self._probes: dict[str, asyncio.Task[pool_module.Reachability]] = {}
+        self._connection_probes: dict[
+            str, asyncio.Task[pool_module.Reachability]
+        ] = {}
 
     def is_quarantined(self, job: job_module.Job) -> bool:
         """Tells whether a request is quarantined."""
@@ -82,7 +84,7 @@
         """
         if not isinstance(error, outcomes.ConnectionLostError):
             return
-        probing = self._probe(prepared.replica)
+        probing = self._probe_connection(prepared.replica)
         begun = _had_begun(job)
         attempt = job.tries
 
@@ -97,17 +99,19 @@
         if self._registry.is_suspect(job.identity):
             await asyncio.wait({probing})
 
-    def _probe(
+    def _probe_connection(
         self, replica: replica_module.Replica
     ) -> asyncio.Task[pool_module.Reachability]:
         replica_id = replica.entry.replica_id
-        probing = self._probes.get(replica_id)
+        probing = self._connection_probes.get(replica_id)
         if probing is None:
             probing = asyncio.ensure_future(
                 self._pool.probe(replica.entry.address)
             )
-            self._probes[replica_id] = probing
-            probing.add_done_callback(lambda _: self._probes.pop(replica_id))
+            self._connection_probes[replica_id] = probing
+            probing.add_done_callback(
+                lambda _: self._connection_probes.pop(replica_id)
+            )
         return probing
 
     def _conclude(
--- a/src/nutmeghook/internal/relay/generation_times.py
+++ b/src/nutmeghook/internal/relay/generation_times.py
@@ -77,8 +77,8 @@
             for column, right in enumerate(inputs):
                 row[column] = _DECAY * row[column] + left * right
         for position, value in enumerate(inputs):
-            kept = _DECAY * self._targets[position]
-            self._targets[position] = kept + value * took_ms
+            decayed = _DECAY * self._targets[position]
+            self._targets[position] = decayed + value * took_ms
         self._fit()
 
     def _fit(self) -> None:
--- a/src/nutmeghook/internal/relay/home_regions.py
+++ b/src/nutmeghook/internal/relay/home_regions.py
@@ -5,7 +5,7 @@
 from nutmeghook.internal.relay import job as job_module
 from nutmeghook.internal.replicas import entries
 
-_Test = Callable[[entries.ReplicaEntry], bool]
+_Predicate = Callable[[entries.ReplicaEntry], bool]
 
 
 class HomeRegions:
@@ -20,7 +20,7 @@
     def __init__(self, *, region_of: Callable[[str], str | None]):
         self._region_of = region_of
 
-    def restrict(self, job: job_module.Job, accepts: _Test) -> _Test:
+    def restrict(self, job: job_module.Job, accepts: _Predicate) -> _Predicate:
         """Returns the test, restricted to replicas in the home regions."""
         homes = homes_of(job)
         if homes is None:
--- a/src/nutmeghook/internal/relay/job.py
+++ b/src/nutmeghook/internal/relay/job.py
@@ -117,7 +117,7 @@
         self.last_event_id: str | None = None
 
     @property
-    def possibly_run(self) -> bool:
+    def may_have_run(self) -> bool:
         """Tells whether a replica may have begun to work on it."""
         return self.runs > 0
 
--- a/src/nutmeghook/internal/relay/model_selector.py
+++ b/src/nutmeghook/internal/relay/model_selector.py
@@ -25,7 +25,7 @@
 _UTILITY_AT_1000_TOKENS = 1.38
 _UTILITY_EXPONENT = 0.38
 # Price of a prompt token, as a share of a generated one.
-_READ_TOKEN_PRICE = 0.25
+_PROMPT_TOKEN_PRICE = 0.25
 # Least weight of a request in its route's mean prompt length.
 _BASELINE_WEIGHT = 0.05
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -34,15 +34,15 @@
 class _BaselinePrompt:
     """Exponentially weighted mean length of a route's prompts."""
 
-    __slots__ = ("seen", "tokens")
+    __slots__ = ("count", "tokens")
 
     def __init__(self):
-        self.seen = 0
+        self.count = 0
         self.tokens = 0.0
 
     def note(self, tokens: int) -> None:
-        self.seen += 1
-        weight = max(_BASELINE_WEIGHT, 1.0 / self.seen)
+        self.count += 1
+        weight = max(_BASELINE_WEIGHT, 1.0 / self.count)
         self.tokens += weight * (tokens - self.tokens)
 
     def relative_size(self, tokens: int) -> float:
@@ -170,7 +170,7 @@
         service = services.get(job.service)
         if service is None:
             return 0.0
-        tokens = job.input_tokens * _READ_TOKEN_PRICE + job.output_tokens
+        tokens = job.input_tokens * _PROMPT_TOKEN_PRICE + job.output_tokens
         return service.model_costs.get(name, 0.0) * tokens / 1000.0
 
 
--- a/src/nutmeghook/internal/relay/retry_permission.py
+++ b/src/nutmeghook/internal/relay/retry_permission.py
@@ -99,7 +99,7 @@
         if self._crashes.is_probe_due(job):
             return
         reason = "replicas end under this request"
-        if job.possibly_run:
+        if job.may_have_run:
             raise self.final_rejection(job, reason=reason)
         raise rejections.RejectedError(
             wire.FixedResponse.NOT_RUN,
@@ -302,14 +302,14 @@
             rejections.RejectedError: Nothing has run, and the request's route
                 was removed or its key revoked.
         """
-        service = self._routes.service_for(job, may_have_run=job.possibly_run)
+        service = self._routes.service_for(job, may_have_run=job.may_have_run)
         return self._budgets.budget_for(service).try_spend()
 
     def final_rejection(
         self, job: job_module.Job, *, reason: str
     ) -> rejections.RejectedError:
         """Returns the rejection of a request that gets no further attempt."""
-        if job.possibly_run:
+        if job.may_have_run:
             return rejections.RejectedError(
                 wire.FixedResponse.FAILED_PERHAPS_RUN, reason=reason
             )
--- a/src/nutmeghook/internal/relay/streams.py
+++ b/src/nutmeghook/internal/relay/streams.py
@@ -272,10 +272,10 @@
             raise
 
 
-def _is_duplicate(event_id: str | None, last_passed: str | None) -> bool:
+def _is_duplicate(event_id: str | None, last_forwarded: str | None) -> bool:
     """Tells whether an event was forwarded before; ids are rising numbers."""
-    if event_id is None or last_passed is None:
+    if event_id is None or last_forwarded is None:
         return False
-    if not (event_id.isdigit() and last_passed.isdigit()):
+    if not (event_id.isdigit() and last_forwarded.isdigit()):
         return False
-    return int(event_id) <= int(last_passed)
+    return int(event_id) <= int(last_forwarded)
--- a/src/nutmeghook/internal/replicas/cold_senders.py
+++ b/src/nutmeghook/internal/replicas/cold_senders.py
@@ -26,7 +26,7 @@
 # instances, each hears from another one about every five seconds.
 SETTLING_TIME = datetime.timedelta(seconds=10)
 # Elections are recomputed this often at most.
-_RANKING_LIFETIME = datetime.timedelta(seconds=1)
+_ELECTION_LIFETIME = datetime.timedelta(seconds=1)
 
 
 class ColdSenders:
@@ -35,9 +35,9 @@
     __slots__ = (
         "_clock",
         "_contacted_within",
+        "_elected",
+        "_elected_at",
         "_instance_id",
-        "_ranked",
-        "_ranked_at",
         "_registered",
         "_registered_at",
     )
@@ -51,8 +51,8 @@
             [datetime.timedelta], Iterable[str]
         ] = lambda span: ()
         # By replica id and number of senders.
-        self._ranked: dict[tuple[str, int], bool] = {}
-        self._ranked_at = datetime.timedelta()
+        self._elected: dict[tuple[str, int], bool] = {}
+        self._elected_at = datetime.timedelta()
 
     def register(
         self,
@@ -82,14 +82,14 @@
         now = self._clock.monotonic()
         if now - self._registered_at < SETTLING_TIME:
             return False
-        if now - self._ranked_at > _RANKING_LIFETIME:
-            self._ranked.clear()
-            self._ranked_at = now
+        if now - self._elected_at > _ELECTION_LIFETIME:
+            self._elected.clear()
+            self._elected_at = now
         key = (replica_id, senders)
-        if key not in self._ranked:
+        if key not in self._elected:
             first = elect_senders(self._members(now), replica_id, senders)
-            self._ranked[key] = self._instance_id in first
-        return self._ranked[key]
+            self._elected[key] = self._instance_id in first
+        return self._elected[key]
 
     def _members(self, now: datetime.timedelta) -> set[str]:
         members = {self._instance_id, *self._contacted_within(MEMBER_RETENTION)}
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -195,11 +195,11 @@
         replica.note_cold(now + left)
 
     def recently_reported(
-        self, most: int, *, age: datetime.timedelta
+        self, max_count: int, *, age: datetime.timedelta
     ) -> list[replica_module.Replica]:
         """Returns the replicas with the latest load reports."""
         oldest = self._clock.monotonic() - age
-        found = itertools.islice(reversed(self._reported.values()), most)
+        found = itertools.islice(reversed(self._reported.values()), max_count)
         return [replica for replica in found if replica.report.at >= oldest]
 
     def begin_prefill(
@@ -221,9 +221,9 @@
         ):
             del self._with_backlog[replica_id]
 
-    def with_own_backlog(self, most: int) -> list[replica_module.Replica]:
+    def with_own_backlog(self, max_count: int) -> list[replica_module.Replica]:
         """Returns replicas with a backlog of this instance."""
-        return list(itertools.islice(self._with_backlog.values(), most))
+        return list(itertools.islice(self._with_backlog.values(), max_count))
 
     def backlog(
         self, replica: replica_module.Replica
--- a/src/nutmeghook/internal/rollout/controller.py
+++ b/src/nutmeghook/internal/rollout/controller.py
@@ -26,7 +26,7 @@
 _PAGES_PER_TICK = 5
 # Longest time for which ratings that change no decision stay unwritten. A
 # successor reads them from the rating service again, from the row's cursor on.
-_WRITE_EVERY = datetime.timedelta(seconds=10)
+_WRITE_INTERVAL = datetime.timedelta(seconds=10)
 
 
 class RolloutController:
@@ -75,7 +75,7 @@
         # Revision of the configuration at which a step was refused.
         self._refused_at: dict[pool_module.VersionKey, int] = {}
         self._row_version = table_module.ABSENT_VERSION
-        self._written_at = clock.monotonic() - _WRITE_EVERY
+        self._written_at = clock.monotonic() - _WRITE_INTERVAL
         self._waiting: set[pool_module.VersionKey] = set()
 
     async def run(self) -> None:
@@ -141,7 +141,7 @@
         if not self._dirty:
             return False
         waited = self._clock.monotonic() - self._written_at
-        return waited >= _WRITE_EVERY or pool_module.must_be_durable(
+        return waited >= _WRITE_INTERVAL or pool_module.must_be_durable(
             before, after
         )
 
--- a/src/nutmeghook/internal/routes/in_force.py
+++ b/src/nutmeghook/internal/routes/in_force.py
@@ -19,7 +19,7 @@
 
     def __init__(self):
         self.current: model.Configuration | None = None
-        self.newer_exists: Callable[[], bool] = _nobody_knows_more
+        self.newer_exists: Callable[[], bool] = _no_newer_version
 
     def offer(self, configuration: model.Configuration, *, source: str) -> bool:
         """Puts a configuration in force if it is newer than the current one.
@@ -43,5 +43,5 @@
         return True
 
 
-def _nobody_knows_more() -> bool:
+def _no_newer_version() -> bool:
     return False
--- a/src/nutmeghook/internal/suspects/registry.py
+++ b/src/nutmeghook/internal/suspects/registry.py
@@ -113,7 +113,7 @@
     __slots__ = (
         "_answered",
         "_clock",
-        "_seen_here",
+        "_noticed_here",
         "_suspects",
         "_unsent",
         "_unwritten",
@@ -129,7 +129,7 @@
             collections.OrderedDict()
         )
         # Requests with a crash that this instance noticed itself.
-        self._seen_here: set[bytes] = set()
+        self._noticed_here: set[bytes] = set()
         self._unsent: dict[bytes, None] = {}
         self._unwritten: dict[bytes, None] = {}
         self.updates = asyncio.Event()
@@ -142,7 +142,7 @@
         crash = ReplicaCrash(
             replica_hash=replica_hash, begun=begun, at=self._clock.monotonic()
         )
-        self._seen_here.add(identity)
+        self._noticed_here.add(identity)
         self.merge(Suspicion(identity=identity, crashes=(crash,)))
         if self.is_quarantined(identity):
             self.write_later(identity)
@@ -195,7 +195,7 @@
             )
             # Every crash may have been noticed by another instance, so that
             # none reaches the quarantine in `note_crash`.
-            if identity in self._seen_here:
+            if identity in self._noticed_here:
                 self.write_later(identity)
 
     def suspicion(self, identity: bytes) -> Suspicion:
@@ -259,9 +259,9 @@
             if self.is_quarantined(identity)
         ]
 
-    def take_updates(self, most: int) -> list[Suspicion]:
+    def take_updates(self, max_count: int) -> list[Suspicion]:
         """Returns some changes not sent to peers, and marks them as sent."""
-        taken = list(self._unsent)[:most]
+        taken = list(self._unsent)[:max_count]
         for identity in taken:
             del self._unsent[identity]
         if not self._unsent:
@@ -284,12 +284,12 @@
             self.unwritten.clear()
 
     def most_suspect(
-        self, most: int, *, age: datetime.timedelta
+        self, max_count: int, *, age: datetime.timedelta
     ) -> list[Suspicion]:
         """Returns suspicions to send to peers, the most suspect first.
 
         Args:
-            most: Maximum number to return.
+            max_count: Maximum number to return.
             age: Maximum age of suspicions with a single crash.
         """
         now = self._clock.monotonic()
@@ -300,7 +300,7 @@
             or (suspicion.crashes and now - suspicion.last_update_at <= age)
         ]
         selected.sort(key=lambda s: (s.weight, s.last_update_at), reverse=True)
-        return selected[:most]
+        return selected[:max_count]
 
     def _counted_from(
         self, cleared_at: datetime.timedelta | None
@@ -331,7 +331,7 @@
             self._suspects = {
                 s.identity: s for s in most_suspect[:_SUSPECTS_AFTER_TRIM]
             }
-            self._seen_here &= self._suspects.keys()
+            self._noticed_here &= self._suspects.keys()
 
     def _send_later(self, identity: bytes) -> None:
         self._unsent[identity] = None
--- a/src/nutmeghook/internal/upstream/pool.py
+++ b/src/nutmeghook/internal/upstream/pool.py
@@ -69,10 +69,10 @@
         Raises:
             outcomes.NotSentError: The replica did not accept.
         """
-        kept = self._idle.get(address)
+        idle = self._idle.get(address)
         now_s = self._loop.time()
-        while kept:
-            candidate = kept.pop()
+        while idle:
+            candidate = idle.pop()
             idle_s = now_s - candidate.idle_since_s
             limit_s = min(candidate.idle_limit_s, max_idle_s)
             if candidate.is_open and candidate.reusable and idle_s < limit_s:
@@ -127,11 +127,11 @@
     def _keep(
         self, address: str, connection: connection_module.ReplicaConnection
     ) -> None:
-        kept = self._idle.setdefault(address, [])
-        if len(kept) >= MAX_IDLE_PER_REPLICA:
+        idle = self._idle.setdefault(address, [])
+        if len(idle) >= MAX_IDLE_PER_REPLICA:
             connection.abort()
             return
-        kept.append(connection)
+        idle.append(connection)
 
     async def _open(
         self, address: str, *, timeout: datetime.timedelta = CONNECT_TIMEOUT
--- a/src/nutmeghook/internal/version_plans/baseline.py
+++ b/src/nutmeghook/internal/version_plans/baseline.py
@@ -82,10 +82,10 @@
 class BaselineAnswers:
     """Durations and failures of the stable version's answers."""
 
-    __slots__ = ("_answers", "_bad", "_count", "_log")
+    __slots__ = ("_answers", "_bad", "_count", "_mean_log")
 
     def __init__(self):
-        self._log: dict[str, float] = {}
+        self._mean_log: dict[str, float] = {}
         self._count: dict[str, int] = {}
         self._answers: dict[str, float] = {}
         self._bad: dict[str, float] = {}
@@ -94,16 +94,16 @@
         """Adds an answer of the stable version."""
         bad = self.is_bad(answer)
         for route in (answer.route, ALL_ROUTES):
-            fade = 1.0 - 1.0 / _BASELINE_MEMORY_ANSWERS
-            self._answers[route] = self._answers.get(route, 0.0) * fade + 1.0
-            self._bad[route] = self._bad.get(route, 0.0) * fade + bad
+            decay = 1.0 - 1.0 / _BASELINE_MEMORY_ANSWERS
+            self._answers[route] = self._answers.get(route, 0.0) * decay + 1.0
+            self._bad[route] = self._bad.get(route, 0.0) * decay + bad
         if answer.failed:
             return
         value = math.log(max(answer.duration_s, 1e-3))
         count = self._count.get(answer.kind, 0)
-        mean = self._log.get(answer.kind, value)
+        mean = self._mean_log.get(answer.kind, value)
         weight = max(_DURATION_WEIGHT, 1.0 / (count + 1))
-        self._log[answer.kind] = mean + weight * (value - mean)
+        self._mean_log[answer.kind] = mean + weight * (value - mean)
         self._count[answer.kind] = count + 1
 
     def is_bad(self, answer: ObservedAnswer) -> bool:
@@ -114,7 +114,7 @@
             return False
         if answer.duration_s < SLOW_FRACTION_OF_TARGET * answer.target_s:
             return False
-        baseline_s = math.exp(self._log[answer.kind])
+        baseline_s = math.exp(self._mean_log[answer.kind])
         return answer.duration_s > SLOW_FACTOR * baseline_s
 
     def tolerated_share(self, route: str) -> float:
--- a/src/nutmeghook/internal/version_plans/driver.py
+++ b/src/nutmeghook/internal/version_plans/driver.py
@@ -29,7 +29,7 @@
 # Shortest interval between two writes of evidence. Before the final report,
 # evidence is written only once it has grown by a bad answer, so a good version
 # costs no writes.
-_PUBLISH_EVERY = datetime.timedelta(milliseconds=600)
+_PUBLISH_INTERVAL = datetime.timedelta(milliseconds=600)
 
 
 class StatusRows(abc.ABC):
@@ -212,8 +212,8 @@
             await self._conclude(
                 order,
                 plan_module.Verdict.GOOD,
-                f"no evidence against the version: {known.bad_seen} of"
-                f" {known.answers_seen} answers known here were bad",
+                f"no evidence against the version: {known.bad_count} of"
+                f" {known.answer_count} answers known here were bad",
             )
 
     async def _begin(self, order: orders_module.RollOutOrder) -> None:
@@ -303,10 +303,10 @@
         weight = own.weight
         if weight < self._published.get(
             order.order_id, 0.0
-        ) + 1.0 and not self._owes_final_report(order, plan):
+        ) + 1.0 and not self._must_write_final_report(order, plan):
             return
         now = self._clock.monotonic()
-        if now - self._published_at < _PUBLISH_EVERY:
+        if now - self._published_at < _PUBLISH_INTERVAL:
             return
         self._published_at = now
         key = f"{TABLE}/{EVIDENCE_PREFIX}{order.service}/{self._instance_id}"
@@ -321,7 +321,7 @@
         if self._rollouts.progress.is_final_report_due(plan):
             self._final_reports_sent.add(order.order_id)
 
-    def _owes_final_report(
+    def _must_write_final_report(
         self,
         order: orders_module.RollOutOrder,
         plan: plan_module.PlanRow,
--- a/src/nutmeghook/internal/version_plans/evidence.py
+++ b/src/nutmeghook/internal/version_plans/evidence.py
@@ -121,15 +121,15 @@
         """How many answers and paces are known."""
         rows = [self._own, *self._peer_rows.values()]
         pace_count = sum(row.pace_count for row in rows)
-        return self.answers_seen + pace_count
+        return self.answer_count + pace_count
 
     @property
-    def answers_seen(self) -> int:
+    def answer_count(self) -> int:
         """How many answers of the version are known, of all instances."""
         return len(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
     @property
-    def bad_seen(self) -> int:
+    def bad_count(self) -> int:
         """How many of them were bad."""
         return sum(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
@@ -228,14 +228,14 @@
         if not self.exceeds_tolerance(replicas, baseline):
             return None
         chance = binomial_tail.probability_of_at_least(
-            self.bad_seen,
-            of=self.answers_seen,
+            self.bad_count,
+            of=self.answer_count,
             share=baseline.tolerated_share(baseline_module.ALL_ROUTES),
         )
         if chance > SUSPICION_SHARE:
             return None
         return (
-            f"{self.bad_seen} of {self.answers_seen} answers were bad at the"
+            f"{self.bad_count} of {self.answer_count} answers were bad at the"
             " end of the canary"
         )
 
@@ -251,7 +251,7 @@
         if failing < min(2, replicas):
             return False
         tolerated = baseline.tolerated_share(baseline_module.ALL_ROUTES)
-        return self.bad_seen > tolerated * self.answers_seen
+        return self.bad_count > tolerated * self.answer_count
 
     def _slowness(self, deviations: float) -> str | None:
         for measure in baseline_module.LatencyMeasure:
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -26,7 +26,7 @@
     Args:
         schedule: Which share a new version gets, and when.
         store_monitor: The store's time and availability.
-        answers_seen: How many answers of a plan's version are known here.
+        answer_count: How many answers of a plan's version are known here.
         clock: Measures time.
 
     Attributes:
@@ -34,7 +34,7 @@
     """
 
     __slots__ = (
-        "_answers_seen",
+        "_answer_count",
         "_clock",
         "_final_phase_since",
         "_had_long_outage",
@@ -48,12 +48,12 @@
         *,
         schedule: schedule_module.Schedule,
         store_monitor: follower.StoreMonitor,
-        answers_seen: Callable[[plan_module.PlanRow], int],
+        answer_count: Callable[[plan_module.PlanRow], int],
         clock: clock_module.Clock,
     ):
         self.schedule = schedule
         self._store_monitor = store_monitor
-        self._answers_seen = answers_seen
+        self._answer_count = answer_count
         self._clock = clock
         # Since when an order's final phase has lasted here with the store
         # reachable throughout.
@@ -96,7 +96,7 @@
         """
         if plan.order_id not in self._had_long_outage:
             return False
-        return self._answers_seen(plan) < ENOUGH_ANSWERS_AFTER_OUTAGE
+        return self._answer_count(plan) < ENOUGH_ANSWERS_AFTER_OUTAGE
 
     def is_canary_over(self, plan: plan_module.PlanRow) -> bool:
         """Tells whether all requests go to the new version now."""
@@ -134,11 +134,11 @@
             now = self._clock.monotonic()
             self._final_phase_since.setdefault(plan.order_id, now)
 
-    def note_store_unreachable(self, open_orders: Iterable[int]) -> None:
+    def note_store_unreachable(self, order_ids: Iterable[int]) -> None:
         """Records that the store does not answer, and the orders open then."""
         self._final_phase_since.clear()
         now = self._clock.monotonic()
         if self._unreachable_since is None:
             self._unreachable_since = now
         if now - self._unreachable_since >= LONG_OUTAGE:
-            self._had_long_outage = set(open_orders)
+            self._had_long_outage = set(order_ids)
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -72,7 +72,7 @@
         self.progress = progress_module.RollOutProgress(
             schedule=schedule,
             store_monitor=store_monitor,
-            answers_seen=self._answers_seen,
+            answer_count=self._answer_count,
             clock=clock,
         )
         self._sessions = sessions_module.SessionVersions(
@@ -169,11 +169,11 @@
             self._evidence[order.service] = pooled
         return pooled
 
-    def _answers_seen(self, plan: plan_module.PlanRow) -> int:
+    def _answer_count(self, plan: plan_module.PlanRow) -> int:
         seen = self._evidence.get(plan.service)
         if seen is None or seen.order_id != plan.order_id:
             return 0
-        return seen.answers_seen
+        return seen.answer_count
 
     def judge(self, order: orders_module.RollOutOrder) -> str | None:
         """Returns why the version is bad, or None while it isn't proven."""
--- a/tests/cover/test_crashing_requests.py
+++ b/tests/cover/test_crashing_requests.py
@@ -44,7 +44,7 @@
             return Reply(events=events, send_bytes=0, crash=True)
         return Reply(events=events)
 
-    async def bring_back(self) -> None:
+    async def restart_crashed(self) -> None:
         """Restarts each crashed replica under a new id."""
         for replica in self.replicas:
             if not replica.crashed.is_set():
@@ -56,11 +56,11 @@
 
     def arrivals(self, body: bytes = CRASHING) -> int:
         """Returns how often a request has reached replicas."""
-        return sum(seen.body == body for seen in self.seen())
+        return sum(seen.body == body for seen in self.received_requests())
 
 
 class CopiesAtOneInstanceTest(CrashingRequestCase):
-    async def test_copies_of_a_request_that_crashed_three_replicas(self):
+    async def test_copies_of_a_crashing_request_run_no_more_often(self):
         """A caller's request crashes each replica that runs it. The caller gets
         a failure and sends a copy with another id. If the instance knew
         requests by their ids only, each copy would crash three more replicas.
@@ -69,13 +69,13 @@
         after_three = self.arrivals()
         self.assertLessEqual(after_three, 3)
         for number in range(8):
-            await self.bring_back()
+            await self.restart_crashed()
             await self.ask(STREAM, request_id=f"copy-{number}", body=CRASHING)
         self.assertLessEqual(self.arrivals() - after_three, RETRIES_AFTER_THREE)
 
     async def test_a_copy_is_refused_at_once_and_not_run(self):
         await self.ask(STREAM, body=CRASHING)
-        await self.bring_back()
+        await self.restart_crashed()
         before = self.arrivals()
         answer = await self.ask(STREAM, request_id="copy", body=CRASHING)
         self.assertEqual(relay_fixture.status_of(answer), 503)
@@ -92,7 +92,7 @@
         self.decide_by(lambda _: replies.pop(0) if replies else ends)
         for number in range(6):
             await self.ask(STREAM, request_id=f"copy-{number}", body=CRASHING)
-            await self.bring_back()
+            await self.restart_crashed()
         self.assertLessEqual(self.arrivals(), 3 + RETRIES_AFTER_THREE)
 
     async def test_two_crashing_requests_are_each_stopped(self):
@@ -104,7 +104,7 @@
                     for i, body in enumerate(bodies)
                 )
             )
-            await self.bring_back()
+            await self.restart_crashed()
         for body in bodies:
             self.assertLessEqual(self.arrivals(body), 3 + RETRIES_AFTER_THREE)
 
@@ -113,7 +113,7 @@
             await self.ask(
                 IDEMPOTENT, request_id=f"copy-{number}", body=CRASHING
             )
-            await self.bring_back()
+            await self.restart_crashed()
         self.assertLessEqual(self.arrivals(), 3 + RETRIES_AFTER_THREE)
 
 
@@ -155,14 +155,14 @@
     async def crash_three(self) -> None:
         """Crashes and restarts three replicas, and waits for the probe."""
         await self.answer_to_copy()
-        await self.bring_back()
+        await self.restart_crashed()
         await self.clock.advance(registry_module.PROBE_DELAY + SECOND)
 
     async def test_a_probe_crashes_one_replica_at_most(self):
         await self.crash_three()
         await self.answer_to_copy()
         self.assertEqual(self.arrivals(), 4)
-        await self.bring_back()
+        await self.restart_crashed()
         await self.clock.advance(registry_module.PROBE_DELAY + SECOND)
         answer = await self.answer_to_copy()
         self.assertEqual(relay_fixture.status_of(answer), 503)
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -210,7 +210,7 @@
         answer = await self.ask(model.RouteKind.STREAM)
         self.assertEqual(relay_fixture.status_of(answer), 503)
         self.assertIn(b"retry-after", answer.lower())
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
         self.registry.restore("far")
         answer = await self.ask(model.RouteKind.STREAM)
         self.assertEqual(relay_fixture.status_of(answer), 200)
--- a/tests/cover/test_home_regions.py
+++ b/tests/cover/test_home_regions.py
@@ -60,7 +60,7 @@
         """Without a common home region, the request is refused and not run."""
         self.bind(route=("other-region",), team=("region",))
         self.assertEqual(await self.status(), 503)
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
 
     async def test_a_common_home_region_serves(self):
         self.bind(route=("other-region", "region"), team=("other-region",))
@@ -71,7 +71,7 @@
         self.directory.put(self.entry(self.remote, data_centre="unknown"))
         self.bind(route=("other-region",))
         self.assertEqual(await self.status(), 503)
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
 
 
 class DecodingTest(unittest.TestCase):
--- a/tests/cover/test_relay_callers.py
+++ b/tests/cover/test_relay_callers.py
@@ -47,7 +47,7 @@
             with self.subTest(options=options):
                 answer = await self.ask(ONCE, **options)
                 self.assertEqual(relay_fixture.status_of(answer), status)
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
 
     async def test_an_instance_that_knows_it_is_behind_denies_nothing(self):
         """A team gets a route and calls it at once. This instance has not
@@ -60,7 +60,7 @@
                 answer = await self.ask(ONCE, **options)
                 self.assertEqual(relay_fixture.status_of(answer), 503)
                 self.assertIn(b"Retry-After", answer)
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
 
     async def test_a_revoked_key_is_refused_on_a_kept_connection(
         self,
@@ -112,20 +112,20 @@
                 *((name, "1") for name in forged),
             ),
         )
-        (seen,) = self.seen()
+        (seen,) = self.received_requests()
         self.assertEqual(seen.headers["x-tenant"], relay_fixture.TEAM)
         self.assertNotIn("authorization", seen.headers)
         self.assertNotEqual(seen.headers["x-expect-replica"], "another")
         for name in forged:
             self.assertNotIn(name.lower(), seen.headers)
 
-    async def test_a_target_passes_as_it_came(self):
+    async def test_a_target_is_forwarded_unchanged(self):
         """The path holds what a library would normalise. The replica must get
         the caller's own bytes, or another resource runs.
         """
         target = "/idempotent/a%2fb/../c//d?x=%41&x=1+2"
         await self.ask(IDEMPOTENT, target=target)
-        self.assertEqual(self.seen()[0].target, target)
+        self.assertEqual(self.received_requests()[0].target, target)
 
     async def test_headers_are_neither_added_nor_lost(self):
         await self.ask(
@@ -137,7 +137,7 @@
                 ("X-Hop", "of this connection"),
             ),
         )
-        (seen,) = self.seen()
+        (seen,) = self.received_requests()
         self.assertEqual(seen.headers["x-own"], "one")
         for name in ("x-hop", "user-agent", "accept-encoding", "accept"):
             self.assertNotIn(name, seen.headers)
@@ -155,13 +155,13 @@
             body=b"0\r\n\r\nPOST /once/hidden HTTP/1.1\r\n\r\n",
         )
         self.assertEqual(relay_fixture.status_of(answer), 400)
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
 
     async def test_a_body_over_the_limit_is_refused(self):
         self.limit(body_bytes=10)
         answer = await self.ask(ONCE, body=b"x" * 11)
         self.assertEqual(relay_fixture.status_of(answer), 413)
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
 
     async def test_a_malformed_time_limit_is_named(self):
         answer = await self.ask(
@@ -223,7 +223,7 @@
         self.assertEqual(self.listener.in_flight, 0)
         self.assertEqual(self.listener.open_connections, 1)
         await self.arrival()
-        self.assertEqual(self.seen()[0].request_id, "1")
+        self.assertEqual(self.received_requests()[0].request_id, "1")
         connection.connection_lost(None)
 
     def fake_connection(self) -> listener_module.CallerConnection:
@@ -243,7 +243,7 @@
             ONCE,
             extra=(relay_fixture.AUTHORIZATION, (headers.TIME_LEFT, "800")),
         )
-        (seen,) = self.seen()
+        (seen,) = self.received_requests()
         left_ms = int(seen.headers[headers.TIME_LEFT.lower()])
         self.assertTrue(0 < left_ms <= 800)
 
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -75,7 +75,7 @@
         self.answer_in_turn(become_unreachable, refuse)
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(self.seen()), 4)
+        self.assertEqual(len(self.received_requests()), 4)
 
     async def test_a_reserved_attempt_counts_for_the_next_move(self):
         """A begun stream moves to a replica that stays silent. One retry is
@@ -148,7 +148,7 @@
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertEqual(len(first.received), 1)
-        self.assertEqual(len(self.seen()), 3)
+        self.assertEqual(len(self.received_requests()), 3)
         self.assertLess(self.budgets.budget_for("service").remaining(), 1)
 
     async def test_the_fallback_is_used_if_no_other_replica_is_listed(self):
@@ -202,7 +202,7 @@
             self.asking = await self.begun()
         before = self.budgets.budget_for("service").remaining()
         self.answer_in_turn(lambda _: Reply(silent=True))
-        while len(self.seen()) < 2:
+        while len(self.received_requests()) < 2:
             await self.clock.advance(driven_relay.STEP)
             await asyncio.sleep(0.001)
         self.assertEqual(
@@ -277,7 +277,9 @@
         )
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         name = headers.MODEL.lower()
-        asked = sorted((s.arrived_s, s.headers[name]) for s in self.seen())
+        asked = sorted(
+            (s.arrived_s, s.headers[name]) for s in self.received_requests()
+        )
         self.assertEqual(
             [model_name for _, model_name in asked], ["small", "large", "small"]
         )
@@ -328,7 +330,8 @@
         )
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         asked = sorted(
-            (s.arrived_s, s.headers[headers.MODEL.lower()]) for s in self.seen()
+            (s.arrived_s, s.headers[headers.MODEL.lower()])
+            for s in self.received_requests()
         )
         self.assertEqual(
             [name for _, name in asked], ["small", "large", "large", "small"]
@@ -366,7 +369,7 @@
                     )
                 )
             )
-        self.assertEqual(len(self.seen()), 3)
+        self.assertEqual(len(self.received_requests()), 3)
         self.assertEqual(keys[0], keys[-1])
 
 
--- a/tests/cover/test_relay_further_attempts.py
+++ b/tests/cover/test_relay_further_attempts.py
@@ -67,9 +67,9 @@
         self.assertFalse(replica.health.is_ejected(now))
         answer = await asking
         self.assertEqual(relay_fixture.body_of(answer), b"at last")
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
-    async def test_an_answer_that_comes_with_the_timeout_is_passed_on(self):
+    async def test_an_answer_that_comes_with_the_timeout_is_forwarded(self):
         """The process is busy, so the answer and the timeout arrive in one turn
         of the event loop. The answer must be forwarded, not dropped and
         requested from another replica.
@@ -78,9 +78,9 @@
         self.reply_with(Reply(body=b"in hand"), Reply(body=b"another"))
         answer = await self.answer_of(asyncio.create_task(self.ask(IDEMPOTENT)))
         self.assertEqual(relay_fixture.body_of(answer), b"in hand")
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
-    async def test_nor_is_one_that_comes_as_the_time_limit_ends(self):
+    async def test_an_answer_that_comes_at_the_time_limit_is_forwarded(self):
         """The same at the request's time limit."""
         self.put_in_force(relay_fixture.route(IDEMPOTENT, time_limit=SECOND))
         self.clock.late_waits = 1
@@ -106,7 +106,7 @@
         writer.close()
         async with asyncio.timeout(5):
             await replica.request_abandoned.wait()
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_own_failures_count_among_all_attempts(self):
         """Replicas refuse a request, and then all fail it. One limit applies to
@@ -121,7 +121,9 @@
         self.reply_with(*refusals, Reply(status=500, body=b"out of order"))
         answer = await self.answer_of(asyncio.create_task(self.ask(IDEMPOTENT)))
         self.assertEqual(relay_fixture.status_of(answer), 500)
-        self.assertEqual(len(self.seen()), retry_permission.MAX_TRIES)
+        self.assertEqual(
+            len(self.received_requests()), retry_permission.MAX_TRIES
+        )
 
 
 class SilentStreamsTest(driven_relay.BudgetedRelayCase):
@@ -148,7 +150,7 @@
         await self.clock.advance(0.7 * SECOND)
         answer = await asking
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_no_attempt_begins_after_the_time_limit(self):
         """A replica is found unreachable as the request's time ends. Another
@@ -164,7 +166,7 @@
         self.reply_with(Reply(silent=True), Reply(events=EVENTS))
         answer = await self.answer_of(asyncio.create_task(self.ask(STREAM)))
         self.assertEqual(relay_fixture.status_of(answer), 504)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_a_failure_and_a_cut_are_not_joined(self):
         """A replica fails a stream, and the next one breaks it off after it has
@@ -200,7 +202,7 @@
             asyncio.create_task(self.ask(STREAM, extra=driven_relay.ANY_MODEL))
         )
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
 
 class PermittedAttemptsTest(
@@ -222,7 +224,7 @@
         self.assertNotEqual(first, refusing)
         self.assertEqual(first, back)
 
-    async def test_the_last_retry_is_not_spent_on_leaving_a_replica(self):
+    async def test_the_last_retry_is_not_spent_on_abandoning_a_replica(self):
         """A begun stream's replica pauses, and the budget allows one attempt
         only. If that were refused, there would be no retry left for falling
         back, so the stream stays and comes whole.
@@ -234,9 +236,9 @@
         await self.clock.advance(9 * SECOND)
         answer = await asking
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
-    async def test_a_reservation_is_released_once_a_stream_goes_on(self):
+    async def test_a_reservation_is_released_once_a_stream_is_resumed(self):
         """A stream moves and goes on elsewhere. The retry reserved for falling
         back is released: one attempt was made, and one is paid for.
         """
@@ -248,7 +250,7 @@
             self.budgets.budget_for("service").remaining(), before - 1
         )
 
-    async def test_nor_does_one_that_can_not_be_sent(self):
+    async def test_a_further_attempt_that_can_not_be_sent_cuts_no_stream(self):
         """A begun stream's replica falls silent, and all others have stopped,
         as at a roll-out's end. The relay must fall back to the first instead of
         using up all attempts on them.
@@ -287,7 +289,7 @@
         self.other.reply_from([Reply(body=b"from the other")])
         return await self.answer_of(asyncio.create_task(self.ask(IDEMPOTENT)))
 
-    async def test_a_repeat_takes_from_the_budget_of_its_service(self):
+    async def test_a_retry_uses_the_budget_of_its_service(self):
         """A route moves to another service while its request is under way, and
         the replica at work crashes. The next attempt would go to the other
         service, whose retry budget is spent, so it must not be sent.
@@ -297,14 +299,14 @@
         self.assertEqual(relay_fixture.status_of(await self.asked()), 502)
         self.assertEqual(self.other.received, [])
 
-    async def test_and_not_from_that_of_the_service_it_leaves(self):
+    async def test_a_retry_does_not_use_the_budget_of_the_former_service(self):
         """The same, but the old service's budget is spent."""
         self.first_reply = Reply(status=503, not_run=True)
         self.spend_all("service")
         answer = await self.asked()
         self.assertEqual(relay_fixture.body_of(answer), b"from the other")
 
-    async def test_a_replica_s_failure_likewise(self):
+    async def test_a_retry_after_a_failure_uses_the_budget_of_its_service(self):
         """The same, after a replica's own failure."""
         self.first_reply = Reply(status=500, body=b"out of order")
         self.spend_all("other")
@@ -330,7 +332,7 @@
             replica.decide_by(act)
         answer = await self.answer_of(asyncio.create_task(self.ask(IDEMPOTENT)))
         self.assertEqual(relay_fixture.status_of(answer), 503)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_relay_leaving_replicas.py
+++ b/tests/cover/test_relay_leaving_replicas.py
@@ -54,7 +54,7 @@
         await self.clock.advance(LONGER_THAN_PROBE_DELAY)
         answer = await asking
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_a_replica_that_refuses_connections_gets_no_new_requests(
         self,
--- a/tests/cover/test_relay_parts.py
+++ b/tests/cover/test_relay_parts.py
@@ -51,7 +51,7 @@
 
 
 class WindowBudgetTest(unittest.IsolatedAsyncioTestCase):
-    async def test_repeats_stay_under_the_ratio_in_every_window(self):
+    async def test_retries_stay_under_the_ratio_in_every_window(self):
         """Requests come steadily and each asks for two retries. No span as long
         as the window may have more retries than the ratio of its requests plus
         the burst.
--- a/tests/cover/test_relay_revoked_access.py
+++ b/tests/cover/test_relay_revoked_access.py
@@ -32,7 +32,7 @@
         self.revoke_key()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_replica_becomes_unreachable(self):
+    async def test_a_begun_stream_survives_an_unreachable_replica(self):
         """The same, but the replica answers no attempt to connect, and is
         abandoned long before the limit for silence.
         """
@@ -42,7 +42,7 @@
         self.revoke_key()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_replica_breaks_off(self):
+    async def test_a_begun_stream_survives_a_crash_of_its_replica(self):
         """The same, but the replica crashes, so the relay does not choose to
         move.
         """
@@ -52,7 +52,7 @@
         await crashed.stop()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_route_is_removed(self):
+    async def test_a_begun_stream_survives_the_removal_of_its_route(self):
         """The operator removes the route of a stream that has begun."""
         asking = await self.begun()
         self.put_in_force(
@@ -157,7 +157,7 @@
         await self.clock.advance(4 * relay_fixture.SECOND)
         answer = await asking
         self.assertEqual(relay_fixture.body_of(answer), b"at last")
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_a_replicas_own_failure_is_not_replaced_by_a_refusal(self):
         """A replica fails a stream before its first event, and all others
@@ -182,7 +182,7 @@
         )
         answer = await self.answer_of(self.ask_later(IDEMPOTENT))
         self.assertEqual(relay_fixture.status_of(answer), 401)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_relay_streams.py
+++ b/tests/cover/test_relay_streams.py
@@ -27,7 +27,7 @@
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertTrue(relay_fixture.is_complete(answer))
 
-    async def test_a_cut_stream_goes_on_after_its_last_whole_event(self):
+    async def test_a_cut_stream_is_resumed_after_its_last_whole_event(self):
         """A replica breaks off inside its third event. The caller gets the
         first two, another replica resumes after them, and each event comes
         once, in order, under the first replica's seal.
@@ -42,11 +42,12 @@
         self.assertTrue(relay_fixture.is_complete(answer))
         self.assertEqual(answer.count(b"X-Replica-Seal"), 1)
         resumed = [
-            seen.headers.get(headers.LAST_EVENT.lower()) for seen in self.seen()
+            seen.headers.get(headers.LAST_EVENT.lower())
+            for seen in self.received_requests()
         ]
         self.assertEqual(set(resumed), {None, "1"})
 
-    async def test_a_replica_s_word_on_the_request_is_passed_on_at_once(self):
+    async def test_a_replica_s_refusal_of_an_invalid_request_is_forwarded(self):
         """A replica finds the request itself invalid. Others would find the
         same, so the caller gets the answer unchanged.
         """
@@ -54,7 +55,7 @@
         answer = await self.ask_stream()
         self.assertEqual(relay_fixture.status_of(answer), 422)
         self.assertEqual(relay_fixture.body_of(answer), b"no such prompt")
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_a_replica_s_failure_goes_to_another_replica(self):
         self.reply_with(Reply(status=500), Reply(events=EVENTS))
@@ -74,9 +75,9 @@
         self.reply_with(Reply(events=EVENTS, send_bytes=30))
         answer = await self.ask_stream()
         self.assertFalse(relay_fixture.is_complete(answer))
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
-    async def test_a_stream_without_an_answer_left_is_cut(self):
+    async def test_a_stream_without_an_attempt_left_is_cut(self):
         """All replicas break off every run of a stream. After as many runs as
         the route allows the caller's stream is cut, not ended as if it were
         whole.
@@ -84,7 +85,7 @@
         self.reply_with(Reply(events=EVENTS, send_bytes=30))
         answer = await self.ask_stream()
         self.assertFalse(relay_fixture.is_complete(answer))
-        self.assertLessEqual(len(self.seen()), 3)
+        self.assertLessEqual(len(self.received_requests()), 3)
 
     async def test_a_stream_that_ends_inside_an_event_is_not_whole(self):
         """A replica ends its stream properly, but inside an event. Another
@@ -134,7 +135,7 @@
         answer = await self.ask_stream()
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertTrue(relay_fixture.is_complete(answer))
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_silence_cuts_no_stream_when_no_other_replica_is_known(self):
         """The only replica of a service pauses in the middle of a stream. There
@@ -145,9 +146,9 @@
         self.reply_with(Reply(events=EVENTS, pause_s=0.8))
         answer = await self.ask_stream()
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
-    async def test_a_stream_goes_back_to_the_replica_that_it_left(self):
+    async def test_a_stream_falls_back_to_the_abandoned_replica(self):
         """A replica falls silent after two events, and the only other one
         refuses. The first one is healthy, so the stream falls back to it
         instead of being cut.
@@ -161,7 +162,7 @@
         answer = await self.ask_stream()
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertTrue(relay_fixture.is_complete(answer))
-        self.assertEqual(len(self.seen()), 3)
+        self.assertEqual(len(self.received_requests()), 3)
 
     async def test_an_unreachable_replica_s_stream_is_resumed_at_once(self):
         """A replica's connections stay open and silent, and it answers no
@@ -239,7 +240,8 @@
     def models_asked(self) -> list[str]:
         """Returns the models that replicas were asked for."""
         return sorted(
-            seen.headers[headers.MODEL.lower()] for seen in self.seen()
+            seen.headers[headers.MODEL.lower()]
+            for seen in self.received_requests()
         )
 
     async def test_a_sure_answer_of_the_smallest_model_is_kept(self):
--- a/tests/cover/test_relay_whole_answers.py
+++ b/tests/cover/test_relay_whole_answers.py
@@ -18,7 +18,7 @@
         self.assertEqual(relay_fixture.status_of(answer), 200)
         self.assertEqual(relay_fixture.body_of(answer), b"a finding")
         self.assertIn(b"X-Replica-Seal: seal-of-request-1", answer)
-        (seen,) = self.seen()
+        (seen,) = self.received_requests()
         self.assertEqual(seen.body, b"question")
 
     async def test_a_kept_connection_that_breaks_sends_a_call_once(self):
@@ -37,7 +37,7 @@
         await self.ask(ONCE, method="GET", request_id="first")
         answer = await self.ask(ONCE, method="GET", request_id="second")
         self.assertEqual(relay_fixture.status_of(answer), 502)
-        ids = [seen.request_id for seen in self.seen()]
+        ids = [seen.request_id for seen in self.received_requests()]
         self.assertEqual(ids.count("second"), 1)
 
     async def test_a_reset_does_not_complete_a_body_without_length(self):
@@ -56,7 +56,7 @@
         answer = await self.ask(ONCE)
         self.assertEqual(relay_fixture.body_of(answer), b"all of it")
 
-    async def test_a_second_answer_is_nobodys(self):
+    async def test_a_second_answer_is_forwarded_to_nobody(self):
         """A replica sends a second answer behind a whole one on a connection
         that is kept. It would be read as the answer to the next request, of
         another caller.
@@ -70,7 +70,7 @@
         answer = await self.ask(IDEMPOTENT, request_id="second")
         self.assertEqual(relay_fixture.body_of(answer), b"right")
 
-    async def test_an_answer_to_another_request_is_not_passed_on(self):
+    async def test_an_answer_to_another_request_is_not_forwarded(self):
         """A late answer arrives in place of this request's. Only the echoed id
         tells them apart; a call that may run once may have run.
         """
@@ -96,16 +96,16 @@
         self.assertIn(b"Retry-After: 0.", answer)
         self.assertNotIn(b"X-Replica-Seal", answer)
 
-    async def test_a_call_that_may_have_run_is_never_called_refused(self):
+    async def test_a_call_that_may_have_run_is_never_reported_as_not_run(self):
         """The replica closes the connection after it has read the call. A 503
         would promise that it did not run; it is 502, and sent once.
         """
         self.reply_with(Reply(send_bytes=0))
         answer = await self.ask(ONCE)
         self.assertEqual(relay_fixture.status_of(answer), 502)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
-    async def test_a_refusal_then_an_unknown_end_is_unknown(self):
+    async def test_a_refusal_then_a_lost_connection_is_an_unknown_end(self):
         """One replica refuses, the next breaks off after reading the call. The
         refused attempt did not run, but the second one may have.
         """
@@ -113,7 +113,7 @@
         answer = await self.ask(ONCE)
         self.assertEqual(relay_fixture.status_of(answer), 502)
 
-    async def test_a_replicas_own_failure_is_passed_on_unchanged(self):
+    async def test_a_replicas_own_failure_is_forwarded_unchanged(self):
         """A service fails a call on every replica. The caller gets that failure
         with its seal, not a rejection by the relay.
         """
@@ -126,7 +126,7 @@
     async def test_no_more_runs_than_the_route_allows(self):
         self.reply_with(Reply(status=500))
         await self.ask(IDEMPOTENT)
-        self.assertLessEqual(len(self.seen()), 3)
+        self.assertLessEqual(len(self.received_requests()), 3)
 
     async def test_a_dead_replica_costs_no_answer(self):
         """A crashed replica is still in the list. Nothing was written to it, so
@@ -141,7 +141,7 @@
             else:
                 self.assertEqual(relay_fixture.status_of(answer), 503)
 
-    async def test_a_silent_replica_is_left_for_another(self):
+    async def test_a_silent_replica_is_abandoned_for_another(self):
         """A replica accepts and never answers a repeatable request. After a few
         times its target another replica is asked, and the first one's
         connection is dropped, so that it stops the work.
--- a/tests/cover/test_replica_connection.py
+++ b/tests/cover/test_replica_connection.py
@@ -72,7 +72,7 @@
         self.assertEqual(await head.read(), b"whole")
         self.assertFalse(self.connection.finish_exchange())
 
-    async def test_an_answer_before_the_request_was_taken_ends_it_too(self):
+    async def test_an_answer_before_the_request_s_end_closes_it(self):
         """A replica answers early and reads the rest of the body later. The
         next request on this connection would be read as that rest.
         """
--- a/tests/cover/test_version_plans.py
+++ b/tests/cover/test_version_plans.py
@@ -234,10 +234,10 @@
         await self.advance(0.5)
         here.store_monitor.record_failure(ValueError("no answer"))
         here.gossip.send_update()
-        self.assertEqual(known.answers_seen, 0)
+        self.assertEqual(known.answer_count, 0)
         await self.advance(0.87)
         here.gossip.send_update()
-        self.assertEqual(known.answers_seen, 10)
+        self.assertEqual(known.answer_count, 10)
 
     async def test_a_session_that_moved_does_not_move_back(self):
         """In the second half a session reaches an instance new to it.
--- a/tests/cover/test_version_proofs.py
+++ b/tests/cover/test_version_proofs.py
@@ -214,7 +214,7 @@
         pooled.merge("other", _row_of(bad=1, run_id="second"))
         self.assertEqual(pooled._answers["r"], [True, True, True])
 
-    def test_evidence_of_another_order_is_left_out(self):
+    def test_evidence_of_another_order_is_ignored(self):
         pooled = evidence_module.PooledEvidence(order_id=2)
         pooled.merge("other", evidence_module.EvidenceRow(order_id=1))
         self.assertEqual(pooled._peer_rows, {})
--- a/tests/driven_relay.py
+++ b/tests/driven_relay.py
@@ -57,10 +57,16 @@
             await asyncio.sleep(0.001)
         return await asking
 
-    def seen_after(self, event_id: str) -> list[users_replica.ReceivedRequest]:
+    def resumed_after(
+        self, event_id: str
+    ) -> list[users_replica.ReceivedRequest]:
         """Returns the requests that resumed after an event."""
         name = headers.LAST_EVENT.lower()
-        return [s for s in self.seen() if s.headers.get(name) == event_id]
+        return [
+            s
+            for s in self.received_requests()
+            if s.headers.get(name) == event_id
+        ]
 
 
 class BegunStreamCase(DrivenRelayCase):
@@ -96,7 +102,7 @@
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertTrue(relay_fixture.is_complete(answer))
-        self.assertEqual(len(self.seen_after("1")), 1)
+        self.assertEqual(len(self.resumed_after("1")), 1)
 
 
 class BudgetedRelayCase(DrivenRelayCase):
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -159,7 +159,7 @@
         for replica in self.replicas:
             replica.reply_from(shared)
 
-    def seen(self) -> list[users_replica.ReceivedRequest]:
+    def received_requests(self) -> list[users_replica.ReceivedRequest]:
         """Returns all requests that reached a replica."""
         return [seen for replica in self.replicas for seen in replica.received]
 
