--- a/src/nutmeghook/internal/version_plans/evidence.py
+++ b/src/nutmeghook/internal/version_plans/evidence.py
@@ -117,7 +117,7 @@
         return self._own
 
     @property
-    def answers(self) -> int:
+    def observation_count(self) -> int:
         """How many answers and paces are known."""
         rows = [self._own, *self._peer_rows.values()]
         pace_count = sum(row.pace_count for row in rows)
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -180,9 +180,9 @@
         if order.service in self._local_verdicts:
             return self._local_verdicts[order.service]
         pooled = self.evidence_of(order)
-        if self._judged.get(order.order_id) == pooled.answers:
+        if self._judged.get(order.order_id) == pooled.observation_count:
             return None
-        self._judged[order.order_id] = pooled.answers
+        self._judged[order.order_id] = pooled.observation_count
         reason = pooled.proven_bad(self._new_replicas(order), self._baseline)
         if reason is not None:
             self._local_verdicts[order.service] = reason
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -87,7 +87,7 @@
                 REQUEST, replica_hash=number, begun=True
             )
 
-    async def test_crashes_seen_by_three_instances_are_known_to_all(self):
+    async def test_crashes_noticed_by_three_instances_are_known_to_all(self):
         """Copies of a request come to three instances and crash one replica
         each. No instance has noticed more than one crash, and the next copy
         comes to a fourth.
--- a/tests/cover/test_version_proofs.py
+++ b/tests/cover/test_version_proofs.py
@@ -47,7 +47,7 @@
             pooled.note("bad", f"v2-{number % 3}", bad=number % 2 == 0)
         baseline = baseline_module.BaselineAnswers()
         for _ in range(40):
-            baseline.note(version_fixture.seen(route="bad"))
+            baseline.note(version_fixture.observed_answer(route="bad"))
         self.assertIn("on bad", pooled.proven_bad(3, baseline))
 
     async def test_a_version_that_is_several_times_slower_is_found(self):
@@ -56,7 +56,7 @@
         for number in (1, 2, 3, 1, 2, 3, 1, 2):
             self.instance.rollouts.note_answer(
                 version_fixture.entry(number, "v2"),
-                version_fixture.seen(duration_s=0.8),
+                version_fixture.observed_answer(duration_s=0.8),
             )
         self.assertIsNotNone(
             self.instance.rollouts.judge(version_fixture.ORDER)
@@ -168,7 +168,7 @@
         self.instance.answer("v1", times=20)
         self.instance.begin()
         for number in range(40):
-            slow = version_fixture.seen(duration_s=1.0)
+            slow = version_fixture.observed_answer(duration_s=1.0)
             self.instance.rollouts.note_answer(
                 version_fixture.entry(1, "v1"), slow
             )
--- a/tests/version_fixture.py
+++ b/tests/version_fixture.py
@@ -40,7 +40,7 @@
     )
 
 
-def seen(
+def observed_answer(
     *, failed: bool = False, duration_s: float = 0.1, route: str = "route"
 ) -> baseline_module.ObservedAnswer:
     """Returns an answer."""
@@ -112,7 +112,7 @@
         """Records answers of a replica."""
         for _ in range(times):
             self.rollouts.note_answer(
-                entry(number, version), seen(failed=failed)
+                entry(number, version), observed_answer(failed=failed)
             )
 
 
--- a/tests/version_outages.py
+++ b/tests/version_outages.py
@@ -209,5 +209,5 @@
             self._ending.answers += 1
             failed = self._draw.random() < self._scene.bad_share
         instance.rollouts.note_answer(
-            entry, version_fixture.seen(failed=failed)
+            entry, version_fixture.observed_answer(failed=failed)
         )
