--- a/src/nutmeghook/internal/relay/attempt_facts.py
+++ b/src/nutmeghook/internal/relay/attempt_facts.py
@@ -88,11 +88,10 @@
 
     Short work goes first. A replica prefills prompts one after the other, and
     the largest model takes ten times as long as the smallest: behind a few of
-    its prompts, answers of the smallest wait for most of their target. Put
-    first, they delay the larger model's requests by a tenth of its work. On a
-    quiet day of 73 instances, 0.91 of the utility then comes in time instead of
-    0.88.
-    Within one size the route's priority decides, or the team's.
+    its prompts, requests of the smallest would wait for most of their target
+    time. Put first, they delay the larger model's requests by a tenth of its
+    work, and 0.91 instead of 0.88 of the utility comes in time with 73
+    instances. Within either group the team's priority decides, or the route's.
     """
     if job.incoming.facts.prompt is None:
         return None
--- a/src/nutmeghook/internal/relay/crash_detector.py
+++ b/src/nutmeghook/internal/relay/crash_detector.py
@@ -1,4 +1,4 @@
-"""Finds requests that crash replicas, and tells which to stop."""
+"""Detects crashes of replicas, and reports the requests that they had."""
 
 import asyncio
 import datetime
@@ -19,8 +19,8 @@
 
     A lost connection alone is no evidence: a reset on the way, a garbled answer
     and a crash look alike. A crashed process also refuses new connections,
-    until it has restarted seconds later. So the replica is probed, once for all
-    requests that lost it.
+    until it has restarted seconds later. So the replica is probed by a new
+    connection, once for all requests that lost theirs.
     """
 
     __slots__ = ("_connection_probes", "_metrics", "_pool", "_registry")
@@ -123,9 +123,9 @@
         *,
         begun: bool,
     ) -> None:
-        """Records how a lost replica meets a new connection.
+        """Records how a replica responded to the probe after a lost connection.
 
-        The end of a replica that was leaving is no crash.
+        A leaving replica that refuses connections has not crashed.
         """
         self._metrics.add("connections_lost_total", replica=reachability.value)
         logs.note(
--- a/src/nutmeghook/internal/relay/generation_times.py
+++ b/src/nutmeghook/internal/relay/generation_times.py
@@ -16,7 +16,7 @@
 # Typical sizes, which bring the three inputs to the same scale.
 _TYPICAL_WAITING_MS = 500.0
 _TYPICAL_KILOTOKENS = 5.0
-# Share of its weight that an observation keeps at the next one. At one or two
+# Factor of an observation's weight at each later one. At one or two
 # first events a second per instance, this averages over half a minute.
 _DECAY = 0.98
 # Weight of one answer in the mean time per token.
@@ -30,9 +30,10 @@
 class _FirstEventModel:
     """Linear model of one model's time to first event.
 
-    Fitted by least squares over recent observations. Corrected by a share of
-    each error instead, the prefill time is still three times too long after a
-    minute, since the waiting varies more than the prefill.
+    Fitted by least squares over recent observations. If each observation
+    corrected it by a share of its error instead, the prefill time would still
+    be three times too long after a minute, since the waiting varies more than
+    the prefill.
 
     Attributes:
         first_ms: Constant time of each request.
@@ -119,7 +120,7 @@
 
 
 class GenerationTimes:
-    """Expected times by model: to the first event, and from then on."""
+    """Expected times by model: to the first event, and from it to the end."""
 
     __slots__ = ("_first_event_models", "_token_ms")
 
--- a/src/nutmeghook/internal/relay/home_regions.py
+++ b/src/nutmeghook/internal/relay/home_regions.py
@@ -9,7 +9,7 @@
 
 
 class HomeRegions:
-    """Keeps requests with home regions on replicas there.
+    """Restricts requests with home regions to replicas there.
 
     Args:
         region_of: Returns a data centre's region; None if it is not known.
@@ -21,7 +21,7 @@
         self._region_of = region_of
 
     def restrict(self, job: job_module.Job, accepts: _Predicate) -> _Predicate:
-        """Returns the test, restricted to replicas in the home regions."""
+        """Returns the predicate, restricted to replicas in the home regions."""
         homes = homes_of(job)
         if homes is None:
             return accepts
--- a/src/nutmeghook/internal/relay/job.py
+++ b/src/nutmeghook/internal/relay/job.py
@@ -63,7 +63,7 @@
         model_index: Index into the route's models.
         tried: Ids of the replicas that were tried.
         tries: Attempts of any outcome.
-        fallback: The abandoned replica, until another one has begun.
+        fallback: The abandoned replica, until another one begins to answer.
         runs: Attempts that may have run.
         last_event_id: The last event forwarded; None before the first.
     """
@@ -134,7 +134,7 @@
 
     @property
     def is_answered(self) -> bool:
-        """Tells whether its present attempt's answer has a head."""
+        """Tells whether the head of its last attempt's answer has arrived."""
         return self.answered_try == self.tries
 
     @property
--- a/src/nutmeghook/internal/relay/listener.py
+++ b/src/nutmeghook/internal/relay/listener.py
@@ -245,7 +245,7 @@
         self.address = f"{own_host}:{own_port}"
 
     def stop_accepting(self) -> None:
-        """Accepts no new request; those under way go on.
+        """Accepts no new requests; those under way are completed.
 
         A request that arrives after the close was not read, so its caller may
         send it elsewhere, even if it may run only once.
--- a/src/nutmeghook/internal/relay/model_choice.py
+++ b/src/nutmeghook/internal/relay/model_choice.py
@@ -55,10 +55,10 @@
 
 
 class SmallestThenLargest(ModelChoice):
-    """Begins with the smallest model and goes on to the largest.
+    """Begins with the smallest model and escalates to the largest.
 
-    The models between are skipped: on both users' traffic this has a higher
-    utility than any sequence that includes the middle one.
+    The models between are skipped: any sequence that includes the middle one
+    has a lower utility.
     """
 
     def first(self, route: model.Route) -> int:
@@ -72,7 +72,7 @@
 
 
 class FixedThreshold(SmallestThenLargest):
-    """Replaces answers below a fixed confidence; the baseline.
+    """Replaces answers below a fixed confidence, for comparison.
 
     Args:
         least_confidence: Answers of less confidence are replaced.
@@ -106,10 +106,9 @@
 
 
 # Probability that an answer is poor by its model's confidence, as pairs of
-# upper bound and probability. It follows from the utility of fixed thresholds
-# on a quiet day of the users' traffic (0.59 without a larger model, 0.82 with
-# answers under 30 replaced, 0.88 under 50, 0.88 under 60) and from the number
-# of answers between the thresholds.
+# upper bound and probability. They correspond to a utility of 0.59 without a
+# larger model, of 0.82 if answers under 30 are replaced, and of 0.88 if those
+# under 50 or under 60 are.
 POOR_SHARES = (
     (10, 0.8),
     (30, 0.65),
@@ -122,11 +121,10 @@
 _SPREAD_MS = 80.0
 # Prefilling a prompt delays every request that waits behind it, and each of
 # them loses this share of an answer's utility: some 250 ms of a target of 1,500
-# ms, times the seven tenths that a late answer loses, for half of them. In
-# emulated bursts and losses of replicas, values from 0.05 to 0.12 give the same
-# utility within 0.01. A loss by the prompt's own prefill time gives the same
-# utility, but the longest prompts, which have the largest weights, get poor
-# answers.
+# ms, times the 0.7 that a late answer loses, for half of them. The total
+# utility hardly depends on it: by 0.01 at most from 0.05 to 0.12. The loss does
+# not depend on the prompt's own prefill time, or the longest prompts, whose
+# answers have the largest utility, would get poor answers.
 _UTILITY_LOST_PER_WAITING = 0.06
 # Covers costs that are not modelled: the attempt that may be missing later, and
 # the engine's time for generating. Also keeps high-confidence answers of models
--- a/src/nutmeghook/internal/relay/model_selector.py
+++ b/src/nutmeghook/internal/relay/model_selector.py
@@ -16,12 +16,12 @@
 from nutmeghook.internal.routes import in_force as in_force_module
 
 # A low-confidence answer is kept if less time is left: the largest model's
-# first event takes 0.1 to 0.7 s in nine of ten requests, and dropping an answer
-# that is not replaced in time leaves none.
+# first event takes 0.1 to 0.7 s in nine of ten requests, and if it came too
+# late, the caller would get no answer.
 _MIN_TIME_FOR_LARGER = datetime.timedelta(milliseconds=700)
 # Utility of an answer in the unit of the models' prices, as a power law of its
-# route's mean prompt length. The users' weights of 0.95 to 3.2 for prompts of
-# 700 to 9,200 tokens follow it within 0.3.
+# route's mean prompt length. It is within 0.3 of the weights that the users
+# give to answers: 0.95 to 3.2 for prompts of 700 to 9,200 tokens.
 _UTILITY_AT_1000_TOKENS = 1.38
 _UTILITY_EXPONENT = 0.38
 # Price of a prompt token, as a share of a generated one.
--- a/src/nutmeghook/internal/relay/observations.py
+++ b/src/nutmeghook/internal/relay/observations.py
@@ -149,6 +149,8 @@
     ) -> None:
         """Records how long an answer took, as a time per step.
 
+        A step is an interval between two events, or a whole answer.
+
         A replica generates for all its streams in one batch, so events have the
         same interval on every route; whole answers differ by route.
         """
--- a/src/nutmeghook/internal/relay/replica_search.py
+++ b/src/nutmeghook/internal/relay/replica_search.py
@@ -47,8 +47,8 @@
     ) -> choice_module.Choice | None:
         """Returns the best replica of a service that was not tried.
 
-        A request that failed on a new version may go on with the one in full
-        use, if no other replica has the new one.
+        A request that failed on a new version may be retried on a stable one,
+        if no other replica has the new one.
         """
         tried = frozenset(job.tried)
         chosen = self._best(job, service, tried=tried)
@@ -67,7 +67,7 @@
     ) -> choice_module.Choice | None:
         """Returns the fallback replica if it may still be sent to.
 
-        Its version may have been withdrawn since the request left it.
+        Its version may have been withdrawn since the replica was abandoned.
         """
         accepts = self._accepts(job, to.service)
         accepts_stable = self._versions.accepts_stable(to.service)
@@ -100,7 +100,7 @@
     def _accepts(
         self, job: job_module.Job, service: str
     ) -> Callable[[entries.ReplicaEntry], bool]:
-        """Returns a test for the replicas whose version may run a request."""
+        """Returns a predicate for replicas whose version may run a request."""
         return self._versions.accepts(
             service,
             session=job.incoming.facts.session,
--- a/src/nutmeghook/internal/relay/retry_permission.py
+++ b/src/nutmeghook/internal/relay/retry_permission.py
@@ -22,8 +22,8 @@
 # replicas refused is better rejected than tried on all of a large fleet.
 MAX_TRIES = 6
 # Retry-After of a rejected caller, with jitter so that callers rejected
-# together do not return together. Callers follow it up to a third of their time
-# left.
+# together do not return together. Callers wait for a third of their remaining
+# time at most.
 _MIN_RETRY_DELAY_S = 0.25
 _MAX_RETRY_DELAY_S = 0.75
 
@@ -115,16 +115,16 @@
         *,
         is_unreachable: bool,
     ) -> bool:
-        """Permits moving to another replica than the one at work.
+        """Permits moving from a silent replica to another one.
 
-        The next attempt is permitted, replica included, before the one under
-        way is abandoned, since that may still succeed; `prepare` checks nothing
-        again.
+        The next attempt is permitted and its replica chosen before the one
+        under way is abandoned, since that may still succeed; `prepare` checks
+        nothing again.
 
         Args:
             job: The request.
-            prepared: The attempt at work.
-            is_unreachable: Its replica is gone, so it is no fallback.
+            prepared: The attempt under way.
+            is_unreachable: Its replica does not respond, so it is no fallback.
         """
         fallback = job.fallback
         replica_id = prepared.replica.entry.replica_id
@@ -190,7 +190,7 @@
         return self.try_fall_back(job) or self._try_spend_reserved(job)
 
     def _try_spend_reserved(self, job: job_module.Job) -> bool:
-        """Spends the reservation for an unusable fallback elsewhere."""
+        """Uses an unusable fallback's reserved retry at another replica."""
         fallback = job.fallback
         if fallback is None:
             return False
@@ -208,12 +208,12 @@
         *,
         abandoned: prepared_module.PreparedAttempt | None,
     ) -> bool:
-        """Permits a further attempt while one is at work.
+        """Permits a further attempt while one is under way.
 
         The next replica may refuse when the budget or the attempts are used up.
         So a retry is also reserved for falling back to the abandoned replica,
-        and released once another one has begun. If the abandoned replica is
-        unreachable, the reservation for an earlier fallback stays.
+        and released once another one begins to answer. If the abandoned
+        replica is unreachable, the reservation for an earlier fallback stays.
         """
         if job.runs + 1 >= job.route.attempts:
             return False
@@ -293,7 +293,7 @@
             job.fallback = None
 
     def try_spend(self, job: job_module.Job) -> bool:
-        """Spends a retry while no attempt is at work.
+        """Spends a retry while no attempt is under way.
 
         The route may have moved meanwhile; the budget is that of the service
         that the retry goes to.
--- a/src/nutmeghook/internal/relay/whole_answers.py
+++ b/src/nutmeghook/internal/relay/whole_answers.py
@@ -16,8 +16,8 @@
 from nutmeghook.internal.upstream import sender as sender_module
 
 # A repeatable request is sent to another replica after this many targets
-# without an answer: one request in a hundred takes 5 times as long as usual,
-# and a replica that never answers would use up all the time.
+# without an answer: one request in a hundred takes 5 times its usual time, and
+# a replica that never answers would use up the whole time limit.
 _RESEND_AFTER_TARGETS = 3.0
 
 
--- a/src/nutmeghook/internal/relay/wire.py
+++ b/src/nutmeghook/internal/relay/wire.py
@@ -108,7 +108,7 @@
         sealed: It carries the replica's proof of origin.
         encoded: The body is not as the replica made it.
         confidence: The model's own rating of its answer, 0 to 100.
-        idle_limit_s: How long the replica keeps the connection.
+        idle_limit_s: How long the replica keeps an idle connection open.
         cold_left: How long the replica stays cold; None if it does not say.
     """
 
--- a/src/nutmeghook/internal/upstream/connection.py
+++ b/src/nutmeghook/internal/upstream/connection.py
@@ -254,7 +254,7 @@
         self.reusable = False
         if self._head is not None and not self._head.done():
             self._head.set_exception(error)
-            # Marks it as retrieved: nobody waits if the caller has gone.
+            # Marks it as retrieved: nobody awaits it if the caller has left.
             self._head.exception()
         payload = self._payload
         if payload is not None and not payload.is_eof():
--- a/src/nutmeghook/internal/upstream/pool.py
+++ b/src/nutmeghook/internal/upstream/pool.py
@@ -1,4 +1,4 @@
-"""Connections to replicas, kept between exchanges."""
+"""Pool of connections to replicas, reused for several exchanges."""
 
 import asyncio
 import datetime
@@ -21,7 +21,7 @@
 # Share of the stated idle time that is used: a request that crosses the
 # replica's close on the wire may have run, and can't be repeated.
 IDLE_SHARE = 0.6
-# Idle connections per replica. More than a few are left over from a burst.
+# Maximum of idle connections per replica; only bursts need more than a few.
 MAX_IDLE_PER_REPLICA = 24
 # Shortages of this process or machine: no connection was attempted.
 _LOCAL_SHORTAGES = frozenset(
@@ -46,7 +46,7 @@
 
 
 class ConnectionPool:
-    """Opens connections, lends them, and keeps the reusable ones."""
+    """Opens connections, and keeps reusable ones while they are idle."""
 
     __slots__ = ("_idle", "_loop", "opened")
 
@@ -63,7 +63,7 @@
         Args:
             address: The replica's `ip:port`.
             max_idle_s: Use none that was idle for longer. Requests that may run
-                only once need a fresh one, because a kept one may break while
+                only once need a fresh one, because an idle one may break while
                 they are written.
 
         Raises:
