--- a/src/nutmeghook/internal/replicas/backlog_gossip.py
+++ b/src/nutmeghook/internal/replicas/backlog_gossip.py
@@ -62,7 +62,7 @@
         """Sends peers this instance's backlogs, if there are any.
 
         When the last one has ended, one empty message follows; a peer that
-        misses it counts the message before until that expires.
+        misses it counts the previous message until that expires.
         """
         loaded = self._directory.with_own_backlog(MAX_REPLICAS)
         if not loaded and not self._had_backlog:
--- a/src/nutmeghook/internal/replicas/cached_prefixes.py
+++ b/src/nutmeghook/internal/replicas/cached_prefixes.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes that this instance's requests left cached at replicas."""
+"""Prompt prefixes that replicas have cached from this instance's requests."""
 
 import collections
 
--- a/src/nutmeghook/internal/replicas/choice.py
+++ b/src/nutmeghook/internal/replicas/choice.py
@@ -44,8 +44,8 @@
 # Share of a prompt's prefill time added for each request that runs at the
 # replica, because the engine generates no tokens for them during prefill.
 BLOCKING_SHARE = 0.3
-# By how much sooner a replica in another data centre has to answer. It stands
-# for the cost of traffic between data centres, which no message reports.
+# By how much sooner a replica in another data centre has to answer, for the
+# cost of traffic between data centres.
 REMOTE_DELAY = datetime.timedelta(milliseconds=100)
 
 _Predicate = Callable[[replica_module.Replica], bool]
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -19,7 +19,7 @@
 from nutmeghook.internal.table_replication import shared_table
 
 # Entries expire while the store is unreachable and are written again within two
-# seconds of its return. Until then, and 200 ms, a missing entry proves nothing.
+# seconds of its return. A missing entry proves nothing until 200 ms after that.
 LAPSE_GRACE = datetime.timedelta(milliseconds=2200)
 
 # Messages give ages in whole milliseconds and without the network delay, so a
@@ -34,7 +34,7 @@
 
 
 class ReplicaDirectory(shared_table.DeletionGrace):
-    """Replicas by service. Entries come from the list, in any order.
+    """Replicas by service. Entries come from the replica list, in any order.
 
     Attributes:
         known: The list was read at least once.
@@ -292,10 +292,11 @@
             self.note_cold(known, datetime.timedelta(seconds=entry.cold_left_s))
 
     def reject(self, replica_id: str) -> None:
-        """Drops a replica whose entry is invalid.
+        """Drops a replica at once, also while deletions are held back.
 
-        Such a row may no longer be of the replica that first wrote it. A live
-        replica writes its row again within seconds.
+        Its entry is invalid, outdated or replaced, so the row may not be of the
+        replica that first wrote it. A live replica writes its row again within
+        seconds.
         """
         if replica_id in self._by_id:
             self._forget(replica_id)
--- a/src/nutmeghook/internal/replicas/send_gate.py
+++ b/src/nutmeghook/internal/replicas/send_gate.py
@@ -42,7 +42,7 @@
 
 
 class OpenGate(SendGate):
-    """Admits every request; for emulations and tests."""
+    """Admits every request; for emulators and tests."""
 
     __slots__ = ()
 
--- a/src/nutmeghook/internal/suspects/gossip.py
+++ b/src/nutmeghook/internal/suspects/gossip.py
@@ -19,7 +19,7 @@
 from nutmeghook.internal.suspects import registry as registry_module
 
 # Each instance sends reminders to two others in this period, so an instance
-# that comes back gets some four of them in a second.
+# that missed updates gets some four of them in a second.
 REMINDER_PERIOD = datetime.timedelta(milliseconds=500)
 LOCAL_FANOUT = 8
 REMOTE_FANOUT = 1.0
--- a/src/nutmeghook/internal/suspects/registry.py
+++ b/src/nutmeghook/internal/suspects/registry.py
@@ -1,14 +1,14 @@
 """Finds and quarantines requests that crash replicas.
 
-A request that crashes each replica that runs it comes again, at any instance,
-with another id each time, and each crash also ends what the replica ran for
-others.
+Callers retry a request that crashes each replica that runs it, at any instance
+and with another id each time, and each crash also ends the replica's other
+requests.
 
 So when a replica crashes, all requests that it had become suspects, the cause
 and the innocent ones beside it. An innocent request is answered by its next
 replica, which clears it. One under which replica after replica crashes is
-quarantined: it is sent to no replica for a while. If it only was beside others
-that cause the crashes, a single probe clears it.
+quarantined: it is sent to no replica for a while. If others caused these
+crashes, a single probe clears it.
 """
 
 import asyncio
