--- a/src/nutmeghook/internal/rollout/evidence.py
+++ b/src/nutmeghook/internal/rollout/evidence.py
@@ -8,7 +8,7 @@
 * `RollOutRule` bounds the probability that a version within tolerance is ever
   stopped in its whole roll-out (a mixture of test martingales over the
   moments of change, whose weights sum to 1; Ville's inequality).
-* `FullShareRule` watches without end, so it bounds the mean number of ratings
+* `FullShareRule` tests without end, so it bounds the mean number of ratings
   between false alarms (the Shiryaev-Roberts statistic).
 
 docs/design/rollouts.md compares both with a fixed threshold.
@@ -20,7 +20,7 @@
 import msgspec
 
 # Alternative bad shares, as fractions of the way from tolerated to always bad.
-# They cover versions that fail from each tenth caller to all.
+# They cover versions that fail for one caller in ten up to all.
 _ALTERNATIVES = (0.03, 0.08, 0.2, 0.45, 0.8)
 _RATINGS_UNTIL_CHANGE = 300.0
 _WEIGHT_BAD_FROM_START = 0.5
--- a/src/nutmeghook/internal/rollout/ready_gate.py
+++ b/src/nutmeghook/internal/rollout/ready_gate.py
@@ -11,7 +11,7 @@
 
 
 class ReadyExposureGate(exposure.ExposureGate):
-    """Passes requests on to another gate only for versions that are loaded.
+    """Forwards to another gate only for versions that are loaded.
 
     A roll-out is accepted before any backend server has its version: loading
     takes minutes and waits for the weight store. Without this check the first
--- a/src/nutmeghook/internal/version_plans/baseline.py
+++ b/src/nutmeghook/internal/version_plans/baseline.py
@@ -12,8 +12,8 @@
 # A version may fail this share of its requests more than the stable version and
 # still count as good, since other faults hit its replicas too.
 TOLERATED_BEYOND_BASELINE = 0.05
-# The baseline's share of bad answers is estimated from few answers, so it is
-# tolerated times this factor.
+# The baseline's share of bad answers is estimated from few answers, so this
+# multiple of it is tolerated.
 BASELINE_FACTOR = 1.6
 # Prior for the baseline's share of bad answers: bad answers, and all answers.
 _PRIOR_BAD = 0.6
@@ -24,8 +24,8 @@
 # route and model: bad versions are several times slower, and prompts of one
 # route differ by a factor of two to three in length.
 SLOW_FACTOR = 4.0
-# It also has to take this part of the route's target: a fifth of it more or
-# less harms no caller, whatever the factor.
+# It also has to take this part of the route's target: a shorter answer harms no
+# caller, whatever the factor.
 SLOW_FRACTION_OF_TARGET = 0.2
 # Weight of each answer in the exponentially weighted mean of log-durations.
 _DURATION_WEIGHT = 0.05
@@ -64,7 +64,7 @@
     Attributes:
         model: Answers of one route and model take about as long.
         duration_s: Seconds from sending to the first sign of the answer.
-        target_s: Answers within this many seconds have their full worth.
+        target_s: Answers within this many seconds have their full utility.
     """
 
     route: str
@@ -154,7 +154,10 @@
         self._count[kind] = count + 1
 
     def deviation(self, kind: str, pace_s: float) -> float | None:
-        """Returns by how many standard deviations a pace is slower, or None."""
+        """Returns by how many standard deviations a pace is slower.
+
+        None while there are too few answers of its kind.
+        """
         if self._count.get(kind, 0) < _MIN_BASELINE_ANSWERS:
             return None
         spread = max(_MIN_PACE_DEVIATION, math.sqrt(self._variance[kind]))
--- a/src/nutmeghook/internal/version_plans/binomial_tail.py
+++ b/src/nutmeghook/internal/version_plans/binomial_tail.py
@@ -21,7 +21,7 @@
     """Returns the logarithm of the probability of exactly so many.
 
     Logarithms are used since from some thousand answers on the binomial
-    coefficients exceed a float's range, and the overflow ended the process.
+    coefficients exceed a float's range, and the overflow would end the process.
     """
     ways = (
         math.lgamma(of + 1) - math.lgamma(bad + 1) - math.lgamma(of - bad + 1)
--- a/src/nutmeghook/internal/version_plans/evidence.py
+++ b/src/nutmeghook/internal/version_plans/evidence.py
@@ -13,10 +13,10 @@
 # The same before completion, which can't be undone: weaker evidence suffices.
 SUSPICION_SHARE = 0.05
 # A version is slow if its paces deviate by this many standard errors over at
-# least `_MIN_PACES` answers. Tested after each of 60 answers, 3.0 finds 13 good
-# versions in 1,000 slow and 3.5 none of 300, while a version whose first event
-# comes six times later in 6 of 10 requests is found after a median of 8 answers
-# instead of 6.
+# least `_MIN_PACES` answers. When tested after each of 60 answers, 13 good
+# versions in 1,000 exceed 3.0 and none of 300 exceeds 3.5, while a version
+# whose first event comes six times later in 6 of 10 requests is found after a
+# median of 8 answers instead of 6.
 _SLOW_DEVIATIONS = 3.5
 _MIN_PACES = 4
 # This many standard deviations of slowness weigh as much as a bad answer.
@@ -28,7 +28,7 @@
 
 
 class RouteCount(msgspec.Struct, kw_only=True):
-    """Answers of the new version on one route, as one instance saw them."""
+    """One instance's counts of the new version's answers on one route."""
 
     good: int = 0
     bad: int = 0
@@ -49,7 +49,7 @@
 
 
 class EvidenceRow(msgspec.Struct, kw_only=True):
-    """Answers of the new version that one instance saw during one order.
+    """One instance's counts of the new version's answers during one order.
 
     Attributes:
         paces: Paces by latency measure.
@@ -94,8 +94,8 @@
 
     Counts only grow, so a row that is read twice or out of order adds
     nothing; an instance that restarts begins a new row. Answers are kept in
-    the order in which they were received, and are evaluated again when the
-    baseline has changed.
+    the order in which they were received, and all are evaluated at each
+    judgement, since the baseline changes in between.
     """
 
     __slots__ = ("_answers", "_own", "_peer_rows", "_replicas", "order_id")
@@ -134,7 +134,7 @@
         return sum(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
     def note(self, route: str, replica_id: str, *, bad: bool) -> None:
-        """Adds an answer of the new version that this instance saw."""
+        """Adds an answer of the new version to this instance's evidence."""
         count = self._own.routes.setdefault(route, RouteCount())
         if bad:
             count.bad += 1
--- a/src/nutmeghook/internal/version_plans/orders.py
+++ b/src/nutmeghook/internal/version_plans/orders.py
@@ -19,7 +19,7 @@
     """An operator's order to move a service to a version.
 
     Attributes:
-        order_id: Tells this order from an earlier one with the same text.
+        order_id: Distinguishes this order from an earlier equal one.
         within_s: Seconds from the order to its end.
     """
 
--- a/src/nutmeghook/internal/version_plans/pinned_sessions.py
+++ b/src/nutmeghook/internal/version_plans/pinned_sessions.py
@@ -2,10 +2,10 @@
 
 A session that was under way on the old version when a roll-out began may not
 change its version in the first half. Its requests reach different instances,
-and an instance that has not seen it before can't tell that it is not new. If
-each instance relied on its own memory, one session could change its version
-four times. So instances gossip which sessions under way the canary would take;
-they are few, since the canary is small.
+and an instance that it reaches for the first time can't tell that it is not
+new. If each instance relied on its own records, one session could change its
+version four times. So instances gossip which sessions under way the canary
+would take; they are few, since the canary is small.
 """
 
 from collections.abc import Iterable
@@ -27,7 +27,7 @@
 
 
 class PinnedSessions:
-    """Digests of the sessions that one order leaves on their version."""
+    """Digests of the sessions that stay on the old version during one order."""
 
     __slots__ = ("_known", "_own", "order_id")
 
@@ -37,13 +37,13 @@
         self._own: list[int] = []
 
     def pin(self, digest: int) -> None:
-        """Pins a session that this instance saw under way."""
+        """Pins a session that is under way at this instance."""
         if digest not in self._known:
             self._known.add(digest)
             self._own.append(digest)
 
     def receive(self, digests: Iterable[int]) -> None:
-        """Adds sessions that a peer saw under way."""
+        """Adds sessions that a peer has pinned."""
         self._known.update(digests)
 
     def is_pinned(self, digest: int) -> bool:
--- a/src/nutmeghook/internal/version_plans/plan.py
+++ b/src/nutmeghook/internal/version_plans/plan.py
@@ -22,7 +22,7 @@
     Attributes:
         order_id: The order that the plan carries out.
         started_ms: The store's steady time, in milliseconds, when the first
-            instance saw the order.
+            instance began the order.
         within_s: Seconds from the order to its end.
         trial_share: The new version's share of requests before the final
             phase (the canary's share); 0 if the row's writer did not set it.
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -70,7 +70,7 @@
         )
 
     def steady_fraction(self, plan: plan_module.PlanRow) -> float:
-        """Returns the elapsed fraction, at need capped before the final phase.
+        """Returns the elapsed fraction, capped while the canary has to last.
 
         The cap holds while the store is out, since then nobody can complete the
         roll-out and other instances' evidence does not arrive, and while too
@@ -105,7 +105,7 @@
         )
 
     def is_final_report_due(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether all answers seen are to be reported, good and bad."""
+        """Tells whether all answers are to be reported, good and bad."""
         return self.schedule.is_final_report_due_at(
             self.elapsed_fraction(plan), plan.within_s
         )
@@ -135,7 +135,11 @@
             self._final_phase_since.setdefault(plan.order_id, now)
 
     def note_store_unreachable(self, order_ids: Iterable[int]) -> None:
-        """Records that the store does not answer, and the orders open then."""
+        """Records that the store does not answer.
+
+        Args:
+            order_ids: The orders that a long outage affects.
+        """
         self._final_phase_since.clear()
         now = self._clock.monotonic()
         if self._unreachable_since is None:
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -2,7 +2,7 @@
 
 There is no leader. The first instance that sees an order writes the plan,
 insert-if-absent; from then on each instance computes the share from the
-store's steady clock. Each counts the new version's answers that it sees and
+store's steady clock. Each counts the new version's answers that it receives and
 publishes the counts when there are bad ones; the instance that finds a proof
 writes the verdict, conditional on the plan being open. An instance that was
 killed, stalled or partitioned therefore blocks nothing, and its late writes
@@ -129,7 +129,7 @@
     def pinned_sessions(
         self, order: orders_module.RollOutOrder
     ) -> pinned_sessions_module.PinnedSessions:
-        """Returns the sessions that an order leaves on their version."""
+        """Returns the sessions that stay on the old version during an order."""
         return self._pinned_of(order.service, order.order_id)
 
     def _pinned_of(
--- a/src/nutmeghook/internal/version_plans/schedule.py
+++ b/src/nutmeghook/internal/version_plans/schedule.py
@@ -9,9 +9,9 @@
 the canary takes sessions that begin in it, once instances have told each other
 which ones had begun before (`pinned_sessions`). Which of them it takes depends
 on the session's digest alone, so all instances agree without communication. A
-canary that took no sessions in the first half had nine answers of the new
-version after 15 s of a roll-out of 24 s, and a store outage came before the
-proof.
+canary that took no sessions in the first half would have nine answers of the
+new version after 15 s of a roll-out of 24 s, and a store outage could come
+before the proof.
 """
 
 import dataclasses
@@ -44,8 +44,8 @@
 # within some 0.5 s, and send the sessions under way twice in 0.5 s.
 SESSION_CANARY_DELAY = datetime.timedelta(seconds=1.5)
 # Bounds of the canary's share. With less, a version that fails half of its
-# requests takes over ten seconds to find at 50 requests a second. More gives no
-# useful gain, should the rate be much higher than known.
+# requests takes over ten seconds to find at 50 requests a second. More gains
+# little, and does harm if the request rate is much higher than estimated.
 _MIN_CANARY_SHARE = 0.035
 _MAX_CANARY_SHARE = 0.2
 # A canary with this many answers over the order's time needs no larger share.
@@ -74,8 +74,8 @@
 
         It is all that the bound leaves beside the final phase: a proof needs
         a number of answers, and has to come before a store outage or another
-        fault hides it. At 10 requests a second and 24 s the allowance is more
-        than the share.
+        fault hides it. At 10 requests a second and 24 s the allowance permits
+        more requests than the share.
 
         Args:
             within_s: The order's time in seconds.
@@ -97,7 +97,7 @@
         return elapsed >= 1.0 - self._final_phase_fraction(within_s)
 
     def is_final_report_due_at(self, elapsed: float, within_s: float) -> bool:
-        """Tells whether instances report all answers seen, good and bad."""
+        """Tells whether instances report all their answers, good and bad."""
         return elapsed >= (
             1.0
             - self._final_phase_fraction(within_s)
--- a/src/nutmeghook/internal/version_plans/sessions.py
+++ b/src/nutmeghook/internal/version_plans/sessions.py
@@ -4,8 +4,8 @@
 import dataclasses
 import datetime
 
-# At 20 requests a second and instance this covers minutes more than a session's
-# time.
+# At 20 requests a second per instance this covers some 1,000 s, minutes more
+# than a session's time.
 MAX_SESSIONS = 20_000
 
 
@@ -64,7 +64,7 @@
     def active_sessions(
         self, service: str, now: datetime.timedelta
     ) -> list[str]:
-        """Returns the sessions that may go on."""
+        """Returns the sessions that are or may be under way."""
         return [
             session
             for (known_service, session), last in self._last.items()
