--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -71,7 +71,7 @@
         self.assertEqual(self.restored, ["pest"])
 
     def test_a_full_read_ends_an_order(self):
-        """The same for a roll-out, which would go on without an order."""
+        """The same for a roll-out, which would continue without an order."""
         order = {"service": "pool", "to": "v2", "withinS": 20.0}
         key = rollout_rows.ORDER_PREFIX + "pool"
         self.rows.change((row(key, 1, value=msgspec.json.encode(order)),))
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -154,8 +154,8 @@
     async def test_the_fallback_is_used_if_no_other_replica_is_listed(self):
         """A begun stream is moved, the next replica refuses, and all but the
         first disappear from the list. The first one's version gets no new
-        requests but is in full use. The stream is cut unless it falls back to
-        it.
+        requests but is the stable one. The stream is cut unless it falls back
+        to it.
         """
         asking = await self.begun()
         (first,) = [r for r in self.replicas if r.received]
@@ -186,7 +186,7 @@
     replica_count = 8
 
     async def moved(self) -> float:
-        """Has a begun stream moved to a replica that then stays silent.
+        """Moves a begun stream to a replica that then stays silent.
 
         Returns:
             What is left of the budget with the one attempt paid for.
--- a/tests/cover/test_relay_further_attempts.py
+++ b/tests/cover/test_relay_further_attempts.py
@@ -135,8 +135,8 @@
 
     async def test_an_event_that_comes_during_the_probe_keeps_its_replica(self):
         """A silent replica's events arrive while it is probed, and the probe
-        times out, as after a lost packet. The stream is at work and must not
-        move to another replica.
+        times out, as after a lost packet. The replica is healthy, so the
+        stream must not move to another one.
         """
 
         async def lost(_, address: str) -> pool_module.Reachability:
@@ -239,8 +239,8 @@
         self.assertEqual(len(self.received_requests()), 1)
 
     async def test_a_reservation_is_released_once_a_stream_is_resumed(self):
-        """A stream moves and goes on elsewhere. The retry reserved for falling
-        back is released: one attempt was made, and one is paid for.
+        """A stream moves and is resumed elsewhere. The retry reserved for its
+        fallback is released: one attempt was made, and one is paid for.
         """
         asking = await self.begun()
         before = self.budgets.budget_for("service").remaining()
@@ -291,8 +291,8 @@
 
     async def test_a_retry_uses_the_budget_of_its_service(self):
         """A route moves to another service while its request is under way, and
-        the replica at work crashes. The next attempt would go to the other
-        service, whose retry budget is spent, so it must not be sent.
+        its replica crashes. The next attempt would go to the other service,
+        whose retry budget is spent, so it must not be sent.
         """
         self.first_reply = Reply(send_bytes=0, reset=True)
         self.spend_all("other")
--- a/tests/cover/test_relay_leaving_replicas.py
+++ b/tests/cover/test_relay_leaving_replicas.py
@@ -1,9 +1,9 @@
-"""Streams of leaving replicas, which work on and accept no connections.
+"""Streams of leaving replicas, which complete them and refuse connections.
 
 A leaving replica closes its listener and finishes its requests. The probe of a
 silent replica is then refused at once. If that counted as unreachable, its
-streams would be abandoned 0.6 s into a pause, and some of them cut: 48 attempts
-within three seconds at the end of one roll-out.
+streams would be abandoned 0.6 s into a pause, and some of them cut: at the end
+of a roll-out, 48 attempts within three seconds.
 """
 
 import asyncio
--- a/tests/cover/test_relay_parts.py
+++ b/tests/cover/test_relay_parts.py
@@ -161,8 +161,8 @@
 
     def test_a_stale_load_report_fades_to_the_baseline(self):
         """One replica reported itself full some seconds ago, another empty.
-        Both reports are stale, so both replicas count as loaded as usual,
-        instead of everything going to the one reported empty.
+        Both reports are stale, so both replicas count with the baseline load,
+        and not everything goes to the one reported empty.
         """
         for number in (1, 2, 3):
             self.directory.put(entry(number, slots=64))
--- a/tests/cover/test_relay_revoked_access.py
+++ b/tests/cover/test_relay_revoked_access.py
@@ -1,9 +1,9 @@
 """Requests under way whose key is revoked or whose route is removed.
 
-The fault guarded against: a begun stream's replica pauses, the relay reserves
-another replica and a retry, abandons the one at work, and only then checks
-route and key again. With the key revoked, the further attempt is denied, and
-the stream is cut in the middle though its replica was at work.
+Guards against a check that comes too late: a begun stream's replica pauses, the
+relay reserves another replica and a retry, abandons the pausing one, and only
+then checks route and key again. With the key revoked, the further attempt is
+denied, and the stream is cut though its replica could have completed it.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
     async def test_a_begun_stream_is_not_cut_when_its_key_is_revoked(self):
         """The caller has two events when its key is revoked. Its replica then
         falls silent, and another one is asked to resume. The stream was
-        admitted with a valid key, so it goes on to its end.
+        admitted with a valid key, so it is completed.
         """
         asking = await self.begun()
         self.revoke_key()
@@ -61,7 +61,7 @@
         await self.assert_goes_on(asking)
 
     async def test_a_new_request_with_a_revoked_key_is_denied(self):
-        """Requests admitted before go on; those that come after are refused."""
+        """Requests admitted before are completed; later ones are refused."""
         asking = await self.begun()
         self.revoke_key()
         denied = await self.ask(STREAM, request_id="request-2")
--- a/tests/cover/test_relay_streams.py
+++ b/tests/cover/test_relay_streams.py
@@ -18,7 +18,7 @@
 
 class StreamsTest(relay_fixture.RelayCase):
     async def ask_stream(self, **options) -> bytes:
-        """Asks for a stream and returns all that comes back."""
+        """Requests a stream and returns the whole response."""
         return await self.ask(STREAM, body=b"prompt", **options)
 
     async def test_a_stream_comes_whole(self):
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -16,7 +16,7 @@
 REQUEST = b"r" * 16
 SECOND = datetime.timedelta(seconds=1)
 SMALL, LARGE = 7, 420
-# Time within which an instance that comes back has to learn of a quarantine.
+# Time within which an instance that missed updates learns of a quarantine.
 LEARNT_WITHIN_S = 3.0
 
 
--- a/tests/cover/test_version_driver.py
+++ b/tests/cover/test_version_driver.py
@@ -120,7 +120,7 @@
     ):
         """The store is out for half of an order and returns at its end.
         Nine answers of the new version are known, none bad: too few to
-        complete it. The canary goes on until enough are known.
+        complete it. The canary lasts until enough are known.
         """
         instance, driver = self.driver("only")
         await self.step(driver)
@@ -289,7 +289,7 @@
     async def test_weak_evidence_of_each_instance_adds_up_in_final_reports(
         self,
     ):
-        """Every answer of a version is slower; each instance has seen two.
+        """Every answer of a version is slower; each instance has two.
         That is too little for a write of its own; the final reports before the
         final phase prove it together.
         """
--- a/tests/cover/test_version_outages.py
+++ b/tests/cover/test_version_outages.py
@@ -37,7 +37,7 @@
 
     def test_a_bad_version_is_rarely_completed(self):
         """Instances that never lost the store decide on few answers.
-        A version fails 35 of 100 requests and 10 answers are seen. Half of the
+        A version fails 35 of 100 requests and 10 answers are known. Half of the
         orders could be completed; with so few answers one in five still is.
         """
         endings = self.endings(0.35, seeds=40)
--- a/tests/cover/test_version_plans.py
+++ b/tests/cover/test_version_plans.py
@@ -57,7 +57,7 @@
         true_per_s: float,
         largest_bad_share: float = 0.15,
     ) -> None:
-        """Asserts it for an estimated and a true request rate."""
+        """Asserts the bound for an estimated and a true request rate."""
         schedule = schedule_module.Schedule(
             largest_bad_share=largest_bad_share, bad_allowance=30.0
         )
@@ -139,8 +139,8 @@
         self.assertFalse(progress.is_canary_over(plan))
 
     async def test_sessions_under_way_do_not_move_in_the_first_half(self):
-        """Sessions under way at a roll-out's start go on at other instances.
-        If each relied on its own memory, a session could change its version
+        """Sessions under way at a roll-out's start reach other instances later.
+        If each relied on its own records, a session could change its version
         four times. Instances gossip them, so none moves in the first half.
         """
         here, there = version_fixture.fleet(2, clock=self.clock)
@@ -204,7 +204,7 @@
 
     async def test_bad_answers_are_gossiped_without_the_store(self):
         """A store outage lasts from before the proof to the end of the order.
-        Four instances have each seen one bad answer, too few for a proof. With
+        Four instances have one bad answer each, too few for a proof. With
         gossip they withdraw the version at once.
         """
         fleet = version_fixture.fleet(4, clock=self.clock)
@@ -222,7 +222,7 @@
             self.assertEqual(versions, {"v1"})
 
     async def test_good_answers_are_gossiped_before_the_final_phase(self):
-        """An instance without the store has seen ten good answers.
+        """An instance without the store has ten good answers.
         It can't write its final report, so the instances that decide would
         miss them. They are gossiped, but only once the report is due.
         """
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -194,7 +194,7 @@
         method: str | None = None,
         target: str | None = None,
     ) -> bytes:
-        """Sends one request of a kind and returns all that comes back."""
+        """Sends one request of a kind and returns the whole response."""
         method = method or (
             "GET" if kind is model.RouteKind.IDEMPOTENT else "POST"
         )
