--- a/src/nutmeghook/internal/entry/application.py
+++ b/src/nutmeghook/internal/entry/application.py
@@ -130,7 +130,7 @@
             )
             answer = await self._dispatcher.generate(chat.generation, sink)
             if isinstance(answer, answers.GeneratedAnswer):
-                answer = sink.encode_completion(answer)
+                answer = sink.encode_whole(answer)
             return _kept_response(answer, request_id)
         sink = sinks.StreamSink(
             request=request,
--- a/src/nutmeghook/internal/entry/sinks.py
+++ b/src/nutmeghook/internal/entry/sinks.py
@@ -31,7 +31,7 @@
     def detach(self) -> None:
         """Does nothing; there is nothing to hold back."""
 
-    def encode_completion(
+    def encode_whole(
         self, answer: answers.GeneratedAnswer
     ) -> ledger.KeptAnswer:
         """Returns the answer as a completion's JSON."""
