--- a/src/nutmeghook/experiment/emulated_outcome.py
+++ b/src/nutmeghook/experiment/emulated_outcome.py
@@ -1,28 +1,28 @@
-"""What callers of an emulated fleet got."""
+"""The outcome of an emulated load for its callers."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Answered:
-    """What one request came to.
+class AnsweredRequest:
+    """The outcome of one request.
 
     Attributes:
-        owed: What a good answer in time is worth.
-        worth: With late and poor answers counted for less.
+        max_utility: The utility of a good answer in time.
+        utility: The utility of the answer; less if it was late or poor.
         model_index: Of the model whose answer the caller got.
     """
 
     arrived_s: float
     wait_s: float
-    owed: float
-    worth: float
+    max_utility: float
+    utility: float
     model_index: int
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Queues:
-    """How many requests waited at all replicas together."""
+class QueueSample:
+    """The number of requests waiting at all replicas at one time."""
 
     at_s: float
     waiting: int
@@ -30,24 +30,24 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What callers got, as parts of what they could have got.
+    """All answers, queue samples and generation times of a run.
 
     Attributes:
-        generations_s: From an answer's first event to its last, each.
+        generation_times_s: Of each answer, from its first event to its last.
     """
 
-    answered: list[Answered] = dataclasses.field(default_factory=list)
-    queues: list[Queues] = dataclasses.field(default_factory=list)
-    generations_s: list[float] = dataclasses.field(default_factory=list)
+    answered: list[AnsweredRequest] = dataclasses.field(default_factory=list)
+    queues: list[QueueSample] = dataclasses.field(default_factory=list)
+    generation_times_s: list[float] = dataclasses.field(default_factory=list)
 
     @property
-    def worth_share(self) -> float:
-        """The worth that callers got of what they were owed."""
-        owed = sum(answer.owed for answer in self.answered)
-        return sum(answer.worth for answer in self.answered) / owed
+    def utility_share(self) -> float:
+        """The sum of the utility as a share of the maximum."""
+        max_utility = sum(answer.max_utility for answer in self.answered)
+        return sum(answer.utility for answer in self.answered) / max_utility
 
     @property
-    def larger_share(self) -> float:
+    def larger_model_share(self) -> float:
         """The share of requests that the largest model answered."""
         larger = sum(answer.model_index > 0 for answer in self.answered)
         return larger / len(self.answered)
--- a/src/nutmeghook/experiment/soak_trial.py
+++ b/src/nutmeghook/experiment/soak_trial.py
@@ -1,4 +1,4 @@
-"""A platform behind loopback proxies, with routers that come and go."""
+"""A platform trial with loopback proxies before the store and replicas."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class SoakTrial(platform_trial.PlatformTrial):
-    """A platform behind proxies, with routers that come and go."""
+    """A platform trial with a proxy on each link and a record of faults."""
 
     def __init__(self, *, folder: pathlib.Path, seed: int, routers: int):
         super().__init__(folder=folder, seed=seed, routers=routers)
@@ -24,15 +24,15 @@
         self.store_proxies: dict[str, loopback_proxy.LoopbackProxy] = {}
         self.replica_proxies: dict[str, loopback_proxy.LoopbackProxy] = {}
         self.broken: set[str] = set()
-        self.left_at_s: dict[str, float] = {}
-        self.troubles: list[soak_checks.Trouble] = []
+        self.leaving_since_s: dict[str, float] = {}
+        self.injected_faults: list[soak_checks.InjectedFault] = []
         self.removals: list[soak_checks.KeyRemoval] = []
         self.evacuations: list[soak_checks.Evacuation] = []
         self.cold: list[soak_checks.ColdTime] = []
         self.data_centres: dict[str, str] = {}
-        self.order_s: float | None = None
+        self.ordered_at_s: float | None = None
         self.busy: set[str] = set()
-        self.unserved: list[str] = []
+        self.not_serving: list[str] = []
 
     async def add_replica(
         self,
@@ -42,7 +42,7 @@
         data_centre: str = "hall",
         cold_left_s: float = 0.0,
     ) -> None:
-        """Starts a replica and notes where, and until when it is cold."""
+        """Starts a replica; records its data centre and when it is cold."""
         self.data_centres[replica_id] = data_centre
         if cold_left_s:
             listed_s = asyncio.get_running_loop().time()
@@ -77,16 +77,16 @@
         return proxy.address
 
     def reply(
-        self, request: users_replica.SeenRequest, version: str
+        self, request: users_replica.ReceivedRequest, version: str
     ) -> users_replica.Reply:
-        """Notes which answers the replica itself breaks off."""
+        """Records which answers the replica itself breaks off."""
         reply = super().reply(request, version)
         if reply.send_bytes is not None or reply.status >= 500:
             self.broken.add(request.request_id)
         return reply
 
     async def end(self) -> None:
-        """Ends everything that was started here."""
+        """Resumes paused routers, then ends all parts and the proxies."""
         for router in self.routers:
             if router.process and router.process.returncode is None:
                 router.resume()
@@ -98,57 +98,57 @@
             await proxy.stop()
 
     @contextlib.contextmanager
-    def noted(
+    def recorded_fault(
         self,
         kind: str,
         router: str = soak_checks.ALL_ROUTERS,
         *,
         is_stop: bool = False,
     ):
-        """Notes a trouble once it has ended."""
+        """Records a fault that lasts as long as the context."""
         loop = asyncio.get_running_loop()
         from_s = loop.time()
-        # Noted as lasting for ever until it ends: a check may come first.
-        position = len(self.troubles)
-        trouble = soak_checks.Trouble(
+        # Recorded as endless at first: the checks may run before it ends.
+        position = len(self.injected_faults)
+        fault = soak_checks.InjectedFault(
             kind=kind,
             router=router,
             from_s=from_s,
             to_s=float("inf"),
             is_stop=is_stop,
         )
-        self.troubles.append(trouble)
+        self.injected_faults.append(fault)
         try:
             yield
         finally:
-            self.troubles[position] = dataclasses.replace(
-                trouble, to_s=loop.time()
+            self.injected_faults[position] = dataclasses.replace(
+                fault, to_s=loop.time()
             )
 
-    def close_door(self, replica_id: str) -> None:
-        """Has the proxy of a replica that has ended refuse connections."""
-        self.replica_proxies[replica_id].close_door()
+    def close_replica_address(self, replica_id: str) -> None:
+        """Has the proxy of a crashed replica refuse connections."""
+        self.replica_proxies[replica_id].close()
 
-    def ended_routers(self) -> list[str]:
-        """Returns which routers ended by themselves."""
+    def unexpected_exits(self) -> list[str]:
+        """Returns the routers that exited unexpectedly."""
         return [
-            f"{router.name} ended by itself with status {status}"
+            f"{router.name} exited unexpectedly with status {status}"
             for router in self.routers
-            for status in router.ended
+            for status in router.unexpected_exits
         ]
 
     def history(self) -> soak_checks.History:
-        """Returns all that was seen."""
+        """Returns the soak's history."""
         replicas = self.all_replicas()
         return soak_checks.History(
             calls=self.calls,
-            troubles=self.troubles,
+            injected_faults=self.injected_faults,
             removals=self.removals,
-            seen={i: replica.seen for i, replica in replicas.items()},
+            received={i: replica.received for i, replica in replicas.items()},
             runs=self.runs(),
             broken=self.broken,
-            given_up=self.given_up,
-            left_at_s=self.left_at_s,
+            abandoned=self.abandoned,
+            leaving_since_s=self.leaving_since_s,
             stop_statuses=self.stop_statuses,
             crashes=self.crashes,
             bad_runs=sum(
@@ -156,7 +156,7 @@
                 for replica_id, replica in replicas.items()
                 if replica_id.startswith(BAD_VERSION)
             ),
-            order_s=self.order_s,
+            ordered_at_s=self.ordered_at_s,
             evacuations=self.evacuations,
             cold=self.cold,
             data_centres=self.data_centres,
--- a/src/nutmeghook/internal/administration/application.py
+++ b/src/nutmeghook/internal/administration/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application that operators talk to, mounted under `/admin/v1`."""
+"""The HTTP application of the administration API, under `/admin/v1`."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -27,8 +27,8 @@
 MAX_REASON_CHARS = 500
 MAX_WAIT_MS = 30_000
 _ACCEPT_TIMEOUT = datetime.timedelta(seconds=8)
-# Longer than an accept takes in good times: whoever asks for an outcome
-# meanwhile lets it finish instead of abandoning it.
+# Longer than an accept normally takes, so that settling an operation that is
+# still being accepted lets it finish instead of abandoning it.
 _SETTLE_GRACE = datetime.timedelta(seconds=3)
 _OPERATION_ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{7,99}")
 _NUMBER = re.compile(r"[0-9]{1,12}")
@@ -47,7 +47,7 @@
 
 
 class AdministrationHandlers:
-    """The handlers of the paths that operators use."""
+    """The handlers of the administration API."""
 
     __slots__ = ("_config", "_principals", "_queries")
 
@@ -68,21 +68,25 @@
     def add_routes(self, application: web.Application) -> None:
         """Adds all paths."""
         router = application.router
-        router.add_post("/operations", self._answered(self._submit))
-        router.add_get("/operations/{id}", self._answered(self._outcome))
-        router.add_post("/operations/{id}/settle", self._answered(self._settle))
-        router.add_post("/drafts", self._answered(self._draft))
-        router.add_get("/documents", self._answered(self._list))
-        router.add_get("/documents/{name:.+}", self._answered(self._document))
-        router.add_get("/changes", self._answered(self._history))
-        router.add_get("/changes/{revision}", self._answered(self._change))
-        router.add_get("/status", self._answered(self._status))
-        router.add_get("/usage", self._answered(self._usage))
-
-    def _answered(
+        router.add_post("/operations", self._coded_handler(self._submit))
+        router.add_get("/operations/{id}", self._coded_handler(self._outcome))
+        router.add_post(
+            "/operations/{id}/settle", self._coded_handler(self._settle)
+        )
+        router.add_post("/drafts", self._coded_handler(self._draft))
+        router.add_get("/documents", self._coded_handler(self._list))
+        router.add_get(
+            "/documents/{name:.+}", self._coded_handler(self._document)
+        )
+        router.add_get("/changes", self._coded_handler(self._history))
+        router.add_get("/changes/{revision}", self._coded_handler(self._change))
+        router.add_get("/status", self._coded_handler(self._status))
+        router.add_get("/usage", self._coded_handler(self._usage))
+
+    def _coded_handler(
         self, handler: _Handler
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
-        """Finds who asks, and gives each error its coded body."""
+        """Wraps a handler with authentication and coded error bodies."""
 
         async def handle(request: web.Request) -> web.Response:
             try:
@@ -108,7 +112,7 @@
         self, request: web.Request, principal: principals.Principal
     ) -> bodies.OperationAnswer:
         body = bodies.decode(await request.read(), bodies.SubmitBody)
-        principal.check_may_make(body.edit)
+        principal.check_may_edit(body.edit)
         operation = operations.Operation(
             operation_id=_operation_id(
                 request.headers.get(OPERATION_HEADER, ""), OPERATION_HEADER
@@ -152,7 +156,11 @@
     async def _answer(
         self, record: rows.OperationRecord, *, wait_ms: int
     ) -> bodies.OperationAnswer:
-        """Tells where an accepted change is in force; raises for others."""
+        """Reports where an accepted change is in force.
+
+        Raises:
+            RefusedError: The operation was not accepted.
+        """
         if record.outcome is not rows.Outcome.ACCEPTED:
             raise RefusedError(record=record)
         if self._config.replica.revision < record.revision:
@@ -167,7 +175,7 @@
         self, request: web.Request, principal: principals.Principal
     ) -> bodies.DraftAnswer:
         body = bodies.decode(await request.read(), bodies.DraftBody)
-        principal.check_may_make(body.edit)
+        principal.check_may_edit(body.edit)
         draft = await self._config.accepter.draft(body.edit)
         return bodies.DraftAnswer(
             revision=draft.revision,
@@ -195,7 +203,7 @@
             principal,
             document=request.query.get("document", ""),
             before=_number(request.query.get("before", "0"), "before"),
-            limit=min(max(limit, 1), queries_module.MOST_CHANGES),
+            limit=min(max(limit, 1), queries_module.MAX_CHANGES),
         )
 
     async def _change(
--- a/src/nutmeghook/internal/assembly/cascades.py
+++ b/src/nutmeghook/internal/assembly/cascades.py
@@ -1,4 +1,4 @@
-"""The cascades' part of an instance: the policy, and who learns for all."""
+"""The cascade policy of an instance, and its learning under a lease."""
 
 from collections.abc import Coroutine
 import random
@@ -8,7 +8,7 @@
 from nutmeghook.internal.dependencies import ratings as ratings_module
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.foundation import clock as clock_module
-from nutmeghook.internal.leases import led_part
+from nutmeghook.internal.leases import leased_component
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.routing import cascade_learned
@@ -19,8 +19,8 @@
 LEASE_NAME = "cascades"
 
 
-class Cascades(led_part.LedPart):
-    """Reads plans on every instance; learns where the lease is held.
+class Cascades(leased_component.LeasedComponent):
+    """Reads plans on every instance; learns on the holder of the lease.
 
     Attributes:
         policy: For the dispatcher.
--- a/src/nutmeghook/internal/assembly/instance.py
+++ b/src/nutmeghook/internal/assembly/instance.py
@@ -1,4 +1,4 @@
-"""One entry instance: all parts, built in the order of their needs."""
+"""One entry instance: all components, built in order of dependency."""
 
 import asyncio
 import datetime
@@ -8,7 +8,7 @@
 from nutmeghook.internal.administration import principals
 from nutmeghook.internal.assembly import cascades
 from nutmeghook.internal.assembly import gauges
-from nutmeghook.internal.assembly import inner_side
+from nutmeghook.internal.assembly import inner_endpoint
 from nutmeghook.internal.assembly import observation
 from nutmeghook.internal.assembly import platform_clients
 from nutmeghook.internal.assembly import rollouts
@@ -27,10 +27,10 @@
 from nutmeghook.internal.inner import peer_messages
 from nutmeghook.internal.ledger import factory as ledger_factory
 from nutmeghook.internal.ledger import settings as ledger_settings
+from nutmeghook.internal.limits import adaptive_limit
 from nutmeghook.internal.limits import ceiling
 from nutmeghook.internal.limits import concurrency_limit
 from nutmeghook.internal.limits import fair_admission
-from nutmeghook.internal.limits import following_limit
 from nutmeghook.internal.limits import retry_budget
 from nutmeghook.internal.limits import token_budget
 from nutmeghook.internal.observe import events as events_module
@@ -49,14 +49,15 @@
 from nutmeghook.internal.suspects import rows
 from nutmeghook.internal.table_replication import peer_sampling
 
-# One read of the platform's list serves all parts; these take one this old.
+# All components share the reads of the platform's instance list. These are the
+# oldest lists that membership and orders accept.
 _MEMBERSHIP_LIST_AGE = datetime.timedelta(seconds=3)
 _ORDERS_LIST_AGE = datetime.timedelta(seconds=1.5)
 _LEDGER_DRAIN = datetime.timedelta(seconds=5)
 
 
 class Instance:
-    """Builds the parts, runs them and takes them down in order."""
+    """Builds the components, runs them and stops them in order."""
 
     __slots__ = (
         "_cascades",
@@ -99,17 +100,17 @@
         self._instances = shared_instances.SharedInstanceList(
             instance_list=self._clients.instance_list, clock=clock
         )
-        self._inner = inner_side.InnerSide(
+        self._inner = inner_endpoint.InnerEndpoint(
             settings=settings, clock=clock, random_source=self._random
         )
 
     @property
     def inner_address(self) -> str:
-        """Where other instances reach this one; known once it started."""
+        """The address for other instances; known once it has started."""
         return self._inner.address
 
     async def start(self) -> str:
-        """Listens on both sides; returns the callers' address."""
+        """Listens for instances and callers; returns the callers' address."""
         await self._inner.start(
             ids=self.identifiers,
             instance_list=self._instances.recent(_MEMBERSHIP_LIST_AGE),
@@ -207,7 +208,7 @@
             cascade=self._cascades.policy,
             admission=self._build_admission(),
             plain_admission=self._fair_admission(
-                following_limit.FollowingLimit(
+                adaptive_limit.AdaptiveLimit(
                     ceiling=self._settings.count("concurrent_plain_calls")
                 )
             ),
@@ -300,14 +301,14 @@
         )
 
     def _build_admission(self) -> fair_admission.FairAdmission:
-        most_places = self._settings.count("concurrent_requests")
-        limit = following_limit.FollowingLimit(ceiling=most_places)
-        self._ceiling = ceiling.CeilingFollower(
+        max_slots = self._settings.count("concurrent_requests")
+        limit = adaptive_limit.AdaptiveLimit(ceiling=max_slots)
+        self._ceiling = ceiling.CeilingUpdater(
             limit=limit,
             known=self._routing.directory.known,
             members=self.members,
             clock=self._clock,
-            most_places=most_places,
+            max_slots=max_slots,
         )
         return self._fair_admission(limit)
 
@@ -325,7 +326,7 @@
         )
 
     async def run(self) -> None:
-        """Runs what works in the background until cancelled."""
+        """Runs the background tasks until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.members.run())
             tasks.create_task(self.config.distributor.run())
@@ -345,19 +346,19 @@
             messages=peer_messages.PeerMessages(
                 caller=self._inner.caller, handlers=self._inner.handlers
             ),
-            sample_peers=self._some_members,
+            sample_peers=self._sample_members,
             clock=self._clock,
             random_source=self._random,
         )
 
-    def _some_members(self, *, local: int, remote: float) -> list[str]:
-        """Returns where some other instances listen."""
+    def _sample_members(self, *, local: int, remote: float) -> list[str]:
+        """Returns the inner addresses of some other instances."""
         others = [m for m in self.members.members() if m != self.members.myself]
-        told = peer_sampling.PeerSampler(
+        sampler = peer_sampling.PeerSampler(
             data_centre=self._settings.text("data_centre"),
             random_source=self._random,
         )
-        return told.choose(
+        return sampler.choose(
             {m.incarnation: m.inner_address for m in others},
             {m.incarnation: m.data_centre for m in others},
             local=local,
@@ -373,7 +374,7 @@
         )
 
     async def leave(self) -> None:
-        """Stops taking requests, finishes all, hands over what it held."""
+        """Stops accepting requests, drains them and releases the leases."""
         self.members.announce_leaving()
         await shutdown.shut_down(
             clock=self._clock,
--- a/src/nutmeghook/internal/assembly/rollouts.py
+++ b/src/nutmeghook/internal/assembly/rollouts.py
@@ -1,4 +1,4 @@
-"""The roll-outs' part of an instance: leave, and the controller's lease."""
+"""Roll-outs of an instance: exposure allowance, controller and lease."""
 
 from collections.abc import Coroutine
 import random
@@ -9,7 +9,7 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.inner import peers
-from nutmeghook.internal.leases import led_part
+from nutmeghook.internal.leases import leased_component
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.rollout import allowance as allowance_module
@@ -18,11 +18,11 @@
 from nutmeghook.internal.rollout import gate as gate_module
 
 
-class RollOuts(led_part.LedPart):
-    """Runs roll-outs where this instance holds their lease.
+class RollOuts(leased_component.LeasedComponent):
+    """Runs roll-outs while this instance holds their lease.
 
     Attributes:
-        gate: For the choice of versions, on every instance.
+        gate: Used by the choice of versions, on every instance.
     """
 
     __slots__ = ("_controller", "gate")
--- a/src/nutmeghook/internal/dispatch/consumers.py
+++ b/src/nutmeghook/internal/dispatch/consumers.py
@@ -1,4 +1,4 @@
-"""Where an attempt's text goes: held for judgement, or relayed at once."""
+"""Consumers of an attempt's text: buffered until judged, or relayed."""
 
 import abc
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 
 
 class TextMismatchError(Exception):
-    """A repeated attempt's text is not the one that the caller has part of."""
+    """A retry's text does not match what the caller has received."""
 
 
 class Consumer(abc.ABC):
-    """Takes an attempt's text, checked to be complete and in order."""
+    """Takes an attempt's text, which is complete and in order."""
 
     @abc.abstractmethod
     async def take(self, text: str) -> None:
@@ -25,20 +25,20 @@
 
     @abc.abstractmethod
     def has_begun(self) -> bool:
-        """Tells whether an attempt that gave its text here is the answer's."""
+        """Tells whether the answer's text so far is from this attempt."""
 
     @abc.abstractmethod
-    def for_repeat(self, on_begun: Callable[[], None]) -> "Consumer":
-        """Returns the consumer for an attempt that starts from the front.
+    def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
+        """Returns the consumer for an attempt that starts over.
 
         Args:
-            on_begun: Called once, before the first text that such an attempt
-                adds to the answer; from then on the answer is its own.
+            on_begun: Called once, before the first text that this attempt adds
+                to the answer; from then on the answer is this attempt's.
         """
 
 
-class Holder(Consumer):
-    """Holds a stage's text back: the answer may yet be judged too weak."""
+class BufferingConsumer(Consumer):
+    """Buffers a stage's text until its answer has been judged."""
 
     __slots__ = ("_on_begun", "_pieces")
 
@@ -47,7 +47,7 @@
         self._pieces: list[str] = []
 
     async def take(self, text: str) -> None:
-        """Keeps the piece."""
+        """Buffers the piece."""
         if not self._pieces and self._on_begun is not None:
             self._on_begun()
         self._pieces.append(text)
@@ -57,16 +57,16 @@
         return "".join(self._pieces)
 
     def has_begun(self) -> bool:
-        """Tells whether it holds any text."""
+        """Tells whether any text is buffered."""
         return bool(self._pieces)
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> "Consumer":
-        """Returns an empty holder: nobody saw the earlier text."""
-        return Holder(on_begun=on_begun)
+    def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
+        """Returns an empty buffer: nobody saw the earlier text."""
+        return BufferingConsumer(on_begun=on_begun)
 
 
-class Relay(Consumer):
-    """Passes text on to the caller as it comes."""
+class RelayingConsumer(Consumer):
+    """Passes text on to the caller as it arrives."""
 
     __slots__ = ("_model_version", "_on_first", "_pieces", "_progress", "_sink")
 
@@ -100,30 +100,31 @@
         """Tells whether the caller was sent any text."""
         return bool(self._pieces)
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> "Consumer":
-        """Returns a consumer that goes on where the caller's text ends."""
+    def for_retry(self, on_begun: Callable[[], None]) -> "Consumer":
+        """Returns a consumer that continues where the caller's text ends."""
         if not self._pieces:
             return self
-        return PrefixCheck(relay=self, on_begun=on_begun)
+        return PrefixCheckingConsumer(relay=self, on_begun=on_begun)
 
 
-class PrefixCheck(Consumer):
-    """Lets a repeated attempt go on only if it repeats the text so far.
+class PrefixCheckingConsumer(Consumer):
+    """Lets a retry continue only if it reproduces the text so far.
 
-    The failure: the engine is gone with half an answer given. A second
-    engine, though of the same version, may word it otherwise; going on from
-    the middle would splice two answers into one that neither gave. So the
-    repeat's text is held until it covers what the caller has, and is passed
-    on only if it begins with exactly that.
+    When an engine is lost in mid-answer, another engine of the same version
+    may word the answer differently, and continuing with its text would splice
+    two answers. So the retry's text is buffered until it covers what the
+    caller has, and is passed on only if it begins with exactly that.
     """
 
-    __slots__ = ("_caught_up", "_expected", "_held", "_on_begun", "_relay")
+    __slots__ = ("_buffered", "_caught_up", "_expected", "_on_begun", "_relay")
 
-    def __init__(self, *, relay: Relay, on_begun: Callable[[], None]):
+    def __init__(
+        self, *, relay: RelayingConsumer, on_begun: Callable[[], None]
+    ):
         self._on_begun = on_begun
         self._relay = relay
         self._expected = relay.text()
-        self._held = ""
+        self._buffered = ""
         self._caught_up = False
 
     async def take(self, text: str) -> None:
@@ -135,13 +136,13 @@
         if self._caught_up:
             await self._relay.take(text)
             return
-        self._held += text
+        self._buffered += text
         if not self._matches():
             raise TextMismatchError
-        if len(self._held) >= len(self._expected):
+        if len(self._buffered) >= len(self._expected):
             self._caught_up = True
             self._on_begun()
-            rest = self._held[len(self._expected) :]
+            rest = self._buffered[len(self._expected) :]
             if rest:
                 await self._relay.take(rest)
 
@@ -149,21 +150,21 @@
         """Returns all of the caller's text so far.
 
         Raises:
-            TextMismatchError: The repeat ended short of the text given.
+            TextMismatchError: The retry ended before it covered that text.
         """
         if not self._caught_up:
             raise TextMismatchError
         return self._relay.text()
 
     def has_begun(self) -> bool:
-        """Tells whether the repeat covers what the caller had."""
+        """Tells whether the retry covers what the caller had."""
         return self._caught_up
 
-    def for_repeat(self, on_begun: Callable[[], None]) -> Consumer:
-        """Returns a fresh check against all that the caller has by now."""
-        return self._relay.for_repeat(on_begun)
+    def for_retry(self, on_begun: Callable[[], None]) -> Consumer:
+        """Returns a new check against all that the caller has by now."""
+        return self._relay.for_retry(on_begun)
 
     def _matches(self) -> bool:
-        return self._held.startswith(self._expected) or (
-            self._expected.startswith(self._held)
+        return self._buffered.startswith(self._expected) or (
+            self._expected.startswith(self._buffered)
         )
--- a/src/nutmeghook/internal/dispatch/stages.py
+++ b/src/nutmeghook/internal/dispatch/stages.py
@@ -1,4 +1,4 @@
-"""One stage of a request: version, backend server, attempts until one ends."""
+"""Runs a request's stage: chooses version and backend server, retries."""
 
 import datetime
 import functools
@@ -7,14 +7,14 @@
 from nutmeghook.internal.config import view as view_module
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.dispatch import answers
+from nutmeghook.internal.dispatch import attempt_costs
 from nutmeghook.internal.dispatch import attempts as attempts_module
 from nutmeghook.internal.dispatch import callers
 from nutmeghook.internal.dispatch import consumers
-from nutmeghook.internal.dispatch import engine_ends
+from nutmeghook.internal.dispatch import engine_crashes
 from nutmeghook.internal.dispatch import hedge
-from nutmeghook.internal.dispatch import leave as leave_module
 from nutmeghook.internal.dispatch import meter as meter_module
-from nutmeghook.internal.dispatch import spent
+from nutmeghook.internal.dispatch import retry_permission
 from nutmeghook.internal.dispatch import stage_calls
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import codes
@@ -30,17 +30,17 @@
 
 
 class StageRunner:
-    """Runs stages, retrying and hedging within bounds."""
+    """Runs stages, with bounded retries and hedging."""
 
     __slots__ = (
         "_attempts",
         "_backends",
         "_clock",
         "_config",
-        "_ends",
+        "_crashes",
         "_events",
-        "_leave",
         "_meter",
+        "_permission",
         "_random",
         "_versions",
     )
@@ -53,7 +53,7 @@
         versions: versions_module.VersionChooser,
         backends: backends_module.BackendChooser,
         attempts: attempts_module.AttemptRunner,
-        ends: engine_ends.EngineEnds,
+        crashes: engine_crashes.EngineCrashDetector,
         retry_budgets: admission_module.RetryBudgets,
         events: events_module.EventRing,
         meter: meter_module.Meter,
@@ -61,13 +61,13 @@
     ):
         self._clock = clock
         self._config = config
-        self._ends = ends
-        self._leave = leave_module.AttemptLeave(
+        self._crashes = crashes
+        self._permission = retry_permission.RetryPermission(
             config=config,
             versions=versions,
             backends=backends,
             retry_budgets=retry_budgets,
-            ends=ends,
+            crashes=crashes,
         )
         self._versions = versions
         self._backends = backends
@@ -77,19 +77,19 @@
         self._random = random_source
 
     async def run(self, call: stage_calls.StageCall) -> answers.GeneratedAnswer:
-        """Returns the stage's whole answer.
+        """Returns the stage's complete answer.
 
         Raises:
-            errors.CodedError: There is none, and no more attempts are left.
+            errors.CodedError: There is none, and no attempt is permitted.
         """
         try:
             return await self._until_answered(call)
         except BaseException:
             if not call.progress.relayed:
-                self._give_back(call)
+                self._release_choice(call)
             raise
         finally:
-            self._forget_way_back(call)
+            self._release_fallback(call)
 
     async def _until_answered(
         self, call: stage_calls.StageCall
@@ -100,7 +100,7 @@
                 backend = await self._next_backend(call)
             try:
                 answer = await self._answer_from(call, backend)
-                self._ends.note_answered(call.request)
+                self._crashes.note_answered(call.request)
                 return answer
             except attempts_module.AttemptError as error:
                 call.failed_attempts += 1
@@ -111,27 +111,26 @@
             except consumers.TextMismatchError as error:
                 raise errors.CodedError(
                     code=codes.Code.BACKEND_FAILED,
-                    detail="the backend server was lost in mid-answer and"
-                    " another one's answer is worded otherwise",
+                    detail="the backend server was lost in mid-answer, and"
+                    " another one's answer is worded differently",
                 ) from error
             if not withheld:
                 call.tried.add(backend.address)
-            call.consumer = call.consumer.for_repeat(
-                functools.partial(self._forget_way_back, call)
+            call.consumer = call.consumer.for_retry(
+                functools.partial(self._release_fallback, call)
             )
 
     async def _answer_from(
         self, call: stage_calls.StageCall, backend: backends_module.Backend
     ) -> answers.GeneratedAnswer:
-        """Returns the answer of a backend server, or of the one left for it.
+        """Returns the answer of a backend server, or of the fallback attempt.
 
-        The failure: an engine couldn't be reached for a moment, and was left
-        for another one with the last of the retry budget. That one refused,
-        and the caller's answer was cut, though the first was back and had it.
-        So the attempt that was left is kept until the other one has begun,
-        and is resumed if that never does. A resume is no further run, so it
-        needs no leave. After an answer that is worded otherwise it is the
-        last resort: yet another engine's would hardly fit.
+        An engine that is unreachable for a moment may be abandoned with the
+        last of the retry budget for one that then refuses. So the abandoned
+        attempt is kept until the next one has begun, and is resumed if that
+        never happens. A resume is no further run, so it needs no permission.
+        After an answer that is worded differently no other engine is tried:
+        its answer would hardly match either.
         """
         try:
             last = await self._send(call, backend)
@@ -140,47 +139,47 @@
             attempts_module.AttemptError,
             consumers.TextMismatchError,
         ) as error:
-            way_back = call.way_back
-            if call.granted is not None or way_back is None:
+            fallback = call.fallback
+            if call.granted is not None or fallback is None:
                 raise
             self._events.record(
                 events_module.EventKind.REQUEST_RETRIED,
                 call.request.request_id,
-                reason=str(error) or "worded otherwise",
+                reason=str(error) or "worded differently",
             )
             if isinstance(error, consumers.TextMismatchError):
-                call.failed_attempts = leave_module.MAX_ATTEMPTS_PER_STAGE
+                call.failed_attempts = retry_permission.MAX_ATTEMPTS_PER_STAGE
         call.tried.add(backend.address)
-        call.way_back = None
-        call.consumer = way_back.consumer
-        last = await self._run(call, way_back.attempt, way_back.consumer)
+        call.fallback = None
+        call.consumer = fallback.consumer
+        last = await self._run(call, fallback.attempt, fallback.consumer)
         return stage_calls.answer(call, last)
 
     async def _next_backend(
         self, call: stage_calls.StageCall
     ) -> backends_module.Backend:
-        """Returns where an attempt goes that was not granted before."""
+        """Returns where the next attempt goes, if it was not granted before."""
         await self._settle_choice(call)
         callers.check_token(self._config, call.request, call.progress)
-        self._ends.check(call.request, call.progress)
+        self._crashes.check(call.request, call.progress)
         if not call.failed_attempts:
-            # Of each stage: it is one more first attempt at its model.
-            self._leave.budget(call).note_request()
+            # Counted in every stage, since each is a first attempt at a model.
+            self._permission.budget(call).note_request()
         backend = self._choose_backend(call)
         if not call.progress.attempts:
-            self._ends.note_sent(call.request)
+            self._crashes.note_sent(call.request)
         return backend
 
     async def _settle_choice(self, call: stage_calls.StageCall) -> None:
-        """Leaves a version in the call that may be sent to right now.
+        """Makes sure that the call's version may be sent to now.
 
-        A request can wait (for admission, a backend server, a retry) while
-        its version is withdrawn. So the choice is checked against the newest
-        configuration just before each send, and made anew where it failed;
-        but not once the caller has text: another version's may not follow.
+        A version can be withdrawn while a request waits for admission, a
+        backend server or a retry. So the choice is checked against the newest
+        configuration just before each send, and made again if it fails; but
+        not once the caller has text, which another version must not continue.
         """
         for _ in range(MAX_CHOICES_PER_SEND):
-            template = self._leave.template_now(call)
+            template = self._permission.template_now(call)
             if call.choice is None:
                 call.choice = await self._versions.choose(
                     template=template,
@@ -190,25 +189,25 @@
                 )
                 call.consumer = call.consumer_for(call.choice.model_version)
             try:
-                self._leave.check_version(call)
+                self._permission.check_version(call)
                 return
             except errors.CodedError:
                 if call.progress.relayed:
                     raise
-                self._give_back(call)
+                self._release_choice(call)
         raise errors.CodedError(
             code=codes.Code.NO_CANDIDATE,
-            detail="each version chosen was withdrawn before it was sent to",
+            detail="every version chosen was withdrawn before the send",
             retry_after=RETRY_WITHOUT_BACKEND,
         )
 
-    def _give_back(self, call: stage_calls.StageCall) -> None:
-        """Takes back a choice of which no text has left this instance.
+    def _release_choice(self, call: stage_calls.StageCall) -> None:
+        """Releases a version choice of which the caller got no text.
 
-        The failure: leave for an answer that nobody got is never rated, so
-        it counts as unrated until it is written off, and the roll-out waits.
-        A choice is one answer's leave, however many attempts and hedges it
-        takes; so it goes back once, when none of them gave the answer.
+        A choice takes one answer's exposure allowance, however many attempts
+        and hedges are made. An answer that nobody got is never rated: it would
+        count as unrated until it is written off, and delay the roll-out. So
+        the choice is released once, when no attempt gave the answer.
         """
         if call.choice is not None:
             self._versions.release(
@@ -221,7 +220,7 @@
     ) -> backends_module.Backend:
         backend = self._backends.choose(stage_calls.backend_criteria(call))
         if backend is None and call.tried:
-            # In a small pool all may have refused once; a refusal passes.
+            # In a small pool all may have refused once; that is temporary.
             call.tried.clear()
             backend = self._backends.choose(stage_calls.backend_criteria(call))
         if backend is None:
@@ -252,14 +251,14 @@
         call: stage_calls.StageCall,
         first: backends_module.Backend,
         consumer: consumers.Consumer,
-    ) -> hedge.LaneWork | None:
-        """Starts a hedge on another backend server, if that may be.
+    ) -> hedge.AttemptWork | None:
+        """Starts a hedge on another backend server, if permitted.
 
-        What an engine has ended under is not given to two at a time.
+        A request that has crashed an engine is not sent to two at a time.
         """
-        if self._ends.is_suspect(call.request):
+        if self._crashes.is_suspect(call.request):
             return None
-        backend = self._leave.try_beside(call, first)
+        backend = self._permission.try_permit_elsewhere(call, first)
         if backend is None:
             return None
         self._note_repeat(call, "hedge", hedged=True)
@@ -276,9 +275,11 @@
             backend=backend,
             generation=stage_calls.generation(call),
             deadline=request.deadline,
-            try_leave=functools.partial(self._leave.try_grant, call, backend),
+            try_permit=functools.partial(
+                self._permission.try_grant, call, backend
+            ),
             check_send=functools.partial(
-                self._leave.check_send, call, call.choice, backend
+                self._permission.check_send, call, call.choice, backend
             ),
         )
         return await self._run(call, attempt, consumer)
@@ -300,47 +301,48 @@
             return await self._attempts.run(attempt, consumer)
         except attempts_module.AttemptError as error:
             ran = error.ran
-            await self._ends.note_failed(call.request, attempt, error)
+            await self._crashes.note_failed(call.request, attempt, error)
             raise
         finally:
-            if attempt.is_left and consumer.has_begun():
-                call.way_back = stage_calls.WayBack(
+            if attempt.is_abandoned and consumer.has_begun():
+                call.fallback = stage_calls.FallbackAttempt(
                     attempt=attempt, consumer=call.consumer
                 )
             else:
-                self._close(call, attempt, ran=ran)
+                self._settle_attempt(call, attempt, ran=ran)
 
-    def _forget_way_back(self, call: stage_calls.StageCall) -> None:
-        """Gives up the attempt that was left: another one has begun."""
-        way_back, call.way_back = call.way_back, None
-        if way_back is not None:
-            self._close(call, way_back.attempt, ran=True)
+    def _release_fallback(self, call: stage_calls.StageCall) -> None:
+        """Drops the fallback attempt, as another one has begun."""
+        fallback, call.fallback = call.fallback, None
+        if fallback is not None:
+            self._settle_attempt(call, fallback.attempt, ran=True)
 
-    def _close(
+    def _settle_attempt(
         self,
         call: stage_calls.StageCall,
         attempt: attempts_module.Attempt,
         *,
         ran: bool,
     ) -> None:
-        """Counts an attempt that won't be resumed any more."""
-        if attempt.is_left:
+        """Counts an attempt that will not be resumed."""
+        if attempt.is_abandoned:
             self._attempts.drop(attempt)
-        spent.count(self._config, call, attempt, ran=ran)
+        attempt_costs.record(self._config, call, attempt, ran=ran)
 
     async def _allow_retry(
         self,
         call: stage_calls.StageCall,
         error: attempts_module.AttemptError,
     ) -> None:
-        """Waits a little before the next attempt, or gives up.
+        """Permits another attempt, after a back-off with jitter.
 
         Raises:
-            errors.CodedError: No further attempt is allowed.
+            errors.CodedError: No further attempt is permitted.
         """
-        # What never left loads nobody, so the budget has no say.
-        if call.failed_attempts >= leave_module.MAX_ATTEMPTS_PER_STAGE or not (
-            error.withheld or self._leave.budget(call).try_spend()
+        # A withheld attempt was not sent and adds no load, so it is free.
+        if (
+            call.failed_attempts >= retry_permission.MAX_ATTEMPTS_PER_STAGE
+            or not (error.withheld or self._permission.budget(call).try_spend())
         ):
             raise errors.CodedError(
                 code=codes.Code.BACKEND_FAILED
--- a/src/nutmeghook/internal/limits/concurrency_limit.py
+++ b/src/nutmeghook/internal/limits/concurrency_limit.py
@@ -1,15 +1,15 @@
-"""How many requests an instance lets run at once."""
+"""Limits on the requests that an instance runs at once."""
 
 import abc
 import datetime
 
 
 class ConcurrencyLimit(abc.ABC):
-    """A number of places, which may follow measured service."""
+    """A number of slots, which may adapt to measured service."""
 
     @property
     @abc.abstractmethod
-    def places(self) -> int:
+    def slots(self) -> int:
         """The number of requests that may run at once; at least 1."""
 
     @abc.abstractmethod
@@ -21,32 +21,32 @@
         work_tokens: int,
         running: int,
     ) -> None:
-        """Takes in one finished attempt.
+        """Records one finished attempt.
 
         Args:
             duration: How long the attempt ran.
-            overloaded: It met overload; `duration` is meaningless then.
-            work_tokens: The attempt's size, which durations are compared by.
-            running: Requests running when it ended.
+            overloaded: It was refused for overload; `duration` is ignored.
+            work_tokens: Its tokens; durations are compared per token.
+            running: Requests that were running when it ended.
         """
 
 
 class FixedLimit(ConcurrencyLimit):
-    """A number that only its owner changes."""
+    """A limit that only its owner changes."""
 
-    __slots__ = ("_places",)
+    __slots__ = ("_slots",)
 
-    def __init__(self, *, places: int):
-        self._places = checked_places(places)
+    def __init__(self, *, slots: int):
+        self._slots = checked_slots(slots)
 
     @property
-    def places(self) -> int:
+    def slots(self) -> int:
         """The number given."""
-        return self._places
+        return self._slots
 
-    def set_places(self, places: int) -> None:
+    def set_slots(self, slots: int) -> None:
         """Changes the number."""
-        self._places = checked_places(places)
+        self._slots = checked_slots(slots)
 
     def note(
         self,
@@ -59,8 +59,8 @@
         """Ignores it."""
 
 
-def checked_places(places: int) -> int:
+def checked_slots(slots: int) -> int:
     """Returns the number, or raises ValueError if it is under 1."""
-    if places < 1:
-        raise ValueError(f"places is {places}; give 1 or more")
-    return places
+    if slots < 1:
+        raise ValueError(f"slots is {slots}; give 1 or more")
+    return slots
--- a/src/nutmeghook/internal/limits/token_budget.py
+++ b/src/nutmeghook/internal/limits/token_budget.py
@@ -1,4 +1,4 @@
-"""Token budgets of templates, as each instance enforces its part of them."""
+"""Token budgets of templates, of which each instance enforces its share."""
 
 import datetime
 
@@ -6,14 +6,14 @@
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.limits import admission
-from nutmeghook.internal.limits import return_schedule
+from nutmeghook.internal.limits import retry_after_schedule
 from nutmeghook.internal.membership import members as members_module
 
 _MINUTE = datetime.timedelta(minutes=1)
 
 
 class _Bucket:
-    """What is left of one template's budget; negative while in debt."""
+    """What remains of one template's budget; negative while in debt."""
 
     __slots__ = ("filled_at", "level_tokens")
 
@@ -23,11 +23,11 @@
 
 
 class TokenBudgets:
-    """A token bucket a template, filled with this instance's share.
+    """One token bucket per template, filled with this instance's share.
 
-    A request is let in while the bucket isn't empty, whatever its size, and
-    the bucket may go into debt. Otherwise a budget whose share at one of 420
-    instances is smaller than one request would let nothing in at all.
+    A request of any size is admitted while the bucket is not empty, and the
+    bucket may go into debt. Otherwise a budget whose share at one of 420
+    instances is smaller than one request would admit nothing at all.
     """
 
     __slots__ = ("_buckets", "_clock", "_members")
@@ -46,7 +46,7 @@
         self,
         request: admission.AdmissionRequest,
         *,
-        returns: return_schedule.ReturnSchedule,
+        retry_schedule: retry_after_schedule.RetryAfterSchedule,
     ) -> None:
         """Raises `OVER_BUDGET` with the time to wait, if the budget is spent.
 
@@ -62,7 +62,7 @@
                 f"template {request.template} has used its "
                 f"{request.tokens_per_minute} tokens a minute"
             ),
-            retry_after=returns.jittered(wait),
+            retry_after=retry_schedule.jittered(wait),
         )
 
     def _wait_needed(
@@ -77,7 +77,7 @@
         return missing_tokens / self._share(request) * _MINUTE
 
     def charge(self, request: admission.AdmissionRequest, tokens: int) -> None:
-        """Takes tokens, or gives them back if negative."""
+        """Takes tokens, or refunds them if negative."""
         if request.tokens_per_minute:
             bucket = self._filled(request)
             bucket.level_tokens = min(
--- a/src/nutmeghook/internal/membership/contacts.py
+++ b/src/nutmeghook/internal/membership/peer_discovery.py
@@ -1,4 +1,4 @@
-"""Trying addresses at which a member may be that is believed dead."""
+"""Probes addresses at which an unknown or dead member may be running."""
 
 import asyncio
 import random as random_module
@@ -13,16 +13,16 @@
 
 LIST_READERS = 2
 _LIST_PURPOSE = "instance list"
-_TRIED_WHILE_ALONE = 3
-_DISPUTES_A_PERIOD = 10
+_PROBES_WHILE_ALONE = 3
+_DISPUTES_PER_PERIOD = 10
 
 
-class Contacts:
-    """Finds the members that the others' rumours can't bring.
+class PeerDiscovery:
+    """Finds members that gossip does not reach.
 
-    Few instances of each data centre read the list and try what is on it; an
-    instance that knows nobody does so too. Whoever answers is spread as a
-    rumour, so the others need not.
+    Two readers in each data centre read the instance list and probe its
+    addresses, as does an instance that knows no other member. A member that
+    answers is spread by gossip, so the other instances need not probe.
     """
 
     __slots__ = (
@@ -61,15 +61,15 @@
         self._tasks: set[asyncio.Task] = set()
 
     def dispute(self, inner_address: str) -> None:
-        """Has a member asked that some believe dead and some do not.
+        """Schedules a probe of a member that some consider dead, some alive.
 
-        The question tells it that it is believed dead; its answer settles
-        the matter with a higher number.
+        The probe tells the member that it was declared dead; it refutes that
+        with a higher number.
         """
         self._disputed.add(inner_address)
 
-    async def run_list(self) -> None:
-        """Reads the list at the start, then as a reader; until cancelled."""
+    async def run_list_reads(self) -> None:
+        """Reads the list at start, then while elected; until cancelled."""
         while True:
             if not self._hints.was_read or self._is_reader():
                 await self._hints.read()
@@ -79,45 +79,45 @@
                 period = self._timing.probe_period
             await self._clock.sleep(period * jitter)
 
-    async def run_trials(self) -> None:
-        """Tries addresses, until cancelled."""
+    async def run_probes(self) -> None:
+        """Probes addresses, until cancelled."""
         while True:
-            self._try_disputed()
+            self._probe_disputed()
             if self._is_alone():
-                self._try_missing(_TRIED_WHILE_ALONE)
+                self._probe_missing(_PROBES_WHILE_ALONE)
                 await self._clock.sleep(self._timing.probe_period)
                 continue
             if self._is_reader():
-                self._try_missing(1)
-            self._table.forget_dead(self._timing.dead_retention)
+                self._probe_missing(1)
+            self._table.drop_dead(self._timing.dead_retention)
             jitter = self._random.uniform(0.8, 1.2)
-            await self._clock.sleep(self._timing.contact_period * jitter)
+            await self._clock.sleep(self._timing.discovery_period * jitter)
 
     def stop(self) -> None:
-        """Ends all trials."""
+        """Cancels all probes."""
         for task in self._tasks:
             task.cancel()
 
-    def missing(self) -> list[str]:
-        """Returns the addresses where a member may be that is not known."""
+    def missing_addresses(self) -> list[str]:
+        """Returns listed, seed and dead addresses without a running member."""
         known = {
             record.member.inner_address for record in self._table.running()
         }
-        known.add(self._table.mine.member.inner_address)
+        known.add(self._table.own_claim.member.inner_address)
         wanted = self._hints.addresses() | set(self._table.dead_addresses())
         return sorted(wanted - known)
 
-    def is_only_one(self) -> bool:
-        """Tells whether there is no other instance, as far as can be known.
+    def is_sole_instance(self) -> bool:
+        """Tells whether, as far as is known, there is no other instance.
 
-        A list without this instance may be faulty, and then its lack of
-        others means nothing.
+        A list that lacks this instance may be faulty, so the absence of others
+        from it proves nothing.
         """
-        myself = self._table.mine.member.inner_address
+        myself = self._table.own_claim.member.inner_address
         return (
             self._is_alone()
             and self._hints.lists(myself)
-            and not self.missing()
+            and not self.missing_addresses()
         )
 
     def _is_alone(self) -> bool:
@@ -128,20 +128,20 @@
             self._view, count=LIST_READERS, purpose=_LIST_PURPOSE
         )
 
-    def _try_disputed(self) -> None:
-        for _ in range(min(len(self._disputed), _DISPUTES_A_PERIOD)):
-            self._try(self._disputed.pop())
+    def _probe_disputed(self) -> None:
+        for _ in range(min(len(self._disputed), _DISPUTES_PER_PERIOD)):
+            self._start_probe(self._disputed.pop())
 
-    def _try_missing(self, count: int) -> None:
+    def _probe_missing(self, count: int) -> None:
         for _ in range(count):
             if not self._queue:
-                self._queue = self.missing()
+                self._queue = self.missing_addresses()
                 self._random.shuffle(self._queue)
             if not self._queue:
                 return
-            self._try(self._queue.pop())
+            self._start_probe(self._queue.pop())
 
-    def _try(self, inner_address: str) -> None:
+    def _start_probe(self, inner_address: str) -> None:
         task = asyncio.create_task(
             self._gossip.probe(
                 inner_address, timeout=self._timing.direct_timeout
--- a/src/nutmeghook/internal/observe/story.py
+++ b/src/nutmeghook/internal/observe/story.py
@@ -1,27 +1,27 @@
-"""Gathers a request's whole way from the log lines of all instances."""
+"""Collects all log lines about one request from all instances' logs."""
 
 from collections.abc import Iterable
 import dataclasses
 import heapq
 
-from nutmeghook.internal.observe import belief_records
 from nutmeghook.internal.observe import log_decoding
 from nutmeghook.internal.observe import log_reading
 from nutmeghook.internal.observe import log_records
+from nutmeghook.internal.observe import state_records
 
 Line = log_reading.Line
 
-# Lines that bear on every request of their instance.
-_BEARS_ON_ALL = (
-    belief_records.ConfigurationInForce,
-    belief_records.EvacuationChange,
-    belief_records.LinesDropped,
-    belief_records.ProcessChange,
-    belief_records.RollOutChange,
-    belief_records.StoreChange,
+# Lines that concern every request of their instance.
+_RELEVANT_TO_ALL = (
+    state_records.ConfigurationInForce,
+    state_records.EvacuationChange,
+    state_records.LinesDropped,
+    state_records.ProcessChange,
+    state_records.RollOutChange,
+    state_records.StoreChange,
 )
 
-_NAMING_REPLICAS = (
+_REPLICA_RECORDS = (
     log_records.AttemptSent,
     log_records.AttemptAnswered,
     log_records.AttemptLeft,
@@ -29,43 +29,44 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Visit:
-    """What one instance did with a request, and believed meanwhile.
+class InstanceTrace:
+    """An instance's lines about a request, and about its own state then.
 
     Attributes:
-        instance: Its name.
-        own: The lines about the request, as they were logged.
-        replicas: Those of the request's attempts.
-        arrived_s: When it arrived, or its first line if that is not known.
-        until_s: When its last line was logged. Of a request without an end,
-            when the process started again, or the log's end.
-        log: What is known of the instance's log as a whole.
-        beliefs: Lines between arrival and end that bear on the request.
-        earlier: The newest line from before the arrival about each subject
-            that bears on the request.
-        knows_start: The process's start, before the arrival, is in the log.
-        services: Those of the replicas of its attempts, as far as was logged.
+        instance: The instance's name.
+        request_lines: The lines about the request, in the order logged.
+        replicas: The replicas of the request's attempts.
+        arrived_s: When the request arrived; if not known, the time of its
+            first line.
+        until_s: The time of the request's last line. For a request without an
+            end, when the process started again, or the log's end.
+        log: A summary of the instance's log.
+        state_changes: Other lines between arrival and end that are relevant
+            to the request.
+        earlier_state: The newest relevant line before the arrival, by subject.
+        has_start: The process's start, before the arrival, is in the log.
+        services: The services of the replicas, as far as they were logged.
     """
 
     instance: str
-    own: list[Line]
+    request_lines: list[Line]
     replicas: frozenset[str]
     arrived_s: float
     until_s: float
     log: log_reading.Summary
-    beliefs: list[Line] = dataclasses.field(default_factory=list)
-    earlier: dict[str, Line] = dataclasses.field(default_factory=dict)
-    knows_start: bool = False
+    state_changes: list[Line] = dataclasses.field(default_factory=list)
+    earlier_state: dict[str, Line] = dataclasses.field(default_factory=dict)
+    has_start: bool = False
     services: set[str] = dataclasses.field(default_factory=set)
 
     @property
     def records(self) -> list[log_records.RequestRecord]:
         """The request's records."""
-        return [line.record for line in self.own]
+        return [line.record for line in self.request_lines]
 
     @property
-    def knows_arrival(self) -> bool:
-        """Tells whether some line says when the request arrived."""
+    def has_arrival(self) -> bool:
+        """Whether some line tells when the request arrived."""
         return any(
             isinstance(record, log_records.RequestEnded)
             and record.duration_ms is not None
@@ -74,16 +75,16 @@
 
     @property
     def is_ended(self) -> bool:
-        """Tells whether the request's last line is that of its end."""
+        """Whether the request's last line is that of its end."""
         return isinstance(self.records[-1], log_records.RequestEnded)
 
     @property
-    def let_in_by(self) -> int | None:
-        """The configuration that let the request in, if a line says so."""
+    def admitted_by(self) -> int | None:
+        """The configuration that admitted the request; None if not logged."""
         ends = [
             r for r in self.records if isinstance(r, log_records.RequestEnded)
         ]
-        # Later attempts name the one that is in force by then.
+        # Later attempts name the configuration in force by then.
         first = [
             record
             for record in self.records
@@ -97,7 +98,7 @@
 
     @property
     def missing_attempts(self) -> list[int]:
-        """The attempts that were made and whose sending is not in the log."""
+        """The numbers of attempts that lack a line of their sending."""
         sent, known = set(), set()
         for record in self.records:
             if isinstance(record, log_records.AttemptRecord):
@@ -109,126 +110,139 @@
         return [n for n in range(1, max(known, default=0) + 1) if n not in sent]
 
     def lines(self) -> list[Line]:
-        """Returns all lines from the arrival on, as they were logged."""
-        return sorted(self.own + self.beliefs, key=lambda line: line.number)
+        """Returns all lines from the arrival on, in the order logged."""
+        return sorted(
+            self.request_lines + self.state_changes,
+            key=lambda line: line.number,
+        )
 
-    def take(self, line: Line) -> None:
-        """Takes in another line of the instance, if it bears on the request."""
+    def add_line(self, line: Line) -> None:
+        """Adds another line of the instance, if relevant to the request."""
         record = line.record
-        if not self._bears(record) or line.at_s > self.until_s:
+        if not self._is_relevant(record) or line.at_s > self.until_s:
             return
-        if isinstance(record, belief_records.ReplicaChange) and record.service:
+        if isinstance(record, state_records.ReplicaChange) and record.service:
             self.services.add(record.service)
         is_start = record.event == log_decoding.STARTED
         if line.at_s >= self.arrived_s:
-            self.beliefs.append(line)
-            if is_start and line.number > self.own[-1].number:
-                # What comes now is another process's, without this request.
+            self.state_changes.append(line)
+            if is_start and line.number > self.request_lines[-1].number:
+                # Later lines are by a new process without this request.
                 self.until_s = line.at_s
             return
         if is_start:
-            self.knows_start = True
-            self.earlier.clear()
+            self.has_start = True
+            self.earlier_state.clear()
         subject = _subject(record)
         if subject is not None:
-            self.earlier[subject] = line
+            self.earlier_state[subject] = line
 
-    def _bears(self, record: log_records.Record) -> bool:
-        if isinstance(record, belief_records.ReplicaChange):
+    def _is_relevant(self, record: log_records.Record) -> bool:
+        if isinstance(record, state_records.ReplicaChange):
             return record.replica in self.replicas
-        return isinstance(record, _BEARS_ON_ALL)
+        return isinstance(record, _RELEVANT_TO_ALL)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Story:
-    """A request's way over all instances; no visits if no line names it."""
+class RequestTrace:
+    """A request's traces on all instances; none if no line names it."""
 
     request: str
-    visits: list[Visit]
+    traces: list[InstanceTrace]
 
-    def lines(self) -> list[tuple[Visit, Line]]:
+    def lines(self) -> list[tuple[InstanceTrace, Line]]:
         """Returns all lines from the arrival on, in order of time.
 
         Lines of one instance keep the order in which it logged them, also
         where its wall clock was set back.
         """
-        ways = [
-            [(visit, line) for line in visit.lines()] for visit in self.visits
+        by_instance = [
+            [(trace, line) for line in trace.lines()] for trace in self.traces
         ]
-        return list(heapq.merge(*ways, key=lambda pair: pair[1].at_s))
+        return list(heapq.merge(*by_instance, key=lambda pair: pair[1].at_s))
 
 
-def gather(files: log_reading.LogFiles, request: str) -> Story:
-    """Reads a request's story.
+def gather(files: log_reading.LogFiles, request: str) -> RequestTrace:
+    """Reads a request's traces.
 
-    The files are read twice: what bears on a request, and from when to when,
-    is known only once its own lines are.
+    The files are read twice: which other lines are relevant, and in which
+    period, is known only from the request's own lines.
     """
-    own: dict[log_reading.Source, list[Line]] = {}
+    request_lines: dict[log_reading.Source, list[Line]] = {}
     for line in files.lines():
         record = line.record
         if (
             isinstance(record, log_records.RequestRecord)
             and record.request == request
         ):
-            own.setdefault(line.source, []).append(line)
+            request_lines.setdefault(line.source, []).append(line)
     names = files.names()
-    visits = {
-        source: _visit(names[source], own[source], files.summaries[source])
-        for source in sorted(own, key=lambda source: (names[source], source))
+    traces = {
+        source: _trace(
+            names[source], request_lines[source], files.summaries[source]
+        )
+        for source in sorted(
+            request_lines, key=lambda source: (names[source], source)
+        )
     }
-    if visits:
-        _add_beliefs(visits, files.lines({source.path for source in own}))
-    return Story(request=request, visits=list(visits.values()))
+    if traces:
+        _add_state_changes(
+            traces,
+            files.lines({source.path for source in request_lines}),
+        )
+    return RequestTrace(request=request, traces=list(traces.values()))
 
 
-def _visit(name: str, own: list[Line], log: log_reading.Summary) -> Visit:
+def _trace(
+    name: str, request_lines: list[Line], log: log_reading.Summary
+) -> InstanceTrace:
     arrivals = [
         line.at_s - line.record.duration_ms / 1000.0
-        for line in own
+        for line in request_lines
         if isinstance(line.record, log_records.RequestEnded)
         and line.record.duration_ms is not None
     ]
-    visit = Visit(
+    trace = InstanceTrace(
         instance=name,
-        own=own,
+        request_lines=request_lines,
         replicas=frozenset(
             line.record.replica
-            for line in own
-            if isinstance(line.record, _NAMING_REPLICAS)
+            for line in request_lines
+            if isinstance(line.record, _REPLICA_RECORDS)
         ),
-        arrived_s=min([*arrivals, own[0].at_s]),
-        until_s=own[-1].at_s,
+        arrived_s=min([*arrivals, request_lines[0].at_s]),
+        until_s=request_lines[-1].at_s,
         log=log,
     )
-    if not visit.is_ended:
-        visit.until_s = max(log.last_s, visit.until_s)
-    return visit
+    if not trace.is_ended:
+        trace.until_s = max(log.last_s, trace.until_s)
+    return trace
 
 
-def _add_beliefs(
-    visits: dict[log_reading.Source, Visit], lines: Iterable[Line]
+def _add_state_changes(
+    traces: dict[log_reading.Source, InstanceTrace],
+    lines: Iterable[Line],
 ) -> None:
     for line in lines:
-        visit = visits.get(line.source)
-        if visit is not None:
-            visit.take(line)
+        trace = traces.get(line.source)
+        if trace is not None:
+            trace.add_line(line)
 
 
 def _subject(record: log_records.Record) -> str | None:
-    """Returns what a newer line about the same says anew."""
-    if isinstance(record, belief_records.ConfigurationInForce):
+    """Returns the subject whose earlier line this record replaces."""
+    if isinstance(record, state_records.ConfigurationInForce):
         return "configuration"
     if record.event in (log_decoding.STORE_AWAY, log_decoding.STORE_BACK):
         return "store"
     if record.event == log_decoding.REPLICA_COLD:
         return f"{record.event} {record.replica}"
-    if isinstance(record, belief_records.ReplicaChange):
+    if isinstance(record, state_records.ReplicaChange):
         return f"replica {record.replica}"
-    if isinstance(record, belief_records.EvacuationChange):
+    if isinstance(record, state_records.EvacuationChange):
         return f"data centre {record.data_centre}"
-    if isinstance(record, belief_records.ProcessChange):
+    if isinstance(record, state_records.ProcessChange):
         return record.event.partition(":")[0]
-    if isinstance(record, belief_records.RollOutChange) and record.service:
+    if isinstance(record, state_records.RollOutChange) and record.service:
         return f"{record.event} {record.service}"
     return None
--- a/src/nutmeghook/internal/orders/service.py
+++ b/src/nutmeghook/internal/orders/service.py
@@ -1,4 +1,4 @@
-"""The orders' part of an instance: the controller and its lease."""
+"""The order controller of an instance, with its lease."""
 
 from collections.abc import Coroutine
 import random
@@ -10,7 +10,7 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.dependencies import weights as weights_module
 from nutmeghook.internal.foundation import clock as clock_module
-from nutmeghook.internal.leases import led_part
+from nutmeghook.internal.leases import leased_component
 from nutmeghook.internal.membership import members as members_module
 from nutmeghook.internal.observe import events as events_module
 from nutmeghook.internal.orders import cell_reports
@@ -19,8 +19,8 @@
 from nutmeghook.internal.orders import weight_grants
 
 
-class Orders(led_part.LedPart):
-    """Gives orders to engines where this instance holds the lease."""
+class Orders(leased_component.LeasedComponent):
+    """Sends orders to engines while this instance holds the lease."""
 
     __slots__ = ("_controller",)
 
--- a/src/nutmeghook/platform/headers.py
+++ b/src/nutmeghook/platform/headers.py
@@ -1,8 +1,8 @@
-"""Headers of the users' platform, read and written.
+"""Reads and writes the headers of the users' platform.
 
-Requests carry facts for the router, facts for the replica, and headers that
-only the router may set. A caller's copy of the last kind is dropped: passed
-on, it could reserve memory, pin prompts or choose a version in our name.
+Requests carry headers for the router, headers for the replica, and headers that
+only the router may set. A caller's copy of the last kind is dropped: forwarded,
+it could reserve memory, pin prompts or choose a version in the router's name.
 """
 
 import datetime
@@ -31,7 +31,7 @@
 KEY_SCHEME = "token"
 WRONG_REPLICA_STATUS = 421
 
-# Set by the router alone, or meant for it alone.
+# Set only by the router, or meant only for it.
 _NEVER_FORWARDED = http_headers.CONNECTION_FIELDS | {
     "authorization",
     "x-tenant",
@@ -46,15 +46,16 @@
     "kv-fetch",
     "wait-ms",
 }
-# Of one connection, or wrong once the body is framed anew.
+# Of one connection, wrong once the body is framed anew, or meant only for the
+# router.
 _NOT_RETURNED = http_headers.CONNECTION_FIELDS | {"x-replica-load"}
-# A day. No replica is slow for as long after its start.
-_LONGEST_COLD_MS = 86_400_000
+# One day; no replica stays cold for that long after its start.
+_MAX_COLD_MS = 86_400_000
 _IDLE_LIMIT = re.compile(r"timeout=(\d+)", re.IGNORECASE)
 
 
 class PlatformHeaders(wire.WireFormat):
-    """The platform's spelling of the relay's facts."""
+    """Translates between the platform's headers and the relay's facts."""
 
     __slots__ = ()
 
@@ -108,7 +109,7 @@
             not_run=NOT_RUN.lower() in values or status == WRONG_REPLICA_STATUS,
             sealed=bool(values.get(SEAL.lower())),
             encoded="content-encoding" in values,
-            confidence=_whole(values.get(CONFIDENCE.lower())),
+            confidence=_whole_number(values.get(CONFIDENCE.lower())),
             load=_load(values.get(LOAD.lower())),
             idle_limit_s=_idle_limit_s(values.get("keep-alive")),
             cold_left=_cold_left(values.get(COLD_LEFT.lower())),
@@ -122,7 +123,7 @@
 def _forwarded(
     headers: wire.Headers, left_out: frozenset[str]
 ) -> list[tuple[str, str]]:
-    """Leaves out what concerns one connection, also by its own word."""
+    """Drops headers of one connection, also those that `Connection` names."""
     named = {
         part.strip().lower()
         for name, value in headers
@@ -147,7 +148,7 @@
     counts = values.get(TOKEN_COUNTS.lower())
     if counts is None:
         return None
-    numbers = [_whole(part) for part in counts.split(",")]
+    numbers = [_whole_number(part) for part in counts.split(",")]
     if len(numbers) != 2 or None in numbers:
         raise ValueError(
             f"{TOKEN_COUNTS} is {counts!r}; give two whole numbers"
@@ -163,14 +164,14 @@
     parts = []
     for entry in text.split(","):
         part_id, _, tokens = entry.strip().partition(":")
-        count = _whole(tokens)
+        count = _whole_number(tokens)
         if part_id and count is not None:
             parts.append(wire.PromptPart(part_id=part_id, tokens=count))
     return tuple(parts)
 
 
 def _load(text: str | None) -> wire.ReportedLoad | None:
-    numbers = [_whole(part) for part in (text or "").split(",")]
+    numbers = [_whole_number(part) for part in (text or "").split(",")]
     if len(numbers) != 3 or None in numbers:
         return None
     return wire.ReportedLoad(
@@ -178,7 +179,7 @@
     )
 
 
-def _whole(text: str | None) -> int | None:
+def _whole_number(text: str | None) -> int | None:
     if text is None:
         return None
     text = text.strip()
@@ -188,17 +189,17 @@
 def _milliseconds(text: str | None) -> datetime.timedelta | None:
     if text is None:
         return None
-    number = _whole(text)
+    number = _whole_number(text)
     if number is None:
         raise ValueError(f"{TIME_LEFT} is {text!r}; give a whole number")
     return datetime.timedelta(milliseconds=min(number, 86_400_000))
 
 
 def _cold_left(text: str | None) -> datetime.timedelta | None:
-    number = _whole(text)
+    number = _whole_number(text)
     if number is None:
         return None
-    return datetime.timedelta(milliseconds=min(number, _LONGEST_COLD_MS))
+    return datetime.timedelta(milliseconds=min(number, _MAX_COLD_MS))
 
 
 def _whole_ms(duration: datetime.timedelta) -> int:
--- a/src/nutmeghook/standins/users_store.py
+++ b/src/nutmeghook/standins/users_store.py
@@ -1,4 +1,4 @@
-"""The users' platform's store, in memory, over HTTP, with its faults."""
+"""In-memory store of the users' platform over HTTP, with fault injection."""
 
 import asyncio
 import base64
@@ -10,12 +10,16 @@
 
 from nutmeghook.standins import loopback_host
 
-# Feeds that wait are broken off when the stand-in stops.
+# Waiting feeds are closed when the stand-in stops.
 _CLOSE_TIMEOUT_S = 0.05
 
 
 class StoreFault(enum.Enum):
-    """How the store misbehaves."""
+    """A fault of the store.
+
+    `LOSING_ANSWERS` commits a write and closes the connection; `LATE_WRITES`
+    closes it and commits the write when the test says so.
+    """
 
     NONE = "none"
     REFUSING = "refusing"
@@ -38,21 +42,21 @@
     """Rows by table and key, with their history.
 
     Attributes:
-        fault: What happens to calls from now on.
-        calls: Every call that came, by path.
-        late: Writes that are done only when a test says so.
+        fault: The fault of all calls from now on.
+        calls: The path of every call, oldest first.
+        late_writes: Transactions that wait for `apply_late_writes`.
     """
 
     def __init__(self):
         self._rows: dict[tuple[str, str], _Change] = {}
         self._history: list[_Change] = []
-        self._forgotten = 0
+        self._dropped_up_to = 0
         self._version = 0
         self._changed = asyncio.Event()
         self._runner: web.AppRunner | None = None
         self.fault = StoreFault.NONE
         self.calls: list[str] = []
-        self.late: list[dict] = []
+        self.late_writes: list[dict] = []
         self.address = ""
 
     async def start(self) -> None:
@@ -87,15 +91,15 @@
         return row.value if row else None
 
     def forget_history(self) -> None:
-        """Drops all history; feeds from before get 410."""
-        self._forgotten = self._version
+        """Drops all history; feeds from an older revision get 410."""
+        self._dropped_up_to = self._version
         self._history.clear()
 
-    def do_late_writes(self) -> None:
-        """Does the writes that were left for later, if they still may be."""
-        for transaction in self.late:
-            self._try(transaction)
-        self.late.clear()
+    def apply_late_writes(self) -> None:
+        """Commits the late writes whose conditions still hold."""
+        for transaction in self.late_writes:
+            self._commit(transaction)
+        self.late_writes.clear()
 
     def _apply(
         self,
@@ -129,7 +133,7 @@
         self._changed = asyncio.Event()
         return self._version
 
-    def _try(self, transaction: dict) -> bool:
+    def _commit(self, transaction: dict) -> bool:
         for wanted in transaction["expectedRev"]:
             row = self._rows.get((wanted["table"], wanted["key"]))
             if (row.version if row else 0) != wanted["rowVersion"]:
@@ -143,7 +147,7 @@
         )
         return True
 
-    async def _meet_fault(self, request: web.Request) -> web.Response | None:
+    async def _apply_fault(self, request: web.Request) -> web.Response | None:
         self.calls.append(request.path)
         if self.fault is StoreFault.REFUSING:
             return web.Response(status=503)
@@ -154,7 +158,7 @@
         return None
 
     async def _get(self, request: web.Request) -> web.Response:
-        if refusal := await self._meet_fault(request):
+        if refusal := await self._apply_fault(request):
             return refusal
         query = request.query
         first, end = query.get("source", ""), query.get("to")
@@ -171,11 +175,11 @@
         return self._answer(found[:limit], more=len(found) > limit)
 
     async def _feed(self, request: web.Request) -> web.Response:
-        if refusal := await self._meet_fault(request):
+        if refusal := await self._apply_fault(request):
             return refusal
         since = int(request.query["sinceRev"])
         table = request.query["table"]
-        if since < self._forgotten:
+        if since < self._dropped_up_to:
             return web.Response(status=410)
         deadline = int(request.query.get("waitMs", "0")) / 1000
         try:
@@ -194,14 +198,14 @@
         ]
 
     async def _transact(self, request: web.Request) -> web.Response:
-        if refusal := await self._meet_fault(request):
+        if refusal := await self._apply_fault(request):
             return refusal
         transaction = msgspec.json.decode(await request.read())
         if self.fault is StoreFault.LATE_WRITES:
-            self.late.append(transaction)
+            self.late_writes.append(transaction)
             request.transport.abort()
             return web.Response(status=500)
-        done = self._try(transaction)
+        done = self._commit(transaction)
         if self.fault is StoreFault.LOSING_ANSWERS:
             request.transport.abort()
         if done:
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,8 +1,8 @@
-"""Runs every test module in a process of its own and sums up.
+"""Runs each test module in its own process and prints a summary.
 
 A failure listed in KNOWN-RED.txt is printed but does not fail the run. A
-listed test that passes does fail it: its line has to go. Only where the line
-gives "sometimes" as its cause's first word may the test pass too.
+listed test that passes fails the run, so that its line is removed, unless the
+first word of the line's cause is "sometimes".
 """
 
 import concurrent.futures
@@ -13,14 +13,14 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-MODULES_AT_ONCE = max(2, (os.cpu_count() or 2) // 2)
+MAX_PARALLEL_MODULES = max(2, (os.cpu_count() or 2) // 2)
 MODULE_TIMEOUT_S = 240
 _FAILED = re.compile(r"^(?:FAIL|ERROR): (\w+) \(([\w.]+)\)", re.MULTILINE)
 _RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
 
 
 class ModuleResult:
-    """What one test module's run printed and counted."""
+    """The output and the counts of one test module's run."""
 
     __slots__ = ("failed", "module", "output", "passed")
 
@@ -34,20 +34,20 @@
 
 
 def main() -> int:
-    """Runs all modules, or those whose name holds an argument."""
+    """Runs all modules, or those whose name contains an argument."""
     wanted = sys.argv[1:]
     modules = [
         name
         for name in _modules()
         if not wanted or any(part in name for part in wanted)
     ]
-    with concurrent.futures.ThreadPoolExecutor(MODULES_AT_ONCE) as pool:
+    with concurrent.futures.ThreadPoolExecutor(MAX_PARALLEL_MODULES) as pool:
         results = list(pool.map(_run_module, modules))
     return _sum_up(results, complete=not wanted)
 
 
 def _modules() -> list[str]:
-    """Lists the test modules, whole-system ones first: they run longest."""
+    """Lists the test modules, the longest, in `tests.whole`, first."""
     paths = sorted((ROOT / "tests").rglob("test_*.py"))
     names = [".".join(p.relative_to(ROOT).with_suffix("").parts) for p in paths]
     return sorted(names, key=lambda name: ".whole." not in name)
@@ -83,9 +83,9 @@
 
 
 def _known_red() -> dict[str, bool]:
-    """Reads the tests whose failure is a known, unmended fault.
+    """Returns the tests that are known to fail.
 
-    The value tells whether a test fails sometimes only.
+    The value tells whether a test fails only sometimes.
     """
     path = ROOT / "KNOWN-RED.txt"
     if not path.exists():
--- a/tests/cover/test_dispatch_way_back.py
+++ b/tests/cover/test_dispatch_fallback.py
@@ -1,4 +1,4 @@
-"""Begun answers whose engine is left, and the way back to it."""
+"""Begun answers whose engine is abandoned, and the fallback to it."""
 
 import asyncio
 import contextlib
@@ -14,8 +14,8 @@
 from tests.cover import dispatch_errors
 
 _TEXT = "The boiler holds."
-# Refused resumes until an engine is left for another one.
-_UNTIL_LEFT = 3
+# Refused resumes until an engine is abandoned for another one.
+_REFUSED_UNTIL_ABANDONED = 3
 _FOR_GOOD = 40
 
 
@@ -23,15 +23,15 @@
     return [fakes.Script(fails=dispatch_errors.refused())] * count
 
 
-class WayBackCase(unittest.IsolatedAsyncioTestCase):
-    """The first engine gives a word; then it can't be reached for a while.
+class FallbackCase(unittest.IsolatedAsyncioTestCase):
+    """The first engine gives a word; then it is unreachable for a while.
 
-    The second is asked with the last of the retry budget.
+    The last of the retry budget is spent on the second one.
     """
 
     def setUp(self):
         self.fixture = fakes.Fixture()
-        self.fixture.budget.leave = 1
+        self.fixture.budget.permits = 1
         self.gate = asyncio.Event()
         self.sink = fakes.RecordingSink()
         self.first = self.fixture.engines["e1:1"]
@@ -47,7 +47,7 @@
         return asyncio.ensure_future(dispatcher.generate(request, self.sink))
 
     async def started(self) -> asyncio.Task:
-        """Starts a request, whose engine is left for the second one."""
+        """Starts a request whose engine is abandoned for the second one."""
         asking = self.start()
         for _ in range(20):
             await self.fixture.clock.advance(datetime.timedelta(seconds=0.05))
@@ -63,8 +63,8 @@
         await fakes.settle()
         return caught.exception
 
-    async def assert_first_goes_on(self) -> None:
-        """The caller has one text, of one run, which is billed once."""
+    async def assert_first_resumed(self) -> None:
+        """Checks that the caller has one text, of one run, billed once."""
         answer = await self.ended(self.start())
         self.assertEqual(answer.text, _TEXT)
         self.assertEqual(self.sink.text, _TEXT)
@@ -73,28 +73,27 @@
         )
         self.assertEqual(self.first.generations[-1].resume_at_token, 1)
         self.assertEqual(len(self.second.generations), 1)
-        self.assertEqual(self.fixture.budget.leave, 0)
+        self.assertEqual(self.fixture.budget.permits, 0)
         await fakes.settle()
         self.assertEqual(self.first.cancelled, [])
         self.assertEqual(len(self.fixture.ledger.bills), 1)
 
 
-class WayBackTest(WayBackCase):
-    """The engine that was left goes on if the next one doesn't."""
+class FallbackTest(FallbackCase):
+    """The abandoned engine is resumed if the next one fails."""
 
     async def test_the_next_one_refuses(self):
-        """The caller reads on, though no leave is left.
+        """The first engine is resumed, though the retry budget is spent.
 
-        The run at the first engine is asked and paid for once, not as one
-        that was left and one that came back.
+        Its run is billed once, not once as abandoned and once as resumed.
         """
         undisturbed = fakes.Fixture()
         await undisturbed.dispatcher().generate(
             fakes.generation_request(undisturbed), fakes.RecordingSink()
         )
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
         [bill] = self.fixture.ledger.bills
         [usual] = undisturbed.ledger.bills
         self.assertEqual(bill.cost_micros, usual.cost_micros)
@@ -102,25 +101,25 @@
             self.fixture.admission.used, undisturbed.admission.used
         )
 
-    async def test_the_first_is_still_away_then(self):
-        """The caller reads on: resumes are counted on, up to seven."""
-        self.lose_first(_UNTIL_LEFT + 3)
+    async def test_the_first_is_still_unreachable_then(self):
+        """Resumes go on counting, up to seven, until it is reachable."""
+        self.lose_first(_REFUSED_UNTIL_ABANDONED + 3)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
 
     async def test_the_next_one_is_lost_before_it_covers_the_text(self):
-        """The caller reads on; the other engine's run is cancelled."""
+        """The first engine is resumed; the other one's run is cancelled."""
         for lost in (
             fakes.Script(fails=dispatch_errors.lost()),
             fakes.Script(words=("T", "he ", "boiler"), cut_after=1),
         ):
-            self.lose_first(_UNTIL_LEFT)
+            self.lose_first(_REFUSED_UNTIL_ABANDONED)
             self.second.scripts.append(lost)
             if lost.cut_after:
                 self.second.scripts.extend(refusals(_FOR_GOOD))
                 await self.assert_text_given()
             else:
-                await self.assert_first_goes_on()
+                await self.assert_first_resumed()
             self.assertEqual(self.second.cancelled, ["req-1/2"])
             self.setUp()
 
@@ -130,79 +129,79 @@
         self.assertEqual(self.sink.text, _TEXT)
         await fakes.settle()
 
-    async def test_the_way_back_is_to_the_text_that_the_caller_has(self):
-        """The caller reads on from the first engine, not from the second.
-
-        The second is left for a third before it covers what the caller has,
+    async def test_the_fallback_is_the_attempt_whose_text_the_caller_has(self):
+        """The second engine is abandoned before it covers the caller's text,
         and the third refuses.
+
+        The first engine must be resumed, not the second.
         """
         self.fixture.backends.addresses.append("e3:1")
-        self.fixture.budget.leave = 2
-        self.lose_first(_UNTIL_LEFT)
+        self.fixture.budget.permits = 2
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
             fakes.Script(words=("T", "he ", "boiler"), cut_after=1)
         )
-        self.second.scripts.extend(refusals(_UNTIL_LEFT))
+        self.second.scripts.extend(refusals(_REFUSED_UNTIL_ABANDONED))
         self.fixture.engines["e3:1"].scripts.extend(refusals(1))
         await self.assert_text_given()
-        self.assertEqual(len(self.second.generations), 1 + _UNTIL_LEFT)
+        self.assertEqual(
+            len(self.second.generations), 1 + _REFUSED_UNTIL_ABANDONED
+        )
         self.assertEqual(self.first.cancelled, [])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
-    async def test_the_next_one_s_words_are_others(self):
-        """The caller reads one engine's text to its end.
+    async def test_the_next_one_s_text_differs(self):
+        """Another engine seldom gives the same text, so it cannot continue.
 
-        Another engine seldom says the same word for word. Its text was not
-        joined, but the caller's answer was cut, though the first engine had
-        come back.
+        The answer must not be cut if the first engine is reachable again.
         """
         for words in (("A ", "tank ", "holds."), ("The",)):
-            self.lose_first(_UNTIL_LEFT)
+            self.lose_first(_REFUSED_UNTIL_ABANDONED)
             self.second.scripts.append(fakes.Script(words=words))
-            await self.assert_first_goes_on()
+            await self.assert_first_resumed()
             self.setUp()
 
-    async def test_a_held_answer_goes_on_too(self):
-        """The caller gets the whole cheap answer; it was half done."""
+    async def test_a_buffered_answer_is_resumed_too(self):
+        """The answer of a stage that is still to be judged is resumed."""
         self.fixture.cascade = fakes.FakeCascade(
             first_stage=0, may_escalate=True
         )
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
 
-    async def test_a_hedged_answer_goes_on_too(self):
-        """The caller reads on from the engine that won the race."""
+    async def test_a_hedged_answer_is_resumed_too(self):
+        """The engine that won the race is resumed."""
         self.fixture = fakes.Fixture(hedge_after_ms=500)
-        self.fixture.budget.leave = 1
+        self.fixture.budget.permits = 1
         self.first = self.fixture.engines["e1:1"]
         self.second = self.fixture.engines["e2:1"]
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.extend(refusals(1))
-        await self.assert_first_goes_on()
+        await self.assert_first_resumed()
 
-    async def test_leave_that_comes_later_serves_a_third_engine(self):
-        """The caller reads on from it; each move was allowed by the budget."""
+    async def test_a_further_retry_goes_to_a_third_engine(self):
+        """Each move is permitted by the budget."""
         self.fixture.backends.addresses.append("e3:1")
-        self.fixture.budget.leave = 2
+        self.fixture.budget.permits = 2
         self.lose_first(_FOR_GOOD)
         self.second.scripts.extend(refusals(1))
         await self.assert_text_given()
-        self.assertEqual(self.fixture.budget.leave, 0)
+        self.assertEqual(self.fixture.budget.permits, 0)
         self.assertEqual(len(self.fixture.engines["e3:1"].generations), 1)
         self.assertEqual(self.first.cancelled, ["req-1/1"])
 
 
-class OnlyOneTest(WayBackCase):
-    """One engine's text only, and nothing is left running."""
+class OnlyOneTest(FallbackCase):
+    """The caller gets one engine's text only, and no run goes on."""
 
-    async def test_both_engines_come_back(self):
-        """The caller reads one text: the engine asked last goes on.
+    async def test_both_engines_are_reachable_again(self):
+        """The engine asked last continues the answer.
 
-        The first one could be reached again meanwhile. It keeps its run until
-        the other has begun, and is cancelled then, not at the answer's end.
+        The first one keeps its run until the other has begun, and is cancelled
+        then, not at the answer's end.
         """
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
             fakes.Script(gate=self.gate, order=[0], goes_silent=True)
         )
@@ -215,23 +214,25 @@
         asking.cancel()
         await fakes.settle()
 
-    async def test_the_other_one_s_answer_is_whole(self):
-        """The caller reads on from the other engine; both runs are paid."""
-        self.lose_first(_UNTIL_LEFT)
+    async def test_the_other_one_s_answer_is_complete(self):
+        """The answer continues there, and the first run is cancelled."""
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         asking = await self.started()
         self.gate.set()
         answer = await self.ended(asking)
         self.assertEqual(answer.text, _TEXT)
         self.assertEqual(self.sink.text, _TEXT)
-        self.assertEqual(len(self.first.generations), 1 + _UNTIL_LEFT)
+        self.assertEqual(
+            len(self.first.generations), 1 + _REFUSED_UNTIL_ABANDONED
+        )
         await fakes.settle()
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, [])
 
-    async def test_the_caller_leaves_meanwhile(self):
-        """Nobody reads: both engines are told to stop."""
-        self.lose_first(_UNTIL_LEFT)
+    async def test_the_caller_disconnects_meanwhile(self):
+        """Both engines' runs are cancelled."""
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         asking = await self.started()
         asking.cancel()
@@ -239,9 +240,9 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
-    async def test_the_caller_leaves_on_the_way_back(self):
-        """Nobody reads: the run that was resumed is told to stop."""
-        self.lose_first(_UNTIL_LEFT)
+    async def test_the_caller_disconnects_during_the_fallback(self):
+        """The resumed run is cancelled."""
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.first.scripts.append(fakes.Script(gate=self.gate))
         self.second.scripts.extend(refusals(1))
         asking = await self.started()
@@ -250,8 +251,8 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
 
     async def test_the_deadline_passes_meanwhile(self):
-        """The caller hears `unknown`; both engines are told to stop."""
-        self.lose_first(_UNTIL_LEFT)
+        """The caller gets `unknown`; both engines' runs are cancelled."""
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(fakes.Script(gate=self.gate))
         error = await self.refused(await self.started())
         self.assertIs(error.code, codes.Code.DEADLINE_DURING_RUN)
@@ -259,13 +260,13 @@
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
-    async def test_no_way_back_once_the_other_has_begun(self):
-        """The caller reads no third text: two words, then the error.
+    async def test_no_fallback_once_the_other_has_begun(self):
+        """The other engine adds a word and is lost for good.
 
-        The other engine adds a word and is lost for good. The first could go
-        on by now, but behind its own words only.
+        The first is reachable again, but could only continue its own text. The
+        caller gets two words and an error.
         """
-        self.lose_first(_UNTIL_LEFT)
+        self.lose_first(_REFUSED_UNTIL_ABANDONED)
         self.second.scripts.append(
             fakes.Script(words=("The ", "boiler ", "leaks."), cut_after=2)
         )
@@ -273,14 +274,16 @@
         error = await self.refused(self.start())
         self.assertIs(error.code, codes.Code.BACKEND_FAILED)
         self.assertEqual(self.sink.text, "The boiler ")
-        self.assertEqual(len(self.first.generations), 1 + _UNTIL_LEFT)
+        self.assertEqual(
+            len(self.first.generations), 1 + _REFUSED_UNTIL_ABANDONED
+        )
         self.assertEqual(self.first.cancelled, ["req-1/1"])
         self.assertEqual(self.second.cancelled, ["req-1/2"])
 
     async def test_the_first_is_gone_for_good(self):
-        """The caller hears `unknown` within 8 s, long before its deadline.
+        """The other engine refuses, and the first is lost for good.
 
-        The other engine refuses, and the first never comes back.
+        The caller gets `unknown` within 8 s, long before its deadline.
         """
         self.lose_first(_FOR_GOOD)
         self.second.scripts.extend(refusals(1))
@@ -310,8 +313,8 @@
 )
 
 
-class AnyTroubleTest(unittest.TestCase):
-    """Whatever three engines do, the promises hold."""
+class AnyFailureTest(unittest.TestCase):
+    """Properties over all failures of three engines."""
 
     @hypothesis.given(
         strategies.lists(
@@ -321,17 +324,17 @@
         strategies.sampled_from([0, 500]),
     )
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=200)
-    def test_one_text_within_the_budget(self, scripts, leave, hedge_after_ms):
-        """The caller reads one engine's text, or the front of one.
+    def test_one_text_within_the_budget(self, scripts, permits, hedge_after_ms):
+        """The caller gets one engine's text, or a prefix of one.
 
-        No more runs are asked for than the budget has leave for, and each run
-        that gave no whole answer is cancelled, unless it never began.
+        No more attempts are made than the budget permits, and each run that
+        began and gave no complete answer is cancelled.
         """
-        asyncio.run(self.check(scripts, leave, hedge_after_ms))
+        asyncio.run(self.check(scripts, permits, hedge_after_ms))
 
-    async def check(self, scripts, leave, hedge_after_ms) -> None:
+    async def check(self, scripts, permits, hedge_after_ms) -> None:
         fixture = fakes.Fixture(hedge_after_ms=hedge_after_ms)
-        fixture.budget.leave = leave
+        fixture.budget.permits = permits
         addresses = ["e1:1", "e2:1", "e3:1"]
         fixture.backends.addresses = addresses
         engines = [fixture.engines[address] for address in addresses]
@@ -353,10 +356,10 @@
             self.assertEqual(answer.text, sink.text)
         self.assertTrue(any(text.startswith(sink.text) for text in texts))
         sent = [send for each in engines for send in each.generations]
-        self.assertLessEqual(len({s.attempt_id for s in sent}), 1 + leave)
-        self.assert_nothing_runs_on(engines, answered=answer is not None)
+        self.assertLessEqual(len({s.attempt_id for s in sent}), 1 + permits)
+        self.assert_no_run_left(engines, answered=answer is not None)
 
-    def assert_nothing_runs_on(
+    def assert_no_run_left(
         self, engines: list[fakes.FakeEngine], *, answered: bool
     ) -> None:
         begun = {name for each in engines for name in each.texts}
--- a/tests/cover/test_limits_admission.py
+++ b/tests/cover/test_limits_admission.py
@@ -1,4 +1,4 @@
-"""Admission under load: who runs, who is refused, and when they hear it."""
+"""Admission under load: which requests run, are refused, and when."""
 
 import asyncio
 import collections
@@ -34,12 +34,12 @@
     return members.FixedMemberView(myself=made[0], others=tuple(made[1:]))
 
 
-class Desk:
-    """An admission on a fake clock, and what its callers saw."""
+class AdmissionHarness:
+    """An admission on a fake clock, and the outcomes of its callers."""
 
-    def __init__(self, *, places=2, member_count=1):
+    def __init__(self, *, slots=2, member_count=1):
         self.clock = clock_module.FakeClock()
-        self.limit = concurrency_limit.FixedLimit(places=places)
+        self.limit = concurrency_limit.FixedLimit(slots=slots)
         self.admission = fair_admission.FairAdmission(
             clock=self.clock,
             randomness=random.Random(1),
@@ -54,7 +54,7 @@
         self.most_running = 0
 
     def ask(self, team="a", *, deadline_s=10.0, runs_s=1.0, **fields):
-        """Starts a caller; `ran` or `refused` shows how it went."""
+        """Starts a caller, whose outcome goes to `ran` or `refused`."""
         request = admission.AdmissionRequest(
             **{
                 "team": team,
@@ -79,7 +79,7 @@
             self.refused.append((request, self.clock.monotonic(), error))
 
     async def warm_up(self):
-        """Lets it measure that one place serves 100 tokens a second."""
+        """Lets it measure that one slot serves 100 tokens a second."""
         for _ in range(5):
             self.ask()
             await self.clock.advance(1 * SECOND)
@@ -91,143 +91,142 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Refusals come at once, are true, and say when to come back."""
+    """Refusals are immediate and correct, and have a Retry-After."""
 
     def test_what_cannot_start_in_time_is_refused_on_arrival(self):
-        """Thirty callers ask at one moment; ten can be served in time.
+        """Of thirty simultaneous requests ten can be served in time.
 
-        The rest hear so at that same moment, not when their deadline comes,
-        and are told different moments to return, so that they don't come
-        back as one herd.
+        The others must be refused at once, not at their deadline, each with a
+        different Retry-After, so that they do not retry together.
         """
 
         async def scenario():
-            desk = Desk(places=1)
-            await desk.warm_up()
-            asked_at = desk.clock.monotonic()
+            harness = AdmissionHarness(slots=1)
+            await harness.warm_up()
+            asked_at = harness.clock.monotonic()
             for _ in range(30):
-                desk.ask()
-            await desk.clock.advance(0 * SECOND)
-            at_once = len(desk.refused)
+                harness.ask()
+            await harness.clock.advance(0 * SECOND)
+            at_once = len(harness.refused)
             self.assertGreaterEqual(at_once, 20)
-            returns = {error.retry_after for _, _, error in desk.refused}
+            returns = {error.retry_after for _, _, error in harness.refused}
             self.assertEqual(len(returns), at_once)
             span = max(returns) - min(returns)
             self.assertGreater(span, 10 * SECOND)
-            await desk.clock.advance(20 * SECOND)
-            for _, at, error in desk.refused[:at_once]:
+            await harness.clock.advance(20 * SECOND)
+            for _, at, error in harness.refused[:at_once]:
                 self.assertEqual(at, asked_at)
                 self.assertIs(error.code, codes.Code.OVERLOADED)
                 self.assertIs(error.run_state, codes.RunState.NOT_RUN)
-            self.assertEqual(len(desk.ran) + len(desk.refused), 30)
-            for request, at in desk.ran:
+            self.assertEqual(len(harness.ran) + len(harness.refused), 30)
+            for request, at in harness.ran:
                 self.assertLessEqual(at, request.deadline)
 
         _run(scenario)
 
-    def test_deadline_passing_in_the_queue_is_told_when_it_is_too_late(self):
-        """Two requests hold both places much longer than measured.
+    def test_a_request_that_becomes_too_late_is_refused_before_its_deadline(
+        self,
+    ):
+        """Two requests hold both slots much longer than measured.
 
-        A third one, let in behind them, was promised a turn that doesn't
-        come. It hears so while its caller still listens: before its deadline,
-        as soon as it could not end in time any more.
+        A third one that was queued behind them must be refused as soon as it
+        can no longer end in time, before its deadline.
         """
 
         async def scenario():
-            desk = Desk(places=2)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=2)
+            await harness.warm_up()
             for _ in range(2):
-                desk.ask(runs_s=60, deadline_s=90)
-            waiting = desk.ask(deadline_s=10)
-            await desk.clock.advance(9 * SECOND)
+                harness.ask(runs_s=60, deadline_s=90)
+            waiting = harness.ask(deadline_s=10)
+            await harness.clock.advance(9 * SECOND)
             self.assertTrue(waiting.done())
-            request, at, error = desk.refused[0]
+            request, at, error = harness.refused[0]
             self.assertIs(error.code, codes.Code.DEADLINE_BEFORE_RUN)
             self.assertGreater(error.retry_after, 0 * SECOND)
             self.assertLess(at, request.deadline)
-            self.assertEqual(desk.admission.waiting, 0)
+            self.assertEqual(harness.admission.waiting, 0)
 
         _run(scenario)
 
     def test_all_engines_slow_at_once(self):
         """Every engine becomes ten times slower under steady traffic.
 
-        Nothing is refused by the engines, answers just stop coming. Callers
-        must be refused at once as soon as this shows in what was measured;
-        and when the engines are fast again, requests must be let in again,
-        although the estimate still says that all would be late.
+        The engines refuse nothing. Requests must be refused at once as soon as
+        the measurements show the slowdown, and admitted again when the engines
+        are fast again, although the estimate is still too high.
         """
 
         async def scenario():
-            desk = Desk(places=2)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=2)
+            await harness.warm_up()
             for _ in range(60):
-                desk.ask(runs_s=10, deadline_s=10)
-                await desk.clock.advance(1 * SECOND)
-            late = desk.refused[-20:]
+                harness.ask(runs_s=10, deadline_s=10)
+                await harness.clock.advance(1 * SECOND)
+            late = harness.refused[-20:]
             for request, at, _ in late:
                 self.assertLess(at, request.deadline - 5 * SECOND)
-            await desk.clock.advance(20 * SECOND)
-            desk.ran.clear()
-            desk.refused.clear()
+            await harness.clock.advance(20 * SECOND)
+            harness.ran.clear()
+            harness.refused.clear()
             for _ in range(60):
-                desk.ask(runs_s=0.5)
-                await desk.clock.advance(1 * SECOND)
-            self.assertEqual(desk.refused, [])
+                harness.ask(runs_s=0.5)
+                await harness.clock.advance(1 * SECOND)
+            self.assertEqual(harness.refused, [])
 
         _run(scenario)
 
     def test_an_overtaken_request_is_shed_before_its_deadline(self):
-        """Lookups wait when a wave of dossier reviews arrives.
+        """Many urgent requests arrive while ordinary ones wait.
 
-        The reviews take the places for longer than the lookups can wait. The
-        lookups are refused when that is clear, not when they run out of time.
+        They take the slots for longer than the ordinary ones can wait, which
+        must be refused when that is certain, not at their deadline.
         """
 
         async def scenario():
-            desk = Desk(places=1)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=1)
+            await harness.warm_up()
             for _ in range(6):
-                desk.ask("lookups", deadline_s=12)
-            await desk.clock.advance(0.5 * SECOND)
-            self.assertEqual(desk.refused, [])
+                harness.ask("lookups", deadline_s=12)
+            await harness.clock.advance(0.5 * SECOND)
+            self.assertEqual(harness.refused, [])
             for _ in range(40):
-                desk.ask("reviews", priority=8, deadline_s=90)
-            await desk.clock.advance(0.5 * SECOND)
-            shed = [r for r, _, _ in desk.refused if r.team == "lookups"]
+                harness.ask("reviews", priority=8, deadline_s=90)
+            await harness.clock.advance(0.5 * SECOND)
+            shed = [r for r, _, _ in harness.refused if r.team == "lookups"]
             self.assertGreaterEqual(len(shed), 2)
 
         _run(scenario)
 
 
 class BudgetTest(unittest.TestCase):
-    """A template's token budget, as one of several instances holds it."""
+    """A template's token budget, at one of several instances."""
 
-    def test_budget_refuses_with_a_time_at_which_it_lets_in(self):
+    def test_budget_refuses_with_a_retry_after_at_which_it_admits(self):
         async def scenario():
-            desk = Desk(places=50, member_count=2)
+            harness = AdmissionHarness(slots=50, member_count=2)
             budget = {"tokens_per_minute": 1200, "cost_tokens": 100}
             for _ in range(10):
-                desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
-            # Half of the budget is this instance's.
-            self.assertEqual(len(desk.refused), 4)
-            error = desk.refused[0][2]
+                harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
+            # This instance has half of the budget.
+            self.assertEqual(len(harness.refused), 4)
+            error = harness.refused[0][2]
             self.assertIs(error.code, codes.Code.OVER_BUDGET)
-            await desk.clock.advance(error.retry_after)
-            desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
-            self.assertEqual(len(desk.refused), 4)
+            await harness.clock.advance(error.retry_after)
+            harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
+            self.assertEqual(len(harness.refused), 4)
 
         _run(scenario)
 
     def test_estimates_are_replaced_by_what_was_used(self):
         async def scenario():
-            desk = Desk(places=50)
+            harness = AdmissionHarness(slots=50)
             budget = {"tokens_per_minute": 600, "cost_tokens": 100}
             for _ in range(6):
-                desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
+                harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
             used = admission.AdmissionRequest(
                 team="a",
                 template="t",
@@ -236,44 +235,43 @@
                 deadline=9 * SECOND,
                 **budget,
             )
-            desk.admission.reconcile(used, used_tokens=1)
-            desk.ask(**budget)
-            await desk.clock.advance(0 * SECOND)
-            self.assertEqual(desk.refused, [])
+            harness.admission.reconcile(used, used_tokens=1)
+            harness.ask(**budget)
+            await harness.clock.advance(0 * SECOND)
+            self.assertEqual(harness.refused, [])
 
         _run(scenario)
 
 
-class PlacesTest(unittest.TestCase):
-    """Places are never lost, nor given twice."""
+class SlotsTest(unittest.TestCase):
+    """Slots are never leaked, nor given twice."""
 
-    def test_a_caller_that_goes_away_frees_what_it_holds(self):
-        """Callers hang up at the very moment at which their turn comes.
+    def test_a_caller_that_disconnects_frees_what_it_holds(self):
+        """Callers disconnect just as they get their slots.
 
-        The place was given to the waiting request, and in the same turn of
-        the event loop its task is cancelled, before it could run. If the
-        place went with it, the instance would serve fewer and fewer.
+        A request gets its slot and is cancelled in the same iteration of the
+        event loop, before it can run. The slot must not be leaked.
         """
 
         async def scenario():
-            desk = Desk(places=1)
-            desk.ask(runs_s=1)
-            await desk.clock.advance(0 * SECOND)
-            first, second = desk.ask(), desk.ask()
+            harness = AdmissionHarness(slots=1)
+            harness.ask(runs_s=1)
+            await harness.clock.advance(0 * SECOND)
+            first, second = harness.ask(), harness.ask()
             await asyncio.sleep(0)
-            while desk.admission.waiting == 2:
-                await desk.clock.advance(0.1 * SECOND)
+            while harness.admission.waiting == 2:
+                await harness.clock.advance(0.1 * SECOND)
             first.cancel()
             second.cancel()
             await asyncio.gather(first, second, return_exceptions=True)
-            await desk.clock.advance(5 * SECOND)
-            self.assertEqual(desk.admission.running, 0)
-            self.assertEqual(desk.admission.waiting, 0)
+            await harness.clock.advance(5 * SECOND)
+            self.assertEqual(harness.admission.running, 0)
+            self.assertEqual(harness.admission.waiting, 0)
 
         _run(scenario)
 
     @hypothesis.given(
-        places=strategies.integers(1, 4),
+        slots=strategies.integers(1, 4),
         steps=strategies.lists(
             strategies.tuples(
                 strategies.sampled_from(["ask", "ask", "cancel", "limit"]),
@@ -284,17 +282,17 @@
             max_size=60,
         ),
     )
-    def test_every_caller_has_one_outcome_and_no_place_is_lost(
-        self, places, steps
+    def test_every_caller_has_one_outcome_and_no_slot_is_leaked(
+        self, slots, steps
     ):
         async def scenario():
-            desk = Desk(places=places)
-            most_places = places
+            harness = AdmissionHarness(slots=slots)
+            max_slots = slots
             callers = []
             for step, priority, number, wait_s in steps:
                 if step == "ask":
                     callers.append(
-                        desk.ask(
+                        harness.ask(
                             f"{number % 3}",
                             priority=priority,
                             runs_s=number / 4,
@@ -304,42 +302,43 @@
                 elif step == "cancel" and callers:
                     callers[number % len(callers)].cancel()
                 elif step == "limit":
-                    desk.limit.set_places(number)
-                    most_places = max(most_places, number)
+                    harness.limit.set_slots(number)
+                    max_slots = max(max_slots, number)
                 if wait_s:
-                    await desk.clock.advance(wait_s * SECOND)
+                    await harness.clock.advance(wait_s * SECOND)
                 else:
                     await asyncio.sleep(0)
-            await desk.clock.advance(60 * SECOND)
+            await harness.clock.advance(60 * SECOND)
             done = await asyncio.gather(*callers, return_exceptions=True)
             cancelled = sum(isinstance(d, BaseException) for d in done)
             self.assertEqual(
-                len(desk.ran) + len(desk.refused) + cancelled, len(callers)
+                len(harness.ran) + len(harness.refused) + cancelled,
+                len(callers),
             )
-            self.assertLessEqual(desk.most_running, most_places)
-            self.assertEqual(desk.admission.running, 0)
-            self.assertEqual(desk.admission.waiting, 0)
+            self.assertLessEqual(harness.most_running, max_slots)
+            self.assertEqual(harness.admission.running, 0)
+            self.assertEqual(harness.admission.waiting, 0)
 
         _run(scenario)
 
     def test_one_team_at_ten_times_its_share(self):
-        """Nine teams ask for what is theirs, a tenth for ten times that.
+        """Nine teams use their share, and a tenth asks for ten times its own.
 
-        The queue is full of the large team's requests all the time. The small
-        teams' callers must not notice.
+        The queue is always full of the large team's requests; the small teams
+        must be served all the same.
         """
 
         async def scenario():
-            desk = Desk(places=10)
-            await desk.warm_up()
+            harness = AdmissionHarness(slots=10)
+            await harness.warm_up()
             for _ in range(30):
                 for _ in range(10):
-                    desk.ask("large", deadline_s=6)
+                    harness.ask("large", deadline_s=6)
                 for index in range(9):
-                    desk.ask(f"small-{index}", deadline_s=6)
-                await desk.clock.advance(1 * SECOND)
-            await desk.clock.advance(10 * SECOND)
-            served = collections.Counter(r.team for r, _ in desk.ran)
+                    harness.ask(f"small-{index}", deadline_s=6)
+                await harness.clock.advance(1 * SECOND)
+            await harness.clock.advance(10 * SECOND)
+            served = collections.Counter(r.team for r, _ in harness.ran)
             for index in range(9):
                 self.assertGreaterEqual(served[f"small-{index}"], 28)
             self.assertGreater(served["large"], 20)
--- a/tests/cover/test_ratings_reading.py
+++ b/tests/cover/test_ratings_reading.py
@@ -10,11 +10,11 @@
 from nutmeghook.internal.dependencies import failures
 from nutmeghook.internal.dependencies import ratings
 
-MOST_PAGES = 4
+MAX_PAGES = 4
 
 
 class PagedService(ratings.RatingService):
-    """Has so many ratings, and fails from a call on."""
+    """Has `count` ratings, and fails after a number of calls."""
 
     def __init__(self, *, count, calls_before_failure):
         self._count = count
@@ -55,15 +55,15 @@
     def test_what_is_read_follows_the_cursor_without_a_gap(
         self, count, cursor, calls
     ):
-        """The rating service goes out between two pages. What was read until
-        then must be used, in order and without a gap: a rating that is passed
-        over would count as unrated, and the roll-out would wait for it.
+        """The rating service fails between two pages. The ratings read before
+        must be returned in order and without a gap: a skipped one would count
+        as unrated, and the roll-out would wait for it.
         """
         service = PagedService(count=count, calls_before_failure=calls)
         found = asyncio.run(
-            ratings.read_new(service, cursor, most_pages=MOST_PAGES)
+            ratings.read_new(service, cursor, max_pages=MAX_PAGES)
         )
-        pages = min(calls, MOST_PAGES)
+        pages = min(calls, MAX_PAGES)
         expected = min(max(0, count - cursor), pages * 1000)
         self.assertEqual(
             [rating.cursor for rating in found],
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -32,7 +32,7 @@
         left = list(acts)
 
         def decide_at(replica):
-            def decide(_: users_replica.SeenRequest) -> Reply:
+            def decide(_: users_replica.ReceivedRequest) -> Reply:
                 act = left.pop(0) if len(left) > 1 else left[0]
                 return act(replica)
 
@@ -62,17 +62,17 @@
         move, or the stream is cut.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.spend_all(but=3)
 
-        def go_dark(replica) -> Reply:
-            replica.go_dark()
+        def become_unreachable(replica) -> Reply:
+            replica.become_unreachable()
             return Reply(silent=True)
 
         def refuse(replica) -> Reply:
             return Reply(events=EVENTS) if replica is first else REFUSAL
 
-        self.answer_in_turn(go_dark, refuse)
+        self.answer_in_turn(become_unreachable, refuse)
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         self.assertEqual(len(self.seen()), 4)
@@ -118,7 +118,7 @@
             patched.start()
             self.addCleanup(patched.stop)
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.directory.put(self.entry(first, version="v2"))
         self.spend_all(but=2)
 
@@ -129,7 +129,7 @@
         self.answer_in_turn(refuse)
         answer = await self.answer_of(asking)
         self.assertFalse(relay_fixture.is_complete(answer))
-        self.assertEqual(len(first.seen), 1)
+        self.assertEqual(len(first.received), 1)
 
     async def test_a_reservation_serves_elsewhere_if_the_fallback_leaves(self):
         """A begun stream's replica is abandoned and then starts leaving, as at
@@ -137,7 +137,7 @@
         is cut unless the reserved retry may be used at another replica.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.spend_all(but=2)
 
         def refuse(_) -> Reply:
@@ -147,9 +147,9 @@
         self.answer_in_turn(refuse, lambda _: Reply(events=EVENTS))
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(first.seen), 1)
+        self.assertEqual(len(first.received), 1)
         self.assertEqual(len(self.seen()), 3)
-        self.assertLess(self.budgets.budget_for("service").left(), 1)
+        self.assertLess(self.budgets.budget_for("service").remaining(), 1)
 
     async def test_the_fallback_is_used_if_no_other_replica_is_listed(self):
         """A begun stream is moved, the next replica refuses, and all but the
@@ -158,7 +158,7 @@
         it.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.directory.put(self.entry(first, version="v2"))
         patched = mock.patch.object(
             view.AnyVersion,
@@ -177,7 +177,7 @@
         self.answer_in_turn(refuse, lambda _: Reply(events=EVENTS))
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(first.seen), 2)
+        self.assertEqual(len(first.received), 2)
 
 
 class FallbackReleaseTest(driven_relay.BegunStreamCase, FallbackCase):
@@ -200,12 +200,14 @@
 
         with mock.patch.object(asyncio, "open_connection", kept):
             self.asking = await self.begun()
-        before = self.budgets.budget_for("service").left()
+        before = self.budgets.budget_for("service").remaining()
         self.answer_in_turn(lambda _: Reply(silent=True))
         while len(self.seen()) < 2:
             await self.clock.advance(driven_relay.STEP)
             await asyncio.sleep(0.001)
-        self.assertEqual(self.budgets.budget_for("service").left(), before - 2)
+        self.assertEqual(
+            self.budgets.budget_for("service").remaining(), before - 2
+        )
         return before - 1
 
     async def test_at_the_time_limit(self):
@@ -214,7 +216,7 @@
         answer = await self.answer_of(self.asking)
         self.assertFalse(relay_fixture.is_complete(answer))
         self.assertEqual(
-            self.budgets.budget_for("service").left(), after_one_attempt
+            self.budgets.budget_for("service").remaining(), after_one_attempt
         )
 
     async def test_when_the_caller_leaves(self):
@@ -223,16 +225,16 @@
         (silent,) = [
             replica
             for replica in self.replicas
-            if replica.seen and not replica.left
+            if replica.received and not replica.abandoned
         ]
         self.asking.cancel()
         self.writer.close()
         async with asyncio.timeout(5):
-            await silent.noticed.wait()
+            await silent.request_abandoned.wait()
         await fakes.settle()
         self.assertEqual(self.listener.in_flight, 0)
         self.assertEqual(
-            self.budgets.budget_for("service").left(), after_one_attempt
+            self.budgets.budget_for("service").remaining(), after_one_attempt
         )
 
 
@@ -306,8 +308,8 @@
         self.limit(models=driven_relay.MODELS)
         self.spend_all(but=3)
 
-        def go_dark(replica) -> Reply:
-            replica.go_dark()
+        def become_unreachable(replica) -> Reply:
+            replica.become_unreachable()
             return Reply(silent=True)
 
         def weak(_) -> Reply:
@@ -317,7 +319,7 @@
 
         self.answer_in_turn(
             weak,
-            go_dark,
+            become_unreachable,
             lambda _: REFUSAL,
             lambda _: Reply(events=EVENTS, confidence=10),
         )
--- a/tests/cover/test_relay_further_attempts.py
+++ b/tests/cover/test_relay_further_attempts.py
@@ -102,10 +102,10 @@
         )
         await self.arrival()
         await self.clock.advance(4 * SECOND)
-        (replica,) = [r for r in self.replicas if r.seen]
+        (replica,) = [r for r in self.replicas if r.received]
         writer.close()
         async with asyncio.timeout(5):
-            await replica.noticed.wait()
+            await replica.request_abandoned.wait()
         self.assertEqual(len(self.seen()), 1)
 
     async def test_own_failures_count_among_all_attempts(self):
@@ -241,10 +241,12 @@
         back is released: one attempt was made, and one is paid for.
         """
         asking = await self.begun()
-        before = self.budgets.budget_for("service").left()
+        before = self.budgets.budget_for("service").remaining()
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(self.budgets.budget_for("service").left(), before - 1)
+        self.assertEqual(
+            self.budgets.budget_for("service").remaining(), before - 1
+        )
 
     async def test_nor_does_one_that_can_not_be_sent(self):
         """A begun stream's replica falls silent, and all others have stopped,
@@ -253,7 +255,7 @@
         """
         asking = await self.begun()
         for replica in self.replicas:
-            if not replica.seen:
+            if not replica.received:
                 replica.refuse_connections()
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
@@ -293,7 +295,7 @@
         self.first_reply = Reply(send_bytes=0, reset=True)
         self.spend_all("other")
         self.assertEqual(relay_fixture.status_of(await self.asked()), 502)
-        self.assertEqual(self.other.seen, [])
+        self.assertEqual(self.other.received, [])
 
     async def test_and_not_from_that_of_the_service_it_leaves(self):
         """The same, but the old service's budget is spent."""
@@ -308,7 +310,7 @@
         self.spend_all("other")
         answer = await self.asked()
         self.assertEqual(relay_fixture.status_of(answer), 500)
-        self.assertEqual(self.other.seen, [])
+        self.assertEqual(self.other.received, [])
 
 
 class BehindInstanceTest(driven_relay.BudgetedRelayCase):
--- a/tests/cover/test_slow_replicas.py
+++ b/tests/cover/test_slow_replicas.py
@@ -1,4 +1,4 @@
-"""Slow replicas are found in logs, and nothing else is called one."""
+"""Slow replicas are found in logs, without false alarms."""
 
 import dataclasses
 import random
@@ -19,23 +19,23 @@
 from tests import slow_replica_logs
 
 Fleet = slow_replica_logs.Fleet
-Sent = slow_replica_logs.Sent
+SentRequest = slow_replica_logs.SentRequest
 Limits = relative_waits.Limits
 
 SPELL_S = 6.5
 SEEDS = strategies.integers(0, 2**32)
-# A fleet's logs take about half a second each, and no seed is simpler than
-# another: to look for a smaller one only takes long.
-FEW = hypothesis.settings(
+# A fleet's logs take about half a second, and no seed is simpler than another,
+# so that shrinking would only take time.
+FEW_EXAMPLES = hypothesis.settings(
     max_examples=8,
     phases=[hypothesis.Phase.explicit, hypothesis.Phase.generate],
 )
 
 
 def slow_between(begin_s: float, end_s: float, *, times: float, replica: int):
-    """Returns the slowness of a fleet in which one replica is slow."""
+    """Returns the `slowness` of a fleet in which one replica is slow."""
 
-    def slowness(sent: Sent) -> float:
+    def slowness(sent: SentRequest) -> float:
         is_slow = sent.replica == replica and begin_s <= sent.at_s < end_s
         return times if is_slow else 1.0
 
@@ -52,37 +52,36 @@
         begin_s: float,
         end_s: float,
     ) -> None:
-        """Checks that this spell was found within a second, and no other."""
+        """Checks that only this period is found, its ends within 1 s."""
         self.assertEqual(
-            [spell.replica for spell in report.slow], [f"i-{replica}"]
+            [period.replica for period in report.slow], [f"i-{replica}"]
         )
-        (spell,) = report.slow
-        first_s = spell.waits[0].wait.sent_s - log_lines.START_S
-        last_s = spell.waits[-1].wait.sent_s - log_lines.START_S
+        (period,) = report.slow
+        first_s = period.waits[0].wait.sent_s - log_lines.START_S
+        last_s = period.waits[-1].wait.sent_s - log_lines.START_S
         self.assertLess(abs(first_s - begin_s), 1.0)
         self.assertLess(abs(last_s - end_s), 1.0)
-        self.assertEqual((report.of_versions, report.instances), ([], []))
+        self.assertEqual((report.slow_versions, report.instances), ([], []))
 
-    def assert_calm(self, report: slow_replicas.Report) -> None:
-        """Checks that nothing is called slow, though all is compared."""
+    def assert_nothing_slow(self, report: slow_replicas.Report) -> None:
+        """Checks that nothing is reported, though over 99 % is compared."""
         self.assertEqual(
-            (report.slow, report.of_versions, report.instances), ([], [], [])
+            (report.slow, report.slow_versions, report.instances), ([], [], [])
         )
         self.assertGreater(report.compared, 0.99 * report.waits)
 
 
-class FoundTest(SlowReplicasCase):
-    @FEW
+class DetectionTest(SlowReplicasCase):
+    @FEW_EXAMPLES
     @hypothesis.given(
         SEEDS, strategies.integers(0, 30), strategies.floats(3.0, 7.0)
     )
     def test_a_slow_replica_is_found_within_a_second(
         self, seed, replica, begin_s
     ):
-        """One replica of 31 takes five times as long for 6.5 seconds. It is
-        named with the spell's ends, and no other one is. Sixteen requests a
-        second each: with eight, one time in a hundred none or only quick ones
-        are sent there for a second (docs/OPERATIONS.md has the figures).
+        """One replica of 31 is five times as slow for 6.5 seconds. Each gets
+        16 requests per second: with 8, in one run of a hundred none or only
+        quick ones are sent there for a second (see docs/OPERATIONS.md).
         """
         end_s = begin_s + SPELL_S
         fleet = Fleet(
@@ -93,33 +92,37 @@
         )
         report = slow_replicas.report(fleet.lines())
         self.assert_found(report, replica, begin_s, end_s)
-        spell = report.slow[0].waits
-        factor = statistics.median(wait.factor for wait in spell)
+        period = report.slow[0].waits
+        factor = statistics.median(wait.factor for wait in period)
         self.assertTrue(3.5 < factor < 7.0, factor)
 
-    def test_limits_are_flat_at_half_and_double(self):
-        """Whoever doubts a constant halves or doubles it: the same spell is
-        found, and calm logs stay calm. A replica that takes eight times as
-        long, as the doubled factor is five.
+    def test_halved_and_doubled_limits_give_the_same_report(self):
+        """With any limit halved or doubled, the same period is found, and
+        nothing in steady logs. The replica is eight times as slow, because the
+        doubled factor is five.
         """
-        usual = Limits()
+        default_limits = Limits()
         slow = Fleet(
             seed=1, slowness=slow_between(8.0, 14.5, times=8.0, replica=4)
         ).lines()
-        calm = Fleet(seed=2).lines()
+        steady = Fleet(seed=2).lines()
         for field in dataclasses.fields(Limits):
-            value = getattr(usual, field.name)
+            value = getattr(default_limits, field.name)
             for times in (0.5, 1.0, 2.0):
                 changed = type(value)(value * times)
-                limits = dataclasses.replace(usual, **{field.name: changed})
+                limits = dataclasses.replace(
+                    default_limits, **{field.name: changed}
+                )
                 with self.subTest(field=field.name, value=changed):
-                    self.assert_calm(slow_replicas.report(calm, limits))
+                    self.assert_nothing_slow(
+                        slow_replicas.report(steady, limits)
+                    )
                     report = slow_replicas.report(slow, limits)
                     self.assert_found(report, 4, 8.0, 14.5)
 
     def test_a_slow_plain_replica_is_found(self):
-        """Of plain services nothing is forecast; the route's usual is what
-        one of four replicas is measured by.
+        """Plain services have no forecast, so one of four replicas is compared
+        with the route's median wait.
         """
         fleet = Fleet(
             seed=3,
@@ -129,13 +132,13 @@
         )
         self.assert_found(slow_replicas.report(fleet.lines()), 2, 8.0, 14.5)
 
-    def test_whoever_asks_a_slow_replica_most_is_not_slow(self):
-        """An instance is nearest to a slow replica, and asks little else. By
-        most of its answers it would be called slow itself.
+    def test_the_main_sender_of_a_slow_replica_is_not_slow(self):
+        """An instance sends mostly to a slow replica, its nearest. Judged by
+        most of its answers, it would be reported as slow itself.
         """
         fleet = Fleet(
             seed=13,
-            asked_by=lambda replica, instance: 4 if replica == 2 else instance,
+            sent_by=lambda replica, instance: 4 if replica == 2 else instance,
             slowness=slow_between(8.0, 14.5, times=5.0, replica=2),
         )
         self.assert_found(slow_replicas.report(fleet.lines()), 2, 8.0, 14.5)
@@ -150,9 +153,9 @@
         )
         self.assert_found(slow_replicas.report(fleet.lines()), 2, 8.0, 14.5)
 
-    def test_replicas_left_as_silent_count_with_what_was_waited(self):
-        """A replica answers nothing more; each request leaves it after three
-        seconds. Counted by answers alone it would not be in the logs at all.
+    def test_abandoned_attempts_count_with_the_time_waited(self):
+        """A replica stops answering; each request leaves it after three
+        seconds. Judged by answers alone, it would not be found.
         """
         fleet = Fleet(
             seed=5, slowness=slow_between(8.0, 14.5, times=20.0, replica=2)
@@ -178,10 +181,10 @@
         report = slow_replicas.report(lines)
         self.assert_found(report, 2, 8.0, 14.5)
         inner = [wait.wait for wait in report.slow[0].waits]
-        self.assertGreater(sum(wait.is_left for wait in inner), 20)
+        self.assertGreater(sum(wait.is_abandoned for wait in inner), 20)
         self.assertGreater(sum(not wait.is_answered for wait in inner), 20)
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(strategies.randoms(use_true_random=False))
     def test_the_order_of_files_and_lines_does_not_matter(self, source):
         fleet = Fleet(
@@ -202,54 +205,54 @@
             source.shuffle(paths)
             files = log_reading.LogFiles(paths=paths)
             report = slow_replicas.report(files.lines())
-            text = slow_replicas_text.lines_of(report, files.names())
+            text = slow_replicas_text.text_lines(report, files.names())
         self.assert_found(report, 2, 3.0, 8.0)
         plain_names = {
             log_reading.Source(path=f"edge-{n}.log", name=""): f"edge-{n}"
             for n in range(5)
         }
         self.assertEqual(
-            text, slow_replicas_text.lines_of(in_order, plain_names)
+            text, slow_replicas_text.text_lines(in_order, plain_names)
         )
 
 
-class NotFoundTest(SlowReplicasCase):
-    @FEW
+class FalseAlarmTest(SlowReplicasCase):
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS, strategies.sampled_from([0.3, 0.5, 1.0]))
-    def test_calm_logs_name_nothing(self, seed, spread):
+    def test_steady_logs_report_nothing(self, seed, spread):
         fleet = Fleet(seed=seed, spread=spread)
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_an_overload_of_all_is_no_slow_replica(self, seed):
-        """All replicas take six times as long for some seconds. To name them
-        all, or some, would send the operators after the wrong thing.
+        """All replicas are six times as slow for some seconds. Reporting any
+        of them would mislead the operators.
         """
         fleet = Fleet(
             seed=seed,
             slowness=lambda sent: 6.0 if 8.3 < sent.at_s < 15.1 else 1.0,
         )
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_long_prompts_make_no_replica_slow(self, seed):
-        """One replica gets prompts ten times as long, and one of a new
-        version reads everything anew. Their forecasts say so.
+        """One replica gets prompts ten times as long, and one of a new version
+        has no cached prompts. Their forecasts include that.
         """
         fleet = Fleet(
             seed=seed,
             version=lambda replica: "v2" if replica == 7 else "v1",
             prompt_factor=lambda sent: 10.0 if sent.replica in (3, 7) else 1.0,
         )
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
     def test_a_far_replica_of_a_quick_service_is_not_slow(self, seed):
-        """Lookups take 2 ms, and 12 ms where the replica is in another data
-        centre. It is six times the usual, and nobody has waited.
+        """Lookups take 2 ms, and 12 ms on a replica in another data centre:
+        six times as long, but without any effect for callers.
         """
         fleet = Fleet(
             seed=seed,
@@ -259,35 +262,35 @@
             answers_per_replica_s=20.0,
             slowness=lambda sent: 6.0 if sent.replica == 3 else 1.0,
         )
-        self.assert_calm(slow_replicas.report(fleet.lines()))
+        self.assert_nothing_slow(slow_replicas.report(fleet.lines()))
 
-    @FEW
+    @FEW_EXAMPLES
     @hypothesis.given(SEEDS)
-    def test_an_instance_slow_itself_is_told_as_such(self, seed):
-        """One of ten instances is starved and sees every answer late. It is
-        nearest to three replicas, which few others ask. They are as quick as
-        ever; by most of their answers they would be called slow.
+    def test_a_slow_instance_is_reported_as_such(self, seed):
+        """One of ten instances lacks CPU and sees every answer late. Three
+        replicas get most of their requests from it. They are not slow, but
+        judged by most of their answers they would be reported.
         """
 
-        def asked_by(replica: int, instance: int) -> int:
+        def sent_by(replica: int, instance: int) -> int:
             return 4 if replica < 3 and instance < 8 else instance
 
         fleet = Fleet(
             seed=seed,
             instances=10,
-            asked_by=asked_by,
+            sent_by=sent_by,
             slowness=lambda sent: 6.0 if sent.instance == 4 else 1.0,
         )
         report = slow_replicas.report(fleet.lines())
-        self.assertEqual((report.slow, report.of_versions), ([], []))
+        self.assertEqual((report.slow, report.slow_versions), ([], []))
         self.assertEqual(
-            {spell.instance.path for spell in report.instances},
+            {period.instance.path for period in report.instances},
             {"edge-4.log"},
         )
 
     def test_a_slow_version_is_told_apart_from_a_slow_replica(self):
-        """A new version takes five times as long on each of its replicas.
-        No one of them is at fault.
+        """A new version is five times as slow on each of its replicas, so
+        that none of them is at fault by itself.
         """
         fleet = Fleet(
             seed=8,
@@ -297,15 +300,15 @@
         report = slow_replicas.report(fleet.lines())
         self.assertEqual(report.slow, [])
         self.assertEqual(
-            {spell.replica for spell in report.of_versions},
+            {period.replica for period in report.slow_versions},
             {f"i-{replica}" for replica in range(4)},
         )
-        text = "\n".join(slow_replicas_text.lines_of(report, {}))
+        text = "\n".join(slow_replicas_text.text_lines(report, {}))
         self.assertIn("not this replica alone", text)
 
-    def test_few_answers_prove_nothing(self):
-        """Two requests waited a hundred times too long on a replica that was
-        asked little else. It may have been slow; two answers don't say so.
+    def test_few_answers_are_not_significant(self):
+        """Two requests waited a hundred times too long on a replica that got
+        few others. Two answers are too few to call it slow.
         """
         fleet = Fleet(seed=9, replicas=8, duration_s=5.0)
         lines = fleet.lines()
@@ -330,12 +333,12 @@
         self.assertEqual(report.too_few, {"i-few": 2})
         self.assertIn(
             "# too few answers to tell of 1 replicas: i-few (2)",
-            slow_replicas_text.lines_of(report, {}),
+            slow_replicas_text.text_lines(report, {}),
         )
 
 
 class TextTest(SlowReplicasCase):
-    def test_a_spell_tells_all_that_leads_further(self):
+    def test_a_slow_period_is_printed_with_its_details(self):
         fleet = Fleet(
             seed=11,
             replicas=6,
@@ -347,7 +350,7 @@
             self.write(f"{name}.log", texts)
         files = log_reading.LogFiles(paths=[str(self.folder)])
         report = slow_replicas.report(files.lines())
-        text = slow_replicas_text.lines_of(report, files.names())
+        text = slow_replicas_text.text_lines(report, files.names())
         self.assertRegex(
             text[0],
             r"replica i-2 of s \(large, small\) was slow, 2023-11-14 22:13:2\d"
@@ -368,9 +371,9 @@
         )
 
     def test_replicas_that_no_log_lists_are_compared_with_listed_ones(self):
-        """Collectors kept the logs' ends, with the listing of one replica.
-        All are of one service still, by the models that are asked there; told
-        apart by the listing, that one had no others to be compared with.
+        """Collectors kept only the logs' ends, with one `replica:listed` line.
+        The other replicas get their service from the models requested there;
+        otherwise that one would have none to be compared with.
         """
         fleet = Fleet(
             seed=12, slowness=slow_between(8.0, 14.5, times=5.0, replica=2)
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -1,4 +1,4 @@
-"""`admin status` names what a shift has to look at, on any instance."""
+"""`admin status` shows on any instance what needs attention."""
 
 import asyncio
 import datetime
@@ -31,19 +31,18 @@
             ledger=self.instance.ledger,
         )
 
-    async def said(self, team=None):
+    async def sentences(self, team=None):
         found = []
         for source in self.sources:
             found += await self.cluster.drive(source.waiting(team))
         return found
 
     async def test_an_outage_and_the_bills_behind_it_are_named(self):
-        """The table service goes down, and an answer is billed in the object
-        store, which fails after it. Status names both outages while they last
-        and the bill until it is in the log. A team is not told of bills, as
-        it can do nothing about them.
+        """The table service fails, an answer is billed in the object store, and
+        that fails too. Status must show both outages while they last, and the
+        bill until it is in the log; the bill to administrators only.
         """
-        self.assertEqual(await self.said(), [])
+        self.assertEqual(await self.sentences(), [])
         ledger = self.instance.ledger
         self.cluster.table.faults.down = True
         await self.cluster.until(lambda: ledger.table_health.is_out)
@@ -54,27 +53,27 @@
         )
         await self.cluster.drive(finishing)
         await self.cluster.until(ledger.bills_waiting)
-        table_out, unread, bills = await self.said()
+        table_out, unread, bills = await self.sentences()
         self.assertIn("the table service to be out", table_out)
         self.assertIn("can't be read", unread)
         self.assertIn("wait for the table service: 1", bills)
-        self.assertEqual(await self.said("agency"), [table_out, unread])
+        self.assertEqual(await self.sentences("agency"), [table_out, unread])
 
         for _ in range(self.cluster.settings.failures_to_out):
             ledger.objects_health.record_failure()
-        self.assertIn("object store to be out", (await self.said())[1])
+        self.assertIn("object store to be out", (await self.sentences())[1])
 
         self.cluster.table.faults.down = False
         await self.cluster.until(lambda: not ledger.table_health.is_out)
         await self.cluster.until(lambda: not ledger.objects_health.is_out)
         await self.cluster.until(lambda: not ledger.bills_waiting())
-        self.assertEqual(await self.said(), [])
+        self.assertEqual(await self.sentences(), [])
 
 
 class ConfigurationWaitingTest(unittest.IsolatedAsyncioTestCase):
     async def test_only_an_age_over_the_bound_is_named(self):
         for age, named in (
-            (waiting.LONGEST_UNCONFIRMED, []),
+            (waiting.MAX_CONFIRMED_AGE, []),
             (7 * SECOND, ["last confirmed 7 s ago"]),
             (None, ["never confirmed"]),
         ):
@@ -90,10 +89,9 @@
 
 class RollOutWaitingTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_roll_out_at_its_cap_is_named_by_every_instance(self):
-        """The rating service rates nothing, the cap fills, and the roll-out
-        stands still. An operator asks an instance that does not drive
-        roll-outs and is told so; other teams are not. When ratings come it
-        is over.
+        """The rating service rates nothing, so the roll-out stops at its cap of
+        unrated answers. Instances that don't drive roll-outs must show that to
+        the team, and no longer once ratings arrive.
         """
         asyncio.get_running_loop().set_debug(False)
         fleet = rollout_fleet.RolloutFleet()
--- a/tests/permission_scene.py
+++ b/tests/permission_scenario.py
@@ -1,11 +1,12 @@
-"""A fleet under load whose instances are killed while a team loses a right.
+"""A fleet under load whose instances are killed while permissions change.
 
-The team loses a model, which its template then replaces by another one (a
-template may not name a model that its team isn't allowed), and a plain route.
+A team's permission for a model and for a plain route is revoked. Its template
+names another model from then on, since a template may not name a model that
+its team is not allowed.
 
-Real are the configuration's spread, the rules, the queues and the dispatch.
-Model engines and plain services are stand-ins that note all that reaches
-them, and when; they judge, not the instances. All time is virtual.
+Distribution of the configuration, its rules, queues and dispatch are real.
+Model engines and plain services are stand-ins, whose records of requests and
+times are checked instead of the instances' own. All time is virtual.
 """
 
 import asyncio
@@ -37,22 +38,22 @@
 from tests.cover import versions_fleet
 
 SECOND = config_fleet.SECOND
-LOSER = "loser"
-KEEPER = "keeper"
+RESTRICTED_TEAM = "loser"
+OTHER_TEAM = "keeper"
 SERVICE = "crew"
 TEMPLATE = "review"
 BOUND = trial_module.CONFIG_BOUND
-# Of each instance; less than the load needs, so that requests wait in queues
-# across the change.
-PLACES = 2
+# Per instance; fewer than the load needs, so that requests are queued during
+# the change.
+SLOTS = 2
 ENGINES = 4
 REQUEST_EVERY = SECOND / 60
 DEADLINE = 8 * SECOND
 CALL_TIME = 3 * SECOND / 2
-# An engine that is out of order takes so long to refuse.
+# How long the faulty engine takes to refuse.
 REFUSAL_TIME = 3 * SECOND / 10
-_TAKEN = engine.ModelVersion(model="small", version="1")
-_LEFT = engine.ModelVersion(model="other", version="1")
+_REVOKED_VERSION = engine.ModelVersion(model="small", version="1")
+_ALLOWED_VERSION = engine.ModelVersion(model="other", version="1")
 _ROUTE = documents.PlainRoute(service=SERVICE, path_prefix="/bookings")
 
 
@@ -61,9 +62,10 @@
     """A caller's request.
 
     Attributes:
-        start: Which start of an instance took it, by its place among rings.
-        killed: Its instance was killed with it.
-        error: What the caller was told, if there is no answer.
+        start: The start of an instance that took it, as an index of the
+            fleet's event rings.
+        killed: Its instance was killed while it ran.
+        error: The caller's error, if there is no answer.
     """
 
     request_id: str
@@ -77,18 +79,20 @@
 
 
 class Instance:
-    """One start of an instance: dispatch by its own configuration.
+    """One start of an instance, which dispatches by its own configuration.
 
     Attributes:
         calls: Requests under way, by the task that runs them.
     """
 
-    def __init__(self, *, scene: "Scene", start: int, address: str):
+    def __init__(
+        self, *, scenario: "PermissionScenario", start: int, address: str
+    ):
         self.address = address
         self.start = start
-        self.replica = scene.fleet.parts[address].replica
+        self.replica = scenario.fleet.parts[address].replica
         self.calls: dict[asyncio.Task, Call] = {}
-        clock = scene.fleet.clock
+        clock = scenario.fleet.clock
         fixture = fakes.Fixture(clock=clock)
         fixture.config = self.replica
         fixture.versions = version_choice.ConfiguredVersionChooser(
@@ -97,33 +101,33 @@
             gate=versions_fleet.CountingGate(),
         )
         fixture.backends = recording_servers.AnyBackend(
-            addresses=list(scene.engines), draw=scene.draw
+            addresses=list(scenario.engines), draw=scenario.draw
         )
-        fixture.engines = scene.engines
-        fixture.services = scene.service
+        fixture.engines = scenario.engines
+        fixture.services = scenario.service
         fixture.cascade = fakes.FakeCascade(first_stage=0)
         fixture.admission, fixture.plain_admission = (
             fakes.fair_admission_with(
-                clock, concurrency_limit.FixedLimit(places=PLACES)
+                clock, concurrency_limit.FixedLimit(slots=SLOTS)
             )
             for _ in range(2)
         )
         self.dispatcher = fixture.dispatcher()
 
     def kill(self) -> None:
-        """Ends all that it has in hand, without a word to anyone."""
+        """Cancels all requests under way; nothing is reported to callers."""
         for task, call in self.calls.items():
             call.killed = True
             task.cancel()
 
 
-class Scene:
-    """A fleet, its callers, and the backend servers' notes.
+class PermissionScenario:
+    """A fleet, its callers, and the backend servers' records.
 
     Attributes:
-        seen: What reached backend servers.
-        taken_away: When the change was accepted.
-        revision: Of the change.
+        received: The requests that reached backend servers.
+        revoked_at: When the change was accepted.
+        revision: The revision of the change.
     """
 
     def __init__(self, *, seed: int):
@@ -131,48 +135,48 @@
         self.fleet = config_fleet.ConfigFleet(per_data_centre=3)
         self.received: list[recording_servers.ReceivedRequest] = []
         self.calls: list[Call] = []
-        self.taken_away: datetime.timedelta | None = None
+        self.revoked_at: datetime.timedelta | None = None
         self.revision = 0
         clock = self.fleet.clock
         self.engines = {
             f"10.0.9.{number}:80": recording_servers.RecordingEngine(
                 received=self.received,
-                restricted=_TAKEN,
+                restricted=_REVOKED_VERSION,
                 clock=clock,
-                loaded=(_TAKEN, _LEFT),
+                loaded=(_REVOKED_VERSION, _ALLOWED_VERSION),
             )
             for number in range(ENGINES)
         }
-        out_of_order = next(iter(self.engines.values()))
-        out_of_order.settings = engine_settings.EngineSettings(
+        faulty_engine = next(iter(self.engines.values()))
+        faulty_engine.settings = engine_settings.EngineSettings(
             refuses_work=True
         )
-        out_of_order.faults.delay = REFUSAL_TIME
+        faulty_engine.faults.delay = REFUSAL_TIME
         self.service = recording_servers.RecordingService(
             received=self.received, takes=CALL_TIME, clock=clock
         )
         self.instances: dict[str, Instance] = {}
 
     def start(self, *addresses: str) -> None:
-        """Starts instances, or starts them anew; all if not named."""
+        """Starts or restarts the named instances, or all."""
         for address in addresses or self.fleet.addresses:
             self.fleet.start(address)
             self.instances[address] = Instance(
-                scene=self, start=len(self.fleet.rings) - 1, address=address
+                scenario=self, start=len(self.fleet.rings) - 1, address=address
             )
 
     def cut_off(self, address: str) -> None:
-        """Cuts an instance off from all its peers, not from the store."""
+        """Partitions an instance from all its peers, but not from the store."""
         for other in self.fleet.addresses:
             self.fleet.network.cut_both_ways(address, other)
 
     async def kill(self, address: str) -> None:
-        """Ends an instance as SIGKILL would."""
+        """Kills an instance as SIGKILL would."""
         self.instances.pop(address).kill()
         await self.fleet.crash(address)
 
     async def set_up(self) -> None:
-        """Starts the fleet and puts the first configuration in force."""
+        """Starts the fleet and applies the first configuration."""
         self.start()
         models = tuple(
             documents.ModelEntry(
@@ -180,33 +184,35 @@
                 prompt_token_cost_micros=1,
                 output_token_cost_micros=4,
             )
-            for version in (_TAKEN, _LEFT)
+            for version in (_REVOKED_VERSION, _ALLOWED_VERSION)
         )
-        teams = (LOSER, KEEPER)
+        teams = (RESTRICTED_TEAM, OTHER_TEAM)
         await self._accept(
             edits.ImportDocuments(
                 expected_revision=0,
                 fleet=documents.Fleet(models=models),
                 teams=tuple(_team(name, allowed=True) for name in teams),
-                templates=tuple(_template(name, _TAKEN) for name in teams),
+                templates=tuple(
+                    _template(name, _REVOKED_VERSION) for name in teams
+                ),
             ),
             through=self.fleet.addresses[0],
         )
         await self.fleet.clock.advance(BOUND)
 
-    async def take_away(self, *, through: str) -> None:
-        """Has an operator take the team's model and route away."""
+    async def revoke(self, *, through: str) -> None:
+        """Has an operator revoke the team's model and route."""
         record = await self._accept(
             edits.ImportDocuments(
                 expected_revision=self.instances[through].replica.revision,
-                teams=(_team(LOSER, allowed=False),),
-                templates=(_template(LOSER, _LEFT),),
+                teams=(_team(RESTRICTED_TEAM, allowed=False),),
+                templates=(_template(RESTRICTED_TEAM, _ALLOWED_VERSION),),
             ),
             through=through,
         )
         self.revision = record.revision
         clock = self.fleet.clock
-        self.taken_away = clock.monotonic() - (clock.now() - record.settled_at)
+        self.revoked_at = clock.monotonic() - (clock.now() - record.settled_at)
 
     async def _accept(self, edit: edits.Edit, *, through: str):
         change = config_fleet.operation(f"op-{self.draw.random()}", edit)
@@ -215,7 +221,7 @@
         return record
 
     async def load(self, duration: datetime.timedelta) -> None:
-        """Sends requests of both teams to living instances."""
+        """Sends requests of both teams to running instances."""
         clock = self.fleet.clock
         end = clock.monotonic() + duration
         while clock.monotonic() < end:
@@ -226,7 +232,7 @@
         instance = self.draw.choice(list(self.instances.values()))
         call = Call(
             request_id=f"r{len(self.calls)}",
-            team=self.draw.choice((LOSER, KEEPER)),
+            team=self.draw.choice((RESTRICTED_TEAM, OTHER_TEAM)),
             start=instance.start,
             is_plain=self.draw.random() < 0.3,
             arrived=self.fleet.clock.monotonic(),
@@ -295,7 +301,7 @@
         return answer.body.decode()
 
     def in_force(self) -> dict[int, datetime.timedelta]:
-        """Returns when each start had the change in force, by its notes."""
+        """Returns when each start applied the change, by its events."""
         found = {}
         for start, (_, ring) in enumerate(self.fleet.rings):
             for event in ring.since(0):
@@ -305,17 +311,17 @@
                     found.setdefault(start, at)
         return found
 
-    def held_back(self) -> list[Call]:
-        """Returns what waited when the right went, and was judged anew.
+    def waiting_at_change(self) -> list[Call]:
+        """Returns the requests that waited at the change and were rechecked.
 
-        It went on with what the team has left, or was told so.
+        They were answered by the other model, or refused as not allowed.
         """
         sent = self.sent()
         in_force = self.in_force()
         return [
             call
             for call in self.calls
-            if call.team == LOSER
+            if call.team == RESTRICTED_TEAM
             and not call.killed
             and call.request_id not in sent
             and call.arrived < in_force.get(call.start, call.arrived)
@@ -323,7 +329,7 @@
         ]
 
     def sent(self) -> dict[str, list[datetime.timedelta]]:
-        """Returns when requests that need the right reached servers."""
+        """Returns when requests that need the permission reached servers."""
         sent = collections.defaultdict(list)
         for seen in self.received:
             if seen.needs_permission:
@@ -331,7 +337,7 @@
         return sent
 
     def ran(self) -> set[str]:
-        """Returns the requests that backend servers began to work on."""
+        """Returns the requests that backend servers began to run."""
         generated = {
             run.attempt_id.partition("/")[0]
             for one in self.engines.values()
@@ -340,25 +346,25 @@
         return generated | self.service.called
 
 
-def violations(scene: Scene) -> list[str]:
-    """Returns what did not hold, by the backend servers' notes."""
+def violations(scenario: PermissionScenario) -> list[str]:
+    """Returns the violated rules, by the backend servers' records."""
     found = []
-    sent = scene.sent()
-    in_force = scene.in_force()
-    ran = scene.ran()
-    for call in scene.calls:
+    sent = scenario.sent()
+    in_force = scenario.in_force()
+    ran = scenario.ran()
+    for call in scenario.calls:
         times = sent.get(call.request_id, [])
-        if call.team == LOSER:
-            if any(at > scene.taken_away + BOUND for at in times):
+        if call.team == RESTRICTED_TEAM:
+            if any(at > scenario.revoked_at + BOUND for at in times):
                 found.append(f"{call.request_id} was sent after the bound")
             known = in_force.get(call.start)
             if known is not None and any(at > known for at in times):
                 found.append(f"{call.request_id} was sent against the rules")
-        found.extend(_of_end(call, has_run=call.request_id in ran))
+        found.extend(_outcome_violations(call, has_run=call.request_id in ran))
     return found
 
 
-def _of_end(call: Call, *, has_run: bool) -> Iterator[str]:
+def _outcome_violations(call: Call, *, has_run: bool) -> Iterator[str]:
     if call.killed:
         return
     if call.error is None and call.text is None:
@@ -375,8 +381,8 @@
 def _is_whole(call: Call) -> bool:
     if call.is_plain:
         return call.text == call.request_id
-    seen = answers.read_answer(call.text)
-    return seen.whole and seen.marker == call.request_id
+    answer = answers.parse_answer(call.text)
+    return answer.whole and answer.marker == call.request_id
 
 
 def _identity(call: Call) -> ledger.RequestIdentity:
@@ -386,7 +392,7 @@
 
 
 def _team(name: str, *, allowed: bool) -> documents.Team:
-    models = (_TAKEN.model, _LEFT.model)
+    models = (_REVOKED_VERSION.model, _ALLOWED_VERSION.model)
     return documents.Team(
         name=name,
         allowed_models=models if allowed else models[1:],
--- a/tests/relay_fixture.py
+++ b/tests/relay_fixture.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from nutmeghook.internal.assembly import relay_path
+from nutmeghook.internal.assembly import relay_assembly
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.limits import window_budget
 from nutmeghook.internal.observe import metrics as metrics_module
@@ -123,8 +123,8 @@
             clock=self.clock,
         )
         return listener_module.CallerListener(
-            relay=relay_path.build(
-                relay_path.Surroundings(
+            relay=relay_assembly.build(
+                relay_assembly.RelayDependencies(
                     gate=self.build_gate(),
                     configuration=self.configuration,
                     directory=self.directory,
@@ -159,14 +159,14 @@
         for replica in self.replicas:
             replica.reply_from(shared)
 
-    def seen(self) -> list[users_replica.SeenRequest]:
+    def seen(self) -> list[users_replica.ReceivedRequest]:
         """Returns all requests that reached a replica."""
-        return [seen for replica in self.replicas for seen in replica.seen]
+        return [seen for replica in self.replicas for seen in replica.received]
 
     async def arrival(self) -> None:
         """Waits until a request has reached any replica."""
         waits = [
-            asyncio.create_task(replica.arrived.wait())
+            asyncio.create_task(replica.request_received.wait())
             for replica in self.replicas
         ]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
--- a/tests/slow_replica_logs.py
+++ b/tests/slow_replica_logs.py
@@ -12,8 +12,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Sent:
-    """What a request's wait may depend on."""
+class SentRequest:
+    """A request's properties that its wait may depend on."""
 
     at_s: float
     replica: int
@@ -21,8 +21,8 @@
     version: str
 
 
-def as_usual(sent: Sent) -> float:
-    """All replicas are alike."""
+def unchanged(sent: SentRequest) -> float:
+    """Returns the factor 1 for every request."""
     del sent
     return 1.0
 
@@ -32,14 +32,15 @@
     """A fleet under steady load.
 
     Attributes:
-        slowness: How many times longer than usual a request waits.
-        prompt_factor: How many times longer than others a request's prompt
-            is, which its forecast knows.
-        version: A replica's.
-        asked_by: The instance that asks a replica, given one by chance.
-        spread: Of the waits' logarithms around what they would be.
-        base_ms: What a request takes besides what is forecast.
-        plain: A plain service, of which nothing is forecast.
+        slowness: The factor of a request's wait.
+        prompt_factor: The factor of a request's prompt length, which its
+            forecast includes.
+        version: A replica's version.
+        sent_by: The instance that sends to a replica, given the replica and a
+            randomly chosen instance.
+        spread: The standard deviation of the waits' logarithms.
+        base_ms: A request's time in addition to the forecast.
+        plain: The service is plain, so that nothing is forecast.
     """
 
     seed: int
@@ -50,10 +51,10 @@
     spread: float = 0.5
     base_ms: float = 30.0
     plain: bool = False
-    slowness: Callable[[Sent], float] = as_usual
-    prompt_factor: Callable[[Sent], float] = as_usual
+    slowness: Callable[[SentRequest], float] = unchanged
+    prompt_factor: Callable[[SentRequest], float] = unchanged
     version: Callable[[int], str] = lambda _replica: "v1"
-    asked_by: Callable[[int, int], int] = lambda _replica, instance: instance
+    sent_by: Callable[[int, int], int] = lambda _replica, instance: instance
 
     def texts(self) -> dict[str, list[str]]:
         """Returns the log lines of each instance, by its name."""
@@ -64,10 +65,10 @@
         )
         for number in range(count):
             replica = source.randrange(self.replicas)
-            sent = Sent(
+            sent = SentRequest(
                 at_s=source.uniform(0.0, self.duration_s),
                 replica=replica,
-                instance=self.asked_by(
+                instance=self.sent_by(
                     replica, source.randrange(self.instances)
                 ),
                 version=self.version(replica),
@@ -83,7 +84,7 @@
         return texts
 
     def lines(self) -> list[log_reading.Line]:
-        """Returns the lines as if read from one file an instance."""
+        """Returns the lines as if read from one file per instance."""
         return [
             log_reading.Line(
                 source=log_reading.Source(path=f"{name}.log", name=""),
@@ -98,15 +99,15 @@
         ]
 
     def _request(
-        self, source: random.Random, number: int, sent: Sent
+        self, source: random.Random, number: int, sent: SentRequest
     ) -> list[str]:
         """Returns the lines of a request.
 
-        Waits are 1.4 times what is forecast, and something on top: that
-        forecasts are wrong for all must make no replica slow.
+        Waits are 1.4 times the forecast plus `base_ms`: a forecast error that
+        all replicas have must make none of them slow.
         """
         model = None if self.plain else source.choice(["small", "large"])
-        usual_ms = self.base_ms
+        normal_ms = self.base_ms
         forecast = {}
         if model is not None:
             long = self.prompt_factor(sent)
@@ -115,17 +116,17 @@
                 "reading_ms": round(long * source.lognormvariate(4.0, 1.0)),
                 "kept": 0.5,
             }
-            usual_ms += 1.4 * (forecast["waiting_ms"] + forecast["reading_ms"])
+            normal_ms += 1.4 * (forecast["waiting_ms"] + forecast["reading_ms"])
         noise = source.lognormvariate(0.0, self.spread)
-        after_ms = usual_ms * noise * self.slowness(sent)
-        about = {
+        after_ms = normal_ms * noise * self.slowness(sent)
+        common = {
             "request": f"r-{number}",
             "replica": f"i-{sent.replica}",
             "version": sent.version,
         }
         at_ms = sent.at_s * 1000.0
         return [
-            log_lines.sent(at_ms, model=model, **about, **forecast),
+            log_lines.sent(at_ms, model=model, **common, **forecast),
             log_lines.line(
                 "attempt:answered",
                 at_ms + after_ms,
@@ -134,7 +135,7 @@
                 after_ms=round(after_ms),
                 replica_running=3,
                 replica_waiting=0,
-                **about,
+                **common,
             ),
-            log_lines.ended(at_ms + after_ms + 10.0, request=about["request"]),
+            log_lines.ended(at_ms + after_ms + 10.0, request=common["request"]),
         ]
