--- a/src/nutmeghook/internal/ledger/archive.py
+++ b/src/nutmeghook/internal/ledger/archive.py
@@ -1,7 +1,8 @@
-"""Bills that are older than the log's window, as objects in the object store.
+"""Archive of bills older than the log's window, in the object store.
 
-An object's key names the first and the last batch that it was made from, and
-batches never change: making it twice, by two holders, gives the same object.
+An object's key names the first and the last batch that it was made from.
+Batches are immutable, so two holders that archive the same rows write the same
+object.
 """
 
 import msgspec
@@ -16,10 +17,10 @@
 
 
 class BillArchive:
-    """Moves bills from a partition's oldest rows into an object.
+    """Copies bills from a partition's oldest rows into an object.
 
     Args:
-        batch_records: Rows are taken until they hold so many records.
+        batch_records: Bills after which an object takes no further row.
     """
 
     __slots__ = ("_batch_records", "_objects", "_table")
@@ -41,8 +42,8 @@
         """Makes the bills of the first rows durable in the object store.
 
         Returns:
-            How many of the rows need not be kept any more; 0 if that can't
-            be said now, in which case the rows simply stay.
+            How many of the rows may be overwritten; 0 if a store failed or a
+            row was overwritten by a later holder.
         """
         try:
             archived, bills = await self._read_bills(rows)
@@ -51,8 +52,8 @@
                     records.BillBatch(partition=partition, records=bills)
                 )
                 key = _object_key(partition, archived)
-                # False means that an earlier try, whose answer was lost, or
-                # an earlier holder has stored the same.
+                # False means that an earlier put, whose reply was lost, or an
+                # earlier holder has stored the same object.
                 await self._objects.put_if_absent(key, content)
         except failures.PlatformError:
             return 0
@@ -66,7 +67,7 @@
         for row in rows:
             found = await self._table.read(row.key)
             if found is None or found.version != row.version:
-                # Written over by a later holder: the rows are not ours.
+                # A later holder has overwritten the row.
                 return [], ()
             bills.extend(
                 record
--- a/src/nutmeghook/internal/ledger/bills.py
+++ b/src/nutmeghook/internal/ledger/bills.py
@@ -1,4 +1,4 @@
-"""Reads all bills, wherever they are, each once."""
+"""Reads each bill once from the overflow, the log and the archive."""
 
 from collections.abc import AsyncIterator
 import dataclasses
@@ -26,7 +26,7 @@
     spent_micros: int = 0
 
     def add(self, bill: ledger.Bill) -> None:
-        """Counts a bill in."""
+        """Adds a bill to the totals."""
         self.requests += 1
         self.prompt_tokens += bill.prompt_tokens
         self.output_tokens += bill.output_tokens
@@ -35,12 +35,12 @@
 
 
 class BillReader:
-    """The union of the log, the archive and the overflow, by identity.
+    """The union of the overflow, the log and the archive, by identity.
 
-    Bills move from the overflow to the log and from the log to the archive,
-    and are deleted behind only after. The places are read in that order, so
-    a bill that moves meanwhile is met at least once; the identity sees to it
-    that it counts once. The identities take about 100 bytes a bill.
+    Bills are copied from the overflow to the log and from the log to the
+    archive before they are deleted at the source. Reading the three in that
+    order finds a bill that moves meanwhile at least once; duplicates are
+    dropped by identity. The identities take about 100 bytes a bill.
 
     Every method may raise `failures.NotDoneError`.
     """
@@ -66,7 +66,7 @@
                 yield records.bill_of(record)
 
     async def usage(self) -> list[TeamUsage]:
-        """Returns the totals of each team, in order of their names."""
+        """Returns the totals of each team, in order of team names."""
         totals: dict[str, TeamUsage] = {}
         async for bill in self.bills():
             team = bill.identity.team
@@ -74,7 +74,7 @@
         return [totals[team] for team in sorted(totals)]
 
     async def all_records(self) -> AsyncIterator[records.FinishRecord]:
-        """Yields every place's records: a bill may come more than once."""
+        """Yields the records of all three stores; a bill may be repeated."""
         async for record in self._read_objects(overflow.KEY_PREFIX):
             yield record
         async for record in self._read_log():
--- a/src/nutmeghook/internal/ledger/budget.py
+++ b/src/nutmeghook/internal/ledger/budget.py
@@ -1,4 +1,4 @@
-"""A token bucket: how many writes may start now."""
+"""A token bucket that limits the rate of writes."""
 
 import datetime
 
@@ -6,13 +6,13 @@
 
 
 class WriteBudget:
-    """Lets writes through at a rate, with a small reserve after a rest.
+    """Limits writes to a mean rate with a small burst.
 
-    The reserve is what makes a write go out at once at low load.
+    The burst lets a write start without delay at low load.
 
     Args:
         per_s: Writes a second in the long run.
-        burst: Writes that may start at once after a rest.
+        burst: Writes that may start at once when the bucket is full.
     """
 
     __slots__ = ("_burst", "_clock", "_per_s", "_refilled_at", "_tokens")
@@ -25,9 +25,9 @@
         self._refilled_at = clock.monotonic()
 
     async def acquire(self) -> None:
-        """Waits until a write may start, and counts it."""
+        """Takes a token, waiting until it is available."""
         self._refill()
-        # Taken before the wait, so that those who wait queue up in order.
+        # Taken before the wait, so that waiting writes start in order.
         self._tokens -= 1
         if self._tokens < 0:
             wait_s = -self._tokens / self._per_s
--- a/src/nutmeghook/internal/ledger/client.py
+++ b/src/nutmeghook/internal/ledger/client.py
@@ -1,4 +1,4 @@
-"""The ledger as each instance uses it: claims and bills of its own requests."""
+"""Client of the ledger: claims and bills of this instance's requests."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,10 +22,10 @@
 
 
 class LedgerClient(ledger.Ledger):
-    """Claims and bills by way of the partitions' holders.
+    """Sends claims and bills to the partitions' holders.
 
-    A request without a caller's key needs no claim: no other instance can
-    ever be sent its identity. It costs the store its bill only.
+    A request without a caller's key needs no claim, as no other instance can
+    receive the same identity. Only its bill is written to the store.
     """
 
     __slots__ = (
@@ -73,8 +73,8 @@
     def accepting_work(self) -> bool:
         """Whether a bill of new work could be made durable.
 
-        False while both stores are out, or while too much is unsettled: work
-        that can't be billed must not be started.
+        False while both stores are out, or while `max_unsettled` bills and
+        claims are pending: work that can't be billed must not start.
         """
         if self._table_health.is_out and self._objects_health.is_out:
             return False
@@ -106,7 +106,7 @@
                 self._void(identity, request_id)
             raise self._refusal(error) from error
         except asyncio.CancelledError:
-            # The caller has gone. The claim may be on its way.
+            # The caller disconnected; the claim may still take effect.
             self._void(identity, request_id)
             raise
         return ledger.ClaimResult(state=reply.state, answer=reply.answer)
@@ -114,7 +114,7 @@
     async def release(
         self, identity: ledger.RequestIdentity, *, request_id: str
     ) -> None:
-        """Gives a won claim back: the work provably did not run."""
+        """Releases a won claim; the work provably did not run."""
         if identity.given_by_caller:
             await self._settle_within_timeout(
                 identity,
@@ -144,8 +144,8 @@
     ) -> None:
         """Makes the bill durable; the last byte is sent only after this."""
         record = records.finish_record(bill, self._without_large_body(answer))
-        # A task of its own: the work ran, so its bill is pursued even if
-        # the caller goes away or can't wait.
+        # A separate task: the work ran, so its bill is retried even if the
+        # caller disconnects or the timeout passes.
         task = self._start(self._record_bill(record))
         try:
             await self._clock.wait_for(asyncio.shield(task), timeout)
@@ -167,7 +167,7 @@
         return True
 
     async def drain(self, *, timeout: datetime.timedelta) -> None:
-        """Waits until all is settled, for at most `timeout`."""
+        """Waits until nothing is unsettled, for at most `timeout`."""
         give_up_at = self._clock.monotonic() + timeout
         while self._unsettled and self._clock.monotonic() < give_up_at:
             await self._clock.sleep(_RETRY_PAUSE)
@@ -182,7 +182,7 @@
             await self._pause()
 
     def _void(self, identity: ledger.RequestIdentity, request_id: str) -> None:
-        """Has a claim in doubt voided, now or before it takes effect."""
+        """Voids a claim in doubt, also if it has yet to take effect."""
         release = records.ReleaseRecord(
             team=identity.team, key=identity.key, request_id=request_id
         )
@@ -191,9 +191,9 @@
     async def _settle_within_timeout(
         self, identity: ledger.RequestIdentity, record: records.Request
     ) -> None:
-        """Waits a moment for a record; if need be, it is pursued after."""
+        """Waits up to 2 s for a record; retries go on in the background."""
         task = self._start(self._settle(identity, record))
-        # Until it is durable, retries are told that the first try runs.
+        # Until it is durable, the caller's retries get the state `RUNNING`.
         with contextlib.suppress(TimeoutError):
             await self._clock.wait_for(asyncio.shield(task), _SETTLE_TIMEOUT)
 
--- a/src/nutmeghook/internal/ledger/directory.py
+++ b/src/nutmeghook/internal/ledger/directory.py
@@ -1,4 +1,4 @@
-"""Where each partition's holder is, as far as this instance has learnt."""
+"""This instance's view of which instance holds each partition."""
 
 import datetime
 
@@ -15,7 +15,7 @@
 
 
 class HolderDirectory:
-    """Finds holders by redirects, the preferred order, or the lease's row."""
+    """Finds holders by redirect, lease preference order or the lease's row."""
 
     __slots__ = (
         "_clock",
@@ -53,24 +53,24 @@
         )
         if not order:
             return ""
-        # Successive tries go down the order: the preferred one may be cut
-        # off from here while another holds the lease.
+        # Each miss moves to the next candidate: the preferred one may be
+        # unreachable from here while another holds the lease.
         return order[self._misses.get(partition, 0) % len(order)].inner_address
 
     def record_holder(self, partition: int, inner_address: str) -> None:
-        """Takes in that an instance answered as the holder."""
+        """Records that an instance answered as the holder."""
         self._holders[partition] = inner_address
         self._misses.pop(partition, None)
 
     async def record_miss(
         self, partition: int, inner_address: str, hint: str
     ) -> None:
-        """Takes in that an instance is not the holder, or is unreachable.
+        """Records that an instance is not the holder, or is unreachable.
 
         Args:
             partition: The partition that was asked for.
             inner_address: The instance that was asked.
-            hint: The holder by its word; empty if it does not know.
+            hint: The holder that it named; empty if it knows none.
         """
         if self._holders.get(partition) == inner_address:
             del self._holders[partition]
@@ -85,7 +85,7 @@
     def local_partition(self, key: str) -> int:
         """Returns a partition for a key that no other instance will use.
 
-        One whose holder is in this data centre, if any is known.
+        Prefers partitions whose holder is known to be in this data centre.
         """
         here = self._members.myself.data_centre
         local_addresses = {
--- a/src/nutmeghook/internal/ledger/entries.py
+++ b/src/nutmeghook/internal/ledger/entries.py
@@ -1,4 +1,4 @@
-"""What a partition's log says of one request with a caller's key."""
+"""The state of one request with a caller's key, from a partition's log."""
 
 import dataclasses
 import enum
@@ -6,12 +6,13 @@
 
 from nutmeghook.internal.ledger import records
 
-# Tries of one key that were given up; older ones' late claims are long past.
+# Voided tries remembered for each key. A claim that arrives late belongs to a
+# recent try, so older ones can be forgotten.
 _MAX_VOIDED = 8
 
 
 class EntryState(enum.IntEnum):
-    """What the log says of a request."""
+    """A request's state by the log."""
 
     OPEN = 0
     CLAIMED = 1
@@ -24,7 +25,7 @@
     """One request with a caller's key.
 
     Attributes:
-        voided: Tries that were given up; a claim of theirs is void.
+        voided: Request ids of released tries; their claims are void.
         row_key: Row that holds the answer, once finished.
         written_ms: Wall time of the last record.
     """
@@ -44,7 +45,7 @@
 def apply_record(
     entry: Entry, record: records.Record, row_key: str, written_ms: int
 ) -> Entry:
-    """Returns the entry as it is after a record."""
+    """Returns the entry with a record applied."""
     if isinstance(record, records.ClaimRecord):
         return Entry(
             state=EntryState.CLAIMED,
--- a/src/nutmeghook/internal/ledger/factory.py
+++ b/src/nutmeghook/internal/ledger/factory.py
@@ -1,4 +1,4 @@
-"""Puts one instance's ledger together."""
+"""Builds one instance's ledger."""
 
 import asyncio
 import dataclasses
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _PartBuilder:
-    """Builds the parts that come in numbers, from what all of them share."""
+    """Builds store health, writers and senders from shared dependencies."""
 
     members: members_module.MemberView
     clock: clock_module.Clock
@@ -74,7 +74,8 @@
             events=self.events,
             rank=lambda: preference.rank_of_myself(name, self.members),
             settings=self.lease_settings,
-            # All that a holder does is conditional on the lease's row.
+            # A wrong death verdict is safe: every commit by a holder is
+            # conditional on the lease's row.
             is_dead=self.liveness.is_gone,
         )
         return partition_module.PartitionWriter(
@@ -111,16 +112,16 @@
         )
 
     def overflow_put_rate(self) -> float:
-        """Returns the puts a second that this instance may make."""
+        """Returns this instance's share of the puts a second."""
         count = max(1, len(self.members.members()))
         return self.settings.overflow_writes_per_s / count
 
 
 class InstanceLedger:
-    """All ledger parts of one instance.
+    """All components of one instance's ledger.
 
-    `run` has to run from the start; `drain` comes after the last request and
-    before `run` is cancelled.
+    Start `run` first; call `drain` after the last request and before `run` is
+    cancelled.
 
     Attributes:
         client: Claims and bills for the dispatcher.
@@ -128,7 +129,7 @@
         service: The partitions held here.
         bill_reader: Bills of all instances, for administration.
         table: The table service with timeouts, counted by `table_health`.
-        objects: The object store likewise.
+        objects: The object store, counted by `objects_health`.
     """
 
     __slots__ = (
@@ -251,11 +252,11 @@
         return self.client.accepting_work()
 
     def bills_waiting(self) -> int:
-        """Objects with this instance's bills that wait for the log."""
+        """Overflow objects whose bills are not in the log yet."""
         return self._overflow.stored_objects
 
     async def run(self) -> None:
-        """Runs all parts until cancelled."""
+        """Runs all components until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._liveness.run())
             group.create_task(self.table_health.run())
@@ -265,6 +266,6 @@
             group.create_task(self.pins.run())
 
     async def drain(self, *, timeout: datetime.timedelta) -> None:
-        """Settles what is open, then hands the partitions over."""
+        """Settles open bills and claims, then releases the partitions."""
         await self.client.drain(timeout=timeout)
         await self.service.drain(timeout=timeout)
--- a/src/nutmeghook/internal/ledger/index.py
+++ b/src/nutmeghook/internal/ledger/index.py
@@ -1,8 +1,8 @@
 """A partition's claims, answers and pins, in the holder's memory.
 
-The index is what the partition's log says, plus the changes of the one batch
-that is being committed. Those are staged apart: they are merged when the
-commit is known to be durable and dropped when it is known not to be.
+The index holds the state of the partition's log. Changes of the batch being
+committed are staged separately: they are merged once the commit is durable
+and discarded once it has certainly failed.
 """
 
 from collections.abc import Callable
@@ -25,11 +25,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Decision:
-    """What a request comes to.
+    """The outcome of a request.
 
     Attributes:
-        result: What to answer once everything it rests on is durable.
-        record: What has to be written first; None if nothing.
+        result: The reply, sent once the state that it depends on is durable.
+        record: The record to commit before the reply; None if nothing.
         is_final: The result stays true even if this instance has lost the
             partition meanwhile.
         answer_row: Row from which the kept answer has to be read.
@@ -52,10 +52,10 @@
 
 
 class PartitionIndex:
-    """Decides requests by the log's state.
+    """Decides requests from the log's state.
 
     Args:
-        is_alive: Tells whether an incarnation is a member still.
+        is_alive: Tells whether an incarnation is still a member.
         max_entries: New claims and pins are refused beyond these.
         window_ms: How long entries and pins are kept.
         minted_window_ms: How long bills without a caller's key are.
@@ -98,14 +98,14 @@
         return len(self._entries) + len(self._pins)
 
     def depends_on_staged(self, request: records.Request) -> bool:
-        """Whether the decision rests on a commit that is under way."""
+        """Whether the decision depends on the commit in progress."""
         if isinstance(request, records.PinRequest):
             return records.pin_key(request) in self._staged_pins
         key = records.entry_key(request.team, request.key)
         return key in self._staged_entries or key in self._staged_minted
 
     def decide(self, request: records.Request, *, now_ms: int) -> Decision:
-        """Returns what a request comes to now, and changes nothing."""
+        """Returns a request's decision now, without changing state."""
         if isinstance(request, records.PinRequest):
             return self._decide_pin(request, now_ms)
         entry = self._entry(records.entry_key(request.team, request.key))
@@ -142,20 +142,20 @@
         )
 
     def merge_staged(self) -> None:
-        """Keeps the staged changes: their commit is durable."""
+        """Merges the staged changes; their commit is durable."""
         self._entries.update(self._staged_entries)
         self._pins.update(self._staged_pins)
         self._minted.update(self._staged_minted)
         self.discard_staged()
 
     def discard_staged(self) -> None:
-        """Forgets the staged changes: their commit surely failed."""
+        """Discards the staged changes; their commit has certainly failed."""
         self._staged_entries.clear()
         self._staged_pins.clear()
         self._staged_minted.clear()
 
     def expire(self, *, now_ms: int) -> None:
-        """Forgets what is older than the windows."""
+        """Removes entries, pins and bills older than their windows."""
         oldest = now_ms - self._window_ms
         for key in [
             k for k, e in self._entries.items() if self._is_expired(e, oldest)
@@ -186,8 +186,8 @@
         self, claim: records.ClaimRecord, entry: entries_module.Entry | None
     ) -> Decision:
         if entry is not None and claim.request_id in entry.voided:
-            # A claim that was given up and arrives after that: its sender
-            # has told its caller that nothing ran, so it must win nothing.
+            # A late claim of a released try. Its sender has told the caller
+            # that nothing ran, so the claim must not win.
             return Decision(result=_claim_reply(ledger.ClaimState.RUNNING))
         if entry is None or entry.state is entries_module.EntryState.OPEN:
             if self._is_full():
@@ -216,8 +216,8 @@
                 return Decision(result=_claim_reply(ledger.ClaimState.WON))
             if self._is_alive(entry.claimant):
                 return Decision(result=_claim_reply(ledger.ClaimState.RUNNING))
-        # The claimant is gone or lost sight of the outcome. It may have
-        # sent the work, so nobody may ever run it again.
+        # The claimant is gone or lost the outcome. It may have sent the
+        # work, so the request must never run again.
         return Decision(result=_claim_reply(ledger.ClaimState.UNKNOWN))
 
     def _decide_finish(
@@ -256,7 +256,7 @@
         if pin is None or _may_replace(pin, request):
             return self._new_pin(request, request.proposed, request.revision)
         if now_ms - pin.written_ms > self._window_ms // 2:
-            # Still in use: written again, so that it outlives the window.
+            # Still in use: written again before the window expires it.
             return self._new_pin(request, pin.model_version, pin.revision)
         return Decision(
             result=records.PinReply(
@@ -314,10 +314,9 @@
 def _may_replace(pin: Pin, request: records.PinRequest) -> bool:
     """Tells whether a session may leave its version.
 
-    The failure: a version has just been added. One instance knows it and pins
-    a session to it; another is a moment behind and finds that the template
-    does not list it. If that one could move the session, callers would see
-    its version change and change back.
+    Only a request under the pin's configuration revision or a later one may
+    replace a pin. An instance that has not yet received a newly added version
+    would otherwise find it unlisted and move the session back.
     """
     return (
         pin.model_version in request.unusable
--- a/src/nutmeghook/internal/ledger/ledger.py
+++ b/src/nutmeghook/internal/ledger/ledger.py
@@ -1,4 +1,4 @@
-"""Claims and bills, as the dispatcher uses them."""
+"""The dispatcher's interface to claims and bills."""
 
 import abc
 import datetime
@@ -8,10 +8,10 @@
 
 
 class RequestIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """What makes two HTTP requests the same request.
+    """Identifies a request across its retries.
 
     Attributes:
-        key: The caller's idempotency key, or the id minted at entry.
+        key: The caller's idempotency key, or the id generated on arrival.
         given_by_caller: Whether a retry of it may arrive on any instance.
         body_digest: Hash of the request's content; a key used with another
             content is refused.
@@ -24,7 +24,7 @@
 
 
 class ClaimState(enum.Enum):
-    """What became of a claim."""
+    """The outcome of a claim."""
 
     WON = "won"
     RUNNING = "running"
@@ -72,12 +72,11 @@
 
 
 class Ledger(abc.ABC):
-    """Settles who runs a request, and records what it cost.
+    """Decides who runs a request, and records what it cost.
 
-    All methods raise `errors.CodedError`: `STORE_OUT` where a claim can't be
-    made (nothing was claimed for good: a claim in doubt is abandoned),
-    `OVERLOADED` where no more claims can be kept, and
-    `BILL_UNSETTLED` where a bill could not be made durable in time.
+    All methods raise `errors.CodedError`: `STORE_OUT` if a claim can't be
+    made (a claim in doubt is voided), `OVERLOADED` if no more claims can be
+    kept, and `BILL_UNSETTLED` if a bill could not be made durable in time.
     """
 
     def accepting_work(self) -> bool:
@@ -101,7 +100,7 @@
     async def release(
         self, identity: RequestIdentity, *, request_id: str
     ) -> None:
-        """Gives a won claim back: the work provably did not run."""
+        """Releases a won claim; the work provably did not run."""
 
     @abc.abstractmethod
     async def finish(
--- a/src/nutmeghook/internal/ledger/liveness.py
+++ b/src/nutmeghook/internal/ledger/liveness.py
@@ -1,4 +1,4 @@
-"""What the ledger concludes from the list of members."""
+"""Which incarnations are alive or gone, from the list of members."""
 
 import datetime
 
@@ -9,10 +9,10 @@
 
 
 class Liveness:
-    """Tells members that exist from those that are gone.
+    """Distinguishes current members from former ones.
 
     An incarnation that this instance has never seen may be too new for its
-    list: it is neither alive nor gone.
+    list, so it counts as neither alive nor gone.
     """
 
     __slots__ = ("_clock", "_members", "_seen")
@@ -25,7 +25,7 @@
         self._seen: set[str] = set()
 
     async def run(self) -> None:
-        """Keeps in mind who was a member, until cancelled."""
+        """Records the members every 500 ms, until cancelled."""
         while True:
             self._present()
             await self._clock.sleep(_POLL_INTERVAL)
@@ -35,7 +35,7 @@
         return incarnation in self._present()
 
     def is_gone(self, incarnation: str) -> bool:
-        """Whether an incarnation was a member and is one no more."""
+        """Whether an incarnation was a member and no longer is."""
         present = self._present()
         return incarnation not in present and incarnation in self._seen
 
--- a/src/nutmeghook/internal/ledger/log.py
+++ b/src/nutmeghook/internal/ledger/log.py
@@ -1,8 +1,9 @@
-"""One partition's log: rows in the table service that are used in turn.
+"""One partition's log: reused rows in the table service.
 
-A row holds one commit's records. When its records are older than the window
-and its bills are in the object store, the next commit writes over it. Deleting
-rows instead would cost as many writes again, and the table service has few.
+A row holds one commit's records. Once its records are older than the window
+and its bills are in the object store, a later commit overwrites it. Deleting
+rows instead would double the writes, and the table service's write rate is
+limited.
 """
 
 import collections
@@ -26,11 +27,11 @@
 
 
 class LostPartitionError(Exception):
-    """Another instance holds the partition; the commit surely failed."""
+    """Another instance holds the partition; the commit certainly failed."""
 
 
 class StoreOutError(Exception):
-    """The table service is out; the commit surely failed."""
+    """The table service is out; the commit certainly failed."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -38,7 +39,7 @@
     """A row of the log as the holder remembers it.
 
     Attributes:
-        version: What the next write over it is conditional on.
+        version: Row version that the next overwrite is conditional on.
         written_ms: Wall time of its batch; 0 for a row not yet written.
         position: Token and sequence of its batch, which give the order.
     """
@@ -50,7 +51,7 @@
 
 
 def partition_prefix(partition: int) -> str:
-    """Returns what the keys of a partition's rows start with."""
+    """Returns the key prefix of a partition's rows."""
     return f"{KEY_PREFIX}{partition:03d}/"
 
 
@@ -102,10 +103,10 @@
         return len(self._live)
 
     async def read_all(self) -> list[tuple[str, records.Batch]]:
-        """Reads the whole log, oldest batch first, answers left out.
+        """Reads the whole log, oldest batch first, without answers.
 
         Once this instance has the lease, no commit of an earlier holder can
-        succeed any more: what is read here is all there is.
+        succeed, so the log read here is complete.
         """
         found: list[tuple[LogRow, records.Batch]] = []
         after = ""
@@ -144,7 +145,7 @@
         when it is certain that it is not and never will be.
 
         Raises:
-            LostPartitionError: The lease is another's.
+            LostPartitionError: Another instance holds the lease.
             StoreOutError: The table service refused, and is out.
         """
         row = self.next_row()
@@ -182,7 +183,7 @@
         return rows
 
     def free(self, count: int) -> None:
-        """Lets the oldest rows be written over."""
+        """Allows the oldest rows to be overwritten."""
         for _ in range(count):
             self._free.insert(0, self._live.popleft())
 
@@ -200,7 +201,7 @@
                 await self._pause(error.retry_after)
                 continue
             except failures.OutcomeUnknownError:
-                # It may take effect yet. Writing the same again under the
+                # It may still take effect. Repeating the write under the
                 # same conditions is safe: only one of the two can succeed,
                 # and a failed condition shows whether the first one did.
                 in_doubt = True
@@ -231,10 +232,10 @@
         batch: records.Batch,
         result: table_module.CommitResult,
     ) -> int | None:
-        """Returns the row's version if the failed commit's twin wrote it.
+        """Returns the row's version if an earlier try of the commit wrote it.
 
         Raises:
-            LostPartitionError: It did not, and never will.
+            LostPartitionError: None did, and none can any more.
         """
         current = {found.key: found for found in result.current}
         written = current.get(row.key)
@@ -246,7 +247,8 @@
             ):
                 return written.version
             raise LostPartitionError
-        # Only the lease's row differs: a renewal of our own, or the end.
+        # Only the lease's row differs: either this instance has renewed it,
+        # or it has lost the lease.
         still_held = self._lease.apply_row(current.get(self._lease.row_key))
         if not still_held or self._lease.last_token() != self._token:
             raise LostPartitionError
@@ -270,7 +272,7 @@
 
 
 def _without_answers(batch: records.Batch) -> records.Batch:
-    """Drops kept answers, which would fill the memory at a take-over."""
+    """Drops kept answers, which would fill the memory in a take-over."""
     without_answers = tuple(
         msgspec.structs.replace(record, answer=None)
         if isinstance(record, records.FinishRecord)
--- a/src/nutmeghook/internal/ledger/overflow.py
+++ b/src/nutmeghook/internal/ledger/overflow.py
@@ -1,9 +1,9 @@
-"""Bills that go to the object store while the table service is out.
+"""Stores bills in the object store while the table service is out.
 
 Each instance puts its bills there in batches, as objects under its own
-incarnation. When the table service is back they are appended to the log, and
-only then deleted. A bill that is in both places for a while is one bill: it
-is known by its request's identity.
+incarnation. When the table service is back they are appended to the log and
+only then deleted. A bill in both stores is counted once, by its request's
+identity.
 """
 
 import asyncio
@@ -38,8 +38,8 @@
         put_rate: Returns this instance's share of the write budget, in puts a
             second.
         is_alive: Tells whether an incarnation is a member.
-        should_sweep: Tells whether this instance looks after the bills of those
-            that are not.
+        should_sweep: Tells whether this instance recovers the bills of
+            incarnations that are gone.
     """
 
     __slots__ = (
@@ -88,7 +88,7 @@
             clock=clock, per_s=put_rate(), burst=1
         )
         self._sequence = 0
-        # Only keys are remembered, so that a long outage costs no memory.
+        # Only keys are kept, so that a long outage takes little memory.
         self._stored: collections.deque[str] = collections.deque()
         self._pending: collections.deque[
             tuple[records.FinishRecord, asyncio.Future[bool]]
@@ -97,14 +97,14 @@
 
     @property
     def stored_objects(self) -> int:
-        """How many of this instance's objects wait for the log."""
+        """How many of this instance's objects are not in the log yet."""
         return len(self._stored)
 
     async def put(self, record: records.FinishRecord) -> bool:
         """Makes a bill durable in the object store.
 
         Returns:
-            False where it surely is not there.
+            False if it is certainly not stored.
         """
         reply: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._pending.append((record, reply))
@@ -139,7 +139,8 @@
             )
             for key in keys:
                 owner = key.removeprefix(KEY_PREFIX).partition("/")[0]
-                # A wrong guess does no harm: both append the same bills.
+                # Sweeping a live instance's objects is harmless: both append
+                # the same bills.
                 if not self._is_alive(owner) and not await self._recover_one(
                     key
                 ):
@@ -184,8 +185,8 @@
         in_doubt = False
         while True:
             try:
-                # False means that a try whose answer was lost has done it:
-                # nobody else uses a key with our incarnation.
+                # False means that an earlier put, whose reply was lost, has
+                # stored it: no other instance uses this incarnation's keys.
                 await self._objects.put_if_absent(key, content)
                 return True
             except failures.NotDoneError:
@@ -199,7 +200,7 @@
     async def _recover_one(self, key: str) -> bool:
         """Moves one object's bills to the log; False if the log refuses."""
         content = await self._objects.get(key)
-        # An object that is not there was moved before, by a sweep.
+        # A missing object has already been moved, by a sweep.
         if content is not None:
             bills = records.decode_bills(content).records
             appended = await asyncio.gather(
--- a/src/nutmeghook/internal/ledger/partition.py
+++ b/src/nutmeghook/internal/ledger/partition.py
@@ -1,9 +1,9 @@
-"""The holder's side of one partition: takes requests, commits, answers.
+"""The holder's side of one partition: decides, commits and answers requests.
 
-Requests wait until the next commit and are decided in their order. Nothing is
-answered before all that the answer rests on is durable: a holder killed
-between commit and reply has recorded what its successor reads back, and a
-repeated request gets the same answer there.
+Requests queue for the next commit and are decided in order. A request is
+answered only when the state that its answer depends on is durable: if the
+holder is killed between commit and reply, its successor reads the same state
+back, and a repeated request gets the same answer there.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 
 
 class _PendingRequest:
-    """A request and whoever waits for its result."""
+    """A queued request and the future of its result."""
 
     __slots__ = ("decision", "reply", "request")
 
@@ -48,18 +48,18 @@
         )
 
     def answer_bytes(self) -> int:
-        """Returns the size of the answer to keep, if there is one."""
+        """Returns the size of the answer to keep; 0 if there is none."""
         if not isinstance(self.request, records.FinishRecord):
             return 0
         answer = self.request.answer
         return len(answer.body) if answer and answer.body else 0
 
     def answer(self, result: records.Result) -> None:
-        """Answers with a result that nothing rests on."""
+        """Answers with a result that depends on no record."""
         self.resolve(index_module.Decision(result=result))
 
     def resolve(self, decision: index_module.Decision) -> None:
-        """Answers with a decision whose grounds are durable."""
+        """Answers with a decision; the state it depends on is durable."""
         if not self.reply.done():
             self.reply.set_result(decision)
 
@@ -136,7 +136,7 @@
     async def append(
         self, requests: list[records.Request]
     ) -> list[records.Result]:
-        """Decides requests and makes durable what has to be."""
+        """Decides requests and commits their records."""
         pending = [self._admit(request) for request in requests]
         return [await self._result(item) for item in pending]
 
@@ -154,7 +154,7 @@
                 self._wake.set()
 
     async def archive_old_rows(self) -> None:
-        """Moves old bills to the object store, so that rows can be reused."""
+        """Archives old bills, so that their rows can be reused."""
         if self._index is None:
             return
         now_ms = self._now_ms()
@@ -165,7 +165,7 @@
                 return
 
     async def _archive_rows(self, before_ms: int) -> bool:
-        """Moves one object's worth of bills; returns whether it did."""
+        """Archives one object of bills; returns whether it did."""
         log = self._log
         if log is None or self._health.is_out:
             return False
@@ -180,7 +180,7 @@
         return archived > 0
 
     async def stop(self, *, timeout: datetime.timedelta) -> None:
-        """Finishes what waits, then hands the partition over."""
+        """Answers queued requests, then releases the lease."""
         give_up_at = self._clock.monotonic() + timeout
         while self._queue and self._clock.monotonic() < give_up_at:
             await self._clock.sleep(timeout / 20)
@@ -189,7 +189,7 @@
         await self._lease.release()
 
     def _admit(self, request: records.Request) -> _PendingRequest:
-        """Answers at once what needs no commit; queues the rest."""
+        """Answers a request that needs no commit; queues any other."""
         item = _PendingRequest(request)
         if not self.is_serving:
             if self._lease.last_token() is None:
@@ -212,16 +212,17 @@
         self, request: records.Request
     ) -> index_module.Decision | None:
         if isinstance(request, records.FinishRecord):
-            # Nearly always new: decided once, with its commit.
+            # Nearly always new, so it is decided only with its commit.
             return None
         if self._index.depends_on_staged(request):
             return None
         decision = self._index.decide(request, now_ms=self._now_ms())
         if decision.record is not None:
             return None
-        # Most results could be out of date if another instance has taken the
-        # partition over. Some can't: a pin, a finished request. Those are
-        # given from memory during an outage of the table service too.
+        # Most results may be stale if another instance has taken the
+        # partition over. Final ones, such as a pin or a finished request,
+        # can't be, so they are answered from memory even during an outage of
+        # the table service.
         if decision.is_final or self._lease.fencing_token() is not None:
             return decision
         return None
@@ -241,7 +242,7 @@
     async def _read_answer(
         self, row_key: str, claim: records.ClaimRecord
     ) -> ledger.KeptAnswer | None:
-        """Reads a kept answer back; the index holds no answers."""
+        """Reads a kept answer from its row; the index holds none."""
         row = await self._table.read(row_key)
         if row is None:
             return None
@@ -265,14 +266,14 @@
             await self._commit_next()
 
     def _discard_state(self) -> None:
-        """Forgets everything: the partition is another's now."""
+        """Discards the partition's state; another instance holds it now."""
         self._index = None
         self._log = None
         self._token = None
         self._refuse_queue(self._not_holder())
 
     async def _take_over(self, token: int) -> None:
-        """Reads the log; until that is done, nothing is answered here."""
+        """Reads the log; requests are answered only once that is done."""
         log = log_module.PartitionLog(
             partition=self._partition,
             token=token,
@@ -303,8 +304,8 @@
             self._token = token
 
     async def _commit_next(self) -> None:
-        """Decides what waits, commits it as one row, and answers."""
-        # What arrives during this wait still goes into the commit.
+        """Decides queued requests, commits them as one row, and answers."""
+        # Requests that arrive during this wait join the commit.
         await self._log.wait_to_commit()
         batch = self._take_batch()
         row = self._log.next_row()
@@ -318,8 +319,9 @@
                     item.decision.record, row_key=row.key, written_ms=now_ms
                 )
         try:
-            # With nothing to store, a commit may still have to prove that
-            # this is the holder: the results rest on that.
+            # Without a valid lease, even an empty batch is committed: it
+            # proves that this is still the holder, on which the results
+            # depend.
             if stored or self._lease.fencing_token() is None:
                 await self._log.commit(tuple(stored), written_ms=now_ms)
                 self.commits += 1
--- a/src/nutmeghook/internal/ledger/pins.py
+++ b/src/nutmeghook/internal/ledger/pins.py
@@ -1,4 +1,4 @@
-"""Which version each session stays on, as the version choice uses it."""
+"""Session pins: the model version that each session stays on."""
 
 import abc
 import datetime
@@ -9,7 +9,7 @@
 
 
 class SessionKey(msgspec.Struct, frozen=True, kw_only=True):
-    """What a pin belongs to: one stage of one template for one session."""
+    """The key of a pin: one stage of one template for one session."""
 
     team: str
     template: str
@@ -47,23 +47,23 @@
             key: The session and stage.
             proposed: The version for a session that has no usable pin yet.
             unusable: Withdrawn versions; a pin to one of them is replaced,
-                unless it was chosen under a higher revision: then the caller
-                has yet to hear why the version may be used.
-            revision: The configuration's revision that the caller goes by.
+                unless it was chosen under a higher revision, which the
+                caller has not received yet.
+            revision: The caller's configuration revision.
             timeout: The most to wait for a pin to become durable.
 
         Raises:
             errors.CodedError: `STORE_OUT` if the session's pin can't be
-                found out or made durable.
+                read or made durable.
         """
 
     def pin_later(
         self, key: SessionKey, *, version: engine.ModelVersion, revision: int
     ) -> None:
-        """Has a session pinned as soon as that is possible.
+        """Pins a session in the background, as soon as that is possible.
 
-        For sessions that were answered while their pin could neither be
-        found out nor made durable. Pins that last no longer than the process
-        need nothing more.
+        For sessions that were answered while their pin could neither be read
+        nor made durable. By default nothing is done, which suits pins held in
+        memory only.
         """
         del key, version, revision
--- a/src/nutmeghook/internal/ledger/records.py
+++ b/src/nutmeghook/internal/ledger/records.py
@@ -1,7 +1,7 @@
-"""What the ledger's log holds, and what is asked of a partition's holder.
+"""Records of the ledger's log, and requests to a partition's holder.
 
-Everything is written as msgpack arrays: at the planned peak each byte of a
-record is written 8,400 times a second.
+Everything is encoded as msgpack arrays, for size: at the planned peak each
+byte of a record costs 8,400 bytes a second.
 """
 
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 class ClaimRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="c"
 ):
-    """A request is claimed for one try.
+    """Claims a request for one try.
 
     Attributes:
         claimant: Incarnation of the instance that will run it.
@@ -34,10 +34,10 @@
 class ReleaseRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="r"
 ):
-    """A try provably did not run, and never will: its claim is void.
+    """Voids the claim of a try that provably did not and will not run.
 
-    It also voids a claim that arrives later: that is how a claim whose
-    outcome was lost is settled.
+    It also voids a claim that arrives later, which settles a claim whose
+    outcome was lost.
     """
 
     team: str
@@ -48,7 +48,7 @@
 class UnknownRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="u"
 ):
-    """A try was sent to a backend server, and its outcome is lost."""
+    """Marks a try that was sent to a backend server, outcome unknown."""
 
     team: str
     key: str
@@ -58,7 +58,7 @@
 class FinishRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="f"
 ):
-    """A request's bill, and its answer if that is kept."""
+    """Holds a request's bill, and its answer if that is kept."""
 
     team: str
     key: str
@@ -77,7 +77,7 @@
 class PinRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="p"
 ):
-    """A session stays on a version (written `model@version`).
+    """Pins a session to a version (written `model@version`).
 
     Attributes:
         revision: The configuration's revision under which it was chosen.
@@ -97,7 +97,7 @@
     """Asks for a session's version, proposing one if it has none usable.
 
     Attributes:
-        revision: The configuration's revision that the sender goes by.
+        revision: The sender's configuration revision.
     """
 
     team: str
@@ -116,7 +116,7 @@
 
 
 class RefusalReason(enum.IntEnum):
-    """Why a holder did not take a request; it surely did not."""
+    """Why a holder refused a request; nothing was recorded."""
 
     STORE_OUT = 1
     FULL = 2
@@ -125,7 +125,7 @@
 class ClaimReply(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="c"
 ):
-    """What became of a claim."""
+    """The outcome of a claim."""
 
     state: ledger.ClaimState
     answer: ledger.KeptAnswer | None = None
@@ -134,7 +134,7 @@
 class Recorded(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="r"
 ):
-    """The record is durable, now or since before."""
+    """The record is durable, from this request or an earlier one."""
 
 
 class PinReply(
@@ -165,7 +165,7 @@
 class Refused(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="x"
 ):
-    """The holder did not take the request; nothing was recorded."""
+    """The holder refused the request; nothing was recorded."""
 
     reason: RefusalReason
 
@@ -178,8 +178,8 @@
 
     Attributes:
         token: Fencing token of the holder that wrote it.
-        sequence: Counts the holder's batches; with the token it gives the
-            log's order.
+        sequence: Number of the holder's batch; token and sequence order the
+            log.
         written_ms: Wall time of the write, for retention only.
     """
 
@@ -204,32 +204,32 @@
 
 
 def decode_requests(encoded: Sequence[bytes]) -> list[Request]:
-    """Reads requests as they came over the inner protocol."""
+    """Decodes requests from the inner protocol."""
     return [_request_decoder.decode(item) for item in encoded]
 
 
 def decode_results(encoded: Sequence[bytes]) -> list[Result]:
-    """Reads results as they came over the inner protocol."""
+    """Decodes results from the inner protocol."""
     return [_result_decoder.decode(item) for item in encoded]
 
 
 def decode_batch(value: bytes) -> Batch:
-    """Reads a row of a partition's log."""
+    """Decodes a row of a partition's log."""
     return _batch_decoder.decode(value)
 
 
 def decode_bills(content: bytes) -> BillBatch:
-    """Reads an object that holds bills."""
+    """Decodes an object that holds bills."""
     return _bills_decoder.decode(content)
 
 
 def entry_key(team: str, key: str) -> str:
-    """Returns the one string that stands for a request's identity."""
+    """Returns the index key of a request's identity."""
     return f"{team}\n{key}"
 
 
 def pin_key(record: PinRecord | PinRequest) -> str:
-    """Returns the one string that stands for a session and stage."""
+    """Returns the index key of a session and stage."""
     return (
         f"{record.team}\n{record.template}\n{record.stage_index}"
         f"\n{record.session}"
--- a/src/nutmeghook/internal/ledger/sender.py
+++ b/src/nutmeghook/internal/ledger/sender.py
@@ -1,8 +1,8 @@
 """Sends an instance's requests to the holders of their partitions.
 
-Requests for one partition share messages. Each request is decided by what it
-says of itself (request id, identity), so sending it again after a lost reply
-is safe, to the same holder or to its successor.
+Requests for one partition share messages. Requests are idempotent by request
+id and identity, so sending one again after a lost reply is safe, to the same
+holder or to its successor.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 from nutmeghook.internal.ledger import settings as settings_module
 
 _MAX_MESSAGES_IN_FLIGHT = 16
-# With the largest kept answers the replies still fit a frame.
+# Even with the largest kept answers the replies fit a frame.
 _MAX_MESSAGE_REQUESTS = 200
 _RETRY_PAUSE = datetime.timedelta(milliseconds=60)
 
@@ -41,10 +41,10 @@
 
 
 class _PendingRequest:
-    """One request on its way.
+    """One request in flight.
 
     Attributes:
-        in_doubt: Some message with it was sent and not answered.
+        in_doubt: A message with it was sent and not answered.
     """
 
     __slots__ = ("encoded", "in_doubt", "reply", "request")
@@ -59,7 +59,7 @@
 
 
 class PartitionSender:
-    """The way from this instance to one partition's holder."""
+    """Sends this instance's requests to one partition's holder."""
 
     __slots__ = (
         "_clock",
@@ -105,8 +105,8 @@
         """Returns the holder's result.
 
         Raises:
-            NotAppendedError: None came within the timeout, or the holder
-                refused.
+            NotAppendedError: No result came within the timeout, or the
+                holder refused.
         """
         item = _PendingRequest(request)
         self._pending.append(item)
@@ -123,7 +123,7 @@
         return result
 
     def _start_messages(self) -> None:
-        """Starts messages while there are requests and places for them."""
+        """Starts messages while requests wait and fewer than 16 are sent."""
         while self._pending and self._in_flight < _MAX_MESSAGES_IN_FLIGHT:
             self._in_flight += 1
             task = asyncio.ensure_future(self._send_next())
@@ -132,8 +132,8 @@
 
     async def _send_next(self) -> None:
         try:
-            # One turn of the loop, so that requests that arrive together
-            # share a message.
+            # One iteration of the event loop, so that requests that arrive
+            # together share a message.
             await asyncio.sleep(0)
             items = self._next_items()
             if items and not await self._send(items):
@@ -146,7 +146,7 @@
         items: list[_PendingRequest] = []
         while self._pending and len(items) < _MAX_MESSAGE_REQUESTS:
             item = self._pending.popleft()
-            # Whoever gave up waiting has settled it in another way.
+            # A request whose sender timed out is settled by its sender.
             if not item.reply.done():
                 items.append(item)
         return items
@@ -166,8 +166,8 @@
     ) -> list[records.Result] | None:
         """Returns the results, or None where none came."""
         in_doubt_before = [item.in_doubt for item in items]
-        # In doubt from the moment of sending: whoever gives up waiting now
-        # must not take it that nothing happened.
+        # In doubt from the moment of sending: a sender that times out now must
+        # not conclude that nothing was recorded.
         for item in items:
             item.in_doubt = True
         try:
--- a/src/nutmeghook/internal/ledger/service.py
+++ b/src/nutmeghook/internal/ledger/service.py
@@ -1,4 +1,4 @@
-"""All partitions of one instance, and the handler for other instances."""
+"""All partitions of one instance, and the handler of peers' requests."""
 
 import asyncio
 import contextlib
@@ -36,15 +36,15 @@
 
     @property
     def writers(self) -> tuple[partition_module.PartitionWriter, ...]:
-        """One for each partition, held or not."""
+        """One writer for each partition, held or not."""
         return self._writers
 
     def held(self) -> int:
-        """How many partitions this instance writes now."""
+        """How many partitions this instance serves now."""
         return sum(writer.is_serving for writer in self._writers)
 
     def register(self, handlers: peers.PeerHandlers) -> None:
-        """Takes requests from other instances."""
+        """Registers the handler of requests from other instances."""
         handlers.register(ttypes.LedgerAppend, self.handle)
 
     async def handle(self, message: ttypes.LedgerAppend) -> peers.Message:
@@ -75,7 +75,7 @@
             group.create_task(self._archive_forever())
 
     async def drain(self, *, timeout: datetime.timedelta) -> None:
-        """Finishes what waits and hands every partition over at once."""
+        """Answers queued requests, then releases all leases in parallel."""
         await asyncio.gather(
             *(self._stop(writer, timeout) for writer in self._writers)
         )
@@ -85,7 +85,7 @@
         writer: partition_module.PartitionWriter,
         timeout: datetime.timedelta,
     ) -> None:
-        # Where the store does not answer, the lease lapses by itself.
+        # If the store does not answer, the lease expires by itself.
         with contextlib.suppress(failures.PlatformError):
             await writer.stop(timeout=timeout)
 
--- a/src/nutmeghook/internal/ledger/session_pins.py
+++ b/src/nutmeghook/internal/ledger/session_pins.py
@@ -1,4 +1,4 @@
-"""Session pins as each instance uses them."""
+"""Client of the ledger's session pins."""
 
 import asyncio
 import collections
@@ -20,16 +20,15 @@
 
 
 class LedgerSessionPins(pins.SessionPins):
-    """Pins in the ledger's log, with the latest ones remembered here.
+    """Pins in the ledger's log, with a cache for outages.
 
-    The holder is asked every time. The failure: a version is withdrawn, and
-    an instance that has heard of it moves a session. Another one has not, and
-    remembers the old pin: its answers would go back to the withdrawn version,
-    and the session's next one forward again. What is remembered serves only
-    while the holder does not answer.
+    The holder is asked every time, and the cache serves only while it does
+    not answer. Otherwise, after a version is withdrawn and one instance has
+    moved a session, an instance that has not received the withdrawal would
+    answer from its cached pin, and the session would switch back and forth.
 
     Args:
-        capacity: Pins remembered; the longest unused go first.
+        capacity: Pins in the cache; the least recently used are evicted.
     """
 
     __slots__ = (
@@ -86,7 +85,7 @@
                 return cached
             raise errors.CodedError(
                 code=codes.Code.STORE_OUT,
-                detail="the session's version can't be found out",
+                detail="the session's pinned version can't be read",
                 retry_after=_RETRY_AFTER,
             ) from error
         pinned = pins.Pinned(
@@ -103,10 +102,10 @@
         version: engine.ModelVersion,
         revision: int,
     ) -> None:
-        """Has a session pinned as soon as that is possible.
+        """Pins a session in the background, as soon as that is possible.
 
-        Sessions beyond the capacity are forgotten, the oldest first: memory
-        is bounded, and an outage may last for hours.
+        Sessions beyond the capacity are dropped, the oldest first: memory is
+        bounded, and an outage may last for hours.
         """
         self._deferred[key] = pins.Pinned(
             model_version=version, revision=revision
@@ -115,14 +114,14 @@
             self._deferred.popitem(last=False)
 
     async def run(self) -> None:
-        """Pins what was left for later, until cancelled."""
+        """Pins deferred sessions, until cancelled."""
         while True:
             await self._clock.sleep(_DEFERRED_PAUSE)
             while self._deferred and await self._pin_deferred():
                 pass
 
     async def _pin_deferred(self) -> bool:
-        """Pins a few; returns whether all of them are durable now."""
+        """Pins up to 50 sessions; returns whether all are durable now."""
         batch = list(
             itertools.islice(self._deferred.items(), _DEFERRED_BATCH_SIZE)
         )
--- a/src/nutmeghook/internal/ledger/settings.py
+++ b/src/nutmeghook/internal/ledger/settings.py
@@ -8,13 +8,14 @@
 
 
 class LedgerSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """How the ledger spreads, bounds and keeps its records.
+    """How the ledger partitions, limits and retains its records.
 
     Attributes:
         partitions: Logs that the ledger is split into; fixed for the life
             of the stored rows.
         writes_per_s: Commits a second that all partitions together may make.
-        burst_writes: Commits that a partition may make at once after a rest.
+        burst_writes: Commits that a partition may make at once when its write
+            budget is full.
         window: How long claims, answers and pins are kept.
         minted_window: How long a repeated bill of a request without a
             caller's key is recognised by the holder.
@@ -24,8 +25,9 @@
         max_batch: Records in one commit.
         max_batch_bytes: Size at which a commit takes no further answers.
         kept_answer_bytes: The largest answer that is kept for retries.
-        archive_records: Bills that are moved to the object store together.
-        store_timeout: The most to wait for a call to the platform's stores.
+        archive_records: Bills after which an archive object takes no further
+            row; also the most rows in one.
+        store_timeout: Timeout of a call to the platform's stores.
         failures_to_out: Calls that fail in a row before a store counts as
             out.
         probe_every: Time between probes of a store that is out.
@@ -33,10 +35,10 @@
             make while bills go to the object store.
         max_unsettled: Bills and claims in doubt that an instance may hold;
             beyond, it takes no new work.
-        call_timeout: The most to wait for a partition's holder.
+        call_timeout: Timeout of a call to a partition's holder.
         append_patience: How long a bill waits for the table service before
             it goes to the object store.
-        pin_cache_entries: Session pins that an instance remembers.
+        pin_cache_entries: Session pins that an instance caches.
     """
 
     partitions: int = 16
--- a/src/nutmeghook/internal/ledger/store_health.py
+++ b/src/nutmeghook/internal/ledger/store_health.py
@@ -1,7 +1,7 @@
-"""Whether a store of the platform is out: one view for the whole instance.
+"""Detects outages of the platform's stores, for the whole instance.
 
-Work that needs the store first is refused at once while it is out, so that a
-long outage does not fill the instance with waiting requests.
+Work that depends on a store is refused at once during its outage, so that
+waiting requests do not fill the instance's memory.
 """
 
 from collections.abc import Awaitable
@@ -21,19 +21,19 @@
 MIN_RETRY_AFTER = datetime.timedelta(seconds=1)
 MAX_RETRY_AFTER = datetime.timedelta(seconds=20)
 _JITTER_SHARE = 0.2
-# Calls at once; a slow store must not fill the instance with waiting calls.
+# Bounds the calls that wait for a slow store.
 _MAX_CONCURRENT_CALLS = 128
 
 
 class StoreHealth:
-    """Counts failures in a row; probes a store that is out until it answers.
+    """Counts consecutive failures; probes a store that is out.
 
     Args:
         name: The store's name on the time line.
-        failures_to_out: Failures in a row after which it counts as out.
+        failures_to_out: Consecutive failures after which it counts as out.
         probe: A cheap read; it raises `failures.PlatformError` while out.
-        probe_every: Time between probes, with jitter so that all instances
-            do not come back in the same moment.
+        probe_every: Time between probes, with jitter so that instances do not
+            return at the same moment.
     """
 
     __slots__ = (
@@ -72,13 +72,13 @@
         self._out_since = datetime.timedelta()
 
     def suggested_retry_after(self) -> datetime.timedelta:
-        """Returns when a caller refused because of this store should return.
+        """Returns the delay before a refused caller should retry.
 
-        At the planned peak, callers who all return a second later are
-        thousands of requests a second that can only be refused again. The
-        longer an outage has lasted, the longer it is likely to go on; so they
-        are told half its age, within bounds and spread over half of that, and
-        the returns stay a fraction of the load.
+        At the planned peak, retries after one second would add thousands of
+        requests a second that can only be refused again. A long outage is
+        likely to go on, so the delay is half the outage's age, within bounds,
+        plus jitter of up to half the delay. Retries then stay a fraction of
+        the load.
         """
         wait = MIN_RETRY_AFTER
         if self._out:
@@ -88,18 +88,18 @@
 
     @property
     def is_out(self) -> bool:
-        """Whether work that needs the store first should be refused."""
+        """Whether work that depends on the store should be refused."""
         return self._out
 
     def record_success(self) -> None:
-        """Takes in that the store answered."""
+        """Records that the store answered."""
         self._failures = 0
         if self._out:
             self._out = False
             self._events.record(events_module.EventKind.STORE_BACK, self._name)
 
     def record_failure(self) -> None:
-        """Takes in that a call failed or took too long."""
+        """Records that a call failed or timed out."""
         self._failures += 1
         if self._failures >= self._failures_to_out and not self._out:
             self._out = True
@@ -123,7 +123,7 @@
 
 
 class _CallMonitor:
-    """Bounds a store's calls in time and tells its health of each."""
+    """Bounds a store's calls in time and number, and reports outcomes."""
 
     __slots__ = ("_clock", "_health", "_in_flight", "_timeout")
 
@@ -142,7 +142,7 @@
     async def call(
         self, start: Callable[[], Awaitable[_ResultT]], *, writes: bool
     ) -> _ResultT:
-        """Makes a call; one that takes too long has an unknown outcome."""
+        """Makes a call; a write that times out has an unknown outcome."""
         if self._in_flight >= _MAX_CONCURRENT_CALLS:
             raise failures.NotDoneError(
                 f"{_MAX_CONCURRENT_CALLS} calls are waiting already",
