--- a/src/nutmeghook/internal/entry/application.py
+++ b/src/nutmeghook/internal/entry/application.py
@@ -32,7 +32,7 @@
 
 
 class EntryHandlers:
-    """The handlers of the paths that callers use."""
+    """Handlers of the callers' paths."""
 
     __slots__ = (
         "_bodies",
@@ -81,7 +81,7 @@
         router.add_get("/readyz", self._readyz)
 
     def _coded(self, handler: _Handler) -> _WebHandler:
-        """Gives each request an id, and each error its coded body."""
+        """Wraps a handler with a request id and coded error bodies."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             request_id = self._identifiers.mint("req")
@@ -97,9 +97,10 @@
         return handle
 
     def _authenticated(self, handler: _AuthenticatedHandler) -> _WebHandler:
-        """Wraps a handler that a drain has to wait for.
+        """Wraps a handler that needs a token and that a drain waits for.
 
-        The token comes first: what has none costs nothing else.
+        The token is checked first, so that a request without one costs
+        nothing else.
         """
 
         async def handle(
@@ -188,7 +189,7 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.Response:
-        """Tells the balancer whether to send new requests here."""
+        """Tells the load balancer whether to send new requests here."""
         if self._drain.state is not drain_module.DrainState.SERVING:
             return web.Response(status=503, text="leaving\n")
         if not self._config.snapshot.revision:
@@ -210,7 +211,7 @@
 ) -> web.Application:
     """Returns the application with all paths of callers.
 
-    Run it with `handler_cancellation=True`: a caller that hangs up then
+    Run it with `handler_cancellation=True`: a caller that disconnects then
     cancels its handler, and with it the work at the engine.
     """
     application = web.Application(
@@ -234,7 +235,7 @@
 async def _code_routing_errors(
     request: web.Request, handler: _WebHandler
 ) -> web.StreamResponse:
-    """Gives the router's own refusals the body that every error has."""
+    """Returns the router's own errors, 404 and 405, with a coded body."""
     try:
         return await handler(request)
     except web.HTTPException as refusal:
@@ -242,7 +243,7 @@
             raise
         error = errors.CodedError(
             code=codes.Code.NOT_FOUND,
-            detail=f"nothing answers {request.method[:20]!a} at"
+            detail=f"there is no handler for {request.method[:20]!a} at"
             f" {request.path[:100]!a}",
         )
         return replies.error_response(error, request_id="")
--- a/src/nutmeghook/internal/entry/bodies.py
+++ b/src/nutmeghook/internal/entry/bodies.py
@@ -1,4 +1,4 @@
-"""Reading a request's body, within bounds of size, time and memory."""
+"""Reads request bodies within limits of size, time and memory."""
 
 from collections.abc import Iterator
 import contextlib
@@ -18,11 +18,11 @@
 
 
 class BodyBudget:
-    """Bounds the memory that the large bodies of all requests take.
+    """Bounds the total memory of large request bodies.
 
-    The failure: a dozen callers send 10 MB each, as each of them may, and the
-    instance is over its 128 MB and killed, with the requests of all others.
-    Small bodies, which are nearly all, are bounded by admission.
+    Otherwise a dozen callers that send the permitted 10 MB each would exceed
+    the instance's 128 MB, and it would be killed with all other requests.
+    Small bodies, which are nearly all, are bounded by admission control.
     """
 
     __slots__ = ("_reserved_bytes",)
@@ -32,11 +32,11 @@
 
     @contextlib.contextmanager
     def reserved(self, request: web.Request) -> Iterator[None]:
-        """Holds room for a request's body until the request ends.
+        """Reserves memory for a request's body until the request ends.
 
         Raises:
-            errors.CodedError: `TOO_LARGE`, or `OVERLOADED` while there is no
-                room.
+            errors.CodedError: `TOO_LARGE`, or `OVERLOADED` while too much is
+                reserved.
         """
         size_bytes = _declared_bytes(request)
         if size_bytes > MAX_BODY_BYTES:
@@ -63,8 +63,8 @@
     """Returns the whole body.
 
     Raises:
-        errors.CodedError: `TOO_LARGE`, or `SLOW_SENDER` if it was not there
-            in time.
+        errors.CodedError: `TOO_LARGE`, or `SLOW_SENDER` if it was not
+            complete in time.
     """
     try:
         return await clock.wait_for(request.read(), BODY_TIMEOUT)
@@ -78,7 +78,7 @@
 
 
 def _declared_bytes(request: web.Request) -> int:
-    """Returns the body's size; the most possible where it is not told."""
+    """Returns the declared body size, or the limit if none is declared."""
     if request.content_length is not None:
         return request.content_length
     return MAX_BODY_BYTES if request.body_exists else 0
--- a/src/nutmeghook/internal/entry/drain.py
+++ b/src/nutmeghook/internal/entry/drain.py
@@ -1,4 +1,4 @@
-"""Leaving without cutting a request: first the balancer, then the door."""
+"""Draining: new requests are refused after the balancer's lag."""
 
 import asyncio
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 
 class DrainState(enum.Enum):
-    """How far leaving has come."""
+    """The stages of a drain."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -22,11 +22,11 @@
 
 
 class Drain:
-    """Counts the requests under way and says when new ones are refused.
+    """Counts requests in flight and decides when new ones are refused.
 
-    The balancer hears of a failing `/readyz` late, and sends requests until
-    then. So this instance serves on through that lag; only what comes after
-    it is refused, as `DRAINING`, which is provably not run.
+    The load balancer notices a failing `/readyz` after a lag and sends
+    requests until then. The instance serves these; later requests are refused
+    as `DRAINING`, which is provably not run.
     """
 
     __slots__ = ("_events", "_idle", "_in_flight", "state")
@@ -40,12 +40,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests under way."""
+        """Requests in flight."""
         return self._in_flight
 
     @contextlib.contextmanager
     def request(self) -> Iterator[None]:
-        """Counts a request while it is under way.
+        """Counts a request while it is in flight.
 
         Raises:
             errors.CodedError: `DRAINING`.
@@ -64,7 +64,7 @@
                 self._idle.set()
 
     def start_leaving(self) -> None:
-        """Lets `/readyz` fail; requests are served as before."""
+        """Makes `/readyz` fail; requests are served as before."""
         self.state = DrainState.LEAVING
         self._events.record(
             events_module.EventKind.DRAIN_STARTED,
@@ -73,9 +73,9 @@
         )
 
     def refuse(self) -> None:
-        """Refuses requests that come from now on."""
+        """Refuses requests that arrive from now on."""
         self.state = DrainState.REFUSING
 
     async def idle(self) -> None:
-        """Waits until no request is under way."""
+        """Waits until no request is in flight."""
         await self._idle.wait()
--- a/src/nutmeghook/internal/entry/headers.py
+++ b/src/nutmeghook/internal/entry/headers.py
@@ -1,4 +1,4 @@
-"""The request headers that callers steer with, checked."""
+"""Parses and validates the request headers that callers set."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -15,8 +15,9 @@
 MAX_DEADLINE_MS = 600_000
 MAX_PRIORITY = 9
 
-# Keys and sessions become parts of row keys and log lines: no spaces, no
-# control characters, nothing that would look like another header.
+# Keys and sessions become parts of row keys and log lines, so spaces and
+# control characters, with which a value could pose as another header, are
+# refused.
 _NAME = re.compile(r"[!-~]{1,200}")
 _DIGITS = re.compile(r"[0-9]{1,9}")
 _BEARER = "bearer "
@@ -24,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class CallerHeaders:
-    """What a caller asked for by header.
+    """A caller's options, from request headers.
 
     Attributes:
         idempotency_key: Empty for none.
@@ -58,11 +59,11 @@
 def token_holder(
     headers: Mapping[str, str], tokens: tokens_module.TokenIndex
 ) -> tokens_module.TokenHolder:
-    """Finds who the bearer token belongs to.
+    """Returns the holder of the bearer token.
 
     Raises:
-        errors.CodedError: `BAD_TOKEN`; it does not tell a missing token from
-            a wrong one, and never repeats the text.
+        errors.CodedError: `BAD_TOKEN`, the same for a missing and a wrong
+            token; it never contains the token.
     """
     authorization = headers.get("Authorization", "")
     if authorization[: len(_BEARER)].lower() == _BEARER:
--- a/src/nutmeghook/internal/entry/listener.py
+++ b/src/nutmeghook/internal/entry/listener.py
@@ -1,4 +1,4 @@
-"""Listens for callers, and answers what is not HTTP with a coded error."""
+"""Listens for callers; invalid HTTP is answered with a coded error."""
 
 import asyncio
 
@@ -10,19 +10,19 @@
 
 MAX_LINE_BYTES = 8190
 _CLOSE_TIMEOUT_S = 5.0
-# How long the rest of a refused body is read and dropped, so that the caller
-# gets to read the refusal instead of a connection reset.
+# How long the rest of a refused body is read and discarded, so that the caller
+# receives the refusal instead of a connection reset.
 _LINGERING_S = 0.5
 
 
 class CodedRequestHandler(web.RequestHandler):
     """One connection; a request that can't be parsed gets a coded body.
 
-    The library answers bad header lines (control characters, a header that
-    smuggles another) by itself, before any handler of ours, in plain text.
+    By default aiohttp answers bad header lines (control characters, header
+    injection) in plain text, before any handler runs.
     """
 
-    # The library's class has slots too.
+    # aiohttp's class has slots too.
     __slots__ = ()
 
     def handle_error(
@@ -84,12 +84,12 @@
         self.address = f"{own_host}:{own_port}"
 
     def stop_accepting(self) -> None:
-        """Refuses new connections; those that exist go on."""
+        """Refuses new connections; existing ones stay open."""
         if self._server is not None:
             self._server.close()
 
     async def stop(self) -> None:
-        """Closes the socket and what connections are left."""
+        """Closes the socket and the remaining connections."""
         self.stop_accepting()
         await self._runner.cleanup()
 
--- a/src/nutmeghook/internal/entry/openai_schema.py
+++ b/src/nutmeghook/internal/entry/openai_schema.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible bodies of requests and answers."""
+"""OpenAI-compatible bodies of requests and answers."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
 
 
 class ChatMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """One turn, as callers send it."""
+    """One message of the conversation, as callers send it."""
 
     role: str
     content: str | list[TextPart] | None = None
@@ -44,7 +44,7 @@
 
 
 class StreamOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What a stream is to carry beside the text."""
+    """What a stream carries beside the text."""
 
     include_usage: bool = False
 
@@ -52,12 +52,11 @@
 class ChatRequest(msgspec.Struct, frozen=True, kw_only=True):
     """The body of `POST /v1/chat/completions`.
 
-    Fields that this system does not know are ignored, as the reference
-    service does with most of them.
+    Unknown fields are ignored, as OpenAI's service does with most of them.
 
     Attributes:
         model: The name of one of the team's templates.
-        n: Only one answer a request can be given.
+        n: Number of answers; only 1 is supported.
     """
 
     model: str
@@ -69,7 +68,7 @@
     n: int | None = 1
 
     def check(self) -> None:
-        """Checks what the types alone do not.
+        """Checks the constraints that the types do not express.
 
         Raises:
             errors.CodedError: `BAD_FIELD`, naming the field.
@@ -102,7 +101,7 @@
 
 
 class AnswerMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer's turn."""
+    """The message of the answer."""
 
     role: str = "assistant"
     content: str
@@ -134,7 +133,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a stream's chunk adds to the answer's turn."""
+    """What a chunk adds to the answer's message."""
 
     role: str = ""
     content: str | None = None
@@ -185,7 +184,7 @@
     model: str,
     created_s: int,
 ) -> Completion:
-    """Returns an answer in the form of a whole completion."""
+    """Returns the completion of an answer."""
     return Completion(
         id=request_id,
         created=created_s,
@@ -202,7 +201,7 @@
 
 
 def answer_of(completion: Completion) -> answers.GeneratedAnswer:
-    """Returns the answer that a completion was made of."""
+    """Returns the answer of a completion."""
     choice = completion.choices[0]
     return answers.GeneratedAnswer(
         text=choice.message.content,
@@ -223,7 +222,7 @@
 
 
 def finish_reason(finish: engine.FinishReason) -> str:
-    """Returns the reference service's word for why an answer ended."""
+    """Returns OpenAI's `finish_reason` of an answer."""
     return "length" if finish is engine.FinishReason.LENGTH else "stop"
 
 
--- a/src/nutmeghook/internal/entry/paths.py
+++ b/src/nutmeghook/internal/entry/paths.py
@@ -1,4 +1,4 @@
-"""Which plain service a path leads to, and whether the team may call it."""
+"""Resolves a path to a plain service, if the team may call it."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -14,9 +14,9 @@
 
 SERVICES_PREFIX = "/services/"
 
-# The failure: a path such as `/open/../bookings` or `/open/%2e%2e/bookings`
-# passes a prefix check here, and names another resource once the service has
-# normalized it. So what can be read in two ways is refused.
+# A path such as `/open/../bookings` or `/open/%2e%2e/bookings` would pass a
+# prefix check here and name another resource once the service has normalized
+# it, so ambiguous paths are refused.
 _AMBIGUOUS = re.compile(
     r"//|\\|(^|/)\.{1,2}(/|$)|%(2e|2f|5c|25|[01][0-9a-f]|7f)", re.I
 )
@@ -27,13 +27,13 @@
     headers_module.DEADLINE_MS.lower(),
     "x-request-id",
 }
-# Answers are read whole and decoded, so the encoding no longer holds.
+# Answers are buffered and decoded, so `content-encoding` no longer applies.
 _NOT_RETURNED = _NOT_FORWARDED | {"content-encoding", "date", "server"}
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ServiceTarget:
-    """Where a call is to go.
+    """The target of a call.
 
     Attributes:
         path: Absolute path at the service, as the caller encoded it.
@@ -49,7 +49,7 @@
     """Splits `/services/{service}/{path}?{query}`.
 
     Raises:
-        errors.CodedError: `BAD_FIELD` for a path of two readings.
+        errors.CodedError: `BAD_FIELD` for an ambiguous path.
     """
     rest = url.raw_path.removeprefix(SERVICES_PREFIX)
     service, _, path = rest.partition("/")
@@ -89,14 +89,14 @@
 def forwarded_headers(
     headers: Mapping[str, str],
 ) -> tuple[tuple[str, str], ...]:
-    """Returns the request headers that the service gets to see."""
+    """Returns the request headers that are forwarded to the service."""
     return _without(headers.items(), _NOT_FORWARDED)
 
 
 def returned_headers(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
-    """Returns the service's response headers that the caller gets to see."""
+    """Returns the response headers that are passed on to the caller."""
     return _without(headers, _NOT_RETURNED)
 
 
--- a/src/nutmeghook/internal/entry/replies.py
+++ b/src/nutmeghook/internal/entry/replies.py
@@ -1,4 +1,4 @@
-"""Errors as callers get them: a JSON body, and when to come again."""
+"""HTTP responses for errors: a JSON body, and when to retry."""
 
 import datetime
 import math
@@ -15,13 +15,13 @@
 
 
 class ErrorFields(msgspec.Struct, frozen=True, kw_only=True):
-    """What went wrong.
+    """The fields of an error.
 
     Attributes:
         code: The number in docs/RESULT_CODES.md.
-        type: The name again; OpenAI's clients show this field.
+        type: Same as `name`; OpenAI's clients show this field.
         run_state: `not_run`, `ran` or `unknown`.
-        retry_after_ms: When the request may come again; null for never.
+        retry_after_ms: Delay before a retry; null if it must not be retried.
     """
 
     code: int
@@ -67,8 +67,8 @@
     headers = {REQUEST_ID_HEADER: request_id}
     if retry_after is not None:
         headers["Retry-After"] = str(math.ceil(retry_after.total_seconds()))
-    # OpenAI's clients repeat a 409 or 5xx of their own accord unless told
-    # otherwise; work that may have run must not be sent again blindly.
+    # OpenAI's clients retry a 409 or 5xx by default; work that may have run
+    # must not be retried automatically.
     headers["x-should-retry"] = "false" if retry_after is None else "true"
     return web.Response(
         status=error.code.http_status,
@@ -79,7 +79,7 @@
 
 
 def retry_after_of(error: errors.CodedError) -> datetime.timedelta | None:
-    """Returns when a request may come again, or None if it should not."""
+    """Returns the delay before a retry, or None if there must be none."""
     if error.retry_after is not None:
         return error.retry_after
     not_run = error.run_state is codes.RunState.NOT_RUN
--- a/src/nutmeghook/internal/entry/request_reader.py
+++ b/src/nutmeghook/internal/entry/request_reader.py
@@ -1,4 +1,4 @@
-"""Turns HTTP requests into checked requests for the dispatcher."""
+"""Parses and validates HTTP requests for the dispatcher."""
 
 import dataclasses
 import datetime
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ChatCall:
-    """A chat request, and the form that its answer is to have."""
+    """A chat request, and the requested form of its answer."""
 
     generation: requests.GenerationRequest
     is_streamed: bool
@@ -35,7 +35,7 @@
 
 
 class RequestReader:
-    """Checks what callers send, cheapest check first."""
+    """Parses and validates callers' requests, cheapest checks first."""
 
     __slots__ = ("_chat_decoder", "_clock", "_config", "_tokens")
 
@@ -52,7 +52,7 @@
         self._chat_decoder = msgspec.json.Decoder(openai_schema.ChatRequest)
 
     def caller(self, request: web.Request) -> tokens_module.TokenHolder:
-        """Returns the holder of the token that the request came with.
+        """Returns the holder of the request's token.
 
         Raises:
             errors.CodedError: `STALE_CONFIG`, `BAD_TOKEN` or `NOT_ALLOWED`.
@@ -68,16 +68,16 @@
         return holder
 
     def _check_configured(self) -> None:
-        """Refuses for now where no configuration has come yet.
+        """Refuses requests until a configuration has been received.
 
-        A balancer may send requests to an instance that has just started.
-        Every token is unknown to it, and a caller told so would give up for
-        good on a request that any other instance serves.
+        The load balancer may send requests to an instance that has just
+        started and knows no token yet. `BAD_TOKEN` would make the caller give
+        up a request that any other instance serves.
         """
         if not self._config.snapshot.revision:
             raise errors.CodedError(
                 code=codes.Code.STALE_CONFIG,
-                detail="this instance has no configuration yet; come back",
+                detail="this instance has no configuration yet; retry later",
                 retry_after=UNCONFIGURED_RETRY_AFTER,
             )
 
@@ -91,7 +91,7 @@
         """Reads a chat request.
 
         Raises:
-            errors.CodedError: Something in it is wrong.
+            errors.CodedError: The request is invalid.
         """
         arrived = self._clock.monotonic()
         team = caller.team
@@ -136,7 +136,7 @@
         """Reads a call of a plain service.
 
         Raises:
-            errors.CodedError: Something in it is wrong.
+            errors.CodedError: The request is invalid.
         """
         arrived = self._clock.monotonic()
         team = caller.team
@@ -208,14 +208,14 @@
     request_id: str,
     content: tuple[bytes, ...],
 ) -> ledger.RequestIdentity:
-    """Returns what a retry of the request would have in common with it."""
+    """Returns the identity that a request shares with its retries."""
     if not headers.idempotency_key:
         return ledger.RequestIdentity(
             team=team.name, key=request_id, given_by_caller=False
         )
     digest = xxhash.xxh3_128()
     for part in content:
-        # Lengths keep two splits of the same bytes apart.
+        # Lengths distinguish two splits of the same bytes.
         digest.update(len(part).to_bytes(8, "little"))
         digest.update(part)
     return ledger.RequestIdentity(
@@ -227,7 +227,7 @@
 
 
 def _priority(headers: headers_module.CallerHeaders, highest: int) -> int:
-    """Returns the caller's priority, which can only give way to others."""
+    """Returns the caller's priority, at most the configured one."""
     if headers.priority is None:
         return highest
     return min(headers.priority, highest)
--- a/src/nutmeghook/internal/entry/shutdown.py
+++ b/src/nutmeghook/internal/entry/shutdown.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown, from the balancer's view to the last request."""
+"""A graceful shutdown: stops new requests, then waits for the rest."""
 
 import datetime
 
@@ -16,15 +16,15 @@
     dispatcher: dispatcher_module.Dispatcher,
     lag: datetime.timedelta,
 ) -> None:
-    """Leaves without cutting a request; returns when all are finished.
+    """Shuts down without interrupting a request; returns when all ended.
 
     Args:
         clock: Measures the lag.
-        drain: Counts what is under way.
-        listener: The door to close.
-        dispatcher: May still work for callers that are gone.
-        lag: How long the balancer may go on sending requests after
-            `/readyz` has begun to fail.
+        drain: Counts the requests in flight.
+        listener: Stops accepting connections after the lag.
+        dispatcher: May still work for callers that have disconnected.
+        lag: How long the load balancer may send requests after `/readyz`
+            has begun to fail.
     """
     drain.start_leaving()
     await clock.sleep(lag)
--- a/src/nutmeghook/internal/entry/sinks.py
+++ b/src/nutmeghook/internal/entry/sinks.py
@@ -1,4 +1,4 @@
-"""A caller's side of an answer: streamed as server-sent events, or whole."""
+"""Answer sinks: streamed as server-sent events, or whole."""
 
 from aiohttp import web
 import msgspec
@@ -16,7 +16,7 @@
 
 
 class WholeAnswerSink(answers.AnswerSink):
-    """Lets text go by: the whole answer comes at the end."""
+    """Ignores pieces of text; the whole answer is sent at the end."""
 
     __slots__ = ("_created_s", "_model", "_request_id")
 
@@ -29,7 +29,7 @@
         """Does nothing; the dispatcher keeps the text."""
 
     def detach(self) -> None:
-        """Does nothing; there is nothing to hold back."""
+        """Does nothing; nothing is being sent."""
 
     def encode_whole(
         self, answer: answers.GeneratedAnswer
@@ -50,11 +50,11 @@
 
 
 class StreamSink(WholeAnswerSink):
-    """Sends text as server-sent events while it comes.
+    """Sends text as server-sent events while it arrives.
 
-    All events of one answer are alike but for their text. So one is encoded
-    at the start and cut at the text's place; each piece of text then costs
-    the encoding of one string.
+    The events of one answer differ only in their text. So one event with a
+    placeholder is encoded at the start and split there, and each piece of text
+    costs only the encoding of one string.
     """
 
     __slots__ = (
@@ -84,7 +84,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether the response's head is on its way."""
+        """Whether the response's headers are being sent."""
         return self._response is not None
 
     async def take(self, text: str, model_version: engine.ModelVersion) -> None:
@@ -94,7 +94,7 @@
         if self._response is None:
             await self._start(model_version)
         try:
-            # Not through `_write`: one call less a token counts here.
+            # Not through `_write`, to save one call for each token.
             await self._response.write(
                 self._event_prefix
                 + msgspec.json.encode(text)
@@ -110,7 +110,7 @@
     async def finish(
         self, answer: answers.GeneratedAnswer, *, include_usage: bool
     ) -> web.StreamResponse:
-        """Sends the end; to be called only after the bill is durable."""
+        """Ends the stream; call it only after the bill is durable."""
         if self._response is None:
             await self._start(answer.model_version)
         last = [
@@ -127,7 +127,7 @@
         return self._response
 
     async def replay(self, kept: ledger.KeptAnswer) -> answers.GeneratedAnswer:
-        """Sends the text of an answer that was kept, and returns it."""
+        """Sends the text of a kept answer, and returns the answer."""
         answer = openai_schema.answer_of(
             msgspec.json.decode(kept.body, type=openai_schema.Completion)
         )
@@ -136,7 +136,7 @@
         return answer
 
     async def fail(self, error: errors.CodedError) -> web.StreamResponse:
-        """Ends a stream that has begun with the error as its last event."""
+        """Ends a started stream with the error as its last event."""
         body = replies.error_body(error, request_id=self._request_id)
         await self._write(b"data: " + body + b"\n\n" + _DONE)
         await self._response.write_eof()
@@ -168,8 +168,8 @@
         try:
             await self._response.write(data)
         except ConnectionError:
-            # The caller is gone. aiohttp cancels the handler too, which
-            # settles what becomes of the request; here only be quiet.
+            # The caller has disconnected. aiohttp also cancels the handler,
+            # which ends the request; here it is enough to stop sending.
             self._detached = True
 
     def _event(
