--- a/tests/cover/test_entry_http.py
+++ b/tests/cover/test_entry_http.py
@@ -1,4 +1,4 @@
-"""Callers over HTTP: bad input is told clearly and reaches no engine."""
+"""The HTTP entry: bad input gets a coded error and reaches no engine."""
 
 import asyncio
 import datetime
@@ -18,7 +18,7 @@
 from tests import fake_config
 from tests import fakes
 
-# Only ends a test that would hang for ever.
+# Ends a test that would otherwise hang.
 HANG_TIMEOUT_S = 30
 CHAT = "/v1/chat/completions"
 HEADERS = {"Authorization": f"Bearer {fake_config.TOKEN}"}
@@ -29,7 +29,7 @@
 
 
 class HTTPCase(unittest.IsolatedAsyncioTestCase):
-    """Serves the fixture on loopback."""
+    """Serves the fixture on the loopback interface."""
 
     async def asyncSetUp(self):
         self.fixture = fakes.Fixture()
@@ -67,7 +67,7 @@
 
 
 class BadInputTest(HTTPCase):
-    """What callers may get wrong."""
+    """Invalid requests of callers."""
 
     async def test_bodies_and_headers(self):
         long_key = "k" * 201
@@ -104,7 +104,7 @@
                 await self.assert_coded(response, codes.Code.NOT_FOUND)
 
     async def test_header_injection_gets_a_coded_answer(self):
-        """The caller hears `BAD_HEADER`; the smuggled line is no header."""
+        """An injected header line is refused with `BAD_HEADER`."""
         for line in (b"X-Session-Id: a\x00b", b"Bad Name: x", b"X-A\x0b: x"):
             answer = await self.raw(
                 b"POST " + CHAT.encode() + b" HTTP/1.1\r\nHost: a\r\n"
@@ -116,7 +116,7 @@
             self.assertEqual(json.loads(body)["error"]["name"], "BAD_HEADER")
 
     async def test_a_body_over_the_limit_is_not_even_read(self):
-        """The caller hears `TOO_LARGE` before it has sent the body."""
+        """The caller gets `TOO_LARGE` before it has sent the body."""
         size = bodies.MAX_BODY_BYTES + 1
         answer = await self.raw(
             f"POST {CHAT} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n"
@@ -126,9 +126,9 @@
         self.assertIn(b"TOO_LARGE", answer)
 
     async def test_large_bodies_can_t_fill_the_memory(self):
-        """The caller of the fourth 10 MB is told to come again.
+        """A fourth body of 10 MB is refused with `OVERLOADED`.
 
-        Three others have announced as much and are slow to send it.
+        Three other callers have declared as much and send it slowly.
         """
         host, port = self.listener.address.split(":")
         head = (
@@ -151,7 +151,7 @@
             await self.assert_coded(response, codes.Code.BAD_JSON)
 
     async def test_a_slow_sender_is_refused(self):
-        """The caller's body stops in mid-way; it holds no place for ever."""
+        """A body that stops half-way must not stay in flight for ever."""
         host, port = self.listener.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(
@@ -167,7 +167,7 @@
         writer.close()
 
     async def test_retry_after_is_given_in_whole_seconds(self):
-        """The caller may come again after 1.2 s, so the header says 2."""
+        """A retry delay of 1.2 s is rounded up to 2 in the header."""
         self.fixture.ledger.claim_error = errors.CodedError(
             code=codes.Code.STORE_OUT,
             retry_after=datetime.timedelta(milliseconds=1200),
@@ -180,7 +180,7 @@
         self.assertEqual(fields["retry_after_ms"], 1200)
 
     def test_any_bytes_get_a_coded_refusal(self):
-        """No body whatever makes a fault of ours, or reaches an engine."""
+        """No body causes an internal error or reaches an engine."""
 
         async def post(session, body):
             async with session.post(CHAT, data=body) as response:
@@ -214,7 +214,7 @@
 
 
 class RequestHeadersAndPathsTest(HTTPCase):
-    """What headers change."""
+    """The effect of request headers and service paths."""
 
     async def test_priority_can_only_be_lowered(self):
         for asked, given in [("9", 5), ("2", 2)]:
@@ -235,7 +235,7 @@
         self.assertNotIn("Authorization", dict(call.headers))
 
     async def test_paths_outside_the_routes_are_refused(self):
-        """The caller can't reach another path by writing it otherwise."""
+        """Encoded or dotted paths must not reach other resources."""
         outside = codes.Code.NOT_ALLOWED
         cases = {
             "/services/crew/bookingsx": outside,
@@ -254,7 +254,7 @@
 
 
 class RecordingListener:
-    """Notes whether the listener was stopped."""
+    """Records whether the listener was stopped."""
 
     def __init__(self, listener):
         self.stop_accepting = listener.stop_accepting
@@ -265,13 +265,13 @@
 
 
 class DisconnectAndDrainTest(HTTPCase):
-    """Callers that go, and this instance going."""
+    """Callers that disconnect, and an instance that drains."""
 
     async def test_a_request_still_arriving_is_not_cut(self):
-        """The caller sends half a body, the lag ends, then the other half.
+        """A request whose body is incomplete when the lag ends.
 
-        The request reached this instance before it refused new ones; until
-        it has its answer the connections are not closed.
+        It arrived before new requests were refused, so connections must stay
+        open until it is answered.
         """
         recording = RecordingListener(self.listener)
         body = json.dumps(QUESTION).encode()
@@ -300,10 +300,10 @@
         writer.close()
 
     async def test_hanging_up_cancels_the_attempt(self):
-        """The caller closes its connection after two tokens.
+        """A caller closes its connection after two tokens.
 
-        aiohttp cancels the handler; that must reach the engine, which would
-        otherwise generate for nobody.
+        aiohttp cancels the handler; the cancellation must reach the engine,
+        or it would go on generating.
         """
         fake = self.fixture.engines["e1:1"]
         fake.scripts.extend(
@@ -321,11 +321,10 @@
         self.assertEqual(self.drain.in_flight, 0)
 
     async def test_a_shutdown_cuts_no_request(self):
-        """The caller of a running stream reads it to its end.
+        """A stream in flight is completed during a shutdown.
 
-        The instance leaves: at once `/readyz` fails; for the lag, new
-        requests are still served; then they are refused as `DRAINING`, and
-        the stream that began before goes on to its last byte.
+        `/readyz` fails at once, new requests are served during the lag and
+        then refused as `DRAINING`, and the earlier stream ends normally.
         """
         gate = asyncio.Event()
         fake = self.fixture.engines["e1:1"]
--- a/tests/cover/test_entry_result_codes.py
+++ b/tests/cover/test_entry_result_codes.py
@@ -1,4 +1,4 @@
-"""The page of result codes says what the code says."""
+"""The page of result codes matches the code."""
 
 import pathlib
 import unittest
--- a/tests/cover/test_entry_start.py
+++ b/tests/cover/test_entry_start.py
@@ -1,4 +1,4 @@
-"""An instance that has only just started."""
+"""The HTTP entry of an instance that has just started."""
 
 import aiohttp
 
@@ -20,10 +20,9 @@
         self.fixture.config.current = documents.EMPTY_SNAPSHOT
 
     async def test_valid_token_is_not_rejected_before_configuration(self):
-        """The platform starts a new instance; the balancer sends it a request
-        before its first configuration has come. Every token is unknown to it
-        then. A caller told "bad token" would give up for good on a request
-        that any other instance serves; it must be told to come back.
+        """The load balancer sends a request before the first configuration
+        has arrived, when every token is unknown. `BAD_TOKEN` would make the
+        caller give up, so it must get a retryable error.
         """
         response = await self.session.post(
             test_entry_http.CHAT, json=test_entry_http.QUESTION
@@ -43,9 +42,9 @@
         await self.assert_coded(response, codes.Code.BAD_TOKEN)
 
     async def test_not_ready_before_load_reports_are_in(self):
-        """A new instance knows two of twelve engines so far. If the balancer
-        sent it requests, all would go to these two, whose queues would last
-        for minutes; so /readyz fails until enough is known.
+        """A new instance knows two of twelve engines so far and would send
+        all requests to these two, whose queues would last for minutes. So
+        /readyz must fail until enough are known.
         """
         self.fixture.config.current = fake_config.snapshot()
         knows = False
--- a/tests/cover/test_guarantees_checks.py
+++ b/tests/cover/test_guarantees_checks.py
@@ -1,4 +1,4 @@
-"""The checks of instances' configuration and of leaving servers can fail."""
+"""The checks of configuration revisions and of departures can fail."""
 
 import unittest
 
--- a/tests/cover/test_history_checks.py
+++ b/tests/cover/test_history_checks.py
@@ -1,4 +1,4 @@
-"""Every check of a run can fail: a seeded defect for each rule is caught."""
+"""Every check of a run detects a seeded defect."""
 
 import random
 import unittest
@@ -42,7 +42,7 @@
 
 
 def evidence_of(works, **changes):
-    """A faultless run's evidence, with what a test changes in it."""
+    """Returns the evidence of a faultless run, with a test's changes."""
     answered = [w for w in works if w.answers]
     fields = {
         "works": works,
@@ -72,7 +72,7 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """One seeded defect a rule, and none where nothing is wrong."""
+    """One seeded defect for each rule, and none in a faultless run."""
 
     @hypothesis.given(strategies.integers(0, 2**32), strategies.integers(1, 40))
     def test_a_faultless_run_has_no_violation(self, seed, count):
--- a/tests/cover/test_ledger_bills.py
+++ b/tests/cover/test_ledger_bills.py
@@ -1,4 +1,4 @@
-"""One bill a finished request, whatever happens to stores and instances."""
+"""Each finished request is billed once under store and instance faults."""
 
 import asyncio
 
@@ -39,7 +39,7 @@
         ]
 
     async def stop_table(self):
-        """Takes the table service out and waits until that is noticed."""
+        """Stops the table service and waits until that is detected."""
         self.cluster.table.faults.down = True
         await self.cluster.until(
             lambda: all(
@@ -56,10 +56,10 @@
         self.assertLess(self.cluster.table.commits - before, 10)
 
     async def test_holder_killed_between_commit_and_reply(self):
-        """A bill is committed, and the holder dies before it says so.
+        """A holder that dies after a commit must not cause a second bill.
 
-        The instance sends it again, to the successor, which has read the
-        bill back from the log and records nothing twice.
+        The instance gets no reply and sends the bill again, to the successor,
+        which has read it back from the log.
         """
         self.cluster.table.faults.delay = 500 * MS
         work = self.finishing(self.one, "k")
@@ -72,10 +72,10 @@
         self.assertEqual(await self.cluster.billed(), ["k"])
 
     async def test_table_out_bills_go_to_the_object_store_and_back(self):
-        """The table service is out for a minute while requests finish.
+        """Bills overflow to the object store while the table service is out.
 
-        Their bills go to the object store, so they get their last byte. When
-        the table service is back the bills are moved to the log, once.
+        The requests finish without waiting for the table service. After the
+        outage their bills are moved to the log, once.
         """
         await self.stop_table()
         keys = [f"k{number}" for number in range(20)]
@@ -88,10 +88,10 @@
         self.assertEqual(sorted(await self.billed_in_log()), sorted(keys))
 
     async def test_killed_between_object_and_log(self):
-        """The instance dies while its bills are in the object store only.
+        """An instance dies while its bills are in the object store only.
 
-        The holder of partition 0 finds objects of an instance that is gone
-        and moves their bills to the log.
+        The holder of partition 0 sweeps the objects of instances that are
+        gone and moves their bills to the log.
         """
         await self.stop_table()
         await self.finish(self.one, "k1", "k2")
@@ -102,9 +102,10 @@
         self.assertEqual(await self.cluster.billed(), ["k1", "k2"])
 
     async def test_killed_between_log_and_deletion_of_the_object(self):
-        """A bill is moved to the log, and its object's deletion fails.
+        """A bill is copied to the log, and its object's deletion fails.
 
-        It is in both places, and moved again by the sweep: one bill still.
+        It is then in both stores, and a sweep appends it again; it must still
+        be billed once.
         """
         await self.stop_table()
         await self.finish(self.one, "k")
@@ -119,20 +120,17 @@
         self.assertEqual(await self.billed_in_log(), ["k"])
 
     async def test_answer_of_the_object_store_is_lost(self):
-        """The put of a bill takes effect and its answer is lost.
-
-        The same put is repeated until its outcome is certain: one bill.
-        """
+        """A put whose reply is lost is repeated and must bill once."""
         await self.stop_table()
         self.cluster.objects.faults.lose_next_answers = 1
         await self.finish(self.one, "k")
         self.assertEqual(await self.cluster.billed(), ["k"])
 
     async def test_both_stores_out(self):
-        """Both stores are out: the bill can't be made durable in time.
+        """Both stores are out, so a bill can't be made durable in time.
 
-        The caller is told that the work ran and its bill is unsettled, new
-        work is refused, and the bill is recorded once a store is back.
+        The caller gets `BILL_UNSETTLED`, new work is refused, and the bill is
+        recorded when a store is back.
         """
         self.cluster.objects.faults.down = True
         await self.stop_table()
@@ -147,10 +145,10 @@
         self.assertEqual(await self.cluster.billed(), ["k"])
 
     async def test_a_slow_table_service_bills_once(self):
-        """Each call to the table service takes longer than its timeout.
+        """Calls to the table service exceed their timeout.
 
-        Every commit is in doubt, so the bill goes to the object store too;
-        when the service is quick again it is in one place or both, once.
+        Every commit is in doubt, so the bill goes to the object store too. It
+        must be counted once although it may be in both stores.
         """
         self.cluster.table.faults.delay = 5 * SECOND
         await self.finish(self.one, "k")
@@ -160,9 +158,9 @@
         self.assertEqual(await self.billed_in_log(), ["k"])
 
     async def test_cut_from_the_holder(self):
-        """An instance can't reach the holder, only the stores.
+        """An instance that can't reach the holder, but the stores.
 
-        Its bill goes to the object store and is counted from there.
+        Its bill goes to the object store and is counted there.
         """
         self.cluster.network.cut_both_ways(
             self.one.address, self.holder.address
@@ -191,7 +189,7 @@
 
 
 class RetentionTest(ledger_cluster.ClusterCase):
-    """Rows are written over, and bills outlast them."""
+    """Rows are overwritten, and their bills are kept."""
 
     names = "ab"
     settings = {"window": 60 * SECOND}
@@ -206,10 +204,10 @@
         )
 
     async def test_rows_are_reused_and_bills_kept(self):
-        """A partition runs for five windows, with a take-over among them.
+        """A partition runs for five windows, with a take-over.
 
-        Old bills move to the object store, and the log's rows stay as few as
-        one window needs. Every bill is there once at the end.
+        Old bills are archived, the log has no more rows than one window
+        needs, and every bill is found once.
         """
         keys = [f"k{number:02d}" for number in range(16)]
         for number, key in enumerate(keys):
--- a/tests/cover/test_ledger_claims.py
+++ b/tests/cover/test_ledger_claims.py
@@ -1,4 +1,4 @@
-"""One run a key, whatever happens to the instances and the store."""
+"""Each key is run at most once under instance and store faults."""
 
 import asyncio
 
@@ -53,10 +53,10 @@
         ]
 
     async def test_a_retry_elsewhere_gets_the_first_ones_answer(self):
-        """The caller's retry reaches another instance.
+        """A caller's retry reaches another instance.
 
-        While the first try runs it is told so; after its end it gets the
-        first try's answer, and a different body is refused. One bill.
+        It gets `RUNNING` while the first try runs and the first try's answer
+        afterwards; a different body is refused. There is one bill.
         """
         self.assertEqual(await self.claim(self.one, "r1"), WON)
         self.assertEqual(await self.claim(self.other, "r2"), RUNNING)
@@ -86,10 +86,10 @@
         self.assertEqual(states, ["running", "running", "won"])
 
     async def test_holder_killed_between_commit_and_reply(self):
-        """The claimant hears nothing, for its holder dies after the commit.
+        """A holder dies after committing a claim and before its reply.
 
-        It sends the claim again, to the successor, which has read it back
-        from the log: it has won, once, and nobody else can.
+        The claim is sent again, to the successor, which has read it back from
+        the log: it has won once, and no other claim can win.
         """
         self.cluster.table.faults.delay = 500 * MS
         won = self.claiming(self.one, "r1", patience=20)
@@ -103,12 +103,11 @@
         self.assertEqual(await self.claims_in_log(), ["r1"])
 
     async def test_frozen_holder_thaws_and_writes(self):
-        """A holder is frozen with a claim in its hands, past its lease.
+        """A holder is frozen with a pending claim until its lease expires.
 
-        Another instance takes over and reads the log. When the old holder
-        thaws it commits the claim to a row that nobody has written; the
-        store refuses, because the lease's row has changed. The claim is won
-        once, at the new holder.
+        Another instance takes over. When the old holder thaws, it commits the
+        claim to an unwritten row; the store must refuse, because the lease's
+        row has changed.
         """
         self.cluster.network.freeze(self.holder.address)
         stale = asyncio.ensure_future(
@@ -129,20 +128,20 @@
         self.assertEqual(await self.claims_in_log(), ["r1"])
 
     async def test_answer_lost_after_the_effect(self):
-        """The commit takes effect and its answer is lost.
+        """A commit takes effect and its reply is lost.
 
-        The holder commits the same row again; the failed condition shows its
-        own batch, so the claim is answered as won and stands once.
+        The holder repeats the commit; the failed condition shows its own
+        batch, so the claim is won and recorded once.
         """
         self.cluster.table.faults.lose_next_answers = 1
         self.assertEqual(await self.claim(self.one, "r1"), WON)
         self.assertEqual(await self.claims_in_log(), ["r1"])
 
     async def test_commit_that_takes_effect_late(self):
-        """A commit's outcome is lost and it takes effect a second later.
+        """A commit in doubt takes effect a second later.
 
-        The holder's second commit has the same conditions and wins; the late
-        one then fails them. A claim made meanwhile stays.
+        The holder's repeated commit has the same conditions and succeeds, so
+        the late one fails. A claim made meanwhile must not be overwritten.
         """
         self.cluster.table.faults.late_effect = SECOND
         first = self.claiming(self.one, "r1", patience=5)
@@ -155,10 +154,10 @@
         self.assertEqual(await self.claim(self.other, "r3"), RUNNING)
 
     async def test_store_outage_refuses_claims_at_once_and_records_none(self):
-        """The table service is down: claims are refused as not run.
+        """The table service is down, and claims are refused as not run.
 
-        Once that is known no claim waits, and when the service is back the
-        refused keys can be claimed: nothing of them was recorded.
+        Once the outage is detected no claim waits. Refused keys can be claimed
+        afterwards, as nothing of them was recorded.
         """
         self.cluster.table.faults.down = True
         await self.assert_refused(self.one, "r1")
@@ -173,10 +172,10 @@
         self.assertEqual(await self.claim(self.one, "r2"), WON)
 
     async def test_claim_in_doubt_is_voided(self):
-        """The reply to a claim is lost and the claimant gives up.
+        """The reply to a claim is lost and the claim times out.
 
-        It says "not run", so the claim must not stay: it is voided when the
-        holder is reached again. A late copy of it wins nothing.
+        The caller was told "not run", so the claim is voided once the holder
+        is reachable, and a late copy of it must not win.
         """
         self.cluster.network.cut(self.holder.address, self.one.address)
         await self.assert_refused(self.one, "r1")
@@ -190,10 +189,10 @@
         self.assertEqual(await self.claim(self.other, "r2"), WON)
 
     async def test_caller_that_leaves_while_claiming(self):
-        """A caller disconnects while its claim is on the way.
+        """A caller disconnects while its claim is in flight.
 
-        The claim takes effect, but nobody will run it; it is voided, so a
-        retry wins instead of waiting for a try that never ends.
+        The claim takes effect but is never run; it must be voided, or retries
+        would get `RUNNING` for ever.
         """
         self.cluster.table.faults.delay = 300 * MS
         leaving = self.claiming(self.one, "r1")
@@ -206,8 +205,8 @@
     async def test_claimant_killed_while_running(self):
         """The instance that runs a request dies.
 
-        Whether the backend server ran it can't be known: retries are told
-        so, for ever, and none may run it again, also after a take-over.
+        Whether the backend server ran it is unknown, so retries get `UNKNOWN`
+        and none may run it again, also after a take-over.
         """
         self.assertEqual(await self.claim(self.one, "r1"), WON)
         self.cluster.kill(self.one.address[0])
@@ -234,10 +233,10 @@
         self.assertEqual(await self.claim(self.one, "r4"), UNKNOWN)
 
     async def test_drain_hands_over_at_once(self):
-        """The holder leaves gracefully.
+        """A holder drains and releases its lease.
 
-        Its successor serves within a second, far sooner than the lease's
-        duration, and knows the earlier claims.
+        Its successor serves within a second, well before the lease would have
+        expired, and knows the earlier claims.
         """
         self.assertEqual(await self.claim(self.one, "r1"), WON)
         self.cluster.members.remove(self.holder.member)
--- a/tests/cover/test_ledger_pins.py
+++ b/tests/cover/test_ledger_pins.py
@@ -1,4 +1,4 @@
-"""A session keeps its version, on every instance and through outages."""
+"""A session keeps its version on every instance and during outages."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class PinTest(ledger_cluster.ClusterCase):
-    """Pins asked for on several instances."""
+    """Pins requested on several instances."""
 
     settings = {"window": 120 * SECOND}
 
@@ -44,9 +44,9 @@
         return pinned.model_version
 
     async def test_first_proposal_stays_for_all(self):
-        """Two instances propose versions at once, others later.
+        """Instances that propose different versions get the same pin.
 
-        All get the one that was recorded first, also after the holder died.
+        The first recorded proposal holds, also after the holder has died.
         """
         first, second = await self.cluster.drive(
             asyncio.gather(
@@ -61,10 +61,9 @@
         self.assertEqual(await self.pin(late, V3), first)
 
     async def test_a_session_answered_during_an_outage_is_pinned_after_it(self):
-        """The table service is down when a session begins; the only version
-        answers it, unpinned. The service comes back, a new version rolls
-        out, and another instance proposes it for the session. The session
-        must stay on the version that answered it.
+        """A session is answered without a pin while the table service is
+        down. Unless its version is pinned after the outage, an instance that
+        proposes a new version would move the session.
         """
         self.cluster.table.faults.down = True
         key = pins.SessionKey(
@@ -83,12 +82,11 @@
         self.assertEqual(await self.pin(self.holder, V3), V2)
 
     async def test_an_older_revision_can_not_replace_a_pin(self):
-        """One instance pins a session to a version that revision 3 brought.
+        """A session is pinned to a version that revision 3 introduced.
 
-        Another still goes by revision 2, which lacks the version, and asks
-        for another one. It is told the pin and the pin's revision, and so is
-        a third instance after the holder has died. Under revision 4 the pin
-        is replaced.
+        An instance at revision 2, which lacks the version, must get that pin
+        and its revision, also after a take-over. At revision 4 the pin may be
+        replaced.
         """
         await self.pin(self.one, V2, revision=3)
         told = await self.cluster.drive(
@@ -107,10 +105,9 @@
     async def test_a_session_that_was_moved_is_not_remembered_where_it_was(
         self,
     ):
-        """Two instances have answered a session on a version that is then
-        withdrawn. One of them has heard of it and moves the session. The
-        other has not: were it to go by what it remembers, the caller's
-        answers would change their version back and forth.
+        """A version is withdrawn, and one instance moves a session off it.
+        If an instance that has not received the withdrawal used its cached
+        pin, the session would switch back and forth.
         """
         await self.pin(self.one, V2)
         await self.pin(self.other, V2)
@@ -118,10 +115,10 @@
         self.assertEqual(await self.pin(self.one, V2), V1)
 
     async def test_outage_serves_known_pins_and_refuses_new_ones(self):
-        """The table service is down for longer than the leases last.
+        """The table service is down for longer than a lease's duration.
 
-        A session's pin is served from the holder's memory, also to an
-        instance that never asked before. A new session is refused.
+        A known pin is served from the holder's memory, also to an instance
+        without a cached copy. A new session is refused.
         """
         await self.pin(self.one, V1)
         self.cluster.table.faults.down = True
@@ -135,10 +132,10 @@
         self.assertEqual(await self.pin(self.other, V2, session="new"), V2)
 
     async def test_a_session_in_use_outlives_the_window(self):
-        """A session is used now and then for five windows.
+        """A session is used regularly for five windows.
 
-        Its pin is written again before it would be forgotten, so a take-over
-        finds it; a session at rest is forgotten after the window.
+        Its pin is written again before it expires, so a take-over finds it;
+        the pin of an idle session expires after the window.
         """
         await self.pin(self.one, V1)
         await self.pin(self.one, V1, session="resting")
--- a/tests/cover/test_ledger_retry_after.py
+++ b/tests/cover/test_ledger_retry_after.py
@@ -1,4 +1,4 @@
-"""When callers that a store outage turned away are told to come back."""
+"""The retry delay of callers refused during a store outage."""
 
 import asyncio
 import datetime
@@ -16,7 +16,7 @@
 
 
 async def probe_never_answers():
-    """Probes a store that stays out."""
+    """Stands for the probe of a store that stays out."""
 
 
 def health_of(clock):
@@ -34,11 +34,10 @@
 class RetryAfterTest(unittest.TestCase):
     @hypothesis.given(strategies.integers(4, 3600))
     def test_retry_after_grows_and_spreads_as_an_outage_lasts(self, age_s):
-        """The table service is out for an hour. Every refused caller was told
-        to come back after one second, so at the planned peak the refused of
-        many seconds came back in each. They must be told later the longer it
-        lasts, never all the same moment, and never after the bound: the store
-        may be back any time.
+        """With a fixed retry delay of one second, the callers refused over
+        many seconds of an outage would all retry in each second. The delay
+        must grow with the outage's age, be spread, and stay bounded, as the
+        store may be back at any time.
         """
         clock = clock_module.FakeClock()
         health = health_of(clock)
--- a/tests/entry_fixture.py
+++ b/tests/entry_fixture.py
@@ -1,4 +1,4 @@
-"""The HTTP side before a fixture's dispatcher, and waits for it."""
+"""An HTTP listener in front of a fixture's dispatcher."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
     drain: drain_module.Drain | None = None,
     on: dispatcher.Dispatcher | None = None,
 ) -> listener_module.Listener:
-    """The HTTP side before the fixture's dispatcher, not yet started."""
+    """Returns a listener for the fixture's dispatcher, not yet started."""
     return listener_module.Listener(
         application=application.build_application(
             clock=fixture.clock,
@@ -32,7 +32,7 @@
 
 
 async def until(condition: Callable[[], object]):
-    """Waits for what happens over real connections."""
+    """Waits for a condition that depends on real connections."""
     for _ in range(10_000):
         if condition():
             return
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -29,7 +29,7 @@
 
 
 class FakeLedger(ledger.Ledger):
-    """Claims and bills in memory, with what the test makes go wrong."""
+    """Keeps claims and bills in memory, with errors set by the test."""
 
     def __init__(self):
         self.claims: dict[str, ledger.ClaimResult] = {}
@@ -73,7 +73,7 @@
 
 
 class FakeRatings(rating_service.RatingService):
-    """Keeps what is handed in."""
+    """Keeps the submitted tasks."""
 
     def __init__(self):
         self.tasks: list[rating_service.RatingTask] = []
--- a/tests/ledger_cluster.py
+++ b/tests/ledger_cluster.py
@@ -1,4 +1,4 @@
-"""Several instances' ledgers in one process, on a clock that tests drive."""
+"""Several instances' ledgers in one process, on a fake clock."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -29,10 +29,10 @@
 
 
 class SharedMembers(members.MemberView):
-    """The members by one list that a test edits for all instances.
+    """A member view over one list that a test edits for all instances.
 
-    Pairs of addresses in `hidden` are mistakes: the first instance takes the
-    second for dead.
+    Each pair of addresses in `hidden` is a false suspicion: the first instance
+    takes the second for dead.
     """
 
     __slots__ = ("_all", "_hidden", "_myself")
@@ -62,7 +62,7 @@
 
 
 class InstanceTable(table_module.TableService):
-    """The table service as one instance reaches it: not while frozen."""
+    """One instance's table service; calls block while it is frozen."""
 
     __slots__ = ("_address", "_network", "_table")
 
@@ -178,7 +178,7 @@
         return instance
 
     def kill(self, name: str, *, noticed: bool = True) -> None:
-        """Ends an instance at once; nothing of it runs on."""
+        """Kills an instance and cancels all its tasks."""
         instance = self.instances.pop(name)
         self.network.detach(instance.address)
         instance.task.cancel()
@@ -229,7 +229,7 @@
         return [i for i in self.instances.values() if i is not instance]
 
     async def billed(self) -> list[str]:
-        """Returns the billed keys, read past any fault, in no time."""
+        """Returns the billed keys, read without faults or delays."""
         table = copy.copy(self.table)
         table.faults = faults.Faults(clock=self.clock)
         objects = copy.copy(self.objects)
@@ -251,8 +251,8 @@
     """Gives each test a cluster whose only partition is held.
 
     Attributes:
-        names: Its instances.
-        settings: Of its ledgers.
+        names: Names of its instances.
+        settings: Settings of its ledgers.
     """
 
     names = "abc"
--- a/tests/ledger_history.py
+++ b/tests/ledger_history.py
@@ -1,9 +1,9 @@
-"""Random runs of three instances under faults, and the check of each run.
+"""Random runs of three instances under faults, with checks of each run.
 
-One run is a seed: callers on random instances claim keys, run, finish,
-release or lose sight, retry on other instances and ask for pins, while
-instances are killed, frozen and cut off and both stores misbehave. Then all
-faults end, and the history is checked against what must always hold.
+A run is determined by its seed: callers on random instances claim keys, run,
+finish, release or lose the outcome, retry on other instances and request pins,
+while instances are killed, frozen and partitioned and both stores have faults.
+Then all faults end, and the history is checked against the invariants.
 """
 
 import asyncio
@@ -23,19 +23,19 @@
 _NAMES = "abc"
 _KEYS = 12
 _SESSIONS = 4
-# Keys and sessions are used for so many steps, which is less than the window.
+# Steps for which keys and sessions are used; they take less than the window.
 _EPOCH_STEPS = 80
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class History:
-    """What callers saw in one run, and what was wrong with it.
+    """What callers observed in one run, and the violations found.
 
     Attributes:
         runs: For each key, the tries that were sent to a backend server.
-        finishing: Keys whose bill was handed over.
-        finished: Keys whose bill was said to be durable.
-        pinned: For each session, the versions that callers were given.
+        finishing: Keys whose bill was passed to the ledger.
+        finished: Keys whose bill was reported durable.
+        pinned: For each session, the versions that callers received.
     """
 
     operations: int = 0
@@ -51,7 +51,7 @@
     violations: list[str] = dataclasses.field(default_factory=list)
 
     def check(self, billed: list[str]) -> None:
-        """Adds what is wrong with the finished run."""
+        """Adds the violations of the finished run."""
         counts = collections.Counter(billed)
         wrong = [
             *(f"{k} ran {len(t)} times" for k, t in self.runs.items() if t[1:]),
@@ -123,7 +123,7 @@
         self._tasks[name].add(task)
         task.add_done_callback(self._tasks[name].discard)
         if self.random.random() < 0.1:
-            # A caller that goes away at any moment.
+            # A caller that disconnects at a random moment.
             asyncio.get_running_loop().call_soon(
                 self._cancel_later, task, self.random.randint(0, 300)
             )
@@ -313,7 +313,7 @@
             store.faults.lose_next_requests = 0
 
     async def _settle(self) -> None:
-        """Ends all faults and gives everything the time to settle."""
+        """Ends all faults and waits until everything has settled."""
         self._end_faults()
         await self.cluster.pass_time(40 * _SECOND)
 
--- a/tests/log_lines.py
+++ b/tests/log_lines.py
@@ -1,4 +1,4 @@
-"""Hand-made log lines, as instances write them and collectors keep them."""
+"""Log lines in the format that instances write."""
 
 import json
 import pathlib
@@ -17,7 +17,7 @@
 
 
 def ended(at_ms: float, **changes) -> str:
-    """Returns the line of a request's end."""
+    """Returns a `request:ended` line."""
     fields = {
         "request": REQUEST,
         "route": "stream",
@@ -32,7 +32,7 @@
 
 
 def sent(at_ms: float, **changes) -> str:
-    """Returns the line of an attempt's sending."""
+    """Returns an `attempt:sent` line."""
     fields = {
         "request": REQUEST,
         "attempt": 1,
--- a/tests/slow/test_ledger_history.py
+++ b/tests/slow/test_ledger_history.py
@@ -1,4 +1,4 @@
-"""What must always hold of claims, bills and pins, over random histories."""
+"""Invariants of claims, bills and pins over random histories."""
 
 import asyncio
 import datetime
@@ -24,10 +24,10 @@
 
 
 class LedgerHistoryTest(unittest.TestCase):
-    """Three instances under kills, freezes, cuts and store faults."""
+    """Three instances with kills, freezes, partitions and store faults."""
 
     def test_no_violation(self):
-        """Callers retry keys on random instances while everything fails.
+        """Callers retry keys on random instances during faults.
 
         No key runs twice, each finished request is billed once and no other
         is, kept answers are the first try's, and pins never change.
@@ -37,7 +37,7 @@
     def test_no_violation_while_rows_are_written_over(self):
         """Longer runs, in which the window passes and bills are archived.
 
-        The same holds while rows are reused and take-overs happen amid that.
+        The invariants hold while rows are reused, also across take-overs.
         """
         window = datetime.timedelta(minutes=1)
         found = _violations(range(200, 204), steps=400, window=window)
