--- a/src/nutmeghook/experiment/platform_trial.py
+++ b/src/nutmeghook/experiment/platform_trial.py
@@ -181,7 +181,7 @@
         self.close_replica_address(replica.replica_id)
         await asyncio.sleep(RESTART_S)
         self.mark_ended(replica.replica_id)
-        self.operator.strike_replica(replica.replica_id)
+        self.operator.delist_replica(replica.replica_id)
         await self.add_replica(f"{version}-after-crash-{number}", version)
 
     def order_bad_version(self) -> None:
@@ -293,7 +293,7 @@
         return found
 
     def reply(
-        self, request: users_replica.SeenRequest, version: str
+        self, request: users_replica.ReceivedRequest, version: str
     ) -> users_replica.Reply:
         """Returns a replica's response to a request, faults included."""
         drawn = self._random.random()
@@ -360,7 +360,7 @@
     trial.store.fault = users_store.StoreFault.NONE
     crashed = trial.replicas["v1-0"]
     await crashed.stop()
-    trial.operator.strike_replica("v1-0")
+    trial.operator.delist_replica("v1-0")
     trial.stop_statuses.append(await stopping)
     await stopped.start()
     await trial.wait_until_serving(stopped)
--- a/src/nutmeghook/experiment/soak_checks.py
+++ b/src/nutmeghook/experiment/soak_checks.py
@@ -103,7 +103,7 @@
     calls: list[platform_checks.ObservedCall]
     injected_faults: list[InjectedFault]
     removals: list[KeyRemoval]
-    received: dict[str, list[users_replica.SeenRequest]]
+    received: dict[str, list[users_replica.ReceivedRequest]]
     runs: dict[str, int]
     broken: set[str]
     abandoned: set[str]
@@ -321,7 +321,7 @@
         yield f"a request that crashed three replicas was sent {late} times"
 
 
-def _arrivals(history: History) -> Iterator[users_replica.SeenRequest]:
+def _arrivals(history: History) -> Iterator[users_replica.ReceivedRequest]:
     for requests in history.received.values():
         yield from requests
 
--- a/src/nutmeghook/experiment/soak_faults.py
+++ b/src/nutmeghook/experiment/soak_faults.py
@@ -163,7 +163,7 @@
             store.fault = fault
             await asyncio.sleep(pause_s)
             store.fault = users_store.StoreFault.NONE
-            store.do_late_writes()
+            store.apply_late_writes()
 
     async def _forget_history(self, draw: random.Random) -> None:
         with self._trial.recorded_fault("store forgets its history"):
@@ -197,7 +197,7 @@
             await self._trial.replicas[replica_id].stop()
             self._trial.replica_proxies[replica_id].reset_all()
             await asyncio.sleep(_random_pause_s(draw))
-            self._trial.operator.strike_replica(replica_id)
+            self._trial.operator.delist_replica(replica_id)
             self._trial.mark_ended(replica_id)
             await self._replace_replica()
 
@@ -217,7 +217,7 @@
             asyncio.get_running_loop().time()
         )
         await asyncio.sleep(2 * soak_checks.DRAIN_BOUND_S)
-        self._trial.operator.strike_replica(replica_id)
+        self._trial.operator.delist_replica(replica_id)
 
     def _random_replica(self, draw: random.Random) -> str:
         return draw.choice(
--- a/src/nutmeghook/experiment/soak_trial.py
+++ b/src/nutmeghook/experiment/soak_trial.py
@@ -77,7 +77,7 @@
         return proxy.address
 
     def reply(
-        self, request: users_replica.SeenRequest, version: str
+        self, request: users_replica.ReceivedRequest, version: str
     ) -> users_replica.Reply:
         """Records which answers the replica itself breaks off."""
         reply = super().reply(request, version)
@@ -144,7 +144,7 @@
             calls=self.calls,
             injected_faults=self.injected_faults,
             removals=self.removals,
-            received={i: replica.seen for i, replica in replicas.items()},
+            received={i: replica.received for i, replica in replicas.items()},
             runs=self.runs(),
             broken=self.broken,
             abandoned=self.abandoned,
--- a/src/nutmeghook/standins/backend_apps.py
+++ b/src/nutmeghook/standins/backend_apps.py
@@ -20,7 +20,7 @@
 
 
 class RefuseBody(msgspec.Struct, frozen=True, kw_only=True):
-    """So many calls are to be refused before they run."""
+    """The number of calls to refuse before they run."""
 
     refuse_next: int
 
@@ -35,7 +35,7 @@
         self.faults = memory.faults
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the paths of `http_engine`."""
+        """Returns the routes of `http_engine`."""
         return [
             web.post(http_engine.GENERATE_PATH, self._generate),
             web.post(http_engine.CANCEL_PATH, self._cancel),
@@ -47,7 +47,7 @@
         ]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the paths of its logs and settings."""
+        """Returns the routes of its logs and settings."""
         return [
             web.get(f"{base}/runs", self._runs),
             web.get(f"{base}/orders", self._orders),
@@ -56,7 +56,7 @@
         ]
 
     def crash(self) -> None:
-        """Loses generations and caches."""
+        """Loses all generations and caches."""
         self.memory.crash()
 
     async def _generate(self, request: web.Request) -> web.StreamResponse:
@@ -64,7 +64,8 @@
         async with contextlib.aclosing(
             self.memory.generate(generation)
         ) as chunks:
-            # Until the first chunk is there, a refusal is still possible.
+            # Before the first chunk the generation may still be refused, so
+            # the response starts only after it.
             first = await anext(chunks)
             response = web.StreamResponse(
                 headers={"Content-Type": "application/x-ndjson"}
@@ -75,7 +76,7 @@
                 async for chunk in chunks:
                     await _write(response, chunk)
             except failures.PlatformError:
-                return serving.cut(request)
+                return serving.abort_connection(request)
         return response
 
     async def _cancel(self, request: web.Request) -> web.Response:
@@ -83,20 +84,22 @@
             await request.read(), type=http_engine.CancelBody
         )
         await self.memory.cancel(body.attempt_id)
-        return serving.json_answer(http_engine.EmptyAnswer())
+        return serving.json_response(http_engine.EmptyAnswer())
 
     async def _load(self, request: web.Request) -> web.Response:
-        return serving.json_answer(await self.memory.load_report())
+        return serving.json_response(await self.memory.load_report())
 
     async def _order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=engine.Order)
         state = await self.memory.order(order)
-        return serving.json_answer(http_engine.OrderAnswer(state=state))
+        return serving.json_response(http_engine.OrderAnswer(state=state))
 
     async def _cache_events(self, request: web.Request) -> web.Response:
         after = int(request.query["after"])
         events = await self.memory.cache_events(after)
-        return serving.json_answer(http_engine.CacheEventsAnswer(events=events))
+        return serving.json_response(
+            http_engine.CacheEventsAnswer(events=events)
+        )
 
     async def _export_cache(self, request: web.Request) -> web.Response:
         content = await self.memory.export_cache(request.query["prefix_hash"])
@@ -108,24 +111,24 @@
         await self.memory.import_cache(
             request.query["prefix_hash"], await request.read()
         )
-        return serving.json_answer(http_engine.EmptyAnswer())
+        return serving.json_response(http_engine.EmptyAnswer())
 
     async def _runs(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.runs)
+        return serving.json_response(self.memory.runs)
 
     async def _orders(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.orders)
+        return serving.json_response(self.memory.orders)
 
     async def _show(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.settings)
+        return serving.json_response(self.memory.settings)
 
     async def _set(self, request: web.Request) -> web.Response:
         engine_settings.update(self.memory.settings, await request.read())
-        self.memory.note_load()
-        return serving.json_answer(self.memory.settings)
+        self.memory.record_load()
+        return serving.json_response(self.memory.settings)
 
 
-class PlainStandIn(serving.LastingStandIn):
+class PlainStandIn(serving.DurableStandIn):
     """A plain service: every method and path is a call."""
 
     role = "plain_service"
@@ -135,11 +138,11 @@
         self.faults = memory.faults
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns one route for everything."""
+        """Returns one route for all methods and paths."""
         return [web.route("*", "/{path:.*}", self._call)]
 
     def control_routes(self, base: str) -> list[web.RouteDef]:
-        """Returns the paths of its log and of refusals."""
+        """Returns the routes of its log and of refusals."""
         return [
             web.get(f"{base}/runs", self._runs),
             web.post(f"{base}/refuse", self._refuse),
@@ -164,7 +167,7 @@
         )
 
     async def _runs(self, request: web.Request) -> web.Response:
-        return serving.json_answer(self.memory.runs)
+        return serving.json_response(self.memory.runs)
 
     async def _refuse(self, request: web.Request) -> web.Response:
         body = msgspec.json.decode(await request.read(), type=RefuseBody)
@@ -177,6 +180,6 @@
     if chunk.finish is None:
         await response.write(line)
     else:
-        # In one piece with the end of the body, so that the reader finds the
-        # end at once and can keep its connection.
+        # Written together with the end of the body, so that the client reads
+        # the end at once and can reuse its connection.
         await response.write_eof(line)
--- a/tests/whole/test_crashing_requests.py
+++ b/tests/whole/test_crashing_requests.py
@@ -55,7 +55,7 @@
             request.body == platform_checks.CRASHING_BODY
             and request.arrived_s > from_s
             for replica in self.trial.all_replicas().values()
-            for request in replica.seen
+            for request in replica.received
         )
 
     async def test_all_routers_know_a_request_that_crashed_three_replicas(self):
