--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -148,7 +148,7 @@
             self.assertEqual(relay_fixture.status_of(answer), 200)
         self.assertEqual(self.local.received, [])
 
-    async def test_a_retry_avoids_it_too(self):
+    async def test_a_retry_avoids_an_evacuated_data_centre(self):
         """The remote replica refuses, and the other one is evacuated. The
         caller gets an answer that the request was not run, with Retry-After.
         """
--- a/tests/cover/test_relay_callers.py
+++ b/tests/cover/test_relay_callers.py
@@ -62,7 +62,7 @@
                 self.assertIn(b"Retry-After", answer)
         self.assertEqual(self.received_requests(), [])
 
-    async def test_a_revoked_key_is_refused_on_a_kept_connection(
+    async def test_a_revoked_key_is_refused_on_an_open_connection(
         self,
     ):
         """A caller's connection stays open while its key is revoked. The next
@@ -238,7 +238,7 @@
         connection.connection_made(transport)
         return connection
 
-    async def test_the_time_left_is_passed_on(self):
+    async def test_the_remaining_time_is_forwarded(self):
         await self.ask(
             ONCE,
             extra=(relay_fixture.AUTHORIZATION, (headers.TIME_LEFT, "800")),
--- a/tests/cover/test_relay_streams.py
+++ b/tests/cover/test_relay_streams.py
@@ -195,7 +195,7 @@
         self.reply_with(Reply(events=tuple(range(1000)), pause_s=0.01))
         await self.leave_after(b"data: part 1")
 
-    async def test_a_caller_that_leaves_a_silent_stream_frees_it_too(self):
+    async def test_a_caller_that_leaves_a_silent_stream_frees_the_replica(self):
         """The replica is silent when the caller disconnects, so no write fails:
         only the caller's close itself shows it.
         """
@@ -244,7 +244,7 @@
             for seen in self.received_requests()
         )
 
-    async def test_a_sure_answer_of_the_smallest_model_is_kept(self):
+    async def test_a_confident_answer_of_the_smallest_model_is_kept(self):
         self.reply_with(Reply(events=EVENTS, confidence=90))
         answer = await self.ask(STREAM, extra=ANY_MODEL)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
--- a/tests/cover/test_relay_whole_answers.py
+++ b/tests/cover/test_relay_whole_answers.py
@@ -21,11 +21,11 @@
         (seen,) = self.received_requests()
         self.assertEqual(seen.body, b"question")
 
-    async def test_a_kept_connection_that_breaks_sends_a_call_once(self):
-        """A replica resets a kept connection after it has read a GET on a route
-        whose calls may run only once. A client library would retry the GET by
-        itself, and the call would run twice; the caller is told that it may
-        have run.
+    async def test_a_reused_connection_that_breaks_sends_a_call_once(self):
+        """A replica resets a reused connection after it has read a GET on a
+        route whose calls may run only once. A client library would retry the
+        GET by itself, and the call would run twice; the caller is told that it
+        may have run.
         """
         self.configuration.offer(
             relay_fixture.configuration(relay_fixture.route(ONCE), version=2),
--- a/tests/cover/test_version_plans.py
+++ b/tests/cover/test_version_plans.py
@@ -31,7 +31,7 @@
             for per_s in (3.0, 10.0, 50.0, 1000.0):
                 self.stays_within_the_bound(within_s, per_s, 2.0 * per_s)
 
-    async def test_a_narrow_bound_holds_too(self):
+    async def test_a_version_stays_within_a_narrow_bound(self):
         """A bad version may get less than a tenth of a large fleet's requests.
         A final phase of a tenth of the time would exceed that alone.
         """
