--- a/src/nutmeghook/internal/replicas/cold_senders.py
+++ b/src/nutmeghook/internal/replicas/cold_senders.py
@@ -19,7 +19,7 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 
-# With 420 instances, a member is heard from about every 28 s.
+# With 420 instances, each contacts another one about every 28 s.
 MEMBER_RETENTION = datetime.timedelta(seconds=60)
 # For so long after its registration an instance sends nothing to cold replicas,
 # since others that do not know it yet have elected themselves instead. With 77
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -23,7 +23,7 @@
 LAPSE_GRACE = datetime.timedelta(milliseconds=2200)
 
 # Messages give ages in whole milliseconds and without the network delay, so a
-# report that comes back from a peer may look this much newer than it is.
+# report that a peer sends back may look this much newer than it is.
 _AGE_ERROR = datetime.timedelta(milliseconds=20)
 # Replicas whose last start is remembered, also after they are gone: more than
 # twice the largest fleet, at 100 bytes each.
