--- a/src/nutmeghook/internal/replicas/cold_senders.py
+++ b/src/nutmeghook/internal/replicas/cold_senders.py
@@ -19,11 +19,11 @@
 
 from nutmeghook.internal.foundation import clock as clock_module
 
-# With 420 instances, each contacts another one about every 28 s.
+# With 420 instances, each hears from a given other one about every 28 s.
 MEMBER_RETENTION = datetime.timedelta(seconds=60)
 # For so long after its registration an instance sends nothing to cold replicas,
 # since others that do not know it yet have elected themselves instead. With 77
-# instances, each hears from another one about every five seconds.
+# instances, each hears from a given other one about every five seconds.
 SETTLING_TIME = datetime.timedelta(seconds=10)
 # Elections are recomputed this often at most.
 _ELECTION_LIFETIME = datetime.timedelta(seconds=1)
