--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -13,13 +13,13 @@
 
 def main() -> int:
     """Prints each module's lines; 1 if a bound broke or a module failed."""
-    wanted = sys.argv[1:]
+    selected = sys.argv[1:]
     passed = True
     for module_info in pkgutil.iter_modules(bench.__path__):
         name = module_info.name
         if name in NOT_BENCHMARKS or name.startswith("_"):
             continue
-        if wanted and name not in wanted:
+        if selected and name not in selected:
             continue
         passed = _run_module(name) and passed
     return 0 if passed else 1
--- a/bench/_virtual_time.py
+++ b/bench/_virtual_time.py
@@ -17,7 +17,7 @@
     """A loop for code that waits for nothing but timers."""
 
     def __init__(self):
-        super().__init__(_JumpingSelector(loop=self))
+        super().__init__(_VirtualTimeSelector(loop=self))
         self.elapsed_s = 0.0
 
     def time(self) -> float:
@@ -25,7 +25,7 @@
         return self.elapsed_s
 
 
-class _JumpingSelector(selectors.DefaultSelector):
+class _VirtualTimeSelector(selectors.DefaultSelector):
     def __init__(self, *, loop: VirtualTimeLoop):
         super().__init__()
         self._loop = loop
--- a/bench/affinity.py
+++ b/bench/affinity.py
@@ -28,25 +28,25 @@
 class PrefixCache:
     """Which prefixes a replica holds; counts hits."""
 
-    __slots__ = ("_held", "hits")
+    __slots__ = ("_prefixes", "hits")
 
     def __init__(self):
-        self._held: collections.OrderedDict[str, None] = (
+        self._prefixes: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self.hits = 0
 
     def __contains__(self, prefix: str) -> bool:
-        return prefix in self._held
+        return prefix in self._prefixes
 
     def use(self, prefix: str) -> None:
         """Notes a request with the prefix."""
-        if prefix in self._held:
+        if prefix in self._prefixes:
             self.hits += 1
-        self._held[prefix] = None
-        self._held.move_to_end(prefix)
-        if len(self._held) > CACHE_PREFIXES:
-            self._held.popitem(last=False)
+        self._prefixes[prefix] = None
+        self._prefixes.move_to_end(prefix)
+        if len(self._prefixes) > CACHE_PREFIXES:
+            self._prefixes.popitem(last=False)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -61,14 +61,16 @@
     """Measures hit shares, the bound on load, and what moves."""
     product = [_run_caches(seed, "product") for seed in SEEDS]
     clairvoyant = [_run_caches(seed, "clairvoyant") for seed in SEEDS]
-    unaware = [_run_caches(seed, "unaware") for seed in SEEDS]
+    no_affinity = [_run_caches(seed, "unaware") for seed in SEEDS]
     moved = [_moved_share(seed) for seed in SEEDS]
     return [
         _share("affinity.prefix_hit_share", _mean_hits(product)),
         _share(
             "affinity.prefix_hit_share.clairvoyant", _mean_hits(clairvoyant)
         ),
-        _share("affinity.prefix_hit_share.no_affinity", _mean_hits(unaware)),
+        _share(
+            "affinity.prefix_hit_share.no_affinity", _mean_hits(no_affinity)
+        ),
         report.Line(
             name="affinity.prefix_hit_vs_clairvoyant",
             value=round(_mean_hits(product) / _mean_hits(clairvoyant), 3),
@@ -112,8 +114,8 @@
     ring = affinity.AffinityRing()
     ring.add_all(fleet_parts.address_of(n) for n in range(REPLICAS))
     before = [_owner(ring, n) for n in range(SESSIONS)]
-    gone = fleet_parts.address_of(random.Random(seed).randrange(REPLICAS))
-    ring.remove(gone)
+    removed = fleet_parts.address_of(random.Random(seed).randrange(REPLICAS))
+    ring.remove(removed)
     after = [_owner(ring, n) for n in range(SESSIONS)]
     moved = sum(a != b for a, b in zip(before, after, strict=True))
     return moved / SESSIONS
@@ -144,9 +146,11 @@
     work_s = fleet.MEAN_WORK_S
     gap_s = work_s / (0.7 * shape.replicas * shape.capacity)
     for number in range(shape.replicas):
-        router.take_report(number, fleet_parts.report_of(engines[number]), 0.0)
+        router.receive_report(
+            number, fleet_parts.report_of(engines[number]), 0.0
+        )
     numbers = {fleet_parts.address_of(n): n for n in range(shape.replicas)}
-    fullest = 0.0
+    max_load_share = 0.0
     for _ in range(REQUESTS):
         clock.run_until(clock.now_s + rng.expovariate(1 / gap_s))
         prefix = f"prefix-{rng.choices(range(PREFIXES), weights)[0]}"
@@ -163,9 +167,13 @@
             chosen = numbers[backend.address]
         caches[chosen].use(prefix)
         _send(router, backend, engines[chosen], clock, work_s)
-        fullest = max(fullest, engines[chosen].load / shape.capacity)
+        max_load_share = max(
+            max_load_share, engines[chosen].load / shape.capacity
+        )
     hits = sum(cache.hits for cache in caches)
-    return CacheRun(hit_share=hits / REQUESTS, fullest_load_share=fullest)
+    return CacheRun(
+        hit_share=hits / REQUESTS, fullest_load_share=max_load_share
+    )
 
 
 def _clairvoyant(
@@ -197,6 +205,6 @@
             duration=datetime.timedelta(seconds=work_s),
         )
 
-    replica.arrive(
+    replica.submit(
         replicas.Job(arrived_s=clock.now_s, work_s=work_s, done=done)
     )
--- a/bench/balance.py
+++ b/bench/balance.py
@@ -55,7 +55,7 @@
 
     p95_wait_s: float
     mean_wait_s: float
-    unevenness: float
+    imbalance: float
 
 
 def measure(shape: fleet_parts.Shape, policy: str, seed: int) -> Outcome:
@@ -68,7 +68,7 @@
     return Outcome(
         p95_wait_s=waits_s[int(0.95 * len(waits_s))],
         mean_wait_s=statistics.mean(waits_s),
-        unevenness=statistics.mean(run_of_fleet.unevenness),
+        imbalance=statistics.mean(run_of_fleet.imbalance),
     )
 
 
@@ -115,7 +115,7 @@
             bound=5.2,
             policies=BASELINES,
         ),
-        *_unevenness_lines(),
+        *_imbalance_lines(),
     ]
 
 
@@ -140,11 +140,11 @@
     return lines
 
 
-def _unevenness_lines() -> list[report.Line]:
+def _imbalance_lines() -> list[report.Line]:
     return [
         _ratio_line(
             f"balance.fullest_vs_mean_replica.{policy}",
-            measure(TODAY_STEADY, policy, 1).unevenness,
+            measure(TODAY_STEADY, policy, 1).imbalance,
         )
         for policy in (CLAIRVOYANT, PRODUCT, *BASELINES)
     ]
--- a/bench/capacity/budgets.py
+++ b/bench/capacity/budgets.py
@@ -10,9 +10,15 @@
 from bench.capacity import platform_load
 
 _LIST = "routing/directory"
-_RANKS = "leases/preference"
+_LEASE_RANKS = "leases/preference"
 # Of the node's processor time, what an idle process of today hardly shows.
-_GROWING = (_LIST, _RANKS, "routing/cells", "routing/poller", "limits/ceiling")
+_SCALING = (
+    _LIST,
+    _LEASE_RANKS,
+    "routing/cells",
+    "routing/poller",
+    "limits/ceiling",
+)
 _LEDGER_INDEX = "memory of a full index (100,000 claims)"
 
 
@@ -28,7 +34,7 @@
     runs: tuple[str, ...]
 
     @property
-    def holds(self) -> bool:
+    def is_met(self) -> bool:
         """Whether the value is within the limit."""
         return self.value <= self.limit
 
@@ -47,12 +53,12 @@
 def _processor(facts: figures.Facts) -> list[Check]:
     parts = node.processor(facts)
     total = sum(part.value for part in parts)
-    growing = {
+    scaling_parts = {
         mechanism: sum(p.value for p in parts if p.mechanism == mechanism)
-        for mechanism in _GROWING
+        for mechanism in _SCALING
     }
     idle = facts.value("node.control_core_percent")
-    grown = idle + sum(growing.values())
+    scaled = idle + sum(scaling_parts.values())
     runs = ("node", "footprint", "membership", "config", "instance_list")
 
     def check(name, value, basis):
@@ -73,12 +79,12 @@
         ),
         check(
             "control, idle process of today and what grows",
-            grown,
+            scaled,
             "node measured + list, lease ranks, cells, ceiling",
         ),
         check(
             "the latter, if ranks were worked out when members change only",
-            grown - growing[_RANKS],
+            scaled - scaling_parts[_LEASE_RANKS],
             "the ranks' part left out",
         ),
     ]
@@ -179,7 +185,7 @@
         return Check(
             name=name,
             value=value,
-            limit=planned.FIRST_TOKEN_S * planned.OWN_PART_OF_FIRST_TOKEN,
+            limit=planned.FIRST_TOKEN_S * planned.OWN_SHARE_OF_FIRST_TOKEN,
             unit="s",
             basis=basis,
             runs=runs,
--- a/bench/capacity/calls.py
+++ b/bench/capacity/calls.py
@@ -52,7 +52,9 @@
 async def _inner() -> list[float]:
     """A digest sent and answered; the time of both sides together."""
     clock = clock_module.SystemClock()
-    sides = [config.Node(clock=clock, number=number) for number in range(2)]
+    sides = [
+        config.ConfigNode(clock=clock, number=number) for number in range(2)
+    ]
     digest = ttypes.LoadDigest(
         addresses=[],
         address_hashes=list(range(700_000, 700_020)),
@@ -81,8 +83,8 @@
     await call()
     rounds_us = []
     for _ in range(ROUNDS):
-        begun_ns = time.process_time_ns()
+        started_ns = time.process_time_ns()
         for _ in range(CALLS):
             await call()
-        rounds_us.append((time.process_time_ns() - begun_ns) / 1000 / CALLS)
+        rounds_us.append((time.process_time_ns() - started_ns) / 1000 / CALLS)
     return rounds_us
--- a/bench/capacity/data_path.py
+++ b/bench/capacity/data_path.py
@@ -8,8 +8,8 @@
 
 _US_PERCENT = 1e-4
 # What a request records on the time line and in the metrics.
-_EVENTS_A_REQUEST = 6
-_METRICS_A_REQUEST = 8
+_EVENTS_PER_REQUEST = 6
+_METRICS_PER_REQUEST = 8
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
@@ -65,14 +65,16 @@
         ),
         percent(
             "time line's events",
-            requests * _EVENTS_A_REQUEST * facts.value("footprint.event_us"),
-            f"20 x {_EVENTS_A_REQUEST} a second",
+            requests * _EVENTS_PER_REQUEST * facts.value("footprint.event_us"),
+            f"20 x {_EVENTS_PER_REQUEST} a second",
             "observe/events",
         ),
         percent(
             "metrics",
-            requests * _METRICS_A_REQUEST * facts.value("footprint.metric_us"),
-            f"20 x {_METRICS_A_REQUEST} a second",
+            requests
+            * _METRICS_PER_REQUEST
+            * facts.value("footprint.metric_us"),
+            f"20 x {_METRICS_PER_REQUEST} a second",
             "observe/metrics",
         ),
         figures.Figure(
--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/failure_effects.py
@@ -7,16 +7,16 @@
 RACK = "bad-rack"
 CENTRE = "bad-data-centre"
 
-_LEFT = planned.DATA_CENTRES - 1
-_MORE = planned.DATA_CENTRES / _LEFT
+_REMAINING_CENTRES = planned.DATA_CENTRES - 1
+_LOAD_FACTOR = planned.DATA_CENTRES / _REMAINING_CENTRES
 
 
 def ordinary_day(facts: figures.Facts) -> list[figures.Figure]:
     """Returns 89 failures and 360 replacements."""
-    events = planned.FAILURES_A_DAY + planned.REPLACEMENTS_A_DAY
-    share = planned.LEASES / planned.NODES
+    events = planned.FAILURES_PER_DAY + planned.REPLACEMENTS_PER_DAY
+    lost_share = planned.LEASES / planned.NODES
     detect_s = facts.at("membership.detect_s", planned.NODES)
-    taken_s = facts.value("ledger.take_over_known_death_s")
+    take_over_s = facts.value("ledger.take_over_known_death_s")
     lapse_s = facts.value("ledger.take_over_by_lapse_s")
     waiting = planned.REQUESTS_PER_S * planned.KEYED_SHARE / planned.PARTITIONS
     streams = planned.NODE_STREAMS
@@ -24,7 +24,7 @@
         figures.row(
             ORDINARY,
             "leases that change holder",
-            events * share,
+            events * lost_share,
             "a day",
             "449 x 67 / 420",
             "leases/keeper",
@@ -32,7 +32,7 @@
         figures.row(
             ORDINARY,
             "streams cut by failures, at the peak",
-            planned.FAILURES_A_DAY * streams,
+            planned.FAILURES_PER_DAY * streams,
             "a day",
             f"89 x {streams:.0f} open streams",
             "entry/application",
@@ -66,7 +66,7 @@
         figures.row(
             ORDINARY,
             "the same after a death that is known",
-            taken_s,
+            take_over_s,
             "s",
             "likewise",
             "leases/keeper",
@@ -86,12 +86,12 @@
 
 def lost_rack(facts: figures.Facts) -> list[figures.Figure]:
     """Returns what goes with a rack or its switch."""
-    share = planned.RACK_SHARE / planned.DATA_CENTRES
+    lost_share = planned.RACK_SHARE / planned.DATA_CENTRES
     return [
         figures.row(
             RACK,
             "entry instances lost at once",
-            planned.NODES * share,
+            planned.NODES * lost_share,
             "instances",
             "420 / 90",
             "membership/detector",
@@ -99,7 +99,7 @@
         figures.row(
             RACK,
             "replicas lost at once",
-            planned.REPLICAS * share,
+            planned.REPLICAS * lost_share,
             "replicas",
             "4,400 / 90; ejected as attempts fail",
             "routing/ejection",
@@ -107,7 +107,7 @@
         figures.row(
             RACK,
             "leases without holder until taken over",
-            planned.LEASES * share,
+            planned.LEASES * lost_share,
             "leases",
             "67 / 90",
             "leases/preference",
@@ -115,7 +115,7 @@
         figures.row(
             RACK,
             "streams cut, at the peak",
-            planned.NODES * share * planned.NODE_STREAMS,
+            planned.NODES * lost_share * planned.NODE_STREAMS,
             "streams",
             "by the entry instances; those on the replicas fail over",
             "dispatch/stages",
@@ -125,7 +125,7 @@
             "claims that meet no holder",
             planned.REQUESTS_PER_S
             * planned.KEYED_SHARE
-            * share
+            * lost_share
             * facts.value("ledger.take_over_by_lapse_s"),
             "claims",
             "8,400 / 90 a second x the lapse; reading the log not in it",
@@ -137,14 +137,14 @@
 
 def lost_data_centre(facts: figures.Facts) -> list[figures.Figure]:
     """Returns what the remaining eight carry."""
-    tokens = planned.NODE_TOKENS_PER_S * _MORE
+    tokens = planned.NODE_TOKENS_PER_S * _LOAD_FACTOR
     relay = tokens / facts.value("relay.tokens_per_core_s") * 100
     lost_nodes = planned.NODES / planned.DATA_CENTRES
     return [
         figures.row(
             CENTRE,
             "requests a node",
-            planned.NODE_REQUESTS_PER_S * _MORE,
+            planned.NODE_REQUESTS_PER_S * _LOAD_FACTOR,
             "1/s",
             "20 x 9 / 8",
             "limits/fair_admission",
@@ -161,7 +161,7 @@
         figures.row(
             CENTRE,
             "load of the remaining engines, at 80% before",
-            80 * _MORE,
+            80 * _LOAD_FACTOR,
             "% of their batches",
             "80 x 9 / 8; above, admission refuses by priority",
             "limits/adaptive_limit",
--- a/bench/capacity/figures.py
+++ b/bench/capacity/figures.py
@@ -17,7 +17,7 @@
         runs: Modules whose runs it rests on; empty for a setting's limit.
         mechanism: The module that carries it, under
             `src/nutmeghook/internal/`.
-        missed: It breaks a budget by itself.
+        exceeds_budget: It breaks a budget by itself.
     """
 
     group: str
@@ -27,7 +27,7 @@
     basis: str
     runs: tuple[str, ...]
     mechanism: str
-    missed: bool = False
+    exceeds_budget: bool = False
 
 
 def row(
@@ -38,7 +38,7 @@
     basis: str,
     mechanism: str,
     runs: tuple[str, ...] = (),
-    missed: bool = False,
+    exceeds_budget: bool = False,
 ) -> Figure:
     """Returns a figure; short, because the tables are long."""
     return Figure(
@@ -49,7 +49,7 @@
         basis=basis,
         runs=runs,
         mechanism=mechanism,
-        missed=missed,
+        exceeds_budget=exceeds_budget,
     )
 
 
--- a/bench/capacity/fleet_work.py
+++ b/bench/capacity/fleet_work.py
@@ -34,7 +34,7 @@
         *processor.series("cell_refresh", replicas, _cell_refresh),
         *processor.series("whose_report", replicas, _whose_report),
         *processor.series("ceiling", replicas, _ceiling),
-        *processor.series("orders_plan", models, _plan_of_what_is),
+        *processor.series("orders_plan", models, _plan_without_changes),
         *processor.series("orders_plan_new", models, _plan_of_new_version),
     ]
 
@@ -69,12 +69,12 @@
     directory = _directory(count)
     view = cells.CellView(members=_members(), directory=directory)
 
-    def act() -> int:
+    def run() -> int:
         directory.generation += 1
         view.refresh()
         return 1
 
-    return act
+    return run
 
 
 def _whose_report(count: int) -> Callable[[], int]:
@@ -83,16 +83,16 @@
     view = cells.CellView(members=_members(), directory=directory)
     view.refresh()
 
-    def act() -> int:
+    def run() -> int:
         for backend in directory.known():
             view.polls(backend)
         return 1
 
-    return act
+    return run
 
 
 def _ceiling(count: int) -> Callable[[], int]:
-    follower = ceiling.CeilingUpdater(
+    updater = ceiling.CeilingUpdater(
         limit=adaptive_limit.AdaptiveLimit(ceiling=512),
         known=_directory(count).known,
         members=_members(),
@@ -100,14 +100,14 @@
         max_slots=512,
     )
 
-    def act() -> int:
-        follower.update()
+    def run() -> int:
+        updater.update()
         return 1
 
-    return act
+    return run
 
 
-def _plan_of_what_is(count: int) -> Callable[[], int]:
+def _plan_without_changes(count: int) -> Callable[[], int]:
     """Plans while all that is wanted is loaded."""
     return _plan(count, loaded=frozenset((_SERVING, samples.VERSION)))
 
@@ -145,8 +145,8 @@
         templates={"team-1/review": template},
     )
 
-    def act() -> int:
+    def run() -> int:
         planning.make_plan(snapshot, engines)
         return 1
 
-    return act
+    return run
--- a/bench/capacity/learning.py
+++ b/bench/capacity/learning.py
@@ -30,7 +30,7 @@
 # Of one bucket; at the planned size it has a dozen.
 BUCKET_TEMPLATES = (1, 3, 12, 30)
 # Different tables for a step's templates, in turn.
-_DIFFERENT = 30
+_DISTINCT_TABLES = 30
 _RATINGS = 500
 # What comes at the planned peak while a step lasts: 5% of 8,400 requests a
 # second, for 15 s.
@@ -72,7 +72,7 @@
     return [
         *_plan_lines(tables),
         *_row_lines(tables),
-        *asyncio.run(_step_lines(tables[:_DIFFERENT])),
+        *asyncio.run(_step_lines(tables[:_DISTINCT_TABLES])),
     ]
 
 
@@ -81,10 +81,10 @@
 ) -> list[report.Line]:
     measured = []
     for count in TEMPLATES:
-        begun_ns = time.process_time_ns()
+        started_ns = time.process_time_ns()
         for number, table in enumerate(tables[:count]):
             _plan(_template(number), table)
-        spent_us = (time.process_time_ns() - begun_ns) / 1000
+        spent_us = (time.process_time_ns() - started_ns) / 1000
         measured.append(_line(f"plan_us.{count}", spent_us, "us in all"))
     return measured
 
@@ -139,33 +139,35 @@
         ratings=ratings,
         clock=clock,
     )
-    return await _observed(publisher, clock)
+    return await _run_step(publisher, clock)
 
 
-async def _observed(
+async def _run_step(
     publisher: cascade_publisher.CascadePublisher,
     clock: clock_module.FakeClock,
 ) -> list[report.Line]:
-    longest_ns = 0
+    longest_stall_ns = 0
 
-    async def watch() -> None:
-        nonlocal longest_ns
+    async def measure_stalls() -> None:
+        nonlocal longest_stall_ns
         last_ns = time.process_time_ns()
         while True:
             await asyncio.sleep(0)
             now_ns = time.process_time_ns()
-            longest_ns = max(longest_ns, now_ns - last_ns)
+            longest_stall_ns = max(longest_stall_ns, now_ns - last_ns)
             last_ns = now_ns
 
-    watching = asyncio.create_task(watch())
-    begun_ns = time.process_time_ns()
+    watching = asyncio.create_task(measure_stalls())
+    started_ns = time.process_time_ns()
     step = asyncio.create_task(publisher.step())
     while not step.done():
         await clock.advance(cascade_publisher.PUBLISH_EVERY)
-    spent_ns = time.process_time_ns() - begun_ns
+    spent_ns = time.process_time_ns() - started_ns
     watching.cancel()
     return [
-        _line("cascades_step_stand_ms", longest_ns / 1e6, "ms of processor"),
+        _line(
+            "cascades_step_stand_ms", longest_stall_ns / 1e6, "ms of processor"
+        ),
         _line("cascades_step_ms", spent_ns / 1e6, "ms of processor"),
     ]
 
--- a/bench/capacity/ledger_holder.py
+++ b/bench/capacity/ledger_holder.py
@@ -12,7 +12,7 @@
 _LEDGER = ledger_settings.LedgerSettings()
 # With three regions, two thirds of what goes to an instance drawn at random
 # go to another region.
-FAR_SHARE = 2 / 3
+REMOTE_SHARE = 2 / 3
 REGION_LINKS = planned.REGIONS * (planned.REGIONS - 1)
 
 
@@ -39,13 +39,13 @@
     row = functools.partial(figures.row, GROUP)
     record_us = facts.value("ledger.holder_cpu_us_per_record")
     inner_us = facts.value("footprint.inner_call_both_sides_us")
-    questions = planned.REQUESTS_PER_S * planned.SESSION_SHARE
-    per_s = records_a_partition() + questions / planned.PARTITIONS
-    holder_percent = per_s * (record_us + inner_us / 2) * _US_PERCENT
+    pin_questions = planned.REQUESTS_PER_S * planned.SESSION_SHARE
+    messages_per_s = records_a_partition() + pin_questions / planned.PARTITIONS
+    holder_percent = messages_per_s * (record_us + inner_us / 2) * _US_PERCENT
     entry_bytes = facts.slope("footprint.claim_memory_bytes")
     pin_bytes = facts.slope("footprint.pin_memory_bytes")
-    wanted = entries_a_partition()
-    allowed = min(wanted, _LEDGER.max_entries)
+    window_entries = entries_a_partition()
+    kept_entries = min(window_entries, _LEDGER.max_entries)
     commits = _LEDGER.writes_per_s / planned.PARTITIONS
     row_bytes = facts.at(
         "footprint.row_bytes", planned.RECORDS_PER_S / _LEDGER.writes_per_s
@@ -64,7 +64,7 @@
     return [
         row(
             "records and pin questions",
-            per_s,
+            messages_per_s,
             "1/s",
             "(16,800 records + 4,200 questions) / 64",
             "ledger/service",
@@ -77,11 +77,11 @@
             "messages of one record each, plus half an inner call",
             "ledger/partition",
             ("ledger", "footprint"),
-            missed=holder_percent > planned.CONTROL_CPU_PERCENT,
+            exceeds_budget=holder_percent > planned.CONTROL_CPU_PERCENT,
         ),
         row(
             "bytes with other instances",
-            per_s * message_bytes,
+            messages_per_s * message_bytes,
             "B/s",
             "mean of claim and bill, sent and received",
             "inner/tcp_server",
@@ -91,7 +91,7 @@
             "claims and bills on each directed link between regions",
             planned.RECORDS_PER_S
             * message_bytes
-            * FAR_SHARE
+            * REMOTE_SHARE
             / REGION_LINKS
             / planned.MB,
             "MB/s",
@@ -109,12 +109,12 @@
         ),
         row(
             "claims to remember in the window of 1 h",
-            wanted,
+            window_entries,
             "entries",
             "131 a second; the setting max_entries allows 100,000",
             "ledger/index",
             (),
-            missed=wanted > _LEDGER.max_entries,
+            exceeds_budget=window_entries > _LEDGER.max_entries,
         ),
         row(
             "the index is full, new keys are refused, after",
@@ -123,7 +123,7 @@
             "100,000 x 64 / 8,400",
             "ledger/index",
             (),
-            missed=full_after_s() < _LEDGER.window.total_seconds(),
+            exceeds_budget=full_after_s() < _LEDGER.window.total_seconds(),
         ),
         row(
             "the same with 16 partitions, the default",
@@ -132,11 +132,11 @@
             "a quarter",
             "ledger/index",
             (),
-            missed=full_after_s() / 4 < _LEDGER.window.total_seconds(),
+            exceeds_budget=full_after_s() / 4 < _LEDGER.window.total_seconds(),
         ),
         row(
             "memory of a full index (100,000 claims)",
-            allowed * entry_bytes / planned.MB,
+            kept_entries * entry_bytes / planned.MB,
             "MB",
             "slope x 100,000",
             "ledger/index",
@@ -144,14 +144,14 @@
         ),
         row(
             "memory of the whole window, were it allowed",
-            wanted
+            window_entries
             * (entry_bytes + planned.SESSION_SHARE * pin_bytes)
             / planned.MB,
             "MB",
             "slopes x claims, and x half as many pins",
             "ledger/index",
             ("footprint",),
-            missed=wanted * entry_bytes
+            exceeds_budget=window_entries * entry_bytes
             > planned.CONTROL_MEMORY_MB * planned.MB,
         ),
         row(
@@ -161,7 +161,7 @@
             "rows of one window",
             "ledger/log",
             ("footprint",),
-            missed=log_bytes > planned.CONTROL_MEMORY_MB * planned.MB,
+            exceeds_budget=log_bytes > planned.CONTROL_MEMORY_MB * planned.MB,
         ),
         row(
             "processor time of a take-over",
@@ -170,7 +170,7 @@
             "replay x records of one window; reading not counted",
             "ledger/partition",
             ("ledger",),
-            missed=replay_s > 1.0,
+            exceeds_budget=replay_s > 1.0,
         ),
         row(
             "a claim's wait at the peak, 95 in 100",
@@ -179,8 +179,9 @@
             "measured on virtual time, 1 ms between instances",
             "ledger/budget",
             ("ledger",),
-            missed=facts.value("ledger.claim_p95_ms_64_partitions") / 1000
-            > planned.FIRST_TOKEN_S * planned.OWN_PART_OF_FIRST_TOKEN,
+            exceeds_budget=facts.value("ledger.claim_p95_ms_64_partitions")
+            / 1000
+            > planned.FIRST_TOKEN_S * planned.OWN_SHARE_OF_FIRST_TOKEN,
         ),
         row(
             "a claim's wait with 16 partitions, 95 in 100",
@@ -197,6 +198,6 @@
             "four times the above",
             "ledger/partition",
             ("ledger", "footprint"),
-            missed=4 * holder_percent > planned.CONTROL_CPU_PERCENT,
+            exceeds_budget=4 * holder_percent > planned.CONTROL_CPU_PERCENT,
         ),
     ]
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -51,43 +51,43 @@
     return [
         report.Line(
             name=f"footprint.{name}_memory_bytes.{size}",
-            value=_kept_bytes(build, size),
+            value=_allocated_bytes(build, size),
             unit="bytes in all",
         )
         for size in sizes
     ]
 
 
-def _kept_bytes(build: Callable[[int], object], size: int) -> int:
+def _allocated_bytes(build: Callable[[int], object], size: int) -> int:
     gc.collect()
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        kept = build(size)
+        container = build(size)
         gc.collect()
         after = tracemalloc.get_traced_memory()[0]
-        del kept
+        del container
     finally:
         tracemalloc.stop()
     return after - before
 
 
-def _replicas(count: int) -> decision.Site:
+def _replicas(count: int) -> decision.RouterScenario:
     """Replicas with reports, all on one affinity ring: the most there is."""
-    site = decision.Site(size=count)
-    site.decide_all()
-    return site
+    scenario = decision.RouterScenario(size=count)
+    scenario.decide_all()
+    return scenario
 
 
 def _members(count: int) -> table_module.MemberTable:
-    kept = table_module.MemberTable(
+    container = table_module.MemberTable(
         myself=samples.claim(0),
         clock=clock_module.SystemClock(),
         max_ack_age=datetime.timedelta(seconds=3),
     )
     for number in range(1, count):
-        kept.apply_claim(samples.claim(number))
-    return kept
+        container.apply_claim(samples.claim(number))
+    return container
 
 
 def _templates(count: int) -> state.ConfigState:
@@ -106,34 +106,37 @@
 
 def _claims(count: int) -> index.PartitionIndex:
     """Claims that were finished, as nearly all in the window are."""
-    kept = _index()
+    container = _index()
     for number in range(count):
         row_key = samples.row_key(number)
-        for record in (samples.claim_record(number), samples.finish(number)):
-            kept.replay(record, row_key=row_key, written_ms=number)
-    return kept
+        for record in (
+            samples.claim_record(number),
+            samples.finish_record(number),
+        ):
+            container.replay(record, row_key=row_key, written_ms=number)
+    return container
 
 
 def _pins(count: int) -> index.PartitionIndex:
-    kept = _index()
+    container = _index()
     for number in range(count):
-        kept.replay(
+        container.replay(
             samples.pin_record(number),
             row_key=samples.row_key(number),
             written_ms=number,
         )
-    return kept
+    return container
 
 
 def _bills_without_key(count: int) -> index.PartitionIndex:
-    kept = _index()
+    container = _index()
     for number in range(count):
-        kept.replay(
-            samples.finish(number, given=False),
+        container.replay(
+            samples.finish_record(number, given_by_caller=False),
             row_key=samples.row_key(number),
             written_ms=number,
         )
-    return kept
+    return container
 
 
 def _events(count: int) -> events.EventRing:
@@ -147,13 +150,13 @@
 
 def _metric_series(count: int) -> metrics.Metrics:
     """One label set of the first token's histogram for each."""
-    kept = samples.metrics()
+    container = samples.metrics()
     for _ in range(count):
         number = next(_LABEL_NUMBERS)
-        kept.observe(
+        container.observe(
             "first_token_seconds",
             0.1,
             team=f"team-{number // 10}",
             template=f"template-{number}",
         )
-    return kept
+    return container
--- a/bench/capacity/messages.py
+++ b/bench/capacity/messages.py
@@ -60,9 +60,12 @@
     answer_bytes = samples.ANSWER_BYTES
     exchanges = {
         "claim": (samples.claim_record(7), won),
-        "bill": (samples.finish(7, given=False), records.Recorded()),
+        "bill": (
+            samples.finish_record(7, given_by_caller=False),
+            records.Recorded(),
+        ),
         "bill_with_answer": (
-            samples.finish(7, answer_bytes=answer_bytes),
+            samples.finish_record(7, answer_bytes=answer_bytes),
             records.Recorded(),
         ),
         "pin": (samples.pin_request(7), pin),
@@ -138,7 +141,9 @@
         records=tuple(
             samples.claim_record(number)
             if number % 2
-            else samples.finish(number, answer_bytes=samples.ANSWER_BYTES)
+            else samples.finish_record(
+                number, answer_bytes=samples.ANSWER_BYTES
+            )
             for number in range(count)
         ),
     )
--- a/bench/capacity/node.py
+++ b/bench/capacity/node.py
@@ -1,8 +1,8 @@
 """What every entry instance spends at the planned size."""
 
+from bench.capacity import cascade_sizes
 from bench.capacity import figures
 from bench.capacity import planned
-from bench.capacity import plans
 from nutmeghook.internal.routing import cascade_reader
 from nutmeghook.internal.routing import load_digests
 from nutmeghook.internal.routing import poller
@@ -15,9 +15,9 @@
 _MIB = 1024 * 1024 / planned.MB
 _US_PERCENT = 1e-4
 # First token, answer, and requests by their code, for each template.
-_METRIC_SERIES_A_TEMPLATE = 2
+_METRIC_SERIES_PER_TEMPLATE = 2
 _CELL_PEERS = 5
-_REPLICAS_A_NODE = planned.REPLICAS / planned.NODES
+_REPLICAS_PER_NODE = planned.REPLICAS / planned.NODES
 
 
 def memory(facts: figures.Facts) -> list[figures.Figure]:
@@ -29,7 +29,7 @@
         ).default
     )
 
-    def kept(name: str, thing: str, count: float, mechanism: str):
+    def memory_of(name: str, thing: str, count: float, mechanism: str):
         series = f"footprint.{thing}_memory_bytes"
         return figures.Figure(
             group=MEMORY,
@@ -52,24 +52,24 @@
             runs=("node",),
             mechanism="assembly/instance",
         ),
-        kept(
+        memory_of(
             "replicas, with affinity ring",
             "replica",
             planned.REPLICAS,
             "routing/directory, routing/affinity",
         ),
-        kept("members", "member", planned.NODES, "membership/table"),
-        kept(
+        memory_of("members", "member", planned.NODES, "membership/table"),
+        memory_of(
             "configuration: templates, their part of teams",
             "template",
             templates,
             "config/replica",
         ),
-        kept("time line's events", "event", events, "observe/events"),
-        kept(
+        memory_of("time line's events", "event", events, "observe/events"),
+        memory_of(
             "metric series by template",
             "metric_series",
-            templates * _METRIC_SERIES_A_TEMPLATE,
+            templates * _METRIC_SERIES_PER_TEMPLATE,
             "observe/metrics",
         ),
     ]
@@ -87,12 +87,12 @@
             basis=basis,
             runs=runs,
             mechanism=mechanism,
-            missed=value > planned.CONTROL_BYTES_PER_S,
+            exceeds_budget=value > planned.CONTROL_BYTES_PER_S,
         )
 
     report_bytes = facts.value("footprint.load_report_bytes")
-    period_s = poller.report_period(round(_REPLICAS_A_NODE)).total_seconds()
-    stranger_s = poller.REMOTE_REPORT_PERIOD.total_seconds()
+    period_s = poller.report_period(round(_REPLICAS_PER_NODE)).total_seconds()
+    remote_s = poller.REMOTE_REPORT_PERIOD.total_seconds()
     lease_bytes = facts.value("footprint.lease_renewal_bytes")
     return [
         row(
@@ -118,14 +118,14 @@
         ),
         row(
             "load reports of its part of the replicas",
-            report_bytes * _REPLICAS_A_NODE / period_s,
-            f"size x {_REPLICAS_A_NODE:.1f} replicas / {period_s:.1f} s",
+            report_bytes * _REPLICAS_PER_NODE / period_s,
+            f"size x {_REPLICAS_PER_NODE:.1f} replicas / {period_s:.1f} s",
             "routing/poller",
         ),
         row(
             "load reports of other cells",
-            report_bytes / stranger_s,
-            f"size / {stranger_s:.0f} s",
+            report_bytes / remote_s,
+            f"size / {remote_s:.0f} s",
             "routing/poller",
         ),
         row(
@@ -143,7 +143,7 @@
         ),
         row(
             "cascades' plans, however many change",
-            plans.reading_bytes(facts)
+            cascade_sizes.reading_bytes(facts)
             / cascade_reader.READ_EVERY.total_seconds(),
             "head, 12,000 bytes of plans and one bucket, each 60 s",
             "routing/cascade_reader",
@@ -163,13 +163,13 @@
             basis=basis,
             runs=runs,
             mechanism=mechanism,
-            missed=value > planned.CONTROL_CPU_PERCENT,
+            exceeds_budget=value > planned.CONTROL_CPU_PERCENT,
         )
 
     http_us = facts.value("footprint.http_call_us")
     inner_us = facts.value("footprint.inner_call_both_sides_us")
-    period_s = poller.report_period(round(_REPLICAS_A_NODE)).total_seconds()
-    polls = _REPLICAS_A_NODE / period_s + 1.5
+    period_s = poller.report_period(round(_REPLICAS_PER_NODE)).total_seconds()
+    polls = _REPLICAS_PER_NODE / period_s + 1.5
     lease_calls = 3 * planned.LEASES / planned.NODES
     return [
         row(
--- a/bench/capacity/herd.py
+++ b/bench/capacity/outage_retries.py
@@ -11,7 +11,7 @@
 from nutmeghook.internal.observe import events as events_module
 
 # A caller gives up at a template's usual deadline.
-PATIENCE_S = 30.0
+CALLER_TIMEOUT_S = 30.0
 # One in a hundred of the planned peak's callers; the rule has no sums in it.
 _SCALE = 100
 _OUTAGE_S = 300
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Returns:
+class RetryRates:
     """Requests a second of callers who come again, beside new ones.
 
     Attributes:
@@ -32,7 +32,7 @@
 
 
 @functools.cache
-def returns() -> Returns:
+def retry_rates() -> RetryRates:
     """Plays an outage: each caller comes when told, until it gives up."""
     clock = simulation.Simulation()
     health = store_health.StoreHealth(
@@ -45,27 +45,28 @@
         probe_every=ledger_settings.LedgerSettings().probe_every,
     )
     health.note_failure()
-    by_second = [0] * _OUTAGE_S
+    retries_by_second = [0] * _OUTAGE_S
 
-    def refuse(gives_up_s: float) -> None:
+    def refuse(deadline_s: float) -> None:
         wait_s = health.come_back_after().total_seconds()
-        if clock.now_s + wait_s <= gives_up_s:
-            clock.call_at(clock.now_s + wait_s, lambda: come_again(gives_up_s))
+        if clock.now_s + wait_s <= deadline_s:
+            clock.call_at(clock.now_s + wait_s, lambda: retry(deadline_s))
 
-    def come_again(gives_up_s: float) -> None:
-        by_second[int(clock.now_s)] += 1
-        refuse(gives_up_s)
+    def retry(deadline_s: float) -> None:
+        retries_by_second[int(clock.now_s)] += 1
+        refuse(deadline_s)
 
     refused_per_s = planned.REQUESTS_PER_S * planned.KEYED_SHARE / _SCALE
     clock.call_every(
         1 / refused_per_s,
-        lambda: refuse(clock.now_s + PATIENCE_S),
+        lambda: refuse(clock.now_s + CALLER_TIMEOUT_S),
         first_s=0.0,
     )
     clock.run_until(_OUTAGE_S - 1e-6)
-    late = by_second[_LATE_S:]
-    return Returns(
-        peak=_SCALE * max(by_second), late=_SCALE * sum(late) / len(late)
+    late_counts = retries_by_second[_LATE_S:]
+    return RetryRates(
+        peak=_SCALE * max(retries_by_second),
+        late=_SCALE * sum(late_counts) / len(late_counts),
     )
 
 
--- a/bench/capacity/outages.py
+++ b/bench/capacity/outages.py
@@ -1,7 +1,7 @@
 """Long outages at the planned size: a region cut off, the store out."""
 
 from bench.capacity import figures
-from bench.capacity import herd
+from bench.capacity import outage_retries
 from bench.capacity import planned
 from nutmeghook.internal.ledger import settings as ledger_settings
 
@@ -58,7 +58,7 @@
             "%",
             "partitions held outside; the store still reached",
             "ledger/sender",
-            missed=True,
+            exceeds_budget=True,
         ),
         figures.row(
             REGION,
@@ -67,7 +67,7 @@
             "%",
             "partitions held inside, if its holders reach the store",
             "ledger/sender",
-            missed=True,
+            exceeds_budget=True,
         ),
         figures.row(
             REGION,
@@ -102,7 +102,7 @@
     )
     probes = planned.NODES / _LEDGER.probe_every.total_seconds()
     refused = planned.REQUESTS_PER_S * planned.KEYED_SHARE
-    herd_returns = herd.returns()
+    rates = outage_retries.retry_rates()
     return [
         figures.row(
             STORE,
@@ -111,25 +111,25 @@
             "1/s",
             "all of them, for the hour",
             "ledger/client",
-            missed=True,
+            exceeds_budget=True,
         ),
         figures.row(
             STORE,
             "their returns, if each caller keeps on for 30 s, at the worst",
-            herd_returns.peak,
+            rates.peak,
             "1/s",
             "played by the real rule: half the outage's age, 1 to 20 s, spread",
             "ledger/store_health",
-            missed=True,
+            exceeds_budget=True,
         ),
         figures.row(
             STORE,
             "the same once the outage has lasted for minutes",
-            herd_returns.late,
+            rates.late,
             "1/s",
             "likewise; each caller comes once more",
             "ledger/store_health",
-            missed=True,
+            exceeds_budget=True,
         ),
         figures.row(
             STORE,
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -4,9 +4,9 @@
 import pathlib
 import re
 
-from bench.capacity import bad_days
 from bench.capacity import budgets
 from bench.capacity import data_path
+from bench.capacity import failure_effects
 from bench.capacity import figures
 from bench.capacity import fits
 from bench.capacity import node
@@ -154,7 +154,7 @@
         *data_path.all_figures(facts),
         *roles.all_figures(facts),
         *platform_load.all_figures(facts),
-        *bad_days.all_figures(facts),
+        *failure_effects.all_figures(facts),
         *outages.all_figures(facts),
     ]
 
@@ -221,7 +221,10 @@
         [
             [
                 figure.name,
-                _marked(f"{number(figure.value)} {figure.unit}", figure.missed),
+                _marked(
+                    f"{number(figure.value)} {figure.unit}",
+                    figure.exceeds_budget,
+                ),
                 figure.basis,
                 _run_names(figure.runs),
                 f"`{figure.mechanism}`",
@@ -238,10 +241,10 @@
             [
                 check.name,
                 f"{number(check.limit)} {check.unit}",
-                _marked(number(check.value), not check.holds),
+                _marked(number(check.value), not check.is_met),
                 check.basis,
                 _run_names(check.runs),
-                "yes" if check.holds else "**no**",
+                "yes" if check.is_met else "**no**",
             ]
             for check in budgets.checks(facts)
         ],
@@ -252,5 +255,5 @@
     return ", ".join(runs) or "none: settings and the plan"
 
 
-def _marked(text: str, missed: bool) -> str:
-    return f"**{text}**" if missed else text
+def _marked(text: str, exceeds_budget: bool) -> str:
+    return f"**{text}**" if exceeds_budget else text
--- a/bench/capacity/platform_load.py
+++ b/bench/capacity/platform_load.py
@@ -2,10 +2,10 @@
 
 import functools
 
+from bench.capacity import cascade_sizes
 from bench.capacity import figures
 from bench.capacity import messages
 from bench.capacity import planned
-from bench.capacity import plans
 from nutmeghook.internal.config import distribution_tree
 from nutmeghook.internal.ledger import settings as ledger_settings
 from nutmeghook.internal.membership import peer_discovery
@@ -19,13 +19,13 @@
 GROUP = "platform"
 _LEDGER = ledger_settings.LedgerSettings()
 # Head, change, document and operation.
-_ROWS_A_CHANGE = 4
+_ROWS_PER_CHANGE = 4
 # docs/design/configuration.md: twice a second by two of each data centre.
 _HEAD_READS_PER_S = 2
-_LOOKS_A_LEASE = 2
+_READS_PER_LEASE = 2
 _RATED_SHARE = 0.05
 # Of plans in one reading, were they empty.
-_MOST_BUCKETS = cascade_reader.MAX_READ_BYTES / messages.HTTP_BYTES
+_MAX_BUCKETS = cascade_reader.MAX_READ_BYTES / messages.HTTP_BYTES
 
 
 def table_writes_per_s(facts: figures.Facts) -> float:
@@ -33,7 +33,7 @@
     return (
         facts.value("ledger.store_writes_per_s_64_partitions")
         + planned.OTHER_LEASES
-        + planned.CHANGES_PER_S * _ROWS_A_CHANGE
+        + planned.CHANGES_PER_S * _ROWS_PER_CHANGE
         + 1 / rollout_controller.TICK.total_seconds()
         + 2 * cascade_publisher.COMMITS_PER_S
     )
@@ -44,9 +44,9 @@
     readers = distribution_tree.READERS * planned.DATA_CENTRES
     return (
         readers * (_HEAD_READS_PER_S + planned.CHANGES_PER_S)
-        + planned.LEASES * _LOOKS_A_LEASE
+        + planned.LEASES * _READS_PER_LEASE
         + planned.NODES
-        * (1 + _MOST_BUCKETS)
+        * (1 + _MAX_BUCKETS)
         / cascade_reader.READ_EVERY.total_seconds()
         + 2 * cascade_publisher.COMMITS_PER_S
         + 1 / rollout_controller.TICK.total_seconds()
@@ -70,7 +70,7 @@
     )
     window_s = _LEDGER.window.total_seconds()
     list_bytes = facts.value("instance_list.node_average.4400")
-    plans_mb = plans.reading_bytes(facts) / planned.MB
+    plans_mb = cascade_sizes.reading_bytes(facts) / planned.MB
     reads_plans = planned.NODES / cascade_reader.READ_EVERY.total_seconds()
     change_bytes = facts.value("footprint.change_row_bytes")
     writes = table_writes_per_s(facts)
@@ -82,7 +82,7 @@
             "ledger with its 64 leases measured; others by their settings",
             "ledger/budget, leases/keeper",
             ("ledger",),
-            missed=writes > planned.TABLE_WRITES_PER_S,
+            exceeds_budget=writes > planned.TABLE_WRITES_PER_S,
         ),
         row(
             "table service: reads",
@@ -90,7 +90,7 @@
             "1/s",
             "heads 36, leases' looks 134, plans 217, learning 50, pool 1",
             "config/distribution, leases/keeper",
-            missed=table_reads_per_s() > planned.TABLE_READS_PER_S,
+            exceeds_budget=table_reads_per_s() > planned.TABLE_READS_PER_S,
         ),
         row(
             "table service: log rows written",
@@ -115,11 +115,11 @@
             "648,000 rows, written over after the window",
             "ledger/log",
             ("footprint",),
-            missed=True,
+            exceeds_budget=True,
         ),
         row(
             "table service: configuration's audit",
-            planned.CHANGES_A_DAY * change_bytes / planned.MB,
+            planned.CHANGES_PER_DAY * change_bytes / planned.MB,
             "MB a day",
             "3,700 rows of changes",
             "config/store",
--- a/bench/capacity/processor.py
+++ b/bench/capacity/processor.py
@@ -52,12 +52,12 @@
         *series("lease_rank_of_19", memory.MEMBERS, _few_lease_ranks),
         *series("cell", memory.MEMBERS, _cell),
         *series("nearest_partition", memory.MEMBERS, _nearest_partition),
-        _one("event_us", _event),
-        _one("metric_us", _metric),
-        _one("ledger_message_us", _ledger_message),
-        _one("load_digest_us", _load_digest),
-        _awaited("admission_us", _admission),
-        _awaited("lease_renewal_us", _lease_renewal),
+        _measure("event_us", _event),
+        _measure("metric_us", _metric),
+        _measure("ledger_message_us", _ledger_message),
+        _measure("load_digest_us", _load_digest),
+        _measure_async("admission_us", _admission),
+        _measure_async("lease_renewal_us", _lease_renewal),
     ]
 
 
@@ -68,24 +68,28 @@
 ) -> list[report.Line]:
     """Measures what `prepare` returns, for each size."""
     return [
-        _one(f"{name}_us.{size}", lambda size=size: prepare(size))
+        _measure(f"{name}_us.{size}", lambda size=size: prepare(size))
         for size in sizes
     ]
 
 
-def _one(name: str, prepare: Callable[[], Callable[[], int]]) -> report.Line:
+def _measure(
+    name: str, prepare: Callable[[], Callable[[], int]]
+) -> report.Line:
     """Measures acts; each call returns how many there were in it."""
-    act = prepare()
-    act()
+    run = prepare()
+    run()
     rounds_us = []
     for _ in range(ROUNDS):
-        begun_ns = time.process_time_ns()
-        acts = act()
-        rounds_us.append((time.process_time_ns() - begun_ns) / 1000 / acts)
+        started_ns = time.process_time_ns()
+        iterations = run()
+        rounds_us.append(
+            (time.process_time_ns() - started_ns) / 1000 / iterations
+        )
     return _line(name, rounds_us)
 
 
-def _awaited(name: str, scenario) -> report.Line:
+def _measure_async(name: str, scenario) -> report.Line:
     return _line(name, asyncio.run(scenario()))
 
 
@@ -116,11 +120,11 @@
         [samples.listed_engine(number) for number in range(count)]
     )
 
-    def act() -> int:
+    def run() -> int:
         directory.apply_list(_LIST_DECODER.decode(body))
         return 1
 
-    return act
+    return run
 
 
 def _change(count: int) -> Callable[[], int]:
@@ -129,24 +133,24 @@
     changed = edits.Replacement(templates=(samples.template(count // 2),))
     encoded = msgspec.msgpack.encode(changed)
 
-    def act() -> int:
+    def run() -> int:
         replacement = msgspec.msgpack.decode(encoded, type=edits.Replacement)
         before.with_replacement(replacement, revision=2)
         return 1
 
-    return act
+    return run
 
 
 def _lease_rank(count: int, leases: int = LEASES) -> Callable[[], int]:
     """All keepers of an instance ask for their rank once."""
     view = _members(count)
 
-    def act() -> int:
+    def run() -> int:
         for lease in range(leases):
             preference.rank_of_myself(f"ledger/{lease}", view)
         return leases
 
-    return act
+    return run
 
 
 def _few_lease_ranks(count: int) -> Callable[[], int]:
@@ -156,11 +160,11 @@
 def _cell(count: int) -> Callable[[], int]:
     view = _members(count)
 
-    def act() -> int:
+    def run() -> int:
         cells.cell_of(view)
         return 1
 
-    return act
+    return run
 
 
 def _nearest_partition(count: int) -> Callable[[], int]:
@@ -177,29 +181,29 @@
         holder = samples.member(partition % count).inner_address
         directory.confirm(partition, holder)
 
-    def act() -> int:
+    def run() -> int:
         for number in range(20):
             directory.nearest(samples.caller_key(number))
         return 20
 
-    return act
+    return run
 
 
 def _event() -> Callable[[], int]:
     ring = events_module.EventRing(clock=clock_module.SystemClock())
 
-    def act() -> int:
+    def run() -> int:
         for number in range(2000):
             samples.record_event(ring, number)
         return 2000
 
-    return act
+    return run
 
 
 def _metric() -> Callable[[], int]:
     metrics = samples.metrics()
 
-    def act() -> int:
+    def run() -> int:
         for number in range(2000):
             metrics.observe(
                 "first_token_seconds",
@@ -209,7 +213,7 @@
             )
         return 2000
 
-    return act
+    return run
 
 
 def _ledger_message() -> Callable[[], int]:
@@ -221,16 +225,16 @@
         sequence=1,
     ).data
 
-    def act() -> int:
+    def run() -> int:
         for number in range(500):
-            record = records.encoder.encode(samples.finish(number))
+            record = records.encoder.encode(samples.finish_record(number))
             message = ttypes.LedgerAppend(partition=3, records=[record])
             codec.encode(message, sequence=number, wants_reply=True)
             answer = codec.decode(reply).message
             records.decode_results(answer.results)
         return 500
 
-    return act
+    return run
 
 
 def _load_digest() -> Callable[[], int]:
@@ -242,12 +246,12 @@
         sender_address=samples.member(1).inner_address,
     )
 
-    def act() -> int:
+    def run() -> int:
         for _ in range(500):
             codec.decode(codec.encode(digest, sequence=1).data)
         return 500
 
-    return act
+    return run
 
 
 async def _admission() -> list[float]:
@@ -261,7 +265,7 @@
     second = datetime.timedelta(seconds=1)
     rounds_us = []
     for _ in range(ROUNDS):
-        begun_ns = time.process_time_ns()
+        started_ns = time.process_time_ns()
         for number in range(1000):
             request = admission.AdmissionRequest(
                 team=f"team-{number % 10}",
@@ -273,7 +277,7 @@
             )
             async with admitting.admitted(request):
                 pass
-        rounds_us.append((time.process_time_ns() - begun_ns) / 1000 / 1000)
+        rounds_us.append((time.process_time_ns() - started_ns) / 1000 / 1000)
     return rounds_us
 
 
@@ -295,9 +299,9 @@
         raise RuntimeError("the lease was not taken at the first step")
     rounds_us = []
     for _ in range(ROUNDS):
-        begun_ns = time.process_time_ns()
+        started_ns = time.process_time_ns()
         for _ in range(RENEWALS):
             await lease.step()
-        spent_us = (time.process_time_ns() - begun_ns) / 1000
+        spent_us = (time.process_time_ns() - started_ns) / 1000
         rounds_us.append(spent_us / RENEWALS)
     return rounds_us
--- a/bench/capacity/results.py
+++ b/bench/capacity/results.py
@@ -14,7 +14,7 @@
 FILE = pathlib.Path("docs/capacity/results.json")
 # Beyond what `make bench` measures: at 126 instances a data centre of this
 # benchmark is as large as one at the planned size.
-_MORE_SIZES = {"config": (7, 21, 63, 126)}
+_SIZES = {"config": (7, 21, 63, 126)}
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
@@ -73,15 +73,15 @@
     """Runs a benchmark module."""
     module = importlib.import_module(f"bench.{module_name}")
     started = datetime.datetime.now(datetime.UTC)
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     load_start = os.getloadavg()[0]
-    sizes = _MORE_SIZES.get(module_name)
+    sizes = _SIZES.get(module_name)
     lines = module.run() if sizes is None else module.run(sizes)
     return Run(
         module=module_name,
         command=f"python -m bench.capacity {module_name}",
         started=started.strftime("%Y-%m-%d %H:%M UTC"),
-        duration_s=round(time.monotonic() - begun_s, 1),
+        duration_s=round(time.monotonic() - started_s, 1),
         load_average_start=round(load_start, 1),
         load_average_end=round(os.getloadavg()[0], 1),
         processors=os.cpu_count() or 1,
--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -2,10 +2,10 @@
 
 import functools
 
+from bench.capacity import cascade_sizes
 from bench.capacity import figures
 from bench.capacity import ledger_holder
 from bench.capacity import planned
-from bench.capacity import plans
 from nutmeghook.internal.config import distribution_tree
 from nutmeghook.internal.membership import peer_discovery
 from nutmeghook.internal.membership import timing
@@ -22,12 +22,12 @@
 
 _US_PERCENT = 1e-4
 # Instances without leave ask so often in all, for each version.
-_QUESTIONS_PER_S = 25
+_ALLOWANCE_REQUESTS_PER_S = 25
 _HEAD_READS_PER_S = 2
 # An order that comes later than this holds a roll-out's step up for long.
-_LONGEST_PASS_S = 300
+_MAX_PASS_S = 300
 # A longer stand of the event loop keeps a first token waiting for too long.
-_LONGEST_STAND_S = 0.1
+_MAX_STALL_S = 0.1
 
 
 def configuration(facts: figures.Facts) -> list[figures.Figure]:
@@ -85,7 +85,7 @@
         row(
             "random exchanges on each link between regions",
             anywhere_per_s
-            * ledger_holder.FAR_SHARE
+            * ledger_holder.REMOTE_SHARE
             * exchange
             / ledger_holder.REGION_LINKS,
             "B/s",
@@ -104,11 +104,11 @@
     row = functools.partial(figures.row, HOLDERS, runs=("footprint",))
     writing_s = cascade_rows.BUCKETS / cascade_publisher.COMMITS_PER_S
     step_s = max(writing_s, cascade_publisher.PUBLISH_EVERY.total_seconds())
-    tables_bytes = plans.tables_bytes(facts)
+    tables_bytes = cascade_sizes.tables_bytes(facts)
     moved_per_s = 2 * tables_bytes * 4 / 3 / step_s
-    stand_s = facts.value("footprint.cascades_step_stand_ms") / 1000
+    stall_s = facts.value("footprint.cascades_step_stand_ms") / 1000
     busy_percent = facts.value("footprint.cascades_step_ms") / 10 / step_s
-    all_plans_bytes = cascade_rows.BUCKETS * plans.bucket_bytes(facts)
+    all_plans_bytes = cascade_rows.BUCKETS * cascade_sizes.bucket_bytes(facts)
     readings = all_plans_bytes / cascade_reader.MAX_READ_BYTES
     return [
         row(
@@ -125,7 +125,7 @@
             f"every bucket each {step_s:.0f} s, in base64; fewer if fewer "
             "templates get ratings",
             "routing/cascade_publisher",
-            missed=moved_per_s > planned.CONTROL_BYTES_PER_S,
+            exceeds_budget=moved_per_s > planned.CONTROL_BYTES_PER_S,
         ),
         row(
             "cascades: processor time",
@@ -134,15 +134,15 @@
             f"a step with 6,300 ratings of 3,000 young templates, each "
             f"{step_s:.0f} s; HTTP not in it",
             "routing/cascade_publisher",
-            missed=busy_percent > planned.CONTROL_CPU_PERCENT,
+            exceeds_budget=busy_percent > planned.CONTROL_CPU_PERCENT,
         ),
         row(
             "cascades: the event loop stands, at the longest",
-            stand_s,
+            stall_s,
             "s",
             "measured in that step, processor time between two turns",
             "routing/cascade_publisher",
-            missed=stand_s > _LONGEST_STAND_S,
+            exceeds_budget=stall_s > _MAX_STALL_S,
         ),
         row(
             "cascades: all plans change at once, and are with all after",
@@ -157,8 +157,8 @@
 def other_holders(facts: figures.Facts) -> list[figures.Figure]:
     """Returns what holders of the leases of fleet-wide tasks spend."""
     row = functools.partial(figures.row, HOLDERS)
-    leave_bytes = facts.value("footprint.leave_bytes")
-    questions = _QUESTIONS_PER_S * planned.ROLL_OUTS_AT_ONCE
+    allowance_bytes = facts.value("footprint.leave_bytes")
+    requests_per_s = _ALLOWANCE_REQUESTS_PER_S * planned.CONCURRENT_ROLL_OUTS
     pass_s = facts.value("orders.changed_pass.4400.lasts")
     new_plan_s = facts.largest("footprint.orders_plan_new_us") / 1e6
     inner_us = facts.value("footprint.inner_call_both_sides_us")
@@ -166,16 +166,16 @@
     return [
         row(
             "roll-outs: questions for leave, nothing being ready",
-            questions * leave_bytes,
+            requests_per_s * allowance_bytes,
             "B/s",
             "25 a second and version x 10 roll-outs",
             "rollout/allowance",
             ("footprint",),
-            missed=questions * leave_bytes > budget,
+            exceeds_budget=requests_per_s * allowance_bytes > budget,
         ),
         row(
             "roll-outs: processor time for them",
-            questions * inner_us / 2 * _US_PERCENT,
+            requests_per_s * inner_us / 2 * _US_PERCENT,
             "% of a core",
             "half an inner call each",
             "rollout/allowance",
@@ -197,7 +197,7 @@
             "measured at 4,400 engines, four cells with news",
             "orders/cell_reports",
             ("orders",),
-            missed=pass_s > _LONGEST_PASS_S,
+            exceeds_budget=pass_s > _MAX_PASS_S,
         ),
         row(
             "orders: bytes of a pass",
@@ -214,7 +214,7 @@
             "largest size measured, 880 engines of one model",
             "orders/planning",
             ("footprint",),
-            missed=new_plan_s > _LONGEST_STAND_S,
+            exceeds_budget=new_plan_s > _MAX_STALL_S,
         ),
         row(
             "orders: the same, nothing to be loaded",
@@ -251,7 +251,7 @@
             "each directed link between two regions",
             planned.NODES
             * sent
-            * ledger_holder.FAR_SHARE
+            * ledger_holder.REMOTE_SHARE
             / ledger_holder.REGION_LINKS,
             "B/s",
             "420 x bytes sent x 2/3 / 6 links",
@@ -303,7 +303,7 @@
             "MB",
             "slope x 8,192 x 420",
             runs=("footprint",),
-            missed=gathered_mb > planned.CONTROL_MEMORY_MB,
+            exceeds_budget=gathered_mb > planned.CONTROL_MEMORY_MB,
         ),
     ]
 
--- a/bench/capacity/samples.py
+++ b/bench/capacity/samples.py
@@ -23,7 +23,7 @@
 ANSWER_BYTES = 4 * 214
 
 
-def place(number: int) -> tuple[str, str]:
+def location(number: int) -> tuple[str, str]:
     """Returns the region and data centre of the machine of a number."""
     centre = number % DATA_CENTRES
     region = f"region-{centre % REGIONS}"
@@ -32,7 +32,7 @@
 
 def member(number: int) -> members.Member:
     """Returns an entry instance."""
-    region, data_centre = place(number)
+    region, data_centre = location(number)
     return members.Member(
         inner_address=f"10.{number // 250}.{number % 250}.7:8081",
         incarnation=f"19ae3f2c{number:04x}d1",
@@ -48,7 +48,7 @@
 
 def listed_engine(number: int) -> instances.ListedInstance:
     """Returns an engine's line in the instance list."""
-    region, data_centre = place(number)
+    region, data_centre = location(number)
     return instances.ListedInstance(
         address=f"10.{100 + number // 250}.{number % 250}.9:9000",
         role=instances.InstanceRole.MODEL_ENGINE,
@@ -97,13 +97,15 @@
 
 def config_state(templates: int) -> state.ConfigState:
     """Returns a configuration with so many templates."""
-    kept = [template(number) for number in range(templates)]
+    templates_kept = [template(number) for number in range(templates)]
     teams = [team(n) for n in range(-(-templates // TEMPLATES_A_TEAM))]
     snapshot = documents.Snapshot(
         revision=1,
         fleet=documents.Fleet(),
         teams={t.name: t for t in teams},
-        templates={documents.template_key(t.team, t.name): t for t in kept},
+        templates={
+            documents.template_key(t.team, t.name): t for t in templates_kept
+        },
     )
     revisions = {f"template/{key}": 1 for key in snapshot.templates}
     revisions |= {f"team/{name}": 1 for name in snapshot.teams}
@@ -134,8 +136,8 @@
     )
 
 
-def finish(
-    number: int, *, given: bool = True, answer_bytes: int = 0
+def finish_record(
+    number: int, *, given_by_caller: bool = True, answer_bytes: int = 0
 ) -> records.FinishRecord:
     """Returns a bill, with an answer to keep if that has bytes."""
     answer = None
@@ -147,9 +149,9 @@
         )
     return records.FinishRecord(
         team=f"team-{number % 300}",
-        key=caller_key(number) if given else _request_id(number),
-        given_by_caller=given,
-        body_digest=_digest(number) if given else "",
+        key=caller_key(number) if given_by_caller else _request_id(number),
+        given_by_caller=given_by_caller,
+        body_digest=_digest(number) if given_by_caller else "",
         request_id=_request_id(number),
         template=f"template-{number % 3000}",
         model_version=str(VERSION),
--- a/bench/cascade.py
+++ b/bench/cascade.py
@@ -91,7 +91,7 @@
         workload.name: [_seed(workload, seed) for seed in SEEDS]
         for workload in WORKLOADS
     }
-    free = [
+    unlimited_held_ratios = [
         _mean_cost_ratio(results[workload.name])
         for workload in WORKLOADS
         if workload.template.held_share_percent == 100.0
@@ -103,7 +103,7 @@
     lines = [
         report.Line(
             name="cascade.cost_vs_best_at_target",
-            value=round(max(free), 4),
+            value=round(max(unlimited_held_ratios), 4),
             unit="ratio",
             bound=_COST_RATIO_BOUND,
         ),
@@ -181,17 +181,19 @@
 
 def _seed(workload: quality.Workload, seed: int) -> dict[str, quality.Outcome]:
     source = random.Random(seed)
-    learning = quality.requests_of(
+    learning = quality.generate_requests(
         workload, count=LEARNING_REQUESTS, source=source
     )
-    measured = quality.requests_of(
+    measured = quality.generate_requests(
         workload, count=MEASURED_REQUESTS, source=source
     )
-    rated_run = quality.RatedRun(workload=workload, clock=clock.FakeClock())
-    while_learning = rated_run.serve(learning)
+    learned_run = quality.LearnedCascadeRun(
+        workload=workload, clock=clock.FakeClock()
+    )
+    while_learning = learned_run.serve(learning)
     target = workload.template.quality_target
     return {
-        "learned": rated_run.serve(measured),
+        "learned": learned_run.serve(measured),
         "learned_while_new": while_learning,
         "best": quality_baselines.best_thresholds(measured, target=target),
         "best_each_request": quality_baselines.best_each_request(
--- a/bench/config.py
+++ b/bench/config.py
@@ -70,7 +70,7 @@
     cpu_s_per_change: float
 
 
-class Node:
+class ConfigNode:
     """One instance's configuration over TCP."""
 
     __slots__ = ("address", "caller", "handlers", "parts", "server", "traffic")
@@ -186,7 +186,7 @@
     running = [
         asyncio.ensure_future(node.parts.distributor.run()) for node in nodes
     ]
-    chooser = random.Random(SEED)
+    rng = random.Random(SEED)
     in_force_s: list[float] = []
     accept_s: list[float] = []
     try:
@@ -201,17 +201,17 @@
             (node.total_bytes() - before) / IDLE_S
             for node, before in zip(nodes, idle_bytes, strict=True)
         ]
-        begun_s = asyncio.get_running_loop().time()
-        begun_cpu_s = time.process_time()
+        started_s = asyncio.get_running_loop().time()
+        started_cpu_s = time.process_time()
         before = sum(node.total_bytes() for node in nodes)
         for number in range(1, CHANGES + 1):
-            node = chooser.choice(nodes)
+            node = rng.choice(nodes)
             await _change(nodes, node, number, in_force_s, accept_s)
-            await asyncio.sleep(PAUSE_S * chooser.uniform(0.5, 1.5))
-        elapsed_s = asyncio.get_running_loop().time() - begun_s
-        spent = sum(node.total_bytes() for node in nodes) - before
-        spent -= sum(idle) * elapsed_s
-        cpu_s = time.process_time() - begun_cpu_s
+            await asyncio.sleep(PAUSE_S * rng.uniform(0.5, 1.5))
+        elapsed_s = asyncio.get_running_loop().time() - started_s
+        change_bytes = sum(node.total_bytes() for node in nodes) - before
+        change_bytes -= sum(idle) * elapsed_s
+        cpu_s = time.process_time() - started_cpu_s
         cpu_s -= idle_cpu_s_per_s * elapsed_s
     finally:
         await _stop(nodes, running)
@@ -221,7 +221,7 @@
         reads_per_s=reads_per_s,
         idle_bytes_per_s=statistics.mean(idle),
         busiest_idle_bytes_per_s=max(idle),
-        bytes_per_change=spent / size / CHANGES,
+        bytes_per_change=change_bytes / size / CHANGES,
         idle_cpu_s_per_s=idle_cpu_s_per_s / size,
         cpu_s_per_change=cpu_s / size / CHANGES,
     )
@@ -229,8 +229,8 @@
 
 async def _start(
     size: int, clock: clock_module.Clock, table: memory_table.MemoryTable
-) -> list[Node]:
-    nodes = [Node(clock=clock, number=number) for number in range(size)]
+) -> list[ConfigNode]:
+    nodes = [ConfigNode(clock=clock, number=number) for number in range(size)]
     for node in nodes:
         node.address = await node.server.start(host="127.0.0.1", port=0)
     members = [
@@ -259,21 +259,21 @@
 
 
 async def _change(
-    nodes: list[Node],
-    accepting: Node,
+    nodes: list[ConfigNode],
+    accepting: ConfigNode,
     number: int,
     in_force_s: list[float],
     accept_s: list[float],
 ) -> None:
     """Accepts a change as the administration API does, and times it."""
     loop = asyncio.get_running_loop()
-    begun_s = loop.time()
+    started_s = loop.time()
 
-    async def until_in_force(node: Node, revision: int) -> None:
+    async def until_in_force(node: ConfigNode, revision: int) -> None:
         replica = node.parts.replica
         while replica.revision < revision:
             await replica.wait_for_new_revision()
-        in_force_s.append(loop.time() - begun_s)
+        in_force_s.append(loop.time() - started_s)
 
     waiting = [
         asyncio.ensure_future(until_in_force(node, number + 1))
@@ -284,13 +284,13 @@
     )
     if record.outcome is not rows.Outcome.ACCEPTED:
         raise RuntimeError(f"change {number} was refused: {record.detail}")
-    accept_s.append(loop.time() - begun_s)
+    accept_s.append(loop.time() - started_s)
     await accepting.parts.inquiry.ask(record.revision, timeout=_TIMEOUT)
     async with asyncio.timeout(_TIMEOUT.total_seconds()):
         await asyncio.gather(*waiting)
 
 
-def _operation(node: Node, number: int) -> operations.Operation:
+def _operation(node: ConfigNode, number: int) -> operations.Operation:
     edit: edits.Edit = _first_import()
     if number:
         state = node.parts.replica.state
@@ -332,7 +332,7 @@
     )
 
 
-async def _stop(nodes: list[Node], running: list[asyncio.Task]) -> None:
+async def _stop(nodes: list[ConfigNode], running: list[asyncio.Task]) -> None:
     for task in running:
         task.cancel()
     await asyncio.gather(*running, return_exceptions=True)
--- a/bench/decision.py
+++ b/bench/decision.py
@@ -24,7 +24,7 @@
 IN_FLIGHT_PER_REPLICA = 0.5
 
 
-class Site:
+class RouterScenario:
     """A router that knows a number of replicas, some of them busy."""
 
     __slots__ = ("_clock", "_criteria", "_router")
@@ -39,7 +39,9 @@
         )
         idle = replicas.Replica(simulation=self._clock, capacity=16)
         for number in range(size):
-            self._router.take_report(number, fleet_parts.report_of(idle), 0.0)
+            self._router.receive_report(
+                number, fleet_parts.report_of(idle), 0.0
+            )
         self._criteria = [
             backends.BackendCriteria(
                 model_version=fleet_parts.VERSION,
@@ -73,7 +75,7 @@
 
 def run() -> list[report.Line]:
     """Measures both sizes in turn and compares the medians."""
-    small, large = Site(size=SMALL), Site(size=LARGE)
+    small, large = RouterScenario(size=SMALL), RouterScenario(size=LARGE)
     small.decide_all()
     large.decide_all()
     small_us, large_us = [], []
--- a/bench/drain.py
+++ b/bench/drain.py
@@ -9,7 +9,7 @@
 from bench import report
 from bench.models import leaving
 
-OFFSETS_S = tuple(leaving.BEFORE_S + step * 0.17 for step in range(6))
+OFFSETS_S = tuple(leaving.WARM_UP_S + step * 0.17 for step in range(6))
 
 SCENARIOS = (
     leaving.Scenario(name="engine_says_so", list_lag_s=60.0),
@@ -31,7 +31,7 @@
             asyncio.run(leaving.run_scenario(scenario, leaves_at_s=offset_s))
             for offset_s in OFFSETS_S
         ]
-        last_s = max(sent.last_s for sent in runs)
+        last_s = max(sends.last_s for sends in runs)
         worst_s = max(worst_s, last_s)
         lines.append(
             report.Line(
@@ -43,7 +43,7 @@
         lines.append(
             report.Line(
                 name=f"drain.attempts_sent.{scenario.name}",
-                value=max(sent.attempts for sent in runs),
+                value=max(sends.attempts for sends in runs),
                 unit="attempts of 3 routers",
             )
         )
--- a/bench/exposure.py
+++ b/bench/exposure.py
@@ -21,17 +21,19 @@
     ratings_per_step=40,
     steps_percent=(5.0, 25.0, 50.0, 100.0),
 )
-PLACES = (
-    rollouts.Place(name="agency", policy=_AGENCY),
-    rollouts.Place(name="siamroster", policy=_SIAMROSTER),
-    rollouts.Place(name="default", policy=documents.RollOutPolicy()),
-    rollouts.Place(name="agency_planned", policy=_AGENCY, requests_per_s=84),
-    rollouts.Place(
+DEPLOYMENTS = (
+    rollouts.Deployment(name="agency", policy=_AGENCY),
+    rollouts.Deployment(name="siamroster", policy=_SIAMROSTER),
+    rollouts.Deployment(name="default", policy=documents.RollOutPolicy()),
+    rollouts.Deployment(
+        name="agency_planned", policy=_AGENCY, requests_per_s=84
+    ),
+    rollouts.Deployment(
         name="siamroster_planned", policy=_SIAMROSTER, requests_per_s=84
     ),
 )
 GOOD = rollouts.Version(bad_share=0.03)
-EDGE = rollouts.Version(bad_share=0.05)
+AT_TOLERANCE = rollouts.Version(bad_share=0.05)
 BAD = tuple(
     rollouts.Version(bad_share=share, bad_from_percent=percent)
     for share in (0.2, 0.5)
@@ -61,10 +63,13 @@
 
 def run() -> list[report.Line]:
     """Returns the lines of both users' settings, the headlines first."""
-    lines = [line for place in PLACES for line in _lines(place)]
+    lines = [line for deployment in DEPLOYMENTS for line in _lines(deployment)]
     lines += _full_share_lines()
     values = {line.name: line.value for line in lines}
-    false_stops = [values[f"exposure.false_stops.{p.name}"] for p in PLACES]
+    false_stops = [
+        values[f"exposure.false_stops.{deployment.name}"]
+        for deployment in DEPLOYMENTS
+    ]
     return [
         _line(
             "exposure.bad_answers_vs_fixed_threshold",
@@ -89,16 +94,16 @@
     ]
 
 
-def _lines(place: rollouts.Place) -> list[report.Line]:
-    threshold = _calibrated(place)
-    good, bad, edge = _measure(place, None)
-    fixed_good, fixed_bad, _ = _measure(place, threshold)
+def _lines(deployment: rollouts.Deployment) -> list[report.Line]:
+    threshold = _calibrate_threshold(deployment)
+    good, bad, at_tolerance = _measure(deployment, None)
+    fixed_good, fixed_bad, _ = _measure(deployment, threshold)
     ratios = [
-        _mean_bad(ours) / max(1.0, _mean_bad(theirs))
-        for ours, theirs in zip(bad, fixed_bad, strict=True)
+        _mean_bad(product) / max(1.0, _mean_bad(baseline))
+        for product, baseline in zip(bad, fixed_bad, strict=True)
     ]
     pooled = sum(map(_mean_bad, bad)) / sum(map(_mean_bad, fixed_bad))
-    name = place.name
+    name = deployment.name
     lines = [
         _line(
             f"exposure.bad_answers_vs_fixed_threshold.{name}",
@@ -107,17 +112,22 @@
             _RATIO_BOUNDS[name],
         ),
         _line(
-            f"exposure.false_stops.{name}", _stops(good), "share", _FALSE_STOPS
+            f"exposure.false_stops.{name}",
+            _stopped_share(good),
+            "share",
+            _FALSE_STOPS,
         ),
         _line(
             f"exposure.false_stops_at_tolerance.{name}",
-            _stops(edge),
+            _stopped_share(at_tolerance),
             "share",
             _FALSE_STOPS,
         ),
         _line(f"exposure.fixed_threshold.{name}", threshold, "share"),
         _line(
-            f"exposure.false_stops.fixed.{name}", _stops(fixed_good), "share"
+            f"exposure.false_stops.fixed.{name}",
+            _stopped_share(fixed_good),
+            "share",
         ),
         _line(
             f"exposure.good_rollout_time_ratio.{name}",
@@ -126,59 +136,61 @@
         ),
         _line(f"exposure.good_rollout_s.{name}", _mean_time(good), "s"),
     ]
-    for version, ours, theirs, ratio in zip(
+    for version, product, baseline, ratio in zip(
         BAD, bad, fixed_bad, ratios, strict=True
     ):
         case = f"{version.bad_share:g}_from_{version.bad_from_percent:g}.{name}"
-        lines += _case_lines(case, ours, theirs, ratio)
-    return lines + _full_share_case_lines(place, threshold)
+        lines += _case_lines(case, product, baseline, ratio)
+    return lines + _full_share_case_lines(deployment, threshold)
 
 
 def _full_share_case_lines(
-    place: rollouts.Place, threshold: float
+    deployment: rollouts.Deployment, threshold: float
 ) -> list[report.Line]:
     lines = []
     for version in BAD_AT_FULL_SHARE:
-        ours = _runs(place, version, None, SEEDS)
-        theirs = _runs(place, version, threshold, SEEDS)
-        case = f"{version.bad_share:g}_from_100.{place.name}"
-        ratio = _mean_bad(ours) / max(1.0, _mean_bad(theirs))
-        lines += _case_lines(case, ours, theirs, ratio)
+        product = _runs(deployment, version, None, SEEDS)
+        baseline = _runs(deployment, version, threshold, SEEDS)
+        case = f"{version.bad_share:g}_from_100.{deployment.name}"
+        ratio = _mean_bad(product) / max(1.0, _mean_bad(baseline))
+        lines += _case_lines(case, product, baseline, ratio)
     return lines
 
 
 def _case_lines(
     case: str,
-    ours: list[rollouts.RunResult],
-    theirs: list[rollouts.RunResult],
+    product: list[rollouts.RunResult],
+    baseline: list[rollouts.RunResult],
     ratio: float,
 ) -> list[report.Line]:
     return [
         _line(f"exposure.bad_answers_ratio.{case}", ratio, "ratio"),
-        _line(f"exposure.bad_answers.{case}", _mean_bad(ours), "answers"),
+        _line(f"exposure.bad_answers.{case}", _mean_bad(product), "answers"),
         _line(
             f"exposure.bad_answers.p95.{case}",
-            sorted(r.bad_answers for r in ours)[int(0.95 * len(ours))],
+            sorted(r.bad_answers for r in product)[int(0.95 * len(product))],
             "answers",
         ),
         _line(
-            f"exposure.bad_answers.fixed.{case}", _mean_bad(theirs), "answers"
+            f"exposure.bad_answers.fixed.{case}", _mean_bad(baseline), "answers"
+        ),
+        _line(f"exposure.stopped.{case}", _stopped_share(product), "share"),
+        _line(
+            f"exposure.stopped.fixed.{case}", _stopped_share(baseline), "share"
         ),
-        _line(f"exposure.stopped.{case}", _stops(ours), "share"),
-        _line(f"exposure.stopped.fixed.{case}", _stops(theirs), "share"),
     ]
 
 
-def _measure(place: rollouts.Place, threshold: float | None):
+def _measure(deployment: rollouts.Deployment, threshold: float | None):
     """Returns runs of good versions, of each bad one, and at the edge."""
-    good = _runs(place, GOOD, threshold, GOOD_SEEDS)
-    bad = [_runs(place, version, threshold, SEEDS) for version in BAD]
-    edge = _runs(place, EDGE, threshold, GOOD_SEEDS)
-    return good, bad, edge
+    good = _runs(deployment, GOOD, threshold, GOOD_SEEDS)
+    bad = [_runs(deployment, version, threshold, SEEDS) for version in BAD]
+    at_tolerance = _runs(deployment, AT_TOLERANCE, threshold, GOOD_SEEDS)
+    return good, bad, at_tolerance
 
 
 def _runs(
-    place: rollouts.Place,
+    deployment: rollouts.Deployment,
     version: rollouts.Version,
     threshold: float | None,
     count: int,
@@ -187,21 +199,24 @@
     for seed in range(_FIRST_SEED, _FIRST_SEED + count):
         driver: rollouts.Driver
         if threshold is None:
-            driver = rollouts.ProductDriver(place.policy)
+            driver = rollouts.ProductDriver(deployment.policy)
         else:
             driver = rollouts.FixedThresholdDriver(
-                place.policy, threshold=threshold
+                deployment.policy, threshold=threshold
             )
         source = random.Random(seed)
-        run_ = rollouts.Run(place, version, driver, source)
+        run_ = rollouts.Run(deployment, version, driver, source)
         results.append(run_.result())
     return results
 
 
-def _calibrated(place: rollouts.Place) -> float:
+def _calibrate_threshold(deployment: rollouts.Deployment) -> float:
     """Returns the lowest threshold that stops few enough good versions."""
     for threshold in _THRESHOLDS:
-        if _stops(_runs(place, GOOD, threshold, GOOD_SEEDS)) <= _FALSE_STOPS:
+        if (
+            _stopped_share(_runs(deployment, GOOD, threshold, GOOD_SEEDS))
+            <= _FALSE_STOPS
+        ):
             return threshold
     return _THRESHOLDS[-1]
 
@@ -211,7 +226,7 @@
     lines = []
     for bad_share in (0.2, 0.5):
         counts = sorted(
-            _ratings_until_noticed(bad_share, random.Random(seed))
+            _ratings_until_detected(bad_share, random.Random(seed))
             for seed in range(_FIRST_SEED, _FIRST_SEED + _FULL_SEEDS)
         )
         mean = statistics.mean(counts) / _RATED_SHARE
@@ -233,7 +248,7 @@
             ),
         ]
     false_alarms = sum(
-        _ratings_until_noticed(0.05, random.Random(seed), limit=2_000) < 2_000
+        _ratings_until_detected(0.05, random.Random(seed), limit=2_000) < 2_000
         for seed in range(_FULL_SEEDS)
     )
     share = false_alarms / _FULL_SEEDS
@@ -243,7 +258,7 @@
     ]
 
 
-def _ratings_until_noticed(
+def _ratings_until_detected(
     bad_share: float, source: random.Random, *, limit: int = 100_000
 ) -> int:
     """Returns the ratings from the change on; 1,000 good ones came before."""
@@ -266,7 +281,7 @@
     return statistics.mean(r.seconds for r in results if not r.stopped)
 
 
-def _stops(results: list[rollouts.RunResult]) -> float:
+def _stopped_share(results: list[rollouts.RunResult]) -> float:
     return sum(r.stopped for r in results) / len(results)
 
 
--- a/bench/history.py
+++ b/bench/history.py
@@ -51,11 +51,13 @@
     violations: list[checks.Violation] = []
     for seed in SEEDS:
         with tempfile.TemporaryDirectory() as folder:
-            operations, found = asyncio.run(_judged(pathlib.Path(folder), seed))
+            operations, found = asyncio.run(
+                _run_trial(pathlib.Path(folder), seed)
+            )
         checked += operations
         violations += found
         for violation in found:
-            print(f"# {_described(seed)}: {violation}")
+            print(f"# {_describe(seed)}: {violation}")
     return [
         report.Line(
             name="history.operations_checked",
@@ -73,7 +75,7 @@
     ]
 
 
-async def _judged(
+async def _run_trial(
     folder: pathlib.Path, seed: int
 ) -> tuple[int, list[checks.Violation]]:
     """Returns how many requests callers sent, and the violations."""
@@ -94,6 +96,6 @@
     return sum(len(work.tries) for work in trial.history.works), found
 
 
-def _described(seed: int) -> str:
+def _describe(seed: int) -> str:
     names = " with ".join(fault.__name__ for fault in drawn_faults(seed))
     return f"seed {seed}, {names}"
--- a/bench/instance_list.py
+++ b/bench/instance_list.py
@@ -32,10 +32,12 @@
 _DAY_S = 86_400
 # A failure takes a line off and puts its successor on; a replacement says
 # before that it is leaving. Each is taken for a change of its own.
-_CHANGES_A_DAY = 2 * planned.FAILURES_A_DAY + 3 * planned.REPLACEMENTS_A_DAY
+_CHANGES_PER_DAY = (
+    2 * planned.FAILURES_PER_DAY + 3 * planned.REPLACEMENTS_PER_DAY
+)
 # As if all of them were entry instances, which read a whole list as they
 # start.
-_STARTS_A_DAY = planned.FAILURES_A_DAY + planned.REPLACEMENTS_A_DAY
+_STARTS_PER_DAY = planned.FAILURES_PER_DAY + planned.REPLACEMENTS_PER_DAY
 _ROUNDS = 15
 _CHUNK_BYTES = 65_536
 
@@ -55,8 +57,8 @@
             changed: What a read takes when one line has changed.
             nodes: How many share the starts.
         """
-        changes_per_s = _CHANGES_A_DAY / _DAY_S
-        starts_per_s = _STARTS_A_DAY / _DAY_S / nodes
+        changes_per_s = _CHANGES_PER_DAY / _DAY_S
+        starts_per_s = _STARTS_PER_DAY / _DAY_S / nodes
         return (
             (1 - changes_per_s) * self.not_modified
             + changes_per_s * changed
@@ -71,7 +73,7 @@
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
         self._tasks: set[asyncio.Task[None]] = set()
-        self.passed_bytes = 0
+        self.relayed_bytes = 0
 
     async def start(self) -> asyncio.Server:
         """Listens; the address is the server's first socket's."""
@@ -80,17 +82,19 @@
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(*self._target)
+        target_reader, target_writer = await asyncio.open_connection(
+            *self._target
+        )
         await asyncio.gather(
-            self._pass(reader, far_writer), self._pass(far_reader, writer)
+            self._copy(reader, target_writer), self._copy(target_reader, writer)
         )
 
-    async def _pass(
+    async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         with contextlib.suppress(ConnectionError):
             while chunk := await reader.read(_CHUNK_BYTES):
-                self.passed_bytes += len(chunk)
+                self.relayed_bytes += len(chunk)
                 writer.write(chunk)
         writer.close()
 
@@ -113,7 +117,7 @@
 
 
 def _listed_entry(number: int) -> instances.ListedInstance:
-    region, data_centre = samples.place(number)
+    region, data_centre = samples.location(number)
     host = f"10.{number // 250}.{number % 250}.7"
     return instances.ListedInstance(
         address=f"{host}:8080",
@@ -148,14 +152,14 @@
         )
 
         async def read() -> int:
-            before = relay.passed_bytes
+            before = relay.relayed_bytes
             listed = await adapter.list_instances()
             # A bench that counted reads of a wrong list would mean nothing.
             if sorted(listed, key=_address) != sorted(
                 await memory.list_instances(), key=_address
             ):
                 raise RuntimeError("the adapter's list is not the service's")
-            return relay.passed_bytes - before
+            return relay.relayed_bytes - before
 
         whole = await read()
         not_modified = await read()
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -20,8 +20,8 @@
 # What docs/design/ledger.md recommends for the planned size.
 _PLANNED_PARTITIONS = 64
 _MEASURED_S = 3
-_QUIET_PER_S = 20
-_QUIET_INSTANCES = 7
+_LOW_RATE_PER_S = 20
+_TODAY_INSTANCES = 7
 _HISTORY_SEEDS = range(1000, 1010)
 _HISTORY_STEPS = 80
 
@@ -30,7 +30,7 @@
     """Measures all lines."""
     return [
         *_peak_lines(),
-        *_quiet_lines(),
+        *_low_rate_lines(),
         *_take_over_lines(),
         *_cost_lines(),
         *_history_lines(),
@@ -39,10 +39,10 @@
 
 def _peak_lines() -> list[report.Line]:
     """All requests have a caller's key: the dearest mix there is."""
-    peak = ledger_load.steady(
+    peak = ledger_load.measure_steady_rate(
         per_s=_PEAK_PER_S, instances=_INSTANCES, seconds=_MEASURED_S
     )
-    planned = ledger_load.steady(
+    planned = ledger_load.measure_steady_rate(
         per_s=_PEAK_PER_S,
         instances=_INSTANCES,
         seconds=_MEASURED_S,
@@ -96,15 +96,15 @@
     ]
 
 
-def _quiet_lines() -> list[report.Line]:
+def _low_rate_lines() -> list[report.Line]:
     """Today's size at a low rate: a commit goes out at once."""
-    quiet = ledger_load.steady(
-        per_s=_QUIET_PER_S, instances=_QUIET_INSTANCES, seconds=20
+    low_rate = ledger_load.measure_steady_rate(
+        per_s=_LOW_RATE_PER_S, instances=_TODAY_INSTANCES, seconds=20
     )
     return [
         report.Line(
             name="ledger.quiet_finish_p95_ms",
-            value=_p95_ms(quiet.load.finish_s),
+            value=_p95_ms(low_rate.load.finish_s),
             unit="ms",
             bound=30,
         )
@@ -116,7 +116,7 @@
         report.Line(
             name="ledger.take_over_known_death_s",
             value=ledger_load.take_over_s(
-                instances=_QUIET_INSTANCES, noticed=True
+                instances=_TODAY_INSTANCES, noticed=True
             ),
             unit="s",
             bound=4,
@@ -124,7 +124,7 @@
         report.Line(
             name="ledger.take_over_by_lapse_s",
             value=ledger_load.take_over_s(
-                instances=_QUIET_INSTANCES, noticed=False
+                instances=_TODAY_INSTANCES, noticed=False
             ),
             unit="s",
             bound=8,
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -25,7 +25,7 @@
 CRASHES = 3
 STEADY_S = 60
 CUT_S = 300
-GIVE_UP_S = 300
+AGREEMENT_TIMEOUT_S = 300
 
 
 class Trial:
@@ -56,7 +56,7 @@
         """Returns how long it takes until all believe in those that run."""
         start = self.clock.monotonic()
         while not self.fleet.agrees():
-            if self.clock.monotonic() - start > GIVE_UP_S * SECOND:
+            if self.clock.monotonic() - start > AGREEMENT_TIMEOUT_S * SECOND:
                 return float("inf")
             await self.clock.sleep(SECOND / 4)
         return (self.clock.monotonic() - start) / SECOND
@@ -83,7 +83,7 @@
     """Measures everything; takes about three minutes."""
     lines = []
     for size in SIZES:
-        lines += _virtual_time.run(_grow(size))
+        lines += _virtual_time.run(_measure_size(size))
     bytes_per_s = _by_size(lines, "bytes_per_s")
     slope, _ = numpy.polyfit(SIZES, bytes_per_s, 1)
     lines += [
@@ -97,11 +97,11 @@
             bound=0.01,
         ),
     ]
-    lines += _virtual_time.run(_lossy(63))
-    return lines + _virtual_time.run(_cut(63))
+    lines += _virtual_time.run(_measure_loss(63))
+    return lines + _virtual_time.run(_measure_cut(63))
 
 
-async def _grow(size: int) -> list[report.Line]:
+async def _measure_size(size: int) -> list[report.Line]:
     trial = Trial(size)
     join_s = await trial.start()
     await trial.warm_up()
@@ -129,7 +129,7 @@
     ]
 
 
-async def _lossy(size: int) -> list[report.Line]:
+async def _measure_loss(size: int) -> list[report.Line]:
     """Loses datagrams while each instance in turn freezes for a second."""
     trial = Trial(size)
     await trial.start()
@@ -159,7 +159,7 @@
     ]
 
 
-async def _cut(size: int) -> list[report.Line]:
+async def _measure_cut(size: int) -> list[report.Line]:
     """Cuts a region off, heals it, and measures the way back."""
     trial = Trial(size)
     await trial.start()
--- a/bench/models/admission_baselines.py
+++ b/bench/models/admission_baselines.py
@@ -30,11 +30,11 @@
         self, request: admission.AdmissionRequest
     ) -> AsyncIterator[None]:
         """Holds a place while the request runs."""
-        await self._enter()
+        await self._acquire()
         try:
             yield
         finally:
-            self._leave()
+            self._release()
 
     def note_service(
         self,
@@ -45,7 +45,7 @@
     ) -> None:
         """Ignores it."""
 
-    async def _enter(self) -> None:
+    async def _acquire(self) -> None:
         if self._slots:
             self._slots -= 1
             return
@@ -53,20 +53,20 @@
             raise errors.CodedError(
                 code=codes.Code.OVERLOADED, retry_after=_RETRY_AFTER
             )
-        turn = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
+        slot = asyncio.get_running_loop().create_future()
+        self._waiting.append(slot)
         try:
-            await turn
+            await slot
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self._leave()
+            if slot.done() and not slot.cancelled():
+                self._release()
             raise
 
-    def _leave(self) -> None:
+    def _release(self) -> None:
         while self._waiting:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            slot = self._waiting.popleft()
+            if not slot.done():
+                slot.set_result(None)
                 return
         self._slots += 1
 
--- a/bench/models/busy_engine.py
+++ b/bench/models/busy_engine.py
@@ -7,13 +7,13 @@
 
 from bench.models import virtual_loop
 
-IDLE_PACE_S = 0.024
+IDLE_TOKEN_INTERVAL_S = 0.024
 FULL_BATCH_SLOWDOWN = 0.5
 _SECOND = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Kind:
+class RequestKind:
     """A kind of request; sizes are gamma distributed and cut at 2 means."""
 
     name: str
@@ -28,7 +28,7 @@
 
     from_s: float
     until_s: float
-    slowness: float
+    slowdown: float
     failed_share: float
 
 
@@ -67,7 +67,7 @@
         self._waiting: list[tuple[int, asyncio.Future[None]]] = []
         self.load = 0
 
-    async def generate(self, kind: Kind, tokens: int) -> None:
+    async def generate(self, kind: RequestKind, tokens: int) -> None:
         """Generates the tokens.
 
         Raises:
@@ -79,37 +79,43 @@
         self.load += 1
         try:
             if self.load > self._slots:
-                await self._turn(kind.priority)
+                await self._wait_for_slot(kind.priority)
             await self._run(tokens)
         finally:
             self.load -= 1
             self._wake_next()
 
-    async def _turn(self, priority: int) -> None:
-        turn = asyncio.get_running_loop().create_future()
-        self._waiting.append((priority, turn))
+    async def _wait_for_slot(self, priority: int) -> None:
+        slot = asyncio.get_running_loop().create_future()
+        self._waiting.append((priority, slot))
         try:
-            await turn
+            await slot
         finally:
-            self._waiting = [w for w in self._waiting if w[1] is not turn]
+            self._waiting = [w for w in self._waiting if w[1] is not slot]
 
     def _wake_next(self) -> None:
-        asleep = [(p, turn) for p, turn in self._waiting if not turn.done()]
-        running = self.load - len(asleep)
-        if asleep and running < self._slots:
-            max(asleep, key=lambda entry: entry[0])[1].set_result(None)
+        without_slot = [
+            (p, slot) for p, slot in self._waiting if not slot.done()
+        ]
+        running = self.load - len(without_slot)
+        if without_slot and running < self._slots:
+            max(without_slot, key=lambda entry: entry[0])[1].set_result(None)
 
     async def _run(self, tokens: int) -> None:
         batch_share = min(1.0, self.load / self._slots)
-        pace_s = IDLE_PACE_S * (1 + FULL_BATCH_SLOWDOWN * batch_share)
+        token_interval_s = IDLE_TOKEN_INTERVAL_S * (
+            1 + FULL_BATCH_SLOWDOWN * batch_share
+        )
         brown_out = self._current_brown_out()
         if brown_out is None:
-            await asyncio.sleep(tokens * pace_s)
+            await asyncio.sleep(tokens * token_interval_s)
             return
         if self._random.random() < brown_out.failed_share:
-            await asyncio.sleep(self._random.random() * tokens * pace_s)
+            await asyncio.sleep(
+                self._random.random() * tokens * token_interval_s
+            )
             raise EngineFailedError
-        await asyncio.sleep(tokens * pace_s * brown_out.slowness)
+        await asyncio.sleep(tokens * token_interval_s * brown_out.slowdown)
 
     def _current_brown_out(self) -> BrownOut | None:
         now_s = self._clock.monotonic() / _SECOND
--- a/bench/models/busy_fleet.py
+++ b/bench/models/busy_fleet.py
@@ -18,15 +18,15 @@
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.limits import admission
 
-ATTEMPTS_AT_MOST = 3
-RETURNS_AT_MOST = 2
+MAX_ATTEMPTS = 3
+MAX_CALLER_RETRIES = 2
 _SECOND = datetime.timedelta(seconds=1)
 
 
-LOOKUP = busy_engine.Kind(
+LOOKUP = busy_engine.RequestKind(
     name="lookup", priority=5, mean_tokens=80, deadline_s=8.0
 )
-REVIEW = busy_engine.Kind(
+REVIEW = busy_engine.RequestKind(
     name="review", priority=8, mean_tokens=300, deadline_s=32.0
 )
 
@@ -36,7 +36,7 @@
     """What one team asks, as a share of the fleet's capacity."""
 
     team: str
-    kind: busy_engine.Kind
+    kind: busy_engine.RequestKind
     capacity_share: float
     from_s: float = 0.0
     until_s: float = float("inf")
@@ -62,28 +62,30 @@
     @property
     def capacity_tokens_per_s(self) -> float:
         """What all engines generate with full batches."""
-        pace_s = busy_engine.IDLE_PACE_S * (1 + busy_engine.FULL_BATCH_SLOWDOWN)
-        return self.engines * self.engine_slots / pace_s
+        token_interval_s = busy_engine.IDLE_TOKEN_INTERVAL_S * (
+            1 + busy_engine.FULL_BATCH_SLOWDOWN
+        )
+        return self.engines * self.engine_slots / token_interval_s
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Try:
+class CallerRequest:
     """One request as its caller sees it.
 
     Attributes:
-        returns: How often the caller had asked before.
+        caller_retries: How often the caller had asked before.
         answered_s: When the whole answer came; None if it did not.
         refused: It was told that the work was not run.
     """
 
     team: str
-    kind: busy_engine.Kind
+    kind: busy_engine.RequestKind
     tokens: int
-    returns: int
-    asked_s: float
+    caller_retries: int
+    sent_s: float
     answered_s: float | None = None
     refused: bool = False
-    waited_for_refusal_s: float = 0.0
+    refusal_wait_s: float = 0.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -91,9 +93,11 @@
     """What happened; `attempts_s` are the moments attempts were sent."""
 
     scenario: Scenario
-    tries: list[Try] = dataclasses.field(default_factory=list)
+    caller_requests: list[CallerRequest] = dataclasses.field(
+        default_factory=list
+    )
     attempts_s: list[float] = dataclasses.field(default_factory=list)
-    firsts_s: list[float] = dataclasses.field(default_factory=list)
+    first_attempts_s: list[float] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -142,14 +146,14 @@
 
     async def _run(self) -> None:
         arrivals = [
-            asyncio.ensure_future(self._arrivals(demand))
+            asyncio.ensure_future(self._generate_arrivals(demand))
             for demand in self._scenario.demands
         ]
         await asyncio.sleep(self._scenario.duration_s)
         for task in arrivals:
             task.cancel()
 
-    async def _arrivals(self, demand: Demand) -> None:
+    async def _generate_arrivals(self, demand: Demand) -> None:
         tokens_per_s = (
             demand.capacity_share * self._scenario.capacity_tokens_per_s
         )
@@ -157,81 +161,89 @@
         await asyncio.sleep(demand.from_s)
         while self._loop.time() < demand.until_s:
             await asyncio.sleep(self._random.expovariate(per_s))
-            caller = asyncio.ensure_future(self._caller(demand))
+            caller = asyncio.ensure_future(self._run_caller(demand))
             self._callers.add(caller)
             caller.add_done_callback(self._callers.discard)
 
-    async def _caller(self, demand: Demand) -> None:
+    async def _run_caller(self, demand: Demand) -> None:
         mean_tokens = demand.kind.mean_tokens
         size = self._random.gammavariate(4.0, mean_tokens / 4.0)
         tokens = max(1, round(min(size, 2.0 * mean_tokens)))
-        for returns in range(RETURNS_AT_MOST + 1):
-            one = Try(
+        for caller_retries in range(MAX_CALLER_RETRIES + 1):
+            caller_request = CallerRequest(
                 team=demand.team,
                 kind=demand.kind,
                 tokens=tokens,
-                returns=returns,
-                asked_s=self._loop.time(),
+                caller_retries=caller_retries,
+                sent_s=self._loop.time(),
             )
-            self._result.tries.append(one)
-            wait_s = await self._ask(one)
-            if wait_s is None:
+            self._result.caller_requests.append(caller_request)
+            retry_after_s = await self._send(caller_request)
+            if retry_after_s is None:
                 return
-            await asyncio.sleep(wait_s)
+            await asyncio.sleep(retry_after_s)
 
-    async def _ask(self, one: Try) -> float | None:
+    async def _send(self, caller_request: CallerRequest) -> float | None:
         """Asks once; returns when to come back, or None with an answer."""
         limits = self._random.choice(self._instances)
         try:
-            async with asyncio.timeout(one.kind.deadline_s):
-                await self._serve(one, limits)
+            async with asyncio.timeout(caller_request.kind.deadline_s):
+                await self._serve(caller_request, limits)
         except errors.CodedError as error:
-            one.refused = True
-            one.waited_for_refusal_s = self._loop.time() - one.asked_s
+            caller_request.refused = True
+            caller_request.refusal_wait_s = (
+                self._loop.time() - caller_request.sent_s
+            )
             return (error.retry_after or _SECOND) / _SECOND
         except (TimeoutError, busy_engine.EngineFailedError):
             return 0.0
         except busy_engine.EngineRefusedError:
-            one.refused = True
+            caller_request.refused = True
             return 1.0
-        one.answered_s = self._loop.time()
+        caller_request.answered_s = self._loop.time()
         return None
 
-    async def _serve(self, one: Try, limits: Limits) -> None:
-        deadline_s = one.asked_s + one.kind.deadline_s
+    async def _serve(
+        self, caller_request: CallerRequest, limits: Limits
+    ) -> None:
+        deadline_s = caller_request.sent_s + caller_request.kind.deadline_s
         request = admission.AdmissionRequest(
-            team=one.team,
-            template=one.kind.name,
+            team=caller_request.team,
+            template=caller_request.kind.name,
             weight=1.0,
-            priority=one.kind.priority,
+            priority=caller_request.kind.priority,
             deadline=deadline_s * _SECOND,
-            cost_tokens=one.kind.mean_tokens,
+            cost_tokens=caller_request.kind.mean_tokens,
         )
         async with limits.admission.admitted(request):
-            await self._attempts(one, limits)
+            await self._run_attempts(caller_request, limits)
 
-    async def _attempts(self, one: Try, limits: Limits) -> None:
+    async def _run_attempts(
+        self, caller_request: CallerRequest, limits: Limits
+    ) -> None:
         limits.retries.note_request()
-        self._result.firsts_s.append(self._loop.time())
-        for attempt in range(1, ATTEMPTS_AT_MOST + 1):
+        self._result.first_attempts_s.append(self._loop.time())
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
-                await self._attempt(one, limits)
+                await self._run_attempt(caller_request, limits)
                 return
             except (
                 busy_engine.EngineRefusedError,
                 busy_engine.EngineFailedError,
             ):
-                may_retry = attempt < ATTEMPTS_AT_MOST
+                may_retry = attempt < MAX_ATTEMPTS
                 if not (may_retry and limits.retries.try_spend()):
                     raise
 
-    async def _attempt(self, one: Try, limits: Limits) -> None:
+    async def _run_attempt(
+        self, caller_request: CallerRequest, limits: Limits
+    ) -> None:
         started_s = self._loop.time()
         self._result.attempts_s.append(started_s)
         engine = min(self._random.sample(self._engines, 2), key=_load)
         overloaded = False
         try:
-            await engine.generate(one.kind, one.tokens)
+            await engine.generate(caller_request.kind, caller_request.tokens)
         except busy_engine.EngineRefusedError:
             overloaded = True
             raise
@@ -239,7 +251,7 @@
             limits.admission.note_service(
                 duration=(self._loop.time() - started_s) * _SECOND,
                 overloaded=overloaded,
-                work_tokens=one.tokens,
+                work_tokens=caller_request.tokens,
             )
 
 
--- a/bench/models/cold_fleet.py
+++ b/bench/models/cold_fleet.py
@@ -13,77 +13,79 @@
 from nutmeghook.internal.replicas import cold_limits
 from nutmeghook.internal.replicas import cold_senders
 
-PER_S = 18.0
-BOUND = 1.5 * PER_S + 5.0
+RATE_PER_S = 18.0
+MAX_IN_ONE_SECOND = 1.5 * RATE_PER_S + 5.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Scene:
+class Scenario:
     """Who knows whom.
 
     Attributes:
         instances: How many send.
         replicas: How many are cold.
-        islands: Instances of one island know only each other.
-        unknown: Share of the others that an instance has not heard of.
-        dead: Share of the members that have just died, still counted.
+        network_partitions: Instances of one island know only each other.
+        unknown_share: Share of the others that an instance has not heard of.
+        dead_share: Share of the members that have just died, still counted.
     """
 
     instances: int
     replicas: int = 10
-    islands: int = 1
-    unknown: float = 0.0
-    dead: float = 0.0
+    network_partitions: int = 1
+    unknown_share: float = 0.0
+    dead_share: float = 0.0
 
 
-class Sharing(abc.ABC):
+class RatePolicy(abc.ABC):
     """How a cold replica's requests are shared."""
 
     @abc.abstractmethod
-    def gap_s(
-        self, name: str, believed: Sequence[str], replica_id: str
+    def send_interval_s(
+        self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
         """Returns the time between two sends; None where none may be."""
 
 
-class EachItsPart(Sharing):
+class EqualShares(RatePolicy):
     """Each instance has its part of the rate, by the members it believes in."""
 
-    def gap_s(
-        self, name: str, believed: Sequence[str], replica_id: str
+    def send_interval_s(
+        self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
         """Returns the time in which all believed in send once each."""
-        return len(believed) / PER_S
+        return len(known_members) / RATE_PER_S
 
 
-class FewSenders(Sharing):
+class ElectedSenders(RatePolicy):
     """A few instances may send, those that a hash puts first."""
 
     def __init__(self, *, senders: int = cold_limits.SENDERS):
         self._senders = senders
 
-    def gap_s(
-        self, name: str, believed: Sequence[str], replica_id: str
+    def send_interval_s(
+        self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
         """Returns a sender's time between sends."""
-        first = cold_senders.elect_senders(believed, replica_id, self._senders)
+        first = cold_senders.elect_senders(
+            known_members, replica_id, self._senders
+        )
         if name not in first:
             return None
-        return self._senders / min(PER_S, BOUND / 2)
+        return self._senders / min(RATE_PER_S, MAX_IN_ONE_SECOND / 2)
 
 
-class OneHolder(Sharing):
+class SingleGranter(RatePolicy):
     """Leave for each send is asked of the first member by a hash.
 
     The holder is modelled as if it sent everything that it grants itself.
     """
 
-    def gap_s(
-        self, name: str, believed: Sequence[str], replica_id: str
+    def send_interval_s(
+        self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
         """Returns the holder's time between grants."""
-        first = cold_senders.elect_senders(believed, replica_id, 1)
-        return 1 / PER_S if name in first else None
+        first = cold_senders.elect_senders(known_members, replica_id, 1)
+        return 1 / RATE_PER_S if name in first else None
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -91,61 +93,73 @@
     """What the cold replicas got.
 
     Attributes:
-        worst_second: The most that one of them got in one second.
-        used: The mean of what they got, as a share of what they bear.
+        max_in_one_second: The most that one of them got in one second.
+        utilisation: The mean of what they got, as a share of what they bear.
     """
 
-    worst_second: int
-    used: float
+    max_in_one_second: int
+    utilisation: float
 
 
-def play(
-    scene: Scene, sharing: Sharing, *, seed: int, length_s: float = 20.0
+def simulate(
+    scenario: Scenario, policy: RatePolicy, *, seed: int, length_s: float = 20.0
 ) -> Outcome:
     """Plays a scene in which everybody sends all that it may."""
-    draw = random.Random(seed)
-    members = [f"edge-{number}" for number in range(scene.instances)]
-    dead = set(draw.sample(members, round(scene.dead * len(members))))
+    rng = random.Random(seed)
+    members = [f"edge-{number}" for number in range(scenario.instances)]
+    dead_share = set(
+        rng.sample(members, round(scenario.dead_share * len(members)))
+    )
     sent: dict[str, list[float]] = collections.defaultdict(list)
     for number, name in enumerate(members):
-        if name in dead:
+        if name in dead_share:
             continue
-        believed = _believed(scene, members, number, draw)
-        for replica in range(scene.replicas):
+        known_members = _known_members(scenario, members, number, rng)
+        for replica in range(scenario.replicas):
             replica_id = f"i-{seed}-{replica}"
-            gap_s = sharing.gap_s(name, believed, replica_id)
-            if gap_s is not None:
+            send_interval_s = policy.send_interval_s(
+                name, known_members, replica_id
+            )
+            if send_interval_s is not None:
                 # Whoever heard of the replica at once begins at once.
-                sent[replica_id] += _moments(gap_s, length_s)
-    counts = [sent[f"i-{seed}-{replica}"] for replica in range(scene.replicas)]
+                sent[replica_id] += _send_times(send_interval_s, length_s)
+    counts = [
+        sent[f"i-{seed}-{replica}"] for replica in range(scenario.replicas)
+    ]
     return Outcome(
-        worst_second=max(_worst_second(moments) for moments in counts),
-        used=sum(map(len, counts)) / len(counts) / length_s / PER_S,
+        max_in_one_second=max(
+            _max_in_one_second(send_times) for send_times in counts
+        ),
+        utilisation=sum(map(len, counts)) / len(counts) / length_s / RATE_PER_S,
     )
 
 
-def _believed(
-    scene: Scene, members: list[str], number: int, draw: random.Random
+def _known_members(
+    scenario: Scenario, members: list[str], number: int, rng: random.Random
 ) -> list[str]:
-    island = number % scene.islands
+    network_partition = number % scenario.network_partitions
     others = [
         other
         for index, other in enumerate(members)
-        if index != number and index % scene.islands == island
+        if index != number
+        and index % scenario.network_partitions == network_partition
     ]
-    kept = draw.sample(others, round((1 - scene.unknown) * len(others)))
+    kept = rng.sample(others, round((1 - scenario.unknown_share) * len(others)))
     return [members[number], *kept]
 
 
-def _moments(gap_s: float, length_s: float) -> list[float]:
-    return [step * gap_s for step in range(int(length_s / gap_s) + 1)]
+def _send_times(send_interval_s: float, length_s: float) -> list[float]:
+    return [
+        step * send_interval_s
+        for step in range(int(length_s / send_interval_s) + 1)
+    ]
 
 
-def _worst_second(moments: list[float]) -> int:
-    moments = sorted(moments)
+def _max_in_one_second(send_times: list[float]) -> int:
+    send_times = sorted(send_times)
     worst = first = 0
-    for last, moment in enumerate(moments):
-        while moment - moments[first] >= 1.0 - 1e-9:
+    for last, send_time in enumerate(send_times):
+        while send_time - send_times[first] >= 1.0 - 1e-9:
             first += 1
         worst = max(worst, last - first + 1)
     return worst
--- a/bench/models/fleet.py
+++ b/bench/models/fleet.py
@@ -24,12 +24,12 @@
 )
 
 
-class Fleet(routers_module.Surroundings):
+class Fleet(routers_module.RouterEnvironment):
     """Runs routers and replicas on a virtual clock and notes the waits.
 
     Attributes:
         waits_s: Time that each request stood before a batch.
-        unevenness: At each sample, the largest queue over the mean one.
+        imbalance: At each sample, the largest queue over the mean one.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         }
         self.routers = [build_router(self, n) for n in range(shape.routers)]
         self.waits_s: list[float] = []
-        self.unevenness: list[float] = []
+        self.imbalance: list[float] = []
         self._rate_factor = 1.0
         self._rate_per_s = (
             shape.load_share * shape.replicas * shape.capacity / MEAN_WORK_S
@@ -77,7 +77,7 @@
         if self.shape.bursts:
             self._switch_rate()
         self.simulation.call_every(0.5, self._sample, first_s=0.0)
-        self.simulation.call_at(TRAFFIC_STARTS_S, self._arrive)
+        self.simulation.call_at(TRAFFIC_STARTS_S, self._start_request)
         self.simulation.run_until(self.shape.duration_s)
 
     def _report_period_s(self) -> float:
@@ -92,11 +92,11 @@
         if measured_s >= self.shape.reports_stop_s:
             return
 
-        def arrive() -> None:
+        def submit() -> None:
             for router in self.routers:
-                router.take_report(number, report, measured_s)
+                router.receive_report(number, report, measured_s)
 
-        self.simulation.call_at(measured_s + fleet_parts.REPORT_LAG_S, arrive)
+        self.simulation.call_at(measured_s + fleet_parts.REPORT_DELAY_S, submit)
 
     def _switch_rate(self) -> None:
         in_burst = self._rate_factor > 1.0
@@ -112,13 +112,13 @@
             return
         loads = [replica.load for replica in self.replicas]
         mean = sum(loads) / len(loads)
-        self.unevenness.append(max(loads) / max(mean, 1.0))
+        self.imbalance.append(max(loads) / max(mean, 1.0))
 
-    def _arrive(self) -> None:
+    def _start_request(self) -> None:
         rng = self._traffic_rng
         now_s = self.simulation.now_s
         gap_s = rng.expovariate(self._rate_per_s * self._rate_factor)
-        self.simulation.call_at(now_s + gap_s, self._arrive)
+        self.simulation.call_at(now_s + gap_s, self._start_request)
         chooser = rng.choice(self.routers).chooser
         kind_tokens = rng.choices(TOKENS_OF_KIND, SHARE_OF_KIND)[0]
         work_s = TOKEN_S * kind_tokens * rng.uniform(0.5, 1.5)
@@ -127,10 +127,10 @@
         )
         chooser.started(backend)
         job = replicas.Job(arrived_s=now_s, work_s=work_s)
-        job.done = lambda: self._end(chooser, backend, job)
-        self.by_address[backend.address].arrive(job)
+        job.done = lambda: self._finish_request(chooser, backend, job)
+        self.by_address[backend.address].submit(job)
 
-    def _end(
+    def _finish_request(
         self,
         chooser: backends.BackendChooser,
         backend: backends.Backend,
--- a/bench/models/fleet_parts.py
+++ b/bench/models/fleet_parts.py
@@ -8,8 +8,8 @@
 from nutmeghook.internal.membership import members as members_module
 
 VERSION = engine.ModelVersion(model="inspection", version="3")
-REPORT_LAG_S = 1.0
-NETWORK_S = 0.002
+REPORT_DELAY_S = 1.0
+NETWORK_DELAY_S = 0.002
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
--- a/bench/models/leaving.py
+++ b/bench/models/leaving.py
@@ -21,8 +21,8 @@
 ROUTERS = 3
 # Each router sends one request in each step.
 STEP_S = 0.1
-BEFORE_S = 4.0
-AFTER_S = 8.0
+WARM_UP_S = 4.0
+OBSERVED_S = 8.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -47,28 +47,32 @@
 class _Engine:
     """One engine's side of the reports."""
 
-    def __init__(self, *, place: "Place", address: str):
-        self._place = place
+    def __init__(self, *, platform: "Platform", address: str):
+        self._platform = platform
         self._address = address
 
     async def load_report(self) -> engine.LoadReport:
         """Returns a report, or fails if the engine is dead."""
-        place = self._place
-        leaves = self._address == place.rows[0].address
-        if leaves and place.scenario.dead and place.left_for_s() >= 0:
+        platform = self._platform
+        leaves = self._address == platform.rows[0].address
+        if (
+            leaves
+            and platform.scenario.dead
+            and platform.since_leaving_s() >= 0
+        ):
             raise failures.NotDoneError("connection refused")
-        lag_s = place.scenario.report_lag_s
-        shown = lag_s is not None and place.left_for_s() >= lag_s
+        lag_s = platform.scenario.report_lag_s
+        shown = lag_s is not None and platform.since_leaving_s() >= lag_s
         return engine.LoadReport(
             loaded=(VERSION,),
             running=0,
             waiting=0,
             capacity=16,
-            leaving=leaves and shown and not place.scenario.dead,
+            leaving=leaves and shown and not platform.scenario.dead,
         )
 
 
-class Place(engine.EngineConnector, instances.InstanceList):
+class Platform(engine.EngineConnector, instances.InstanceList):
     """The platform: its list, and its backend servers, of which one leaves."""
 
     def __init__(
@@ -83,17 +87,17 @@
         self._leaves_at_s = leaves_at_s
         self.rows = [_row(n, plain=scenario.plain) for n in range(BACKENDS)]
 
-    def left_for_s(self) -> float:
+    def since_leaving_s(self) -> float:
         """Returns the seconds since the leaving began; negative before."""
         return self._clock.monotonic().total_seconds() - self._leaves_at_s
 
     def connect(self, address: str) -> engine.Engine:
         """Returns the engine at an address."""
-        return _Engine(place=self, address=address)
+        return _Engine(platform=self, address=address)
 
     async def list_instances(self) -> list[instances.ListedInstance]:
         """Returns the list as it was `list_lag_s` ago."""
-        if self.left_for_s() < self.scenario.list_lag_s:
+        if self.since_leaving_s() < self.scenario.list_lag_s:
             return self.rows
         if self.scenario.dead:
             return self.rows[1:]
@@ -102,7 +106,7 @@
 
     def outcome_at(self, address: str) -> backends.AttemptOutcome:
         """Returns how an attempt ends."""
-        leaves = address == self.rows[0].address and self.left_for_s() >= 0
+        leaves = address == self.rows[0].address and self.since_leaving_s() >= 0
         if leaves and self.scenario.dead:
             return backends.AttemptOutcome.UNREACHABLE
         if leaves and self.scenario.refuses:
@@ -111,7 +115,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Sent:
+class SendsAfterLeaving:
     """What was sent to the leaving backend server after it began to leave.
 
     Attributes:
@@ -123,45 +127,49 @@
     attempts: int = 0
 
 
-async def run_scenario(scenario: Scenario, *, leaves_at_s: float) -> Sent:
+async def run_scenario(
+    scenario: Scenario, *, leaves_at_s: float
+) -> SendsAfterLeaving:
     """Runs the routers before, during and after the leaving."""
     clock = clock_module.FakeClock()
     network = local.LocalNetwork(clock=clock)
-    place = Place(scenario=scenario, clock=clock, leaves_at_s=leaves_at_s)
+    platform = Platform(scenario=scenario, clock=clock, leaves_at_s=leaves_at_s)
     routers = [
-        _router(number, place=place, clock=clock, network=network)
+        _router(number, platform=platform, clock=clock, network=network)
         for number in range(ROUTERS)
     ]
     tasks = [asyncio.create_task(router.run()) for router in routers]
-    sent = Sent()
+    sends = SendsAfterLeaving()
     try:
-        for _ in range(round((leaves_at_s + AFTER_S) / STEP_S)):
+        for _ in range(round((leaves_at_s + OBSERVED_S) / STEP_S)):
             await clock.advance(datetime.timedelta(seconds=STEP_S))
             for router in routers:
-                _send(router, place, sent)
+                _send(router, platform, sends)
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-    return sent
+    return sends
 
 
-def _send(router: service.BackendRouting, place: Place, sent: Sent) -> None:
-    if place.scenario.plain:
+def _send(
+    router: service.BackendRouting, platform: Platform, sends: SendsAfterLeaving
+) -> None:
+    if platform.scenario.plain:
         criteria = backends.BackendCriteria(service="registry")
     else:
         criteria = backends.BackendCriteria(model_version=VERSION)
     backend = router.chooser.choose(criteria)
     if backend is None:
         return
-    left_for_s = place.left_for_s()
-    if backend.address == place.rows[0].address and left_for_s >= 0:
-        sent.last_s = left_for_s
-        sent.attempts += 1
+    since_leaving_s = platform.since_leaving_s()
+    if backend.address == platform.rows[0].address and since_leaving_s >= 0:
+        sends.last_s = since_leaving_s
+        sends.attempts += 1
     router.chooser.started(backend)
     router.chooser.finished(
         backend,
-        outcome=place.outcome_at(backend.address),
+        outcome=platform.outcome_at(backend.address),
         duration=datetime.timedelta(seconds=1),
     )
 
@@ -169,7 +177,7 @@
 def _router(
     number: int,
     *,
-    place: Place,
+    platform: Platform,
     clock: clock_module.FakeClock,
     network: local.LocalNetwork,
 ) -> service.BackendRouting:
@@ -184,8 +192,8 @@
         ),
         caller=network.attach(myself.inner_address, handlers),
         handlers=handlers,
-        instance_list=place,
-        connector=place,
+        instance_list=platform,
+        connector=platform,
         rng=random.Random(number),
     )
 
--- a/bench/models/ledger_costs.py
+++ b/bench/models/ledger_costs.py
@@ -28,7 +28,7 @@
     partition, and each comes alone. It includes the thrift codec, not the
     socket.
     """
-    spent: list[float] = []
+    elapsed_s: list[float] = []
 
     async def scenario(clock: virtual_loop.LoopClock) -> None:
         cluster = await ledger_load.start_cluster(clock, instances=1)
@@ -38,15 +38,18 @@
             for first in range(0, _CPU_RECORDS, records_per_message)
         ]
         start = time.process_time()
-        for at in range(0, len(messages), 50):
+        for first_message in range(0, len(messages), 50):
             await asyncio.gather(
-                *(_serve(instance, data) for data in messages[at : at + 50])
+                *(
+                    _serve(instance, data)
+                    for data in messages[first_message : first_message + 50]
+                )
             )
-        spent.append(time.process_time() - start)
+        elapsed_s.append(time.process_time() - start)
         await cluster.stop()
 
-    ledger_load.virtually(scenario)
-    return round(spent[0] * 1e6 / _CPU_RECORDS, 1)
+    ledger_load.run_in_virtual_time(scenario)
+    return round(elapsed_s[0] * 1e6 / _CPU_RECORDS, 1)
 
 
 def replay_cpu_us() -> float:
@@ -59,21 +62,21 @@
                 written_ms=0,
                 records=tuple(
                     records.finish_record(
-                        ledger_cluster.bill(f"key-{number}-{place}"),
+                        ledger_cluster.bill(f"key-{number}-{position}"),
                         ledger_cluster.ANSWER,
                     )
-                    for place in range(50)
+                    for position in range(50)
                 ),
             )
         )
         for number in range(_MEMORY_ENTRIES // 50)
     ]
-    kept = _empty_index()
+    partition_index = _empty_index()
     start = time.process_time()
     for number, row in enumerate(rows):
         for record in records.decode_batch(row).records:
-            kept.replay(record, row_key=str(number), written_ms=0)
-    return round((time.process_time() - start) * 1e6 / len(kept), 1)
+            partition_index.replay(record, row_key=str(number), written_ms=0)
+    return round((time.process_time() - start) * 1e6 / len(partition_index), 1)
 
 
 def _empty_index() -> index.PartitionIndex:
@@ -113,16 +116,16 @@
     """What a finished request with a caller's key takes at its holder."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = _empty_index()
+    partition_index = _empty_index()
     for number in range(_MEMORY_ENTRIES):
         record = records.finish_record(
             ledger_cluster.bill(f"key-{number:024d}"), None
         )
-        kept.replay(
+        partition_index.replay(
             record,
             row_key=f"{log.partition_prefix(0)}{number // 50:08d}",
             written_ms=number,
         )
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return round((after - before) / len(kept))
+    return round((after - before) / len(partition_index))
--- a/bench/models/ledger_load.py
+++ b/bench/models/ledger_load.py
@@ -16,8 +16,8 @@
 _WARM_UP_S = 1
 _TICKS_PER_S = 200
 _STORE_DELAY = datetime.timedelta(milliseconds=5)
-_PATIENCE = datetime.timedelta(seconds=10)
-_TAKE_OVER_CHECKS = 2000
+_REQUEST_TIMEOUT = datetime.timedelta(seconds=10)
+_MAX_TAKE_OVER_CHECKS = 2000
 
 
 class Load:
@@ -40,29 +40,35 @@
             while started < due:
                 instance = instances[started % len(instances)]
                 key = f"{name}-{started}"
-                tasks.append(asyncio.ensure_future(self._one(instance, key)))
+                tasks.append(
+                    asyncio.ensure_future(self._send_request(instance, key))
+                )
                 started += 1
             await asyncio.sleep(1 / _TICKS_PER_S)
         await asyncio.gather(*tasks)
 
-    async def _one(self, instance: ledger_cluster.Instance, key: str) -> None:
+    async def _send_request(
+        self, instance: ledger_cluster.Instance, key: str
+    ) -> None:
         clock = self._cluster.clock
         start = clock.monotonic()
         await instance.client.claim(
-            ledger_cluster.identity(key), request_id=key, timeout=_PATIENCE
+            ledger_cluster.identity(key),
+            request_id=key,
+            timeout=_REQUEST_TIMEOUT,
         )
         claimed = clock.monotonic()
         await instance.client.finish(
             bill=ledger_cluster.bill(key, request_id=key),
             answer=ledger_cluster.ANSWER,
-            timeout=_PATIENCE,
+            timeout=_REQUEST_TIMEOUT,
         )
         finished = clock.monotonic()
         self.claim_s.append((claimed - start).total_seconds())
         self.finish_s.append((finished - claimed).total_seconds())
 
 
-class Peak:
+class SteadyRun:
     """What one run at a steady rate measured."""
 
     __slots__ = ("load", "requests", "seconds", "writes")
@@ -76,7 +82,7 @@
         self.seconds = seconds
 
 
-def virtually(
+def run_in_virtual_time(
     scenario: Callable[[virtual_loop.LoopClock], Coroutine[object, None, None]],
 ) -> None:
     """Runs a scenario to its end on a loop of its own, in virtual time."""
@@ -103,15 +109,15 @@
     return cluster
 
 
-def steady(
+def measure_steady_rate(
     *,
     per_s: int,
     instances: int,
     seconds: int,
     partitions: int = _PARTITIONS,
-) -> Peak:
+) -> SteadyRun:
     """Measures a steady rate behind a warm-up of the same rate."""
-    measured: list[Peak] = []
+    measured: list[SteadyRun] = []
 
     async def scenario(clock: virtual_loop.LoopClock) -> None:
         cluster = await start_cluster(
@@ -124,7 +130,7 @@
         start = clock.monotonic()
         await load.run(seconds=seconds, name="measured")
         measured.append(
-            Peak(
+            SteadyRun(
                 load=load,
                 requests=per_s * seconds,
                 writes=cluster.table.writes - writes,
@@ -133,25 +139,25 @@
         )
         await cluster.stop()
 
-    virtually(scenario)
+    run_in_virtual_time(scenario)
     return measured[0]
 
 
 def take_over_s(*, instances: int, noticed: bool) -> float:
     """Returns how long a partition without load has no holder."""
-    taken_s: list[float] = []
+    take_over_times_s: list[float] = []
 
     async def scenario(clock: virtual_loop.LoopClock) -> None:
         cluster = await start_cluster(clock, instances=instances)
         holder = cluster.holder(0)
         cluster.kill(holder.address.partition(":")[0], noticed=noticed)
         start = clock.monotonic()
-        for _ in range(_TAKE_OVER_CHECKS):
+        for _ in range(_MAX_TAKE_OVER_CHECKS):
             if cluster.holder(0) is not None:
                 break
             await asyncio.sleep(0.01)
-        taken_s.append((clock.monotonic() - start).total_seconds())
+        take_over_times_s.append((clock.monotonic() - start).total_seconds())
         await cluster.stop()
 
-    virtually(scenario)
-    return round(taken_s[0], 2)
+    run_in_virtual_time(scenario)
+    return round(take_over_times_s[0], 2)
--- a/bench/models/load_measures.py
+++ b/bench/models/load_measures.py
@@ -16,9 +16,9 @@
     """Returns tokens of answers in time over what engines can generate."""
     end_s = result.scenario.duration_s
     tokens = sum(
-        one.tokens
-        for one in result.tries
-        if one.answered_s is not None and one.answered_s >= _WARM_UP_S
+        request.tokens
+        for request in result.caller_requests
+        if request.answered_s is not None and request.answered_s >= _WARM_UP_S
     )
     possible = result.scenario.capacity_tokens_per_s * (end_s - _WARM_UP_S)
     return tokens / possible
@@ -27,14 +27,16 @@
 def high_priority_late_share(result: busy_fleet.Result) -> float:
     """Returns the share of reviews whose first try had no answer in time."""
     last_s = result.scenario.duration_s - busy_fleet.REVIEW.deadline_s
-    firsts = [
-        one
-        for one in result.tries
-        if one.kind is busy_fleet.REVIEW
-        and not one.returns
-        and _WARM_UP_S <= one.asked_s <= last_s
+    first_requests = [
+        request
+        for request in result.caller_requests
+        if request.kind is busy_fleet.REVIEW
+        and not request.caller_retries
+        and _WARM_UP_S <= request.sent_s <= last_s
     ]
-    return sum(one.answered_s is None for one in firsts) / len(firsts)
+    return sum(request.answered_s is None for request in first_requests) / len(
+        first_requests
+    )
 
 
 def small_team_shares(result: busy_fleet.Result) -> list[float]:
@@ -45,17 +47,20 @@
     """
     end_s = result.scenario.duration_s
     fair = result.scenario.capacity_tokens_per_s / 10 * (end_s - _WARM_UP_S)
-    asked: collections.Counter[str] = collections.Counter()
+    offered: collections.Counter[str] = collections.Counter()
     served: collections.Counter[str] = collections.Counter()
-    for one in result.tries:
-        begun_s = one.asked_s + ANSWER_LAG_S
-        if not one.returns and _WARM_UP_S <= begun_s <= end_s:
-            asked[one.team] += one.tokens
-        if one.answered_s is not None and one.answered_s >= _WARM_UP_S:
-            served[one.team] += one.tokens
+    for request in result.caller_requests:
+        expected_answer_s = request.sent_s + ANSWER_LAG_S
+        if (
+            not request.caller_retries
+            and _WARM_UP_S <= expected_answer_s <= end_s
+        ):
+            offered[request.team] += request.tokens
+        if request.answered_s is not None and request.answered_s >= _WARM_UP_S:
+            served[request.team] += request.tokens
     return [
-        served[team] / min(fair, asked[team])
-        for team in sorted(asked)
+        served[team] / min(fair, offered[team])
+        for team in sorted(offered)
         if team != "large"
     ]
 
@@ -63,7 +68,9 @@
 def amplification(result: busy_fleet.Result) -> float:
     """Returns attempts at engines a request let in, in the brown-out."""
     window = (_BROWN_OUT.from_s, _BROWN_OUT.until_s)
-    return _count(result.attempts_s, window) / _count(result.firsts_s, window)
+    return _count(result.attempts_s, window) / _count(
+        result.first_attempts_s, window
+    )
 
 
 def attempts_per_caller_request(result: busy_fleet.Result) -> float:
@@ -73,12 +80,16 @@
     is what a caller's request costs the engines, all repetition included.
     """
     window = (_BROWN_OUT.from_s, _BROWN_OUT.until_s)
-    asked_s = [one.asked_s for one in result.tries if not one.returns]
-    return _count(result.attempts_s, window) / _count(asked_s, window)
+    sent_s = [
+        request.sent_s
+        for request in result.caller_requests
+        if not request.caller_retries
+    ]
+    return _count(result.attempts_s, window) / _count(sent_s, window)
 
 
-def _count(moments_s: list[float], window: tuple[float, float]) -> int:
-    return sum(window[0] <= moment <= window[1] for moment in moments_s)
+def _count(times_s: list[float], window: tuple[float, float]) -> int:
+    return sum(window[0] <= time_s <= window[1] for time_s in times_s)
 
 
 def recovery_s(result: busy_fleet.Result) -> float:
@@ -88,19 +99,23 @@
     seconds are answered.
     """
     bucket_s = 5.0
-    begun: collections.Counter[int] = collections.Counter()
+    sent: collections.Counter[int] = collections.Counter()
     answered: collections.Counter[int] = collections.Counter()
     last_s = result.scenario.duration_s - busy_fleet.REVIEW.deadline_s
-    for one in result.tries:
-        bucket = int((one.asked_s - _BROWN_OUT.until_s) // bucket_s)
-        if bucket >= 0 and one.asked_s < last_s:
-            begun[bucket] += 1
-            answered[bucket] += one.answered_s is not None
-    bad = [b for b in begun if answered[b] < 0.95 * begun[b]]
+    for request in result.caller_requests:
+        bucket = int((request.sent_s - _BROWN_OUT.until_s) // bucket_s)
+        if bucket >= 0 and request.sent_s < last_s:
+            sent[bucket] += 1
+            answered[bucket] += request.answered_s is not None
+    bad = [b for b in sent if answered[b] < 0.95 * sent[b]]
     return bucket_s * (max(bad) + 1) if bad else 0.0
 
 
 def refusal_wait_p99_ms(result: busy_fleet.Result) -> float:
     """Returns how long refused callers waited to be told, 99 in 100."""
-    waits = sorted(o.waited_for_refusal_s for o in result.tries if o.refused)
+    waits = sorted(
+        request.refusal_wait_s
+        for request in result.caller_requests
+        if request.refused
+    )
     return waits[int(0.99 * (len(waits) - 1))] * 1000 if waits else 0.0
--- a/bench/models/load_policies.py
+++ b/bench/models/load_policies.py
@@ -14,7 +14,7 @@
 from nutmeghook.internal.membership import members
 
 
-def following(
+def adaptive_limit_policy(
     clock: virtual_loop.LoopClock,
     randomness: random.Random,
     scenario: busy_fleet.Scenario,
@@ -65,7 +65,7 @@
 
 
 POLICIES = {
-    "": following,
+    "": adaptive_limit_policy,
     "fixed_limit": fixed_limit,
     "fifo": fifo,
     "no_admission": no_admission,
--- a/bench/models/load_scenarios.py
+++ b/bench/models/load_scenarios.py
@@ -8,7 +8,7 @@
 WARM_UP_S = 60.0
 DURATION_S = 180.0
 BROWN_OUT = busy_engine.BrownOut(
-    from_s=40.0, until_s=80.0, slowness=4.0, failed_share=0.3
+    from_s=40.0, until_s=80.0, slowdown=4.0, failed_share=0.3
 )
 
 
--- a/bench/models/quality.py
+++ b/bench/models/quality.py
@@ -99,18 +99,22 @@
         return self.held / self.requests
 
 
-def requests_of(
+def generate_requests(
     workload: Workload, *, count: int, source: random.Random
 ) -> list[Request]:
     """Draws requests."""
-    return [_request(workload, n, source) for n in range(count)]
+    return [_generate_request(workload, n, source) for n in range(count)]
 
 
-def _request(workload: Workload, number: int, source: random.Random) -> Request:
+def _generate_request(
+    workload: Workload, number: int, source: random.Random
+) -> Request:
     kind = source.choices(range(len(PROMPT_CHARS)), workload.kind_shares)[0]
-    middle = workload.difficulty[kind]
-    difficulty = source.betavariate(4 * middle, 4 * (1 - middle))
-    goodness = tuple(
+    mean_difficulty = workload.difficulty[kind]
+    difficulty = source.betavariate(
+        4 * mean_difficulty, 4 * (1 - mean_difficulty)
+    )
+    expected_qualities = tuple(
         0.95 - 1.4 * max(0.0, difficulty - strength)
         for strength in workload.strengths
     )
@@ -118,18 +122,18 @@
         request_id=f"req-{source.getrandbits(64):x}-{number}",
         prompt_chars=PROMPT_CHARS[kind],
         qualities=tuple(
-            _between_0_and_1(g + source.gauss(0, workload.rating_noise))
-            for g in goodness
+            _between_0_and_1(expected + source.gauss(0, workload.rating_noise))
+            for expected in expected_qualities
         ),
         scores=tuple(
-            _between_0_and_1(g + source.gauss(0, workload.score_noise))
-            for g in goodness
+            _between_0_and_1(expected + source.gauss(0, workload.score_noise))
+            for expected in expected_qualities
         ),
-        costs=costs_of(workload, PROMPT_CHARS[kind]),
+        costs=stage_costs(workload, PROMPT_CHARS[kind]),
     )
 
 
-def costs_of(workload: Workload, prompt_chars: int) -> tuple[float, ...]:
+def stage_costs(workload: Workload, prompt_chars: int) -> tuple[float, ...]:
     """Returns what one answer of each stage costs."""
     models = {model.name: model for model in workload.fleet.models}
     return tuple(
@@ -153,7 +157,7 @@
         return float(answer.text)
 
 
-class RatedRun:
+class LearnedCascadeRun:
     """Runs the product's learned policy over requests, with late ratings."""
 
     def __init__(self, *, workload: Workload, clock, learn_every: int = 500):
@@ -163,7 +167,7 @@
             clock=clock, scorer=ScoreInText()
         )
         self._table = cascade_tables.empty_table(len(workload.template.stages))
-        self._waiting: collections.deque = collections.deque()
+        self._pending_ratings: collections.deque = collections.deque()
         self._served = 0
 
     def serve(self, requests: list[Request]) -> Outcome:
@@ -173,7 +177,7 @@
             cost, quality, held = self._serve_one(request)
             outcome.add(cost=cost, quality=quality, held=held)
             self._served += 1
-            self._take_in_ratings()
+            self._apply_due_ratings()
         return outcome
 
     def _serve_one(self, request: Request) -> tuple[float, float, bool]:
@@ -192,7 +196,7 @@
                 output_tokens=_OUTPUT_TOKENS,
                 hit_length_limit=False,
             )
-            self._hand_in(question, request, stage, answer)
+            self._submit_for_rating(question, request, stage, answer)
             if (
                 not plan.may_escalate
                 or stage == last
@@ -203,7 +207,7 @@
                 break
         return cost, request.qualities[stage], plan.may_escalate
 
-    def _hand_in(
+    def _submit_for_rating(
         self,
         question: cascade.CascadeQuestion,
         request: Request,
@@ -215,12 +219,17 @@
         rating_id = self._policy.rating_id(
             question, stage_index=stage, answer=answer
         )
-        due = self._served + self._workload.rating_delay
-        self._waiting.append((due, stage, rating_id, request.qualities[stage]))
+        due_at = self._served + self._workload.rating_delay
+        self._pending_ratings.append(
+            (due_at, stage, rating_id, request.qualities[stage])
+        )
 
-    def _take_in_ratings(self) -> None:
-        while self._waiting and self._waiting[0][0] <= self._served:
-            _, stage, rating_id, rating = self._waiting.popleft()
+    def _apply_due_ratings(self) -> None:
+        while (
+            self._pending_ratings
+            and self._pending_ratings[0][0] <= self._served
+        ):
+            _, stage, rating_id, rating = self._pending_ratings.popleft()
             self._table.add(
                 stage_index=stage,
                 label=cascade_labels.read(rating_id),
--- a/bench/models/quality_baselines.py
+++ b/bench/models/quality_baselines.py
@@ -37,19 +37,21 @@
     Upgrades the requests that gain most quality for their cost until the
     mean meets the target.
     """
-    order = sorted(
+    by_gain = sorted(
         requests,
         key=lambda r: (
             (r.costs[1] - r.costs[0])
             / max(1e-9, r.qualities[1] - r.qualities[0])
         ),
     )
-    missing = target * len(requests) - sum(r.qualities[0] for r in requests)
+    missing_quality = target * len(requests) - sum(
+        r.qualities[0] for r in requests
+    )
     outcome = quality.Outcome()
-    for request in order:
+    for request in by_gain:
         gain = request.qualities[1] - request.qualities[0]
-        stage = 1 if missing > 0 and gain > 0 else 0
-        missing -= gain * stage
+        stage = 1 if missing_quality > 0 and gain > 0 else 0
+        missing_quality -= gain * stage
         outcome.add(
             cost=request.costs[stage],
             quality=request.qualities[stage],
@@ -72,33 +74,34 @@
     ]
     groups = [
         cascade_plans.Group(
-            weight=len(members) / len(requests), options=_exact(members)
+            weight=len(group_requests) / len(requests),
+            options=_exact(group_requests),
         )
-        for members in kinds
+        for group_requests in kinds
     ]
     plans = cascade_plans.cheapest_mix(groups, target=target).plans
     outcome = quality.Outcome()
-    for members, plan in zip(kinds, plans, strict=True):
-        upgraded = round(plan.upgraded_share * len(members))
-        for number, request in enumerate(members):
+    for group_requests, plan in zip(kinds, plans, strict=True):
+        upgraded = round(plan.upgraded_share * len(group_requests))
+        for number, request in enumerate(group_requests):
             option = plan.upgraded if number < upgraded else plan.usual
             _run_option(outcome, request, option)
     return outcome
 
 
 def _exact(
-    members: list[quality.Request],
+    group_requests: list[quality.Request],
 ) -> list[cascade_options.Option]:
     forms = [(1, 0), *((0, b) for b in range(cascade_scorer.SCORE_BINS))]
-    found = []
+    options = []
     for first_stage, go_on_below_bin in forms:
         outcome = quality.Outcome()
         planned = cascade_plans.PlannedOption(
             first_stage=first_stage, go_on_below_bin=go_on_below_bin
         )
-        for request in members:
+        for request in group_requests:
             _run_option(outcome, request, planned)
-        found.append(
+        options.append(
             cascade_options.Option(
                 first_stage=first_stage,
                 go_on_below_bin=go_on_below_bin,
@@ -106,7 +109,7 @@
                 quality=outcome.mean_quality,
             )
         )
-    return found
+    return options
 
 
 def _run_option(
@@ -127,10 +130,10 @@
 
 
 def _run_cascade(
-    outcome: quality.Outcome, request: quality.Request, goes_on: bool
+    outcome: quality.Outcome, request: quality.Request, escalates: bool
 ) -> None:
     outcome.add(
-        cost=request.costs[0] + goes_on * request.costs[1],
-        quality=request.qualities[1 if goes_on else 0],
+        cost=request.costs[0] + escalates * request.costs[1],
+        quality=request.qualities[1 if escalates else 0],
         held=True,
     )
--- a/bench/models/replicas.py
+++ b/bench/models/replicas.py
@@ -29,47 +29,47 @@
     """An engine with a batch of fixed size; first come, first served.
 
     Attributes:
-        slowness: Factor on the work of jobs that start from now on.
+        slowdown: Factor on the work of jobs that start from now on.
     """
 
-    __slots__ = ("_line", "_simulation", "capacity", "running", "slowness")
+    __slots__ = ("_queue", "_simulation", "capacity", "running", "slowdown")
 
     def __init__(self, *, simulation: simulation.Simulation, capacity: int):
         self._simulation = simulation
-        self._line: collections.deque[Job] = collections.deque()
+        self._queue: collections.deque[Job] = collections.deque()
         self.capacity = capacity
         self.running = 0
-        self.slowness = 1.0
+        self.slowdown = 1.0
 
     @property
     def waiting(self) -> int:
         """Jobs that stand before the batch."""
-        return len(self._line)
+        return len(self._queue)
 
     @property
     def load(self) -> int:
         """All jobs here."""
-        return self.running + len(self._line)
+        return self.running + len(self._queue)
 
-    def arrive(self, job: Job) -> None:
+    def submit(self, job: Job) -> None:
         """Takes a job in."""
-        self._line.append(job)
-        self._fill()
+        self._queue.append(job)
+        self._fill_batch()
 
-    def _fill(self) -> None:
-        while self._line and self.running < self.capacity:
-            self._start(self._line.popleft())
+    def _fill_batch(self) -> None:
+        while self._queue and self.running < self.capacity:
+            self._start(self._queue.popleft())
 
     def _start(self, job: Job) -> None:
         now_s = self._simulation.now_s
         self.running += 1
         to_next_step_s = STEP_S - now_s % STEP_S
         job.waited_s = now_s + to_next_step_s - job.arrived_s
-        end_s = now_s + to_next_step_s + job.work_s * self.slowness
-        self._simulation.call_at(end_s, lambda: self._end(job))
+        end_s = now_s + to_next_step_s + job.work_s * self.slowdown
+        self._simulation.call_at(end_s, lambda: self._finish(job))
 
-    def _end(self, job: Job) -> None:
+    def _finish(self, job: Job) -> None:
         self.running -= 1
-        self._fill()
+        self._fill_batch()
         if job.done is not None:
             job.done()
--- a/bench/models/rollouts.py
+++ b/bench/models/rollouts.py
@@ -24,18 +24,18 @@
 _KEY = pool.VersionKey(team="team", template="lookup", model_version=_NEW)
 FULL_PERCENT = 100.0
 # Versions up to this are not run on at their full share.
-_STAYS_GOOD = 0.05
+_MAX_GOOD_BAD_SHARE = 0.05
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Place:
+class Deployment:
     """Where a version is rolled out.
 
     Attributes:
         requests_per_s: Of the template, over the whole fleet.
         rating_delay_s: Mean time from an answer to its rating; at least half
             of it, and exponential beyond.
-        in_force_s: From a decision to its being in force everywhere.
+        propagation_s: From a decision to its being in force everywhere.
         full_rated_share: Share of answers rated at full share; in roll-out
             all are.
     """
@@ -44,7 +44,7 @@
     policy: documents.RollOutPolicy
     requests_per_s: int = 8
     rating_delay_s: float = 30.0
-    in_force_s: int = 3
+    propagation_s: int = 3
     full_rated_share: float = 0.05
 
 
@@ -87,7 +87,7 @@
     """Decides on shares and leave from ratings."""
 
     @abc.abstractmethod
-    def may_send(self, wanted: int) -> int:
+    def may_send(self, requested: int) -> int:
         """Returns how many of the answers wanted may be sent."""
 
     @abc.abstractmethod
@@ -109,23 +109,23 @@
         """Returns the leave counts, as the product's keeper does."""
         return self._allowance
 
-    def may_send(self, wanted: int) -> int:
+    def may_send(self, requested: int) -> int:
         """Grants what is ready."""
-        granted = min(wanted, self._allowance.available)
+        granted = min(requested, self._allowance.available)
         self._allowance.granted += granted
         return granted
 
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
         """Runs one step of the product's decisions."""
         snapshot = self._snapshot(percent)
-        after = pool.with_versions_of(self._pool, snapshot)
-        after = pool.with_ratings(
-            after, [_rating(bad) for bad in new_ratings], snapshot
+        state = pool.with_versions_of(self._pool, snapshot)
+        state = pool.with_ratings(
+            state, [_rating(bad) for bad in new_ratings], snapshot
         )
-        after = decisions.with_allowance(after, snapshot, self)
-        self._pool = after
-        self._allowance.reserved = after.watch(_KEY).reserved_by_holder
-        steps = decisions.steps(after, snapshot)
+        state = decisions.with_allowance(state, snapshot, self)
+        self._pool = state
+        self._allowance.reserved = state.watch(_KEY).reserved_by_holder
+        steps = decisions.steps(state, snapshot)
         return steps[0].share_percent if steps else None
 
     def _snapshot(self, percent: float) -> documents.Snapshot:
@@ -166,30 +166,33 @@
         *,
         threshold: float,
         window: int = 100,
-        least_ratings: int = 20,
+        min_ratings: int = 20,
     ):
         self._policy = policy
         self._threshold = threshold
-        self._least_ratings = least_ratings
-        self._last: collections.deque[bool] = collections.deque(maxlen=window)
-        self._at_share = 0
+        self._min_ratings = min_ratings
+        self._recent: collections.deque[bool] = collections.deque(maxlen=window)
+        self._ratings_at_share = 0
         self._percent = 0.0
 
-    def may_send(self, wanted: int) -> int:
+    def may_send(self, requested: int) -> int:
         """Sends all."""
-        return wanted
+        return requested
 
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
         """Compares the error share with the threshold after each rating."""
         if percent != self._percent:
-            self._percent, self._at_share = percent, 0
+            self._percent, self._ratings_at_share = percent, 0
         for bad in new_ratings:
-            self._last.append(bad)
-            self._at_share += 1
-            enough = len(self._last) >= self._least_ratings
-            if enough and sum(self._last) / len(self._last) > self._threshold:
+            self._recent.append(bad)
+            self._ratings_at_share += 1
+            enough = len(self._recent) >= self._min_ratings
+            if (
+                enough
+                and sum(self._recent) / len(self._recent) > self._threshold
+            ):
                 return 0.0
-        if self._at_share < self._policy.ratings_per_step:
+        if self._ratings_at_share < self._policy.ratings_per_step:
             return None
         larger = [s for s in self._policy.steps_percent if s > percent]
         return min(larger, default=None)
@@ -203,18 +206,18 @@
 
     def __init__(
         self,
-        place: Place,
+        deployment: Deployment,
         version: Version,
         driver: Driver,
         source: random.Random,
     ):
-        self._place = place
+        self._deployment = deployment
         self._version = version
         self._driver = driver
         self._source = source
-        self._percent = place.policy.steps_percent[0]
-        self._due: list[tuple[float, bool]] = []
-        self._change: tuple[int, float] | None = None
+        self._percent = deployment.policy.steps_percent[0]
+        self._pending_ratings: list[tuple[float, bool]] = []
+        self._pending_change: tuple[int, float] | None = None
         self._result = RunResult()
 
     def result(self, *, limit_s: int = 20_000) -> RunResult:
@@ -227,45 +230,56 @@
         return self._result
 
     def _is_over(self, second: int) -> bool:
-        if self._change is not None and second >= self._change[0]:
-            self._percent, self._change = self._change[1], None
+        if (
+            self._pending_change is not None
+            and second >= self._pending_change[0]
+        ):
+            self._percent, self._pending_change = self._pending_change[1], None
         if self._percent not in (0.0, FULL_PERCENT):
             return False
         if self._result.seconds is None:
             self._result.seconds = second
             self._result.stopped = self._percent == 0.0
-        stays_good = self._version.bad_share <= _STAYS_GOOD
-        return self._percent == 0.0 or stays_good
+        is_good = self._version.bad_share <= _MAX_GOOD_BAD_SHARE
+        return self._percent == 0.0 or is_good
 
     def _answer(self, second: int) -> None:
-        place, source = self._place, self._source
-        wanted = _binomial(place.requests_per_s, self._percent / 100, source)
+        deployment, source = self._deployment, self._source
+        requested = _binomial(
+            deployment.requests_per_s, self._percent / 100, source
+        )
         is_full = self._percent == FULL_PERCENT
-        rated_share = place.full_rated_share if is_full else 1.0
+        rated_share = deployment.full_rated_share if is_full else 1.0
         bad_share = self._version.share_at(self._percent)
-        count = wanted if is_full else self._driver.may_send(wanted)
+        count = requested if is_full else self._driver.may_send(requested)
         for _ in range(count):
             bad = source.random() < bad_share
             if bad and bad_share == self._version.bad_share:
                 self._result.bad_answers += 1
             if source.random() < rated_share:
-                due_at = second + _delay(place, source)
-                heapq.heappush(self._due, (due_at, bad))
+                due_at = second + _delay(deployment, source)
+                heapq.heappush(self._pending_ratings, (due_at, bad))
 
     def _decide(self, second: int) -> None:
         new_ratings = []
-        while self._due and self._due[0][0] <= second:
-            new_ratings.append(heapq.heappop(self._due)[1])
-        decided = self._driver.decide(new_ratings, self._percent)
-        if decided is None:
+        while self._pending_ratings and self._pending_ratings[0][0] <= second:
+            new_ratings.append(heapq.heappop(self._pending_ratings)[1])
+        new_percent = self._driver.decide(new_ratings, self._percent)
+        if new_percent is None:
             return
         # A withdrawal goes before a step that is on its way.
-        if self._change is None or decided == 0.0 < self._change[1]:
-            self._change = (second + self._place.in_force_s, decided)
-
-
-def _delay(place: Place, source: random.Random) -> float:
-    half = place.rating_delay_s / 2
+        if (
+            self._pending_change is None
+            or new_percent == 0.0 < self._pending_change[1]
+        ):
+            self._pending_change = (
+                second + self._deployment.propagation_s,
+                new_percent,
+            )
+
+
+def _delay(deployment: Deployment, source: random.Random) -> float:
+    half = deployment.rating_delay_s / 2
     return half + source.expovariate(1 / half)
 
 
--- a/bench/models/routers.py
+++ b/bench/models/routers.py
@@ -21,7 +21,7 @@
 from nutmeghook.internal.routing import poller
 
 
-class Surroundings(abc.ABC):
+class RouterEnvironment(abc.ABC):
     """What a router may reach of the fleet around it.
 
     Attributes:
@@ -45,13 +45,13 @@
     chooser: backends.BackendChooser
 
     @abc.abstractmethod
-    def take_report(
+    def receive_report(
         self, number: int, report: engine.LoadReport, measured_s: float
     ) -> None:
         """Takes in a replica's report."""
 
     @abc.abstractmethod
-    def start(self, fleet: Surroundings) -> None:
+    def start(self, fleet: RouterEnvironment) -> None:
         """Starts what the router does by itself."""
 
 
@@ -78,10 +78,10 @@
             candidates=self._backends, rule=rule, rng=rng
         )
 
-    def start(self, fleet: Surroundings) -> None:
+    def start(self, fleet: RouterEnvironment) -> None:
         """Does nothing by itself."""
 
-    def take_report(
+    def receive_report(
         self, number: int, report: engine.LoadReport, measured_s: float
     ) -> None:
         """Keeps it for the rule."""
@@ -92,7 +92,7 @@
     """The product's own parts; only its digests' way is modelled.
 
     A digest reaches the peers of the cell after the network's delay, as
-    often as the product's budget of bytes allows. With `shares` False the
+    often as the product's budget of bytes allows. With `gossips` False the
     router tells its peers nothing.
     """
 
@@ -103,11 +103,11 @@
         shape: fleet_parts.Shape,
         clock: simulation.Simulation,
         rng: random.Random,
-        shares: bool = True,
+        gossips: bool = True,
     ):
         self.address = fleet_parts.inner_address_of(number)
         self._clock = clock
-        self._shares = shares
+        self._gossips = gossips
         self._tracker = load_tracker.LoadTracker(clock=clock)
         events = events_module.EventRing(clock=clock, capacity_events=16)
         self.directory = directory_module.BackendDirectory(
@@ -127,8 +127,8 @@
             ),
             directory=self.directory,
         )
-        self._told: dict[str, int] = {}
-        self.digests = 0
+        self._reported_in_flight: dict[str, int] = {}
+        self.digests_sent = 0
         self.chooser = chooser_module.LeastLoadedChooser(
             directory=self.directory,
             tracker=self._tracker,
@@ -140,7 +140,7 @@
             rng=rng,
         )
 
-    def start(self, fleet: Surroundings) -> None:
+    def start(self, fleet: RouterEnvironment) -> None:
         """Begins to send digests to the peers of the cell."""
         self._cells.refresh()
         peers = [
@@ -148,16 +148,16 @@
             for router in fleet.routers
             if router.address in self._cells.cell.peers
         ]
-        if self._shares:
-            self._tell(peers)
+        if self._gossips:
+            self._send_digest(peers)
         self._clock.call_every(1.0, self._cells.refresh, first_s=1.0)
         self._clock.call_every(
             poller.REMOTE_REPORT_PERIOD.total_seconds(),
-            lambda: self._poll_stranger(fleet),
+            lambda: self._poll_other_cell(fleet),
             first_s=fleet.rng.random(),
         )
 
-    def take_report(
+    def receive_report(
         self, number: int, report: engine.LoadReport, measured_s: float
     ) -> None:
         """Gives the directory what the cell's pollers would have brought."""
@@ -177,46 +177,48 @@
             measured_at=datetime.timedelta(seconds=measured_s),
         )
 
-    def _poll_stranger(self, fleet: Surroundings) -> None:
+    def _poll_other_cell(self, fleet: RouterEnvironment) -> None:
         """Polls a replica of another cell, as the product's poller does."""
-        strangers = [
+        other_cells = [
             b
             for b in self.directory.known()
             if b.locality is not backends.Locality.OWN_CELL
         ]
-        if not strangers:
+        if not other_cells:
             return
-        backend = fleet.rng.choice(strangers)
+        backend = fleet.rng.choice(other_cells)
         report = fleet_parts.report_of(fleet.by_address[backend.address])
         measured_s = self._clock.now_s
         self._clock.call_at(
-            measured_s + fleet_parts.REPORT_LAG_S,
+            measured_s + fleet_parts.REPORT_DELAY_S,
             lambda: self._note_report(backend, report, measured_s),
         )
 
-    def hear(self, changes: dict[str, int]) -> None:
+    def receive_digest(self, changes: dict[str, int]) -> None:
         """Takes in a peer's digest."""
         for address, change in changes.items():
             self._tracker.note_peers(self.directory.find(address), change)
 
-    def _tell(self, peers: list["ProductRouter"]) -> None:
+    def _send_digest(self, peers: list["ProductRouter"]) -> None:
         changes = {}
         for backend in self.directory.known():
-            change = backend.in_flight - self._told.get(backend.address, 0)
+            change = backend.in_flight - self._reported_in_flight.get(
+                backend.address, 0
+            )
             if change:
                 changes[backend.address] = change
-                self._told[backend.address] = backend.in_flight
+                self._reported_in_flight[backend.address] = backend.in_flight
         now_s = self._clock.now_s
         if changes:
-            self.digests += 1
+            self.digests_sent += 1
             for peer in peers:
                 self._clock.call_at(
-                    now_s + fleet_parts.NETWORK_S,
-                    lambda peer=peer: peer.hear(changes),
+                    now_s + fleet_parts.NETWORK_DELAY_S,
+                    lambda peer=peer: peer.receive_digest(changes),
                 )
         period = load_digests.period_for(
             peers=len(peers), entries=len(changes), reports=0
         )
         self._clock.call_at(
-            now_s + period.total_seconds(), lambda: self._tell(peers)
+            now_s + period.total_seconds(), lambda: self._send_digest(peers)
         )
--- a/bench/models/virtual_loop.py
+++ b/bench/models/virtual_loop.py
@@ -14,7 +14,7 @@
 from nutmeghook.internal.foundation import clock
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Lets time jump in place of waiting; there are no sockets to hear."""
 
     def __init__(self):
@@ -35,12 +35,12 @@
     """The loop; its time starts at 0."""
 
     def __init__(self):
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
         """Returns the virtual time in seconds."""
-        return self._jumping.now_s
+        return self._time_selector.now_s
 
 
 class LoopClock(clock.Clock):
@@ -69,9 +69,11 @@
     """Runs a model to its end; tasks left over are cancelled."""
     try:
         loop.run_until_complete(main)
-        rest = asyncio.all_tasks(loop)
-        for task in rest:
+        remaining = asyncio.all_tasks(loop)
+        for task in remaining:
             task.cancel()
-        loop.run_until_complete(asyncio.gather(*rest, return_exceptions=True))
+        loop.run_until_complete(
+            asyncio.gather(*remaining, return_exceptions=True)
+        )
     finally:
         loop.close()
--- a/bench/node.py
+++ b/bench/node.py
@@ -65,7 +65,7 @@
     idle_percent = (_processor_s(process) - before_s) / IDLE_S * 100
     idle_mb = process.memory_info().rss / _MB
     before_s = _processor_s(process)
-    seen = await load_module.run(
+    load_result = await load_module.run(
         load_module.LoadSettings(
             addresses=[measured.listen_address],
             token=tokens[example_fleet.AGENCY_TEAMS[0]],
@@ -111,14 +111,14 @@
         ),
         report.Line(
             name="node.load_answered_share",
-            value=seen.answered / seen.sent,
+            value=load_result.answered / load_result.sent,
             unit="share",
             bound=1.0,
             better=report.Better.HIGHER,
         ),
         report.Line(
             name="node.load_first_token_p95_ms",
-            value=seen.p95_first_token_ms,
+            value=load_result.p95_first_token_ms,
             unit="ms",
         ),
     ]
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -44,16 +44,16 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class _Pass:
+class _FleetPass:
     """One reading of the fleet.
 
     Attributes:
         size_bytes: Both directions, with TCP's and IP's headers.
-        lasts_s: How long the holder waits for the next one.
+        interval_s: How long the holder waits for the next one.
     """
 
     size_bytes: int
-    lasts_s: float
+    interval_s: float
     processor_ms: float
 
 
@@ -104,14 +104,14 @@
     """Measures all sizes; takes some seconds."""
     lines = []
     for members, engines in _SIZES:
-        first, still, changed = asyncio.run(_measure(members, engines))
+        first, unchanged, changed = asyncio.run(_measure(members, engines))
         lines += [
             _line(f"first_pass.{engines}", first.size_bytes, "bytes"),
-            *_pass_lines(f"unchanged_pass.{engines}", still),
+            *_pass_lines(f"unchanged_pass.{engines}", unchanged),
             *_pass_lines(f"changed_pass.{engines}", changed),
             _line(
                 f"pass_processor.{engines}",
-                still.processor_ms,
+                unchanged.processor_ms,
                 "ms of processor",
             ),
         ]
@@ -171,20 +171,22 @@
     return statistics.median(rounds_ms)
 
 
-def _pass_lines(name: str, one: _Pass) -> list[report.Line]:
+def _pass_lines(name: str, one: _FleetPass) -> list[report.Line]:
     return [
         _line(name, one.size_bytes, "bytes"),
-        _line(f"{name}.lasts", one.lasts_s, "s"),
+        _line(f"{name}.lasts", one.interval_s, "s"),
         _line(
             f"{name}.rate",
-            round(one.size_bytes / one.lasts_s),
+            round(one.size_bytes / one.interval_s),
             "bytes/s",
             bound=_BOUND_BYTES_PER_S,
         ),
     ]
 
 
-async def _measure(members: int, engines: int) -> tuple[_Pass, _Pass, _Pass]:
+async def _measure(
+    members: int, engines: int
+) -> tuple[_FleetPass, _FleetPass, _FleetPass]:
     clock = clock_module.FakeClock()
     network = local.LocalNetwork(clock=clock)
     everyone = [samples.member(number) for number in range(members)]
@@ -224,7 +226,7 @@
         ),
     )
 
-    async def read() -> _Pass:
+    async def read() -> _FleetPass:
         before = _bytes_so_far(traffic)
         started = time.process_time()
         views = await reader.read()
@@ -232,18 +234,18 @@
         if any(view.loaded is None for view in views):
             raise RuntimeError("an engine was not told of")
         # As `OrderController.run`.
-        lasts = max(datetime.timedelta(seconds=2), reader.cost)
-        return _Pass(
+        interval = max(datetime.timedelta(seconds=2), reader.cost)
+        return _FleetPass(
             size_bytes=_bytes_so_far(traffic) - before,
-            lasts_s=lasts.total_seconds(),
+            interval_s=interval.total_seconds(),
             processor_ms=round(processor_s * 1000, 1),
         )
 
     first = await read()
-    still = await read()
+    unchanged = await read()
     for cell in cells[:_CHANGED_CELLS]:
         cell.change()
-    return first, still, await read()
+    return first, unchanged, await read()
 
 
 def _bytes_so_far(traffic: traffic_module.Traffic) -> int:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -82,11 +82,11 @@
 def _small_batches_lines(
     policy: str, factory: busy_fleet.LimitsFactory
 ) -> list[report.Line]:
-    halved = results(load_scenarios.small_batches(), factory)
+    small_batches = results(load_scenarios.small_batches(), factory)
     return _lines(
         "overload.small_batches_goodput_share",
         policy,
-        [load_measures.goodput_share(r) for r in halved],
+        [load_measures.goodput_share(r) for r in small_batches],
         bound=SMALL_BATCHES_BOUND,
         better=report.Better.HIGHER,
     )
@@ -95,23 +95,26 @@
 def _brown_out_lines(
     policy: str, factory: busy_fleet.LimitsFactory
 ) -> list[report.Line]:
-    browned = results(load_scenarios.brown_out(), factory)
+    in_brown_out = results(load_scenarios.brown_out(), factory)
     return [
         *_lines(
             "retry.amplification",
             policy,
-            [load_measures.amplification(r) for r in browned],
+            [load_measures.amplification(r) for r in in_brown_out],
             bound=1.1,
         ),
         *_lines(
             "retry.attempts_per_caller_request",
             policy,
-            [load_measures.attempts_per_caller_request(r) for r in browned],
+            [
+                load_measures.attempts_per_caller_request(r)
+                for r in in_brown_out
+            ],
         ),
         *_lines(
             "overload.recovery_s",
             policy,
-            [load_measures.recovery_s(r) for r in browned],
+            [load_measures.recovery_s(r) for r in in_brown_out],
             unit="s",
             bound=RECOVERY_BOUND_S,
         ),
--- a/bench/plot_balance.py
+++ b/bench/plot_balance.py
@@ -28,14 +28,14 @@
         balance.PRODUCT,
         *reversed(balance.BASELINES),
     ):
-        means, least, most = [], [], []
+        means, minima, maxima = [], [], []
         for load_share in LOAD_SHARES:
             waits_ms = _waits_ms(policy, load_share)
             means.append(statistics.mean(waits_ms))
-            least.append(min(waits_ms))
-            most.append(max(waits_ms))
+            minima.append(min(waits_ms))
+            maxima.append(max(waits_ms))
         axes.plot(LOAD_SHARES, means, marker="o", label=policy)
-        axes.fill_between(LOAD_SHARES, least, most, alpha=0.12)
+        axes.fill_between(LOAD_SHARES, minima, maxima, alpha=0.12)
     axes.set_yscale("log")
     axes.set_xlabel("load, share of all batches")
     axes.set_ylabel("p95 wait before a batch, ms")
--- a/bench/plot_heavy_days.py
+++ b/bench/plot_heavy_days.py
@@ -22,11 +22,11 @@
 from nutmeghook.experiment import fleet_emulator
 from nutmeghook.internal.relay import model_choice
 
-USUAL_PER_S = 72.0
+NORMAL_RATE_PER_S = 72.0
 SECONDS = 24.0
 SEED = 1
 DEFAULT_FILE = pathlib.Path("docs/plots/heavy_days.png")
-WAYS = {
+POLICIES = {
     "weighed": model_choice.ExpectedUtility,
     "threshold 50": model_choice.FixedThreshold,
     "smallest only": lambda: model_choice.FixedThreshold(least_confidence=0),
@@ -36,7 +36,7 @@
 
 def loads() -> dict[str, emulated_fleet.Load]:
     """Returns the loads by their names."""
-    steady = {"per_s": lambda at_s: USUAL_PER_S, "duration_s": SECONDS}
+    steady = {"per_s": lambda at_s: NORMAL_RATE_PER_S, "duration_s": SECONDS}
     return {
         "usual load": emulated_fleet.Load(
             **steady, replicas_at=lambda at_s: 12
@@ -45,7 +45,7 @@
             **steady, replicas_at=lambda at_s: 6 if 6 < at_s < 16 else 12
         ),
         "twice the callers from 6 s to 14 s": emulated_fleet.Load(
-            per_s=lambda at_s: USUAL_PER_S * (2 if 6 < at_s < 14 else 1),
+            per_s=lambda at_s: NORMAL_RATE_PER_S * (2 if 6 < at_s < 14 else 1),
             duration_s=SECONDS,
             replicas_at=lambda at_s: 12,
         ),
@@ -55,51 +55,52 @@
 def main(arguments: list[str]) -> int:
     """Plays all loads and writes the picture."""
     file = pathlib.Path(arguments[0]) if arguments else DEFAULT_FILE
-    played = {name: _play(load) for name, load in loads().items()}
-    for load_name, outcomes in played.items():
-        for way, outcome in outcomes.items():
+    outcomes_by_load = {name: _simulate(load) for name, load in loads().items()}
+    for load_name, outcomes in outcomes_by_load.items():
+        for policy, outcome in outcomes.items():
             print(
                 json.dumps(
                     {
                         "load": load_name,
-                        "way": way,
+                        "way": policy,
                         "worth_share": round(outcome.worth_share, 3),
                         "larger_share": round(outcome.larger_share, 3),
                         "wait_p90_s": round(outcome.wait_s(0.9), 2),
                     }
                 )
             )
-    _draw(played, file)
+    _draw(outcomes_by_load, file)
     return 0
 
 
-def _play(load: emulated_fleet.Load) -> dict[str, emulated_outcome.Outcome]:
+def _simulate(load: emulated_fleet.Load) -> dict[str, emulated_outcome.Outcome]:
     return {
-        way: fleet_emulator.FleetEmulator(
+        policy: fleet_emulator.FleetEmulator(
             load=load, models=choice(), seed=SEED
         ).run()
-        for way, choice in WAYS.items()
+        for policy, choice in POLICIES.items()
     }
 
 
 def _draw(
-    played: dict[str, dict[str, emulated_outcome.Outcome]], file: pathlib.Path
+    outcomes_by_load: dict[str, dict[str, emulated_outcome.Outcome]],
+    file: pathlib.Path,
 ) -> None:
     figure, grid = pyplot.subplots(
-        3, len(played), figsize=(15, 9), sharex=True, sharey="row"
+        3, len(outcomes_by_load), figsize=(15, 9), sharex=True, sharey="row"
     )
-    for column, (load_name, outcomes) in enumerate(played.items()):
+    for column, (load_name, outcomes) in enumerate(outcomes_by_load.items()):
         worth, larger, queues = (grid[row][column] for row in range(3))
         worth.set_title(load_name)
-        for way, outcome in outcomes.items():
+        for policy, outcome in outcomes.items():
             seconds, shares = _by_second(outcome, _worth_share)
-            worth.plot(seconds, shares, label=way)
+            worth.plot(seconds, shares, label=policy)
             seconds, shares = _by_second(outcome, _larger_share)
-            larger.plot(seconds, shares, label=way)
+            larger.plot(seconds, shares, label=policy)
             queues.plot(
                 [sample.at_s for sample in outcome.queues],
                 [sample.waiting for sample in outcome.queues],
-                label=way,
+                label=policy,
             )
         queues.set_xlabel("s")
     grid[0][0].set_ylabel("worth, of what is owed")
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -25,9 +25,9 @@
 
 PAIRS = 7
 STREAMS = 43
-TOKENS_A_STREAM = 200
+TOKENS_PER_STREAM = 200
 FIRST_TOKENS = 400
-LEAST_SHARE = 0.7
+MIN_SHARE = 0.7
 
 _QUESTION = {
     "model": _relay_process.TEMPLATE,
@@ -64,28 +64,30 @@
 async def _measure(source: str, bare: str, path: str) -> list[report.Line]:
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        await _tokens_a_core_s(session, bare, _generate)
-        await _tokens_a_core_s(session, path, _chat)
+        await _tokens_per_core_s(session, bare, _generate)
+        await _tokens_per_core_s(session, path, _chat)
         pairs = [
             (
-                await _tokens_a_core_s(session, bare, _generate),
-                await _tokens_a_core_s(session, path, _chat),
+                await _tokens_per_core_s(session, bare, _generate),
+                await _tokens_per_core_s(session, path, _chat),
             )
             for _ in range(PAIRS)
         ]
         added_ms = await _added_first_token_ms(session, source, path)
-    share = statistics.median(own / other for other, own in pairs)
+    share = statistics.median(
+        path_rate / bare_rate for bare_rate, path_rate in pairs
+    )
     return [
         report.Line(
             name="relay.tokens_per_core_vs_bare_relay",
             value=share,
             unit="ratio",
-            bound=LEAST_SHARE,
+            bound=MIN_SHARE,
             better=report.Better.HIGHER,
         ),
         report.Line(
             name="relay.tokens_per_core_s",
-            value=statistics.median(own for _, own in pairs),
+            value=statistics.median(path_rate for _, path_rate in pairs),
             unit="tokens/s of processor time",
             better=report.Better.HIGHER,
         ),
@@ -95,14 +97,14 @@
     ]
 
 
-async def _tokens_a_core_s(session, address: str, send) -> float:
+async def _tokens_per_core_s(session, address: str, send) -> float:
     """Returns tokens relayed a second of the process's processor time."""
     before_s = await _cpu_s(session, address)
     await asyncio.gather(
-        *(send(session, address, TOKENS_A_STREAM) for _ in range(STREAMS))
+        *(send(session, address, TOKENS_PER_STREAM) for _ in range(STREAMS))
     )
     used_s = await _cpu_s(session, address) - before_s
-    return STREAMS * TOKENS_A_STREAM / used_s
+    return STREAMS * TOKENS_PER_STREAM / used_s
 
 
 async def _cpu_s(session, address: str) -> float:
@@ -146,13 +148,13 @@
     """Reads a stream; checks that each token came, and times the first."""
     started_s = time.monotonic()
     first_s = 0.0
-    seen = 0
-    wanted = _relay_process.TOKEN_TEXT.encode()
+    received = 0
+    token_bytes = _relay_process.TOKEN_TEXT.encode()
     async with sending as response:
         async for piece in response.content.iter_any():
-            seen += piece.count(wanted)
-            if seen and not first_s:
+            received += piece.count(token_bytes)
+            if received and not first_s:
                 first_s = time.monotonic()
-    if seen != tokens:
-        raise RuntimeError(f"{seen} tokens came of {tokens}")
+    if received != tokens:
+        raise RuntimeError(f"{received} tokens came of {tokens}")
     return (first_s - started_s) * 1000
--- a/bench/report.py
+++ b/bench/report.py
@@ -28,7 +28,7 @@
     bound: float | None = None
     better: Better = Better.LOWER
 
-    def holds(self) -> bool:
+    def is_within_bound(self) -> bool:
         """Tells whether the value is within its bound."""
         if self.bound is None:
             return True
@@ -42,4 +42,4 @@
     for line in lines:
         out.write(msgspec.json.encode(line).decode() + "\n")
     out.flush()
-    return all(line.holds() for line in lines)
+    return all(line.is_within_bound() for line in lines)
--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -106,7 +106,7 @@
                 if line.startswith(f"| {check.name} |")
             ]
             with self.subTest(check.name):
-                self.assertEqual("**no**" in row, not check.holds)
+                self.assertEqual("**no**" in row, not check.is_met)
 
     def test_a_page_that_lacks_a_table_is_refused(self):
         with self.assertRaisesRegex(KeyError, "no place"):
--- a/tests/cover/test_cascade_learned.py
+++ b/tests/cover/test_cascade_learned.py
@@ -179,9 +179,11 @@
 
     def test_the_target_is_met_far_below_the_strongest_models_cost(self):
         source = random.Random(5)
-        run = quality.RatedRun(workload=LOOKUP, clock=clock.FakeClock())
-        run.serve(quality.requests_of(LOOKUP, count=6_000, source=source))
-        requests = quality.requests_of(LOOKUP, count=6_000, source=source)
+        run = quality.LearnedCascadeRun(
+            workload=LOOKUP, clock=clock.FakeClock()
+        )
+        run.serve(quality.generate_requests(LOOKUP, count=6_000, source=source))
+        requests = quality.generate_requests(LOOKUP, count=6_000, source=source)
         outcome = run.serve(requests)
         strongest = sum(r.costs[1] for r in requests) / len(requests)
         target = LOOKUP.template.quality_target
@@ -195,8 +197,10 @@
         strongest model, since the cheap one's quality is no longer known.
         """
         source = random.Random(5)
-        run = quality.RatedRun(workload=LOOKUP, clock=clock.FakeClock())
-        run.serve(quality.requests_of(LOOKUP, count=6_000, source=source))
+        run = quality.LearnedCascadeRun(
+            workload=LOOKUP, clock=clock.FakeClock()
+        )
+        run.serve(quality.generate_requests(LOOKUP, count=6_000, source=source))
 
         def plan_after(hours):
             return cascade_learner.plan_for(
--- a/tests/cover/test_suspect_registry.py
+++ b/tests/cover/test_suspect_registry.py
@@ -169,14 +169,14 @@
 class HistoriesTest(unittest.TestCase):
     """Simulated days of a pool, some of whose requests crash replicas."""
 
-    DAYS = 6
+    SIMULATIONS = 6
 
-    def played(self, **day) -> list[crashing_requests.Outcome]:
+    def simulate(self, **parameters) -> list[crashing_requests.Outcome]:
         """Simulates days that differ by their seed only."""
-        shape = crashing_requests.Day(length_s=20.0, **day)
+        scenario = crashing_requests.Scenario(duration_s=20.0, **parameters)
         return [
-            crashing_requests.Pool(day=shape, seed=seed).play()
-            for seed in range(self.DAYS)
+            crashing_requests.Pool(scenario=scenario, seed=seed).run()
+            for seed in range(self.SIMULATIONS)
         ]
 
     def test_one_crashing_request_ends_three_replicas(self):
@@ -184,27 +184,29 @@
         retried at other replicas. Of all innocent requests of the day at most
         one in five hundred may be quarantined.
         """
-        outcomes = self.played(crashing=1, copies=1)
+        outcomes = self.simulate(crashing_requests=1, copies=1)
         for outcome in outcomes:
-            self.assertEqual(outcome.ended, 3)
+            self.assertEqual(outcome.crashes, 3)
         self.assert_few_quarantined(outcomes)
 
     def test_several_crashing_requests_are_each_stopped(self):
-        for outcome in self.played(crashing=3, copies=2):
-            self.assertLessEqual(outcome.late, 3)
+        for outcome in self.simulate(crashing_requests=3, copies=2):
+            self.assertLessEqual(outcome.max_late_sends, 3)
 
     def test_outages_quarantine_few_requests(self):
         """Half of the replicas lose power, three times, and no request is the
         cause.
         """
-        self.assert_few_quarantined(self.played(crashing=0, outages=3))
+        self.assert_few_quarantined(
+            self.simulate(crashing_requests=0, outages=3)
+        )
 
     def assert_few_quarantined(
         self, outcomes: list[crashing_requests.Outcome]
     ) -> None:
         """Checks the share of innocent requests quarantined over all days."""
-        quarantined = sum(outcome.condemned for outcome in outcomes)
-        others = sum(outcome.others for outcome in outcomes)
+        quarantined = sum(outcome.wrongly_quarantined for outcome in outcomes)
+        others = sum(outcome.ordinary_requests for outcome in outcomes)
         self.assertLessEqual(quarantined, others / 500)
 
 
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -23,7 +23,7 @@
 COMPILER_PACKAGE = "build-essential"
 EXECUTABLE_MODE = 0o755
 # The interpreter reads these before it can decompress anything.
-_LIST_FIRST_MODULES = (
+_LIST_STARTUP_MODULES = (
     "import sys, importlib.machinery, os, zipimport;"
     "print(*sys.modules, sep='\\n')"
 )
@@ -46,10 +46,10 @@
         _compile_launcher(unfinished, scratch)
         _append_archive(unfinished, files, scratch)
         result.parent.mkdir(parents=True, exist_ok=True)
-        beside = result.with_suffix(".new")
-        shutil.copyfile(unfinished, beside)
-        beside.chmod(EXECUTABLE_MODE)
-        beside.replace(result)
+        new_file = result.with_suffix(".new")
+        shutil.copyfile(unfinished, new_file)
+        new_file.chmod(EXECUTABLE_MODE)
+        new_file.replace(result)
 
 
 def _require_compiler() -> None:
@@ -72,7 +72,10 @@
     if not needed:
         embedded = {"python": interpreter}
     elif len(needed) == 1:
-        embedded = {"python": _own_interpreter(scratch), "library": needed[0]}
+        embedded = {
+            "python": _compile_interpreter(scratch),
+            "library": needed[0],
+        }
     else:
         raise libraries.MissingLibraryError(
             f"{interpreter.name} is linked to {len(needed)} libraries, "
@@ -88,7 +91,7 @@
     subprocess.run([*COMPILE, result, launcher, table], check=True)
 
 
-def _own_interpreter(scratch: pathlib.Path) -> pathlib.Path:
+def _compile_interpreter(scratch: pathlib.Path) -> pathlib.Path:
     """Compiles the interpreter that opens Python's library."""
     result = scratch / "interpreter"
     source = ROOT / "tools" / "interpreter.c"
@@ -124,10 +127,10 @@
     scratch: pathlib.Path,
 ) -> None:
     """Appends all Python modules; zip archives are read from their end."""
-    first = _first_modules()
+    first = _startup_modules()
     start = payload.SourceFile(
         path=ROOT / "tools" / START_MODULE,
-        place=pathlib.PurePath(START_MODULE),
+        archive_path=pathlib.PurePath(START_MODULE),
     )
     with zipfile.ZipFile(result, "a") as archive:
         for file in [start, *files]:
@@ -156,10 +159,10 @@
         yield libraries.stripped(needed[name], scratch)
 
 
-def _first_modules() -> set[str]:
+def _startup_modules() -> set[str]:
     """Returns the modules that have to be readable without zlib."""
     listing = subprocess.run(
-        [sys.executable, "-PSB", "-Xutf8", "-c", _LIST_FIRST_MODULES],
+        [sys.executable, "-PSB", "-Xutf8", "-c", _LIST_STARTUP_MODULES],
         capture_output=True,
         text=True,
         check=True,
@@ -171,7 +174,7 @@
 def _entry_name(file: payload.SourceFile) -> str:
     if file.is_extension:
         return f"extensions/{file.module_name}"
-    return str(file.place.with_suffix(".pyc"))
+    return str(file.archive_path.with_suffix(".pyc"))
 
 
 def _content(file: payload.SourceFile, scratch: pathlib.Path) -> bytes:
--- a/tools/embedded_start.py
+++ b/tools/embedded_start.py
@@ -12,8 +12,8 @@
 import zipimport
 
 EXTENSIONS = "extensions/"
-EXIT_NOT_HERE = 2
-MOST_LIBRARIES = 1000
+EXIT_NOT_INCLUDED = 2
+MAX_LIBRARIES = 1000
 LIBRARIES = "libraries/"
 _LAUNCHER_VARIABLES = (
     "NUTMEGHOOK_PYTHON_LIBRARY",
@@ -68,7 +68,7 @@
     need of the same name, so it does not look at the machine's own. Without
     this, a machine with another version of one could fail to start us.
     """
-    for number in range(MOST_LIBRARIES):
+    for number in range(MAX_LIBRARIES):
         name = f"{LIBRARIES}{number:03}"
         try:
             content = archive.get_data(name)
@@ -117,7 +117,7 @@
             "this file: run `make demo` in a clone of the repository",
             file=sys.stderr,
         )
-        sys.exit(EXIT_NOT_HERE)
+        sys.exit(EXIT_NOT_INCLUDED)
     cli = importlib.import_module("nutmeghook.cli")
     cli.main()
 
--- a/tools/libraries.py
+++ b/tools/libraries.py
@@ -7,7 +7,7 @@
 
 # The C library belongs to the machine: its loader and its parts only work
 # with each other, and the launcher has the machine's loaded already.
-LEFT_TO_THE_MACHINE = re.compile(
+SYSTEM_LIBRARIES = re.compile(
     r"(ld-linux|libc\.|libm\.|libdl\.|librt\.|libpthread\.|libutil\.|"
     r"libresolv\.)"
 )
@@ -26,15 +26,15 @@
     listing = subprocess.run(
         ["ldd", *map(str, files)], capture_output=True, text=True, check=True
     )
-    for name, place in _NEEDED.findall(listing.stdout):
-        if LEFT_TO_THE_MACHINE.match(name):
+    for name, location in _NEEDED.findall(listing.stdout):
+        if SYSTEM_LIBRARIES.match(name):
             continue
-        if place == "not":
+        if location == "not":
             raise MissingLibraryError(
                 f"{name} is not on this machine; install the package that "
                 "holds it and build again"
             )
-        found[name] = pathlib.Path(place).resolve()
+        found[name] = pathlib.Path(location).resolve()
     return found
 
 
--- a/tools/payload.py
+++ b/tools/payload.py
@@ -13,7 +13,7 @@
 from packaging import requirements
 
 # Nothing that serves or administers needs these; they are half of the size.
-LEFT_OUT_FOLDERS = frozenset(
+EXCLUDED_FOLDERS = frozenset(
     (
         "__pycache__",
         "curses",
@@ -35,7 +35,7 @@
 )
 # Of the standard library's compiled modules: tests, and what would bring a
 # shared library along that no code of ours calls.
-LEFT_OUT_EXTENSIONS = (
+EXCLUDED_EXTENSIONS = (
     "_crypt",
     "_ctypes_test",
     "_curses",
@@ -59,11 +59,11 @@
 
     Attributes:
         path: Where it is on the building machine.
-        place: Where it belongs, relative to the root of all modules.
+        archive_path: Where it belongs, relative to the root of all modules.
     """
 
     path: pathlib.Path
-    place: pathlib.PurePath
+    archive_path: pathlib.PurePath
 
     @property
     def is_extension(self) -> bool:
@@ -73,8 +73,8 @@
     @property
     def module_name(self) -> str:
         """The dotted name it is imported by."""
-        bare = self.place.name.split(".")[0]
-        return ".".join((*self.place.parent.parts, bare))
+        bare = self.archive_path.name.split(".")[0]
+        return ".".join((*self.archive_path.parent.parts, bare))
 
 
 def collect(project: str, source: pathlib.Path) -> list[SourceFile]:
@@ -85,10 +85,10 @@
         source: The folder that holds its packages.
     """
     files = list(_standard_library())
-    for name in sorted(_requirements(project) - {project}):
+    for name in sorted(_transitive_requirements(project) - {project}):
         files.extend(_distribution_files(name))
     files.extend(_tree(source))
-    return sorted(files, key=lambda file: file.place)
+    return sorted(files, key=lambda file: file.archive_path)
 
 
 def namespace_folders(
@@ -99,10 +99,14 @@
     In an archive such a package (zope is one) is only found if its folder has
     an entry; without it, importing what it holds fails.
     """
-    places = {file.place for file in files}
-    folders = {folder for place in places for folder in place.parents}
+    archive_paths = {file.archive_path for file in files}
+    folders = {
+        folder
+        for archive_path in archive_paths
+        for folder in archive_path.parents
+    }
     folders.discard(pathlib.PurePath())
-    return {f for f in folders if f / "__init__.py" not in places}
+    return {f for f in folders if f / "__init__.py" not in archive_paths}
 
 
 def compiled(file: SourceFile) -> bytes:
@@ -112,7 +116,10 @@
     not there at run time.
     """
     code = compile(
-        file.path.read_bytes(), str(file.place), "exec", dont_inherit=True
+        file.path.read_bytes(),
+        str(file.archive_path),
+        "exec",
+        dont_inherit=True,
     )
     return _pyc(code)
 
@@ -132,34 +139,37 @@
     yield from _tree(pathlib.Path(sysconfig.get_path("stdlib")))
     extensions = pathlib.Path(sysconfig.get_config_var("DESTSHARED"))
     for path in extensions.glob("*.so"):
-        if not path.name.startswith(LEFT_OUT_EXTENSIONS):
-            yield SourceFile(path=path, place=pathlib.PurePath(path.name))
+        if not path.name.startswith(EXCLUDED_EXTENSIONS):
+            yield SourceFile(
+                path=path, archive_path=pathlib.PurePath(path.name)
+            )
 
 
 def _tree(folder: pathlib.Path) -> collections.abc.Iterator[SourceFile]:
     for path in folder.rglob("*.py"):
-        place = path.relative_to(folder)
-        if LEFT_OUT_FOLDERS.isdisjoint(place.parts):
-            yield SourceFile(path=path, place=place)
+        archive_path = path.relative_to(folder)
+        if EXCLUDED_FOLDERS.isdisjoint(archive_path.parts):
+            yield SourceFile(path=path, archive_path=archive_path)
 
 
 def _distribution_files(name: str) -> collections.abc.Iterator[SourceFile]:
     distribution = importlib.metadata.distribution(name)
     for file in distribution.files or ():
-        place = pathlib.PurePath(file)
+        archive_path = pathlib.PurePath(file)
         wanted = file.name.endswith((".py", *_EXTENSION_SUFFIXES))
-        if wanted and LEFT_OUT_FOLDERS.isdisjoint(place.parts):
+        if wanted and EXCLUDED_FOLDERS.isdisjoint(archive_path.parts):
             yield SourceFile(
-                path=pathlib.Path(distribution.locate_file(file)), place=place
+                path=pathlib.Path(distribution.locate_file(file)),
+                archive_path=archive_path,
             )
 
 
-def _requirements(project: str) -> set[str]:
+def _transitive_requirements(project: str) -> set[str]:
     """Returns a project and all it needs, its extras left out."""
     found: set[str] = set()
-    left = [project]
-    while left:
-        name = left.pop().lower().replace("_", "-")
+    pending = [project]
+    while pending:
+        name = pending.pop().lower().replace("_", "-")
         if name in found:
             continue
         found.add(name)
@@ -167,5 +177,5 @@
             needed = requirements.Requirement(line)
             marker = needed.marker
             if marker is None or marker.evaluate({"extra": ""}):
-                left.append(needed.name)
+                pending.append(needed.name)
     return found
--- a/tools/soaks.py
+++ b/tools/soaks.py
@@ -1,6 +1,6 @@
 """Plays a range of soak seeds, a few at a time.
 
-    python -m tools.soaks FIRST LAST [AT_ONCE]
+    python -m tools.soaks FIRST LAST [DEFAULT_CONCURRENCY]
 
 Prints each seed's report as a JSON line. The logs of seeds that found
 something are kept under out/soak; each of them goes into tests/whole/test_soak
@@ -14,7 +14,7 @@
 import sys
 
 LOGS = pathlib.Path("out/soak")
-AT_ONCE = 3
+DEFAULT_CONCURRENCY = 3
 # A soak takes some 25 s; beyond this it hangs, which is a finding too.
 TIMEOUT_S = 180.0
 
@@ -25,28 +25,28 @@
         print(__doc__, file=sys.stderr)
         return 2
     first, last, *rest = (int(argument) for argument in arguments)
-    at_once = rest[0] if rest else AT_ONCE
-    with concurrent.futures.ThreadPoolExecutor(at_once) as pool:
-        held = list(pool.map(_play, range(first, last + 1)))
-    print(f"{sum(held)} passed, {len(held) - sum(held)} failed")
-    return 0 if all(held) else 1
+    concurrency = rest[0] if rest else DEFAULT_CONCURRENCY
+    with concurrent.futures.ThreadPoolExecutor(concurrency) as pool:
+        passed = list(pool.map(_run_seed, range(first, last + 1)))
+    print(f"{sum(passed)} passed, {len(passed) - sum(passed)} failed")
+    return 0 if all(passed) else 1
 
 
-def _play(seed: int) -> bool:
+def _run_seed(seed: int) -> bool:
     logs = LOGS / str(seed)
     command = [sys.executable, "-m", "nutmeghook", "soak"]
     command += ["--seed", str(seed), "--keep", str(logs)]
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             command, capture_output=True, text=True, timeout=TIMEOUT_S
         )
     except subprocess.TimeoutExpired:
         print(f"seed {seed} did not end within {TIMEOUT_S:.0f} s", flush=True)
         return False
-    print(done.stdout + done.stderr, end="", flush=True)
-    if done.returncode == 0:
+    print(completed.stdout + completed.stderr, end="", flush=True)
+    if completed.returncode == 0:
         shutil.rmtree(logs, ignore_errors=True)
-    return done.returncode == 0
+    return completed.returncode == 0
 
 
 if __name__ == "__main__":
