--- a/deploy/serve.py
+++ b/deploy/serve.py
@@ -1,4 +1,4 @@
-"""Starts a router on the users' platform from a checkout."""
+"""Starts a router on the users' platform from a source checkout."""
 
 import os
 import pathlib
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Serves until SIGTERM; prints every fault of the settings first."""
+    """Serves until SIGTERM, or prints all invalid settings."""
     try:
         return event_loop.run(
             router_process.serve(lambda: settings.load_file(os.environ))
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,6 +1,6 @@
-"""Builds `dist/nutmeghook`: one file, one process, no disk.
+"""Builds `dist/nutmeghook`, a single executable that needs no other files.
 
-docs/design/binary.md says why it is built this way.
+The reasons for its structure are in docs/design/binary.md.
 """
 
 import collections.abc
@@ -22,21 +22,21 @@
 COMPILE = ("gcc", "-Os", "-s", "-Wall", "-Wextra", "-Werror", "-o")
 COMPILER_PACKAGE = "build-essential"
 EXECUTABLE_MODE = 0o755
-# The interpreter reads these before it can decompress anything.
+# Modules that the interpreter imports before zlib is available.
 _LIST_STARTUP_MODULES = (
     "import sys, importlib.machinery, os, zipimport;"
     "print(*sys.modules, sep='\\n')"
 )
 _DECOMPRESSOR = "zlib"
-# One moment for all entries: the same input gives the same file.
+# A fixed date for all entries makes the build reproducible.
 _ENTRY_DATE = (1980, 1, 1, 0, 0, 0)
 
 
 def build(result: pathlib.Path) -> None:
-    """Builds the file.
+    """Builds the executable.
 
     Args:
-        result: Replaced at once, so that a running one is not disturbed.
+        result: Replaced atomically, so that a running process keeps its file.
     """
     _require_compiler()
     files = payload.collect("nutmeghook", ROOT / "src")
@@ -64,8 +64,8 @@
 def _compile_launcher(result: pathlib.Path, scratch: pathlib.Path) -> None:
     """Compiles the launcher around the interpreter.
 
-    Python's machine code is in the interpreter itself, or in a library that
-    a small interpreter of ours opens.
+    Python's machine code is either in the interpreter itself or in a shared
+    library, which a small interpreter (interpreter.c) then loads.
     """
     interpreter = pathlib.Path(sys.executable).resolve()
     needed = list(libraries.needed_by([interpreter]).values())
@@ -80,7 +80,7 @@
         raise libraries.MissingLibraryError(
             f"{interpreter.name} is linked to {len(needed)} libraries, "
             f"{', '.join(str(path) for path in needed)}; build with a Python "
-            "that is linked to its own library at most"
+            "that is linked to no library other than its own"
         )
     for name, path in embedded.items():
         content = libraries.stripped(path, scratch)
@@ -92,7 +92,7 @@
 
 
 def _compile_interpreter(scratch: pathlib.Path) -> pathlib.Path:
-    """Compiles the interpreter that opens Python's library."""
+    """Compiles the interpreter that loads Python's shared library."""
     result = scratch / "interpreter"
     source = ROOT / "tools" / "interpreter.c"
     subprocess.run([*COMPILE, result, source], check=True)
@@ -100,7 +100,7 @@
 
 
 def _assembly(names: list[str], scratch: pathlib.Path) -> str:
-    """Writes the table that launcher.c calls EMBEDDED."""
+    """Returns assembly for the EMBEDDED table of launcher.c."""
     contents = [
         f'name{i}: .asciz "{name}"\n'
         f'start{i}: .incbin "{scratch}/{name}.embedded"\n'
@@ -126,7 +126,7 @@
     files: list[payload.SourceFile],
     scratch: pathlib.Path,
 ) -> None:
-    """Appends all Python modules; zip archives are read from their end."""
+    """Appends all modules as a zip archive, which is read from its end."""
     first = _startup_modules()
     start = payload.SourceFile(
         path=ROOT / "tools" / START_MODULE,
@@ -141,8 +141,8 @@
             )
             archive.writestr(entry, _content(file, scratch))
         for number, content in enumerate(_libraries(files, scratch)):
-            # Read before anything can be decompressed, hence stored. The
-            # number keeps their order.
+            # Stored uncompressed, since they are read before zlib is loaded.
+            # The number gives the load order.
             entry = zipfile.ZipInfo(f"{LIBRARIES}{number:03}", _ENTRY_DATE)
             archive.writestr(entry, content)
         for folder in sorted(payload.namespace_folders(files)):
@@ -160,7 +160,7 @@
 
 
 def _startup_modules() -> set[str]:
-    """Returns the modules that have to be readable without zlib."""
+    """Returns the modules that must be readable without zlib."""
     listing = subprocess.run(
         [sys.executable, "-PSB", "-Xutf8", "-c", _LIST_STARTUP_MODULES],
         capture_output=True,
@@ -184,7 +184,7 @@
 
 
 def main() -> None:
-    """Builds into `dist` and says where."""
+    """Builds into `dist` and prints the path and size."""
     build(RESULT)
     print(f"built {RESULT.relative_to(ROOT)}: {RESULT.stat().st_size} bytes")
 
--- a/tools/embedded_start.py
+++ b/tools/embedded_start.py
@@ -1,8 +1,8 @@
 """The first Python code that `dist/nutmeghook` runs.
 
-It may import only what the interpreter itself has loaded before: until the
-finder below is there, every other module would miss its compiled part and,
-where it has a slow substitute in Python, keep that for good.
+It may import only modules that the interpreter has already loaded. Until the
+finder below is installed, any other module would fail to import its compiled
+part, and would keep its slower Python fallback where it has one.
 """
 
 import _imp
@@ -23,9 +23,9 @@
 
 
 class EmbeddedExtensionFinder:
-    """Finds compiled modules in the archive and loads them from memory.
+    """Finds extension modules in the archive and loads them from memory.
 
-    Not derived from importlib.abc: importing that needs compiled modules.
+    Not derived from importlib.abc, whose import needs extension modules.
     """
 
     __slots__ = ("_archive",)
@@ -36,7 +36,7 @@
     def find_spec(
         self, fullname: str, path: object, target: object = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Returns how to load a module, or None if it is not one of ours."""
+        """Returns the spec of a module, or None if it is not in the archive."""
         try:
             content = self._archive.get_data(EXTENSIONS + fullname)
         except OSError:
@@ -49,11 +49,11 @@
 
 
 def _memory_file(name: str, content: bytes) -> str:
-    """Returns the path of a file that is only in memory.
+    """Writes an in-memory file and returns its path.
 
-    The descriptor stays open on purpose. The dynamic loader knows libraries
-    by their path; were the number used again, the next module would get the
-    library that was loaded first under that path.
+    The descriptor is deliberately left open. The dynamic loader identifies
+    libraries by path; if the number were reused, the next module would get
+    the library that was loaded first under that path.
     """
     descriptor = os.memfd_create(name)
     with os.fdopen(descriptor, "wb", closefd=False) as file:
@@ -64,9 +64,9 @@
 def _load_libraries(archive: zipimport.zipimporter) -> None:
     """Loads the shared libraries that compiled modules need.
 
-    The dynamic loader takes a library that is loaded already for every later
-    need of the same name, so it does not look at the machine's own. Without
-    this, a machine with another version of one could fail to start us.
+    The dynamic loader uses an already loaded library for every later request
+    of the same name, so the machine's own copy is not used. A different
+    version on the machine could otherwise prevent the start.
     """
     for number in range(MAX_LIBRARIES):
         name = f"{LIBRARIES}{number:03}"
@@ -78,9 +78,9 @@
 
 
 def _load_library(path: str) -> None:
-    """Loads a shared library that is no Python module.
+    """Loads a shared library that is not a Python module.
 
-    The interpreter opens it, finds no module in it and leaves it open.
+    The interpreter opens it, fails to find a module in it and leaves it open.
     """
     loader = importlib.machinery.ExtensionFileLoader("library", path)
     spec = importlib.machinery.ModuleSpec("library", loader, origin=path)
@@ -92,7 +92,7 @@
 
 
 def _name_process() -> None:
-    # Else `ps` and `top` show the number of a descriptor.
+    # `ps` and `top` would otherwise show a descriptor number.
     with open("/proc/self/comm", "w") as name:
         name.write("nutmeghook")
 
@@ -107,8 +107,8 @@
     finder = EmbeddedExtensionFinder(archive=archive)
     sys.meta_path.append(finder)
     _name_process()
-    # At a terminal fire shows help through the program that PAGER names; this
-    # value keeps to its own pages, so that no process is started.
+    # At a terminal, fire shows help in the program that PAGER names; with "-"
+    # it uses its built-in pager and starts no process.
     os.environ["PAGER"] = "-"
     sys.argv[0] = "nutmeghook"
     if sys.argv[1:2] == ["demo"]:
--- a/tools/interpreter.c
+++ b/tools/interpreter.c
@@ -1,9 +1,9 @@
-/* An interpreter whose library is a file in memory.
+/* A Python interpreter that loads its shared library from an in-memory file.
 
-   tools/launcher.c becomes this program where Python keeps its machine code in
-   a shared library. It opens the library that the variable below names and
-   hands its arguments over; a library that is open serves every later need of
-   its name, so the machine's own is not looked at. */
+   tools/launcher.c executes this program if Python's machine code is in a
+   shared library. It loads the library named by NUTMEGHOOK_PYTHON_LIBRARY and
+   passes its arguments on. The dynamic loader uses a loaded library for every
+   later request of its name, so the machine's own copy is not used. */
 
 #include <dlfcn.h>
 #include <stdio.h>
--- a/tools/launcher.c
+++ b/tools/launcher.c
@@ -1,13 +1,13 @@
-/* The machine code of dist/nutmeghook: turns itself into an interpreter.
+/* The launcher of dist/nutmeghook, which replaces itself by an interpreter.
 
    The interpreter is part of this program's image (EMBEDDED, written by
-   tools/binary.py). It is copied into a file that exists in memory only, and
-   the process replaces itself by it: same process id, no child, nothing in any
-   file system. Python's modules and the shared libraries that they need are in
-   a zip archive behind the image, which the interpreter reads through a
-   descriptor of this file.
+   tools/binary.py). It is copied into an in-memory file and executed by the
+   same process: the process id stays, no child is started, and nothing is
+   written to a file system. Python's modules and the shared libraries that
+   they need are in a zip archive appended to the image, which the interpreter
+   reads through a descriptor of this file.
 
-   What fails is said on standard error with the system's reason, and the exit
+   Errors are written to standard error with the system's reason, and the exit
    status is 70 (EX_SOFTWARE of sysexits.h). */
 
 #define _GNU_SOURCE
@@ -26,7 +26,7 @@
   const char *end;
 };
 
-/* The interpreter, its library if it has one, then an entry without a name. */
+/* The interpreter, its library if any, then a terminating entry (name NULL). */
 extern const struct embedded_file EMBEDDED[];
 
 enum { PATH_BYTES = 64 };
@@ -68,7 +68,8 @@
   if (descriptor < 0) give_up("/proc/self/exe");
   descriptor_path(path, descriptor);
   setenv("PYTHONPATH", path, 1);
-  /* Any other home lets the interpreter look for its library on the disk. */
+  /* With any other home the interpreter would search the disk for its
+     library. */
   setenv("PYTHONHOME", path, 1);
 }
 
@@ -82,5 +83,5 @@
   char interpreter[PATH_BYTES];
   descriptor_path(interpreter, memory_file(EMBEDDED, MFD_CLOEXEC));
   execv(interpreter, all);
-  give_up("can't become the interpreter");
+  give_up("cannot execute the interpreter");
 }
--- a/tools/libraries.py
+++ b/tools/libraries.py
@@ -1,12 +1,12 @@
-"""Finds the shared libraries that machine code needs, and makes it small."""
+"""Finds the shared libraries that executables need, and strips symbols."""
 
 import collections.abc
 import pathlib
 import re
 import subprocess
 
-# The C library belongs to the machine: its loader and its parts only work
-# with each other, and the launcher has the machine's loaded already.
+# Libraries of the C library are taken from the machine: its loader and its
+# parts only work together, and the launcher has already loaded them.
 SYSTEM_LIBRARIES = re.compile(
     r"(ld-linux|libc\.|libm\.|libdl\.|librt\.|libpthread\.|libutil\.|"
     r"libresolv\.)"
@@ -21,7 +21,7 @@
 def needed_by(
     files: collections.abc.Iterable[pathlib.Path],
 ) -> dict[str, pathlib.Path]:
-    """Returns the libraries that files need, by the names they ask for."""
+    """Returns the shared libraries that files need, by requested name."""
     found: dict[str, pathlib.Path] = {}
     listing = subprocess.run(
         ["ldd", *map(str, files)], capture_output=True, text=True, check=True
@@ -39,10 +39,10 @@
 
 
 def in_load_order(libraries: dict[str, pathlib.Path]) -> list[str]:
-    """Returns the names so that each comes after those it needs itself.
+    """Returns the names in an order in which each follows its dependencies.
 
-    All that a library needs is needed by whatever needs the library, so it
-    needs fewer.
+    A library has fewer transitive dependencies than any library that depends
+    on it, so sorting by their number suffices.
     """
     return sorted(
         libraries, key=lambda name: (len(needed_by([libraries[name]])), name)
@@ -50,11 +50,11 @@
 
 
 def stripped(path: pathlib.Path, scratch: pathlib.Path) -> bytes:
-    """Returns machine code without what only a debugger reads.
+    """Returns an executable or library without debugging symbols.
 
     Args:
         path: An executable or a shared library; it is not changed.
-        scratch: A folder for the smaller copy.
+        scratch: A folder for the stripped copy.
     """
     smaller = scratch / path.name
     subprocess.run(
--- a/tools/payload.py
+++ b/tools/payload.py
@@ -12,7 +12,7 @@
 
 from packaging import requirements
 
-# Nothing that serves or administers needs these; they are half of the size.
+# Not needed to serve or administer; they would double the size.
 EXCLUDED_FOLDERS = frozenset(
     (
         "__pycache__",
@@ -33,8 +33,8 @@
         "venv",
     )
 )
-# Of the standard library's compiled modules: tests, and what would bring a
-# shared library along that no code of ours calls.
+# Extension modules of the standard library that are tests, or that need a
+# shared library which this project does not use.
 EXCLUDED_EXTENSIONS = (
     "_crypt",
     "_ctypes_test",
@@ -58,8 +58,8 @@
     """One module, or the code of one package.
 
     Attributes:
-        path: Where it is on the building machine.
-        archive_path: Where it belongs, relative to the root of all modules.
+        path: Path on the build machine.
+        archive_path: Path in the archive, relative to the module root.
     """
 
     path: pathlib.Path
@@ -67,18 +67,18 @@
 
     @property
     def is_extension(self) -> bool:
-        """Whether it is machine code."""
+        """Whether it is an extension module."""
         return self.path.name.endswith(_EXTENSION_SUFFIXES)
 
     @property
     def module_name(self) -> str:
-        """The dotted name it is imported by."""
+        """The dotted name under which it is imported."""
         bare = self.archive_path.name.split(".")[0]
         return ".".join((*self.archive_path.parent.parts, bare))
 
 
 def collect(project: str, source: pathlib.Path) -> list[SourceFile]:
-    """Lists the standard library, a project's needs and its own modules.
+    """Lists the modules of a project, its requirements and the stdlib.
 
     Args:
         project: The distribution whose requirements are followed.
@@ -94,10 +94,10 @@
 def namespace_folders(
     files: collections.abc.Iterable[SourceFile],
 ) -> set[pathlib.PurePath]:
-    """Returns the folders of packages that have no code of their own.
+    """Returns the folders of namespace packages.
 
-    In an archive such a package (zope is one) is only found if its folder has
-    an entry; without it, importing what it holds fails.
+    zipimport finds such a package (zope, for example) only if the archive has
+    an entry for its folder.
     """
     archive_paths = {file.archive_path for file in files}
     folders = {
@@ -110,10 +110,10 @@
 
 
 def compiled(file: SourceFile) -> bytes:
-    """Returns what a `.pyc` file holds, free of the building machine's paths.
+    """Returns the content of a `.pyc` file without build machine paths.
 
-    The header says that it is never compared with its source: the source is
-    not there at run time.
+    The header disables the comparison with the source, which does not exist
+    at run time.
     """
     code = compile(
         file.path.read_bytes(),
@@ -165,7 +165,7 @@
 
 
 def _transitive_requirements(project: str) -> set[str]:
-    """Returns a project and all it needs, its extras left out."""
+    """Returns a project and its transitive requirements, without extras."""
     found: set[str] = set()
     pending = [project]
     while pending:
--- a/tools/soaks.py
+++ b/tools/soaks.py
@@ -1,10 +1,10 @@
-"""Plays a range of soak seeds, a few at a time.
+"""Runs a range of soak seeds, a few in parallel.
 
-    python -m tools.soaks FIRST LAST [DEFAULT_CONCURRENCY]
+    python -m tools.soaks FIRST LAST [CONCURRENCY]
 
-Prints each seed's report as a JSON line. The logs of seeds that found
-something are kept under out/soak; each of them goes into tests/whole/test_soak
-with a line on its cause. Exit status 1 if any did.
+Prints each seed's report as a JSON line. Logs of failed seeds are kept under
+out/soak; add each such seed to tests/whole/test_soak with a line on its cause.
+The exit status is 1 if any seed failed.
 """
 
 import concurrent.futures
@@ -15,12 +15,12 @@
 
 LOGS = pathlib.Path("out/soak")
 DEFAULT_CONCURRENCY = 3
-# A soak takes some 25 s; beyond this it hangs, which is a finding too.
+# A soak takes about 25 s; one that exceeds this hangs and counts as failed.
 TIMEOUT_S = 180.0
 
 
 def main(arguments: list[str]) -> int:
-    """Plays the seeds and sums up."""
+    """Runs the seeds and prints a summary."""
     if len(arguments) not in (2, 3):
         print(__doc__, file=sys.stderr)
         return 2
