--- a/bench/models/admission_baselines.py
+++ b/bench/models/admission_baselines.py
@@ -1,4 +1,4 @@
-"""What fair admission is measured against."""
+"""Baselines for fair admission and for the retry budget."""
 
 import asyncio
 import collections
@@ -14,7 +14,7 @@
 
 
 class FifoAdmission(admission.Admission):
-    """A fixed number of places, and a queue bounded by its length only."""
+    """A fixed number of slots, and a queue bounded by its length only."""
 
     __slots__ = ("_max_waiting", "_slots", "_waiting")
 
@@ -29,7 +29,7 @@
     async def admitted(
         self, request: admission.AdmissionRequest
     ) -> AsyncIterator[None]:
-        """Holds a place while the request runs."""
+        """Holds a slot while the request runs."""
         await self._acquire()
         try:
             yield
@@ -72,7 +72,7 @@
 
 
 class NaiveRetries(admission.RetryBudget):
-    """Allows every retry; the dispatcher's attempt count is the only bound."""
+    """Allows every retry; only the dispatcher's attempt count bounds them."""
 
     __slots__ = ()
 
@@ -80,5 +80,5 @@
         """Ignores it."""
 
     def try_spend(self) -> bool:
-        """Always allows one more."""
+        """Always allows the retry."""
         return True
--- a/bench/models/baselines.py
+++ b/bench/models/baselines.py
@@ -1,7 +1,7 @@
-"""The usual policies for choosing a backend server, to compare with.
+"""Baseline policies for choosing a backend server.
 
-Each knows the same late reports as the product's own chooser, but for the
-clairvoyant, which looks into the replicas' queues.
+Each sees the same delayed load reports as the product's own chooser, except
+the clairvoyant one, which reads the replicas' queues.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class BaselineChooser(backends.BackendChooser):
-    """A rule that is applied to all backend servers at each choice."""
+    """Applies a rule to all backend servers at each choice."""
 
     __slots__ = ("_candidates", "_rng", "_rule")
 
@@ -31,7 +31,7 @@
     def choose(
         self, criteria: backends.BackendCriteria
     ) -> backends.Backend | None:
-        """Returns what the rule says."""
+        """Returns the backend server that the rule selects."""
         return self._rule(self._candidates, self._rng)
 
     def started(self, backend: backends.Backend) -> None:
@@ -51,24 +51,24 @@
 
 
 def at_random(candidates: Candidates, rng: random.Random) -> backends.Backend:
-    """Any of them."""
+    """Selects any backend server."""
     return rng.choice(candidates)
 
 
 def least_reported(
     candidates: Candidates, rng: random.Random
 ) -> backends.Backend:
-    """The one whose last report shows the least load."""
+    """Selects the one with the least load in its last report."""
     return min(candidates, key=lambda b: (_reported(b), rng.random()))
 
 
 def two_choices(candidates: Candidates, rng: random.Random) -> backends.Backend:
-    """The less loaded of two, by their last reports."""
+    """Selects the less loaded of two random ones, by their last reports."""
     return min(rng.sample(candidates, 2), key=_reported)
 
 
 def round_robin() -> Rule:
-    """One after the other, from a start of the router's own."""
+    """Returns a round-robin rule with a random starting point."""
     turn: list[int] = []
 
     def rule(candidates: Candidates, rng: random.Random) -> backends.Backend:
@@ -81,7 +81,7 @@
 
 
 def clairvoyant(fleet_replicas: list[replicas.Replica]) -> Rule:
-    """The one with the truly least load; it is told of no report."""
+    """Returns a rule that selects the least actual load, without reports."""
 
     def rule(candidates: Candidates, rng: random.Random) -> backends.Backend:
         loads = [replica.load for replica in fleet_replicas]
--- a/bench/models/busy_engine.py
+++ b/bench/models/busy_engine.py
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class RequestKind:
-    """A kind of request; sizes are gamma distributed and cut at 2 means."""
+    """A kind of request; its size is gamma distributed, up to 2 means."""
 
     name: str
     priority: int
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class BrownOut:
-    """All engines are slow, and fail some of their work."""
+    """A time in which all engines are slow and fail some of their work."""
 
     from_s: float
     until_s: float
@@ -37,11 +37,11 @@
 
 
 class EngineFailedError(Exception):
-    """The engine gave up on the work."""
+    """The engine failed while generating."""
 
 
 class Engine:
-    """A batch of slots and a bounded queue, higher priority first."""
+    """A batch of slots and a bounded queue with the highest priority first."""
 
     __slots__ = (
         "_brown_out",
@@ -71,8 +71,8 @@
         """Generates the tokens.
 
         Raises:
-            EngineRefusedError: Two batches are waiting already.
-            EngineFailedError: It broke off, in a brown-out.
+            EngineRefusedError: Twice the batch size is already waiting.
+            EngineFailedError: The engine failed in a brown-out.
         """
         if len(self._waiting) >= 2 * self._slots:
             raise EngineRefusedError
--- a/bench/models/busy_fleet.py
+++ b/bench/models/busy_fleet.py
@@ -1,10 +1,10 @@
 """A fleet under load: callers, entry instances and model engines.
 
-Engines are queues with batching. Callers are impatient: one that got no
-answer by its deadline asks again at once, one that was refused comes back
-when it was told to. Admission and retry budgets are the product's own code,
-or a baseline. Which engine an attempt goes to is not what is measured here:
-it is the less loaded of two, with true loads.
+Engines are queues with batching. A caller without an answer by its deadline
+retries at once; a refused one retries after the given Retry-After. Admission
+and retry budgets are the product's own code or a baseline. The choice of an
+engine is not measured here: attempts go to the less loaded of two engines, by
+their actual loads.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Demand:
-    """What one team asks, as a share of the fleet's capacity."""
+    """The load that one team offers, as a share of the fleet's capacity."""
 
     team: str
     kind: busy_engine.RequestKind
@@ -44,11 +44,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Scenario:
-    """What is run; the fleet's size is that of today.
+    """What is simulated; the default fleet size is today's.
 
     Attributes:
-        reported_slots: The batch size that engines report; it is more than
-            they reach when long prompts fill their memory.
+        reported_slots: The batch size that engines report. They reach less
+            than this when long prompts fill their memory.
     """
 
     demands: tuple[Demand, ...]
@@ -61,7 +61,7 @@
 
     @property
     def capacity_tokens_per_s(self) -> float:
-        """What all engines generate with full batches."""
+        """The token rate of all engines with full batches."""
         token_interval_s = busy_engine.IDLE_TOKEN_INTERVAL_S * (
             1 + busy_engine.FULL_BATCH_SLOWDOWN
         )
@@ -73,9 +73,9 @@
     """One request as its caller sees it.
 
     Attributes:
-        caller_retries: How often the caller had asked before.
-        answered_s: When the whole answer came; None if it did not.
-        refused: It was told that the work was not run.
+        caller_retries: How often the caller had sent it before.
+        answered_s: When the whole answer arrived; None if it did not.
+        refused: The caller was told that the work was not run.
     """
 
     team: str
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Result:
-    """What happened; `attempts_s` are the moments attempts were sent."""
+    """What happened; `attempts_s` are the times at which attempts were sent."""
 
     scenario: Scenario
     caller_requests: list[CallerRequest] = dataclasses.field(
@@ -184,7 +184,7 @@
             await asyncio.sleep(retry_after_s)
 
     async def _send(self, caller_request: CallerRequest) -> float | None:
-        """Asks once; returns when to come back, or None with an answer."""
+        """Sends it once; returns the retry delay, or None if answered."""
         limits = self._random.choice(self._instances)
         try:
             async with asyncio.timeout(caller_request.kind.deadline_s):
--- a/bench/models/cold_fleet.py
+++ b/bench/models/cold_fleet.py
@@ -1,7 +1,8 @@
-"""Instances before cold replicas, each sending where it may.
+"""Instances that send to cold replicas under a rate policy.
 
-Everybody turns to cold replicas, since these are empty; what is counted is
-what reaches one of them in its worst second, and how much of what it bears.
+All instances send to cold replicas as fast as they may, since these are idle.
+Counted are the requests that reach one replica in its worst second, and the
+share of its safe rate that is used.
 """
 
 import abc
@@ -19,14 +20,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Scenario:
-    """Who knows whom.
+    """The fleet, and how complete each instance's membership view is.
 
     Attributes:
-        instances: How many send.
-        replicas: How many are cold.
-        network_partitions: Instances of one island know only each other.
-        unknown_share: Share of the others that an instance has not heard of.
-        dead_share: Share of the members that have just died, still counted.
+        instances: Number of sending instances.
+        replicas: Number of cold replicas.
+        network_partitions: Instances of one partition know only each other.
+        unknown_share: Share of the other members that an instance does not
+            know.
+        dead_share: Share of the members that are dead but still listed.
     """
 
     instances: int
@@ -37,27 +39,27 @@
 
 
 class RatePolicy(abc.ABC):
-    """How a cold replica's requests are shared."""
+    """How instances share the request rate of a cold replica."""
 
     @abc.abstractmethod
     def send_interval_s(
         self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
-        """Returns the time between two sends; None where none may be."""
+        """Returns the time between two sends; None if it may not send."""
 
 
 class EqualShares(RatePolicy):
-    """Each instance has its part of the rate, by the members it believes in."""
+    """Each instance has an equal share, by the members that it knows."""
 
     def send_interval_s(
         self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
-        """Returns the time in which all believed in send once each."""
+        """Returns the time in which each known member sends once."""
         return len(known_members) / RATE_PER_S
 
 
 class ElectedSenders(RatePolicy):
-    """A few instances may send, those that a hash puts first."""
+    """Only a few instances send, elected by rendezvous hash."""
 
     def __init__(self, *, senders: int = cold_limits.SENDERS):
         self._senders = senders
@@ -65,7 +67,7 @@
     def send_interval_s(
         self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
-        """Returns a sender's time between sends."""
+        """Returns the time between sends of an elected sender."""
         first = cold_senders.elect_senders(
             known_members, replica_id, self._senders
         )
@@ -75,26 +77,26 @@
 
 
 class SingleGranter(RatePolicy):
-    """Leave for each send is asked of the first member by a hash.
+    """The first member by a hash grants permission for each send.
 
-    The holder is modelled as if it sent everything that it grants itself.
+    The granter is modelled as sending everything that it grants itself.
     """
 
     def send_interval_s(
         self, name: str, known_members: Sequence[str], replica_id: str
     ) -> float | None:
-        """Returns the holder's time between grants."""
+        """Returns the time between two grants."""
         first = cold_senders.elect_senders(known_members, replica_id, 1)
         return 1 / RATE_PER_S if name in first else None
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Outcome:
-    """What the cold replicas got.
+    """The requests that the cold replicas received.
 
     Attributes:
-        max_in_one_second: The most that one of them got in one second.
-        utilisation: The mean of what they got, as a share of what they bear.
+        max_in_one_second: The most that one replica received in one second.
+        utilisation: Mean share of the safe rate that was used.
     """
 
     max_in_one_second: int
@@ -104,7 +106,7 @@
 def simulate(
     scenario: Scenario, policy: RatePolicy, *, seed: int, length_s: float = 20.0
 ) -> Outcome:
-    """Plays a scene in which everybody sends all that it may."""
+    """Simulates instances that all send as much as they may."""
     rng = random.Random(seed)
     members = [f"edge-{number}" for number in range(scenario.instances)]
     dead_share = set(
@@ -121,7 +123,7 @@
                 name, known_members, replica_id
             )
             if send_interval_s is not None:
-                # Whoever heard of the replica at once begins at once.
+                # Instances that know of the replica all start at the same time.
                 sent[replica_id] += _send_times(send_interval_s, length_s)
     counts = [
         sent[f"i-{seed}-{replica}"] for replica in range(scenario.replicas)
--- a/bench/models/crashing_requests.py
+++ b/bench/models/crashing_requests.py
@@ -1,9 +1,9 @@
-"""A pool of replicas, some requests that end them, and many that don't.
+"""A pool of replicas with some requests that crash them.
 
-Instances send to the least loaded replica they know of. A replica begins what
-it is sent a moment later, and ends, for everybody on it, a moment after it has
-begun a crashing request. What it had is sent on, as the route allows, and its
-caller tries once more after a failure.
+Instances send to the least loaded replica. A replica starts a request
+START_DELAY_S after receiving it, and crashes CRASH_DELAY_S after starting a
+crashing request, with all requests on it. These are retried as the route
+allows, and a caller retries once after a failure.
 """
 
 import dataclasses
@@ -18,22 +18,22 @@
 CRASH_DELAY_S = 0.065
 RESTART_DELAY_S = 2.7
 CALLER_RETRY_DELAY_S = 0.3
-# From one instance to all others.
+# Delay of an update from one instance to all others.
 GOSSIP_DELAY_S = 0.005
-# From one coming of a crashing request to the next.
+# Time between two arrivals of a crashing request.
 CRASHING_PERIOD_S = 5.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Scenario:
-    """What happens.
+    """The load and the failures.
 
     Attributes:
-        crashing_requests: How many different requests end replicas.
-        copies: How many copies of each come at a time.
-        rate_per_s: Of other requests.
-        max_duration_s: Longest that another request runs, at random.
-        outages: How often three replicas end by themselves at a time.
+        crashing_requests: Number of distinct requests that crash replicas.
+        copies: Number of copies of each that arrive together.
+        rate_per_s: Rate of ordinary requests.
+        max_duration_s: Ordinary requests run for a random time up to this.
+        outages: How often three replicas crash together without a cause.
     """
 
     crashing_requests: int = 2
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What came of a day.
+    """What happened in a scenario.
 
     Attributes:
         crashes: Replicas that crashed.
@@ -90,7 +90,7 @@
 
 
 class _Copy(_Request):
-    """Another caller's attempt of a crashing request; shares its history."""
+    """A copy of a crashing request from another caller; shares its crashes."""
 
     __slots__ = ()
 
@@ -100,7 +100,7 @@
 
 
 class _Replica:
-    """One start of a replica."""
+    """A replica from its start to its crash."""
 
     __slots__ = ("number", "requests", "running", "started")
 
@@ -112,7 +112,7 @@
 
 
 class Pool:
-    """Plays one day."""
+    """Simulates one scenario."""
 
     def __init__(self, *, scenario: Scenario, seed: int):
         self._scenario = scenario
@@ -128,7 +128,7 @@
         self.outcome = Outcome()
 
     def run(self) -> Outcome:
-        """Returns what came of the day."""
+        """Runs the scenario and returns its outcome."""
         at_s = 0.0
         while at_s < self._scenario.duration_s:
             at_s += self._rng.expovariate(self._scenario.rate_per_s)
@@ -230,7 +230,7 @@
             self._crash(replica)
 
     def _crash(self, replica: _Replica) -> None:
-        """Ends a replica for everybody on it."""
+        """Crashes a replica with all requests on it."""
         replica.running = False
         self.outcome.crashes += 1
         position = self._replicas.index(replica)
@@ -273,7 +273,7 @@
             if instance != sender:
                 for suspicion in updates:
                     registry.merge(suspicion)
-                # Everybody was told of it already.
+                # All instances receive these updates, so none is forwarded.
                 registry.take_updates(registry_module.MAX_SUSPECTS)
 
     def _call_after(self, delay_s: float, callback) -> None:
--- a/bench/models/fleet.py
+++ b/bench/models/fleet.py
@@ -1,4 +1,4 @@
-"""Many routers before many replicas, with reports that come late."""
+"""Many routers in front of many replicas, with delayed load reports."""
 
 from collections.abc import Callable
 import datetime
@@ -11,10 +11,10 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import poller
 
-# By then each replica was heard of, as by an instance that says it is ready.
+# By then every replica has reported, as before an instance is ready.
 TRAFFIC_STARTS_S = 8.0
-# An answer's tokens: lookups, checks and a few reviews; 214 in the mean, as
-# 1.8 million tokens and 8,400 requests a second give.
+# Tokens of an answer: lookups, checks and a few reviews. The mean is 214, from
+# 1.8 million tokens and 8,400 requests a second.
 TOKENS_OF_KIND = (90, 300, 1500)
 SHARE_OF_KIND = (0.70, 0.25, 0.05)
 TOKEN_S = 0.034
@@ -25,11 +25,11 @@
 
 
 class Fleet(routers_module.RouterEnvironment):
-    """Runs routers and replicas on a virtual clock and notes the waits.
+    """Runs routers and replicas on a virtual clock and records the waits.
 
     Attributes:
-        waits_s: Time that each request stood before a batch.
-        imbalance: At each sample, the largest queue over the mean one.
+        waits_s: Time that each request waited to join a batch.
+        imbalance: The largest load divided by the mean load, for each sample.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.shape = shape
         self.simulation = simulation.Simulation()
         self.rng = random.Random(seed)
-        # The traffic's own, so that every policy meets the same requests.
+        # Separate, so that every policy receives the same requests.
         self._traffic_rng = random.Random(f"traffic {seed}")
         self.replicas = [
             replicas.Replica(
@@ -81,7 +81,7 @@
         self.simulation.run_until(self.shape.duration_s)
 
     def _report_period_s(self) -> float:
-        """Returns how often a report is polled at this size."""
+        """Returns the polling period of a report at this size."""
         polled = self.shape.replicas // self.shape.routers
         return poller.report_period(polled).total_seconds()
 
--- a/bench/models/fleet_parts.py
+++ b/bench/models/fleet_parts.py
@@ -1,4 +1,4 @@
-"""Names and shapes that the fleet's model and its routers share."""
+"""Constants, shapes and samples shared by the fleet model and its routers."""
 
 import dataclasses
 
@@ -17,9 +17,10 @@
     """A fleet and its traffic.
 
     Attributes:
-        bursts: Traffic goes between 1.6 times its mean, for 3 s in the mean,
-            and 0.7 times, for 6 s; else it is Poisson at one rate.
-        reports_stop_s: Time from which no report arrives any more.
+        bursts: Traffic alternates between 1.6 times its mean, for 3 s on
+            average, and 0.7 times, for 6 s; otherwise it is Poisson at one
+            rate.
+        reports_stop_s: Time from which no more reports are sent.
     """
 
     routers: int
@@ -33,7 +34,7 @@
 
 
 def report_of(replica: replicas.Replica) -> engine.LoadReport:
-    """Returns what a replica says of its load now."""
+    """Returns a replica's current load report."""
     return engine.LoadReport(
         loaded=(VERSION,),
         running=replica.running,
--- a/bench/models/leaving.py
+++ b/bench/models/leaving.py
@@ -1,4 +1,4 @@
-"""Backend servers that leave, behind a list and reports that lag."""
+"""Backend servers that leave, with a delayed list and delayed reports."""
 
 import asyncio
 import dataclasses
@@ -27,13 +27,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Scenario:
-    """How one backend server leaves, and who tells of it when.
+    """How one backend server leaves, and when that becomes visible.
 
     Attributes:
-        list_lag_s: The list shows the leaving this much later.
-        report_lag_s: Reports show it this much later; None for never.
-        refuses: It turns work away, saying that it leaves.
-        dead: It answers nobody any more; nor does it say that it leaves.
+        plain: It is a plain service, not a model engine.
+        list_lag_s: Delay until the list shows that it leaves.
+        report_lag_s: Delay until its reports show it; None for never.
+        refuses: It refuses new work as leaving.
+        dead: It crashes: it no longer answers and never reports that it
+            leaves.
     """
 
     name: str
@@ -45,7 +47,7 @@
 
 
 class _Engine:
-    """One engine's side of the reports."""
+    """The load reports of one engine."""
 
     def __init__(self, *, platform: "Platform", address: str):
         self._platform = platform
@@ -73,7 +75,7 @@
 
 
 class Platform(engine.EngineConnector, instances.InstanceList):
-    """The platform: its list, and its backend servers, of which one leaves."""
+    """The platform's list and its backend servers, one of which leaves."""
 
     def __init__(
         self,
@@ -88,7 +90,7 @@
         self.rows = [_row(n, plain=scenario.plain) for n in range(BACKENDS)]
 
     def since_leaving_s(self) -> float:
-        """Returns the seconds since the leaving began; negative before."""
+        """Returns the seconds since it began to leave; negative before."""
         return self._clock.monotonic().total_seconds() - self._leaves_at_s
 
     def connect(self, address: str) -> engine.Engine:
@@ -96,7 +98,7 @@
         return _Engine(platform=self, address=address)
 
     async def list_instances(self) -> list[instances.ListedInstance]:
-        """Returns the list as it was `list_lag_s` ago."""
+        """Returns the list, delayed by `list_lag_s`."""
         if self.since_leaving_s() < self.scenario.list_lag_s:
             return self.rows
         if self.scenario.dead:
@@ -116,11 +118,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class SendsAfterLeaving:
-    """What was sent to the leaving backend server after it began to leave.
+    """Attempts sent to the backend server after it began to leave.
 
     Attributes:
-        last_s: Seconds after which the last attempt was sent to it.
-        attempts: How many were.
+        last_s: Time from the beginning to the last attempt.
+        attempts: Number of attempts.
     """
 
     last_s: float = 0.0
@@ -130,7 +132,7 @@
 async def run_scenario(
     scenario: Scenario, *, leaves_at_s: float
 ) -> SendsAfterLeaving:
-    """Runs the routers before, during and after the leaving."""
+    """Runs the routers before, during and after the backend server leaves."""
     clock = clock_module.FakeClock()
     network = local.LocalNetwork(clock=clock)
     platform = Platform(scenario=scenario, clock=clock, leaves_at_s=leaves_at_s)
--- a/bench/models/ledger_costs.py
+++ b/bench/models/ledger_costs.py
@@ -1,7 +1,4 @@
-"""What one record of the ledger costs: processor time and memory.
-
-Processor time is this machine's.
-"""
+"""Processor time, on this machine, and memory per record of the ledger."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -22,11 +19,13 @@
 
 
 def holder_cpu_us(*, records_per_message: int) -> float:
-    """Processor time of a holder a record, by the records in a message.
+    """Returns the holder's processor time per record.
+
+    Includes the thrift codec but not the socket.
 
-    At the planned size a node has few records a second for any one
-    partition, and each comes alone. It includes the thrift codec, not the
-    socket.
+    Args:
+        records_per_message: 1 is the planned size's case, where a node has few
+            records a second for any one partition.
     """
     elapsed_s: list[float] = []
 
@@ -53,7 +52,7 @@
 
 
 def replay_cpu_us() -> float:
-    """Processor time of a take-over, a record, with 50 records a row."""
+    """Returns a take-over's processor time per record, at 50 records a row."""
     rows = [
         records.encoder.encode(
             records.Batch(
@@ -113,7 +112,7 @@
 
 
 def memory_bytes_per_entry() -> float:
-    """What a finished request with a caller's key takes at its holder."""
+    """Returns the holder's memory per finished request with a key."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     partition_index = _empty_index()
--- a/bench/models/ledger_load.py
+++ b/bench/models/ledger_load.py
@@ -1,4 +1,4 @@
-"""Instances with a ledger under a steady rate, or losing one of them.
+"""Instances with a ledger, under a steady load or losing one instance.
 
 Everything runs in one process on virtual time, with a table service that
 answers after 5 ms.
@@ -21,7 +21,7 @@
 
 
 class Load:
-    """Requests at a steady rate over all instances, and what they saw."""
+    """Requests at a steady rate over all instances, and their durations."""
 
     def __init__(self, *, cluster: ledger_cluster.Cluster, per_s: int):
         self._cluster = cluster
@@ -31,7 +31,7 @@
         self.refused = 0
 
     async def run(self, *, seconds: int, name: str) -> None:
-        """Starts requests for some time and waits for the last one."""
+        """Starts requests for `seconds` and waits for all of them."""
         instances = list(self._cluster.instances.values())
         tasks = []
         started = 0
@@ -69,7 +69,7 @@
 
 
 class SteadyRun:
-    """What one run at a steady rate measured."""
+    """Measurements of one run at a steady rate."""
 
     __slots__ = ("load", "requests", "seconds", "writes")
 
@@ -85,7 +85,7 @@
 def run_in_virtual_time(
     scenario: Callable[[virtual_loop.LoopClock], Coroutine[object, None, None]],
 ) -> None:
-    """Runs a scenario to its end on a loop of its own, in virtual time."""
+    """Runs a scenario to its end on a new virtual time loop."""
     loop = virtual_loop.VirtualLoop()
     asyncio.set_event_loop(loop)
     virtual_loop.run(loop, scenario(virtual_loop.LoopClock(loop=loop)))
@@ -97,14 +97,14 @@
     instances: int,
     partitions: int = _PARTITIONS,
 ) -> ledger_cluster.Cluster:
-    """Starts instances with a slow table, and waits until all hold theirs."""
+    """Starts instances with a slow table, and waits for their leases."""
     cluster = ledger_cluster.Cluster(
         partitions=partitions, clock=clock, max_entries=1_000_000
     )
     for number in range(instances):
         cluster.start(f"i{number}")
     cluster.table.faults.delay = _STORE_DELAY
-    # Past the start, when partitions are still handed to those preferred.
+    # At first, partitions are still handed over to their preferred holders.
     await asyncio.sleep(20)
     return cluster
 
@@ -116,7 +116,7 @@
     seconds: int,
     partitions: int = _PARTITIONS,
 ) -> SteadyRun:
-    """Measures a steady rate behind a warm-up of the same rate."""
+    """Measures a steady rate after a warm-up at the same rate."""
     measured: list[SteadyRun] = []
 
     async def scenario(clock: virtual_loop.LoopClock) -> None:
@@ -144,7 +144,7 @@
 
 
 def take_over_s(*, instances: int, noticed: bool) -> float:
-    """Returns how long a partition without load has no holder."""
+    """Returns how long an idle partition has no holder after a crash."""
     take_over_times_s: list[float] = []
 
     async def scenario(clock: virtual_loop.LoopClock) -> None:
--- a/bench/models/load_measures.py
+++ b/bench/models/load_measures.py
@@ -1,19 +1,19 @@
-"""What a run of a loaded fleet comes to."""
+"""Metrics of a simulated fleet under load."""
 
 import collections
 
 from bench.models import busy_fleet
 from bench.models import load_scenarios
 
-# Work asked for just before the end is answered after it; so what was served
-# in a window is compared with what was asked a little earlier.
+# Requests sent just before the end are answered after it, so the tokens served
+# in a window are compared with those requested slightly earlier.
 ANSWER_LAG_S = 5.0
 _WARM_UP_S = load_scenarios.WARM_UP_S
 _BROWN_OUT = load_scenarios.BROWN_OUT
 
 
 def goodput_share(result: busy_fleet.Result) -> float:
-    """Returns tokens of answers in time over what engines can generate."""
+    """Returns tokens answered in time divided by the engines' capacity."""
     end_s = result.scenario.duration_s
     tokens = sum(
         request.tokens
@@ -25,7 +25,7 @@
 
 
 def high_priority_late_share(result: busy_fleet.Result) -> float:
-    """Returns the share of reviews whose first try had no answer in time."""
+    """Returns the share of reviews not answered in time at first."""
     last_s = result.scenario.duration_s - busy_fleet.REVIEW.deadline_s
     first_requests = [
         request
@@ -40,10 +40,9 @@
 
 
 def small_team_shares(result: busy_fleet.Result) -> list[float]:
-    """Returns each small team's served share of its fair share.
+    """Returns each small team's served tokens divided by its fair share.
 
-    A team that happened to ask for less than its fair share is compared with
-    what it asked for.
+    The divisor is what the team requested, if that is less.
     """
     end_s = result.scenario.duration_s
     fair = result.scenario.capacity_tokens_per_s / 10 * (end_s - _WARM_UP_S)
@@ -66,7 +65,7 @@
 
 
 def amplification(result: busy_fleet.Result) -> float:
-    """Returns attempts at engines a request let in, in the brown-out."""
+    """Returns attempts per admitted request in the brown-out."""
     window = (_BROWN_OUT.from_s, _BROWN_OUT.until_s)
     return _count(result.attempts_s, window) / _count(
         result.first_attempts_s, window
@@ -74,10 +73,10 @@
 
 
 def attempts_per_caller_request(result: busy_fleet.Result) -> float:
-    """Returns attempts in the brown-out over what callers came with.
+    """Returns attempts per caller's request in the brown-out.
 
-    Returns of refused and of impatient callers are not in the divisor: this
-    is what a caller's request costs the engines, all repetition included.
+    Callers' retries are not in the divisor: this is what one request costs
+    the engines with all retries.
     """
     window = (_BROWN_OUT.from_s, _BROWN_OUT.until_s)
     sent_s = [
@@ -95,8 +94,8 @@
 def recovery_s(result: busy_fleet.Result) -> float:
     """Returns how long after the brown-out answers are in time again.
 
-    That is from when on at least 95 in 100 of the tries begun in each five
-    seconds are answered.
+    From then on, at least 95% of the requests sent in each five seconds are
+    answered.
     """
     bucket_s = 5.0
     sent: collections.Counter[int] = collections.Counter()
@@ -112,7 +111,7 @@
 
 
 def refusal_wait_p99_ms(result: busy_fleet.Result) -> float:
-    """Returns how long refused callers waited to be told, 99 in 100."""
+    """Returns the 99th percentile of the time until a refusal."""
     waits = sorted(
         request.refusal_wait_s
         for request in result.caller_requests
--- a/bench/models/load_policies.py
+++ b/bench/models/load_policies.py
@@ -1,4 +1,4 @@
-"""The product's limits and the baselines that they are measured against."""
+"""The product's limits and their baselines."""
 
 import random
 
@@ -31,7 +31,7 @@
     randomness: random.Random,
     scenario: busy_fleet.Scenario,
 ) -> busy_fleet.Limits:
-    """Fair admission with places that don't follow service."""
+    """Fair admission with a fixed number of slots."""
     limit = concurrency_limit.FixedLimit(slots=_ceiling(scenario))
     return _fair(
         clock, randomness, limit, retry_budget.TokenBucketRetryBudget()
--- a/bench/models/load_scenarios.py
+++ b/bench/models/load_scenarios.py
@@ -13,7 +13,7 @@
 
 
 def twice_capacity() -> busy_fleet.Scenario:
-    """Ten equal teams ask for twice the capacity, a fifth of it reviews."""
+    """Ten equal teams offer twice the capacity, a fifth of it reviews."""
     demands = [
         busy_fleet.Demand(
             team=f"team-{index}", kind=kind, capacity_share=share / 10
@@ -25,13 +25,13 @@
 
 
 def small_batches() -> busy_fleet.Scenario:
-    """Twice the capacity, of engines that reach half of what they report."""
+    """Twice the capacity, with engines that reach half their reported batch."""
     scenario = twice_capacity()
     return dataclasses.replace(scenario, engine_slots=4)
 
 
 def large_team() -> busy_fleet.Scenario:
-    """Nine teams ask for their fair share, one for ten times its own."""
+    """Nine teams offer their fair share, one ten times its own."""
     demands = [
         busy_fleet.Demand(
             team=f"team-{index}", kind=busy_fleet.LOOKUP, capacity_share=0.1
@@ -47,7 +47,7 @@
 
 
 def brown_out() -> busy_fleet.Scenario:
-    """All engines are slow and fail for a while, at an ordinary load."""
+    """All engines are slow and fail for a while, at 70% load."""
     demands = [
         busy_fleet.Demand(
             team=f"team-{index}", kind=kind, capacity_share=share / 10
--- a/bench/models/quality.py
+++ b/bench/models/quality.py
@@ -1,9 +1,9 @@
-"""A model of requests, models' answers, scores and late sampled ratings.
+"""A simulation of requests, answers, scores and delayed sampled ratings.
 
-Each request has a difficulty that nobody sees. A stage's answer is as good as
-the stage is strong for that difficulty; the score of a cheap answer follows
-that with noise. An answer's quality is the rating that it would get, which has
-noise of its own. Ratings come for sampled answers only, and late.
+Each request has a hidden difficulty. The expected quality of a stage's answer
+falls once the difficulty exceeds the stage's strength. The score of an answer
+and its quality, the rating that it would get, are that expected value with
+independent noise. Only sampled answers are rated, after a delay.
 """
 
 import collections
@@ -28,12 +28,12 @@
     """One template's requests and the models that answer them.
 
     Attributes:
-        kind_shares: Shares of short, middle and long prompts.
-        difficulty: Mean difficulty of each, 0 to 1.
-        strengths: For each stage, the difficulty at which answers get poor.
-        score_noise: Spread of a score around what it should be.
-        rating_noise: Spread of ratings of answers that are equally good.
-        rating_delay: Requests that pass before a rating comes.
+        kind_shares: Shares of short, medium and long prompts.
+        difficulty: Mean difficulty of each kind, 0 to 1.
+        strengths: For each stage, the difficulty above which quality falls.
+        score_noise: Standard deviation of scores.
+        rating_noise: Standard deviation of ratings.
+        rating_delay: Number of requests until a rating arrives.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Request:
-    """One request with all that the model, but no policy, knows."""
+    """One request with values that are hidden from policies."""
 
     request_id: str
     prompt_chars: int
@@ -65,10 +65,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What a policy did with many requests.
+    """Totals of a policy over many requests.
 
     Attributes:
-        held: Requests whose first answer was held back.
+        held: Requests whose first answer was held until it was judged.
     """
 
     cost: float = 0.0
@@ -90,19 +90,19 @@
 
     @property
     def mean_cost(self) -> float:
-        """Mean cost of a request, all its stages together."""
+        """Mean cost of a request over all its stages."""
         return self.cost / self.requests
 
     @property
     def held_share(self) -> float:
-        """Share of requests whose first token came only after a judgement."""
+        """Share of requests whose first token waited for a judgement."""
         return self.held / self.requests
 
 
 def generate_requests(
     workload: Workload, *, count: int, source: random.Random
 ) -> list[Request]:
-    """Draws requests."""
+    """Generates random requests."""
     return [_generate_request(workload, n, source) for n in range(count)]
 
 
@@ -134,7 +134,7 @@
 
 
 def stage_costs(workload: Workload, prompt_chars: int) -> tuple[float, ...]:
-    """Returns what one answer of each stage costs."""
+    """Returns the cost of one answer of each stage."""
     models = {model.name: model for model in workload.fleet.models}
     return tuple(
         prompt_chars
@@ -150,15 +150,15 @@
 
 
 class ScoreInText(cascade_scorer.AnswerScorer):
-    """Reads the model's score of an answer from its text."""
+    """Reads the simulated score of an answer from its text."""
 
     def score(self, answer: cascade.CascadeAnswer) -> float:
-        """Returns the number that the text is."""
+        """Returns the text as a number."""
         return float(answer.text)
 
 
 class LearnedCascadeRun:
-    """Runs the product's learned policy over requests, with late ratings."""
+    """Runs the product's learned policy with delayed ratings."""
 
     def __init__(self, *, workload: Workload, clock, learn_every: int = 500):
         self._workload = workload
--- a/bench/models/quality_baselines.py
+++ b/bench/models/quality_baselines.py
@@ -1,4 +1,4 @@
-"""Policies that the learned cascade is compared with."""
+"""Baseline policies for the learned cascade."""
 
 from bench.models import quality
 from nutmeghook.internal.routing import cascade_labels
@@ -10,7 +10,7 @@
 
 
 def always(requests: list[quality.Request], *, stage: int) -> quality.Outcome:
-    """Runs one stage for all."""
+    """Runs one fixed stage for all requests."""
     outcome = quality.Outcome()
     for request in requests:
         outcome.add(
@@ -22,7 +22,7 @@
 
 
 def fixed_cascade(requests: list[quality.Request]) -> quality.Outcome:
-    """Goes on below one score, whatever the template and its target."""
+    """Escalates below one fixed score for all templates and targets."""
     outcome = quality.Outcome()
     for request in requests:
         _run_cascade(outcome, request, request.scores[0] < _FIXED_THRESHOLD)
@@ -32,7 +32,7 @@
 def best_each_request(
     requests: list[quality.Request], *, target: float
 ) -> quality.Outcome:
-    """Knows each answer's quality before it runs; nobody can do better.
+    """Chooses a stage per request, knowing all qualities; an upper bound.
 
     Upgrades the requests that gain most quality for their cost until the
     mean meets the target.
@@ -65,8 +65,8 @@
 ) -> quality.Outcome:
     """The best policy of the learned one's form, knowing all qualities.
 
-    For each kind of request it may start anywhere and go on below any score
-    bin, and mix two of these; it is told the exact mean of each choice.
+    For each kind of request it may start at any stage, escalate below any
+    score bin and mix two such options, knowing the exact mean of each.
     """
     kinds = [
         [r for r in requests if r.kind == kind]
--- a/bench/models/replicas.py
+++ b/bench/models/replicas.py
@@ -1,4 +1,4 @@
-"""Model engines as queues: a batch of slots, and a line before it."""
+"""Model engines as queues with a batch of slots."""
 
 import collections
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 from bench.models import simulation
 
-# An engine lets requests into its batch between two steps.
+# Requests join an engine's batch between two steps of this length.
 STEP_S = 0.034
 
 
@@ -15,7 +15,7 @@
     """One generation.
 
     Attributes:
-        work_s: Time that it holds a slot of the batch.
+        work_s: Time for which it occupies a slot of the batch.
         done: Called when it ends.
     """
 
@@ -43,16 +43,16 @@
 
     @property
     def waiting(self) -> int:
-        """Jobs that stand before the batch."""
+        """Jobs that wait for a slot."""
         return len(self._queue)
 
     @property
     def load(self) -> int:
-        """All jobs here."""
+        """Running and waiting jobs."""
         return self.running + len(self._queue)
 
     def submit(self, job: Job) -> None:
-        """Takes a job in."""
+        """Queues a job, or starts it if a slot is free."""
         self._queue.append(job)
         self._fill_batch()
 
--- a/bench/models/rollouts.py
+++ b/bench/models/rollouts.py
@@ -1,7 +1,8 @@
-"""A model of one roll-out: traffic, answers that turn bad, late ratings.
+"""A simulation of one roll-out with bad answers and delayed ratings.
 
-Time goes in steps of a second. The product's own pool and decisions run on
-it; the fleet's gates are taken together as one that uses all leave at once.
+Time advances in steps of one second. Uses the product's own pool and
+decisions; the gates of all instances are simulated as a single one that uses
+the whole allowance at once.
 """
 
 import abc
@@ -23,21 +24,21 @@
 _NEW = engine.ModelVersion(model="small", version="2")
 _KEY = pool.VersionKey(team="team", template="lookup", model_version=_NEW)
 FULL_PERCENT = 100.0
-# Versions up to this are not run on at their full share.
+# Versions up to this count as good; their run ends at full share.
 _MAX_GOOD_BAD_SHARE = 0.05
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Deployment:
-    """Where a version is rolled out.
+    """The template in which a version is rolled out.
 
     Attributes:
-        requests_per_s: Of the template, over the whole fleet.
-        rating_delay_s: Mean time from an answer to its rating; at least half
-            of it, and exponential beyond.
-        propagation_s: From a decision to its being in force everywhere.
-        full_rated_share: Share of answers rated at full share; in roll-out
-            all are.
+        requests_per_s: Requests of the template, over the whole fleet.
+        rating_delay_s: Mean time from an answer to its rating: half of it
+            constant, the rest exponentially distributed.
+        propagation_s: Time from a decision until it is in force everywhere.
+        full_rated_share: Share of answers rated at full share; during the
+            roll-out all are.
     """
 
     name: str
@@ -50,10 +51,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Version:
-    """How good a version is.
+    """The quality of a version.
 
     Attributes:
-        bad_share: Of its answers once it is bad; before that, `good_share`.
+        bad_share: Share of bad answers once it is bad; `good_share` before.
         bad_from_percent: Roll-out share from which it is bad.
     """
 
@@ -70,12 +71,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RunResult:
-    """What a roll-out came to.
+    """The result of a roll-out.
 
     Attributes:
-        bad_answers: Given while the version was bad.
+        bad_answers: Bad answers given while the version was bad.
         stopped: It was withdrawn before it had its full share.
-        seconds: Until it was withdrawn or had its full share.
+        seconds: Time until it was withdrawn or had its full share.
     """
 
     bad_answers: int = 0
@@ -84,19 +85,19 @@
 
 
 class Driver(abc.ABC):
-    """Decides on shares and leave from ratings."""
+    """Decides on shares and on the exposure allowance from ratings."""
 
     @abc.abstractmethod
     def may_send(self, requested: int) -> int:
-        """Returns how many of the answers wanted may be sent."""
+        """Returns how many of the requested answers may be sent."""
 
     @abc.abstractmethod
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
-        """Takes ratings in (True for bad); returns a new share, if any."""
+        """Adds ratings (True for bad); returns a new share, if any."""
 
 
 class ProductDriver(Driver):
-    """The product's pool, decisions and leave."""
+    """The product's pool, decisions and exposure allowance."""
 
     def __init__(self, policy: documents.RollOutPolicy):
         self._template = documents.Template(
@@ -106,11 +107,11 @@
         self._allowance = allowance.VersionAllowance(rollout_id=1)
 
     def counts(self, key: pool.VersionKey) -> allowance.VersionAllowance:
-        """Returns the leave counts, as the product's keeper does."""
+        """Returns the allowance's counts, as the product's keeper does."""
         return self._allowance
 
     def may_send(self, requested: int) -> int:
-        """Grants what is ready."""
+        """Grants what the allowance permits."""
         granted = min(requested, self._allowance.available)
         self._allowance.granted += granted
         return granted
@@ -158,7 +159,7 @@
 
 
 class FixedThresholdDriver(Driver):
-    """Stops at an error share over the last ratings; no cap."""
+    """Stops at an error share of recent ratings; exposure is not capped."""
 
     def __init__(
         self,
@@ -176,7 +177,7 @@
         self._percent = 0.0
 
     def may_send(self, requested: int) -> int:
-        """Sends all."""
+        """Permits all."""
         return requested
 
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
@@ -199,9 +200,9 @@
 
 
 class Run:
-    """One version's way from its first answer to its withdrawal or the end.
+    """One version from its first answer to its withdrawal or full share.
 
-    A version that reaches its full share bad is run on until it is withdrawn.
+    A bad version that reaches its full share runs until it is withdrawn.
     """
 
     def __init__(
@@ -267,7 +268,7 @@
         new_percent = self._driver.decide(new_ratings, self._percent)
         if new_percent is None:
             return
-        # A withdrawal goes before a step that is on its way.
+        # A withdrawal replaces a pending step.
         if (
             self._pending_change is None
             or new_percent == 0.0 < self._pending_change[1]
--- a/bench/models/routers.py
+++ b/bench/models/routers.py
@@ -1,4 +1,4 @@
-"""Routers of the fleet's model: the usual policies, and the product's."""
+"""Simulated routers with baseline policies or the product's own."""
 
 import abc
 import datetime
@@ -22,12 +22,12 @@
 
 
 class RouterEnvironment(abc.ABC):
-    """What a router may reach of the fleet around it.
+    """The parts of the fleet that a router can reach.
 
     Attributes:
-        rng: For what happens around the traffic.
-        routers: All of the fleet, the router itself among them.
-        by_address: The replicas.
+        rng: Randomness for everything but the traffic.
+        routers: All routers of the fleet, including the router itself.
+        by_address: The replicas by address.
     """
 
     rng: random.Random
@@ -36,7 +36,7 @@
 
 
 class Router(abc.ABC):
-    """One router with its own knowledge.
+    """One router with its own view of the load.
 
     Attributes:
         chooser: Its policy.
@@ -48,15 +48,15 @@
     def receive_report(
         self, number: int, report: engine.LoadReport, measured_s: float
     ) -> None:
-        """Takes in a replica's report."""
+        """Receives a replica's load report."""
 
     @abc.abstractmethod
     def start(self, fleet: RouterEnvironment) -> None:
-        """Starts what the router does by itself."""
+        """Starts the router's periodic tasks."""
 
 
 class BaselineRouter(Router):
-    """A router with one of the usual policies."""
+    """A router with a baseline policy."""
 
     def __init__(
         self,
@@ -79,21 +79,21 @@
         )
 
     def start(self, fleet: RouterEnvironment) -> None:
-        """Does nothing by itself."""
+        """Has no periodic tasks."""
 
     def receive_report(
         self, number: int, report: engine.LoadReport, measured_s: float
     ) -> None:
-        """Keeps it for the rule."""
+        """Stores it for the rule."""
         self._backends[number].report = report
 
 
 class ProductRouter(Router):
-    """The product's own parts; only its digests' way is modelled.
+    """A router built of the product's parts; only gossip is simulated.
 
     A digest reaches the peers of the cell after the network's delay, as
-    often as the product's budget of bytes allows. With `gossips` False the
-    router tells its peers nothing.
+    often as the product's byte budget allows. With `gossips` False the router
+    sends no digests.
     """
 
     def __init__(
@@ -141,7 +141,7 @@
         )
 
     def start(self, fleet: RouterEnvironment) -> None:
-        """Begins to send digests to the peers of the cell."""
+        """Starts sending digests to the peers of its cell."""
         self._cells.refresh()
         peers = [
             router
@@ -160,7 +160,7 @@
     def receive_report(
         self, number: int, report: engine.LoadReport, measured_s: float
     ) -> None:
-        """Gives the directory what the cell's pollers would have brought."""
+        """Applies a report that a poller of the cell would have fetched."""
         backend = self.directory.find(fleet_parts.address_of(number))
         if backend.locality is backends.Locality.OWN_CELL:
             self._note_report(backend, report, measured_s)
@@ -195,7 +195,7 @@
         )
 
     def receive_digest(self, changes: dict[str, int]) -> None:
-        """Takes in a peer's digest."""
+        """Applies a peer's digest."""
         for address, change in changes.items():
             self._tracker.note_peers(self.directory.find(address), change)
 
--- a/bench/models/simulation.py
+++ b/bench/models/simulation.py
@@ -11,8 +11,8 @@
 class Simulation(clock.Clock):
     """Runs callbacks in the order of their times, without waiting.
 
-    It is itself the clock that the simulated parts are given. `now_s` is the
-    same time as a float, for the models' own sums.
+    It is also the clock of the simulated parts. `now_s` is the same time in
+    seconds as a float.
     """
 
     __slots__ = ("_order", "_queue", "now_s")
@@ -23,7 +23,7 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_at(self, moment_s: float, callback: Callable[[], None]) -> None:
-        """Has a callback run at a time, or now if that is past."""
+        """Schedules a callback at a time, or now if that is past."""
         heapq.heappush(
             self._queue,
             (max(moment_s, self.now_s), next(self._order), callback),
@@ -32,7 +32,7 @@
     def call_every(
         self, period_s: float, callback: Callable[[], None], *, first_s: float
     ) -> None:
-        """Has a callback run again and again."""
+        """Schedules a callback periodically."""
 
         def run() -> None:
             callback()
@@ -57,5 +57,5 @@
         return datetime.timedelta(seconds=self.now_s)
 
     async def sleep(self, duration: datetime.timedelta) -> None:
-        """Not for models: they use `call_at`."""
-        raise NotImplementedError("models run by call_at, not by sleeping")
+        """Not supported: models use `call_at`."""
+        raise NotImplementedError("simulations use call_at instead of sleeping")
--- a/bench/models/virtual_loop.py
+++ b/bench/models/virtual_loop.py
@@ -1,8 +1,8 @@
 """An event loop on virtual time, for models of asyncio code.
 
-Product code that sleeps and waits runs on it unchanged: whenever the loop
-would wait for its next timer, time jumps there. A minute passes in as long as
-its events take to compute, and always in the same order.
+Product code that sleeps and waits runs on it unchanged: instead of waiting
+for the next timer, the loop advances its time to it. Events therefore run as
+fast as they compute, always in the same order.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Lets time jump in place of waiting; there are no sockets to hear."""
+    """Advances the time instead of waiting; there are no sockets."""
 
     def __init__(self):
         super().__init__()
@@ -24,9 +24,9 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Moves time on by the timeout."""
+        """Advances the time by the timeout."""
         if timeout is None:
-            raise RuntimeError("the model waits for something not scheduled")
+            raise RuntimeError("all tasks wait and no timer is scheduled")
         self.now_s += max(0.0, timeout)
         return []
 
@@ -66,7 +66,7 @@
 
 
 def run(loop: VirtualLoop, main: Coroutine[Any, Any, None]) -> None:
-    """Runs a model to its end; tasks left over are cancelled."""
+    """Runs a simulation to its end and cancels the remaining tasks."""
     try:
         loop.run_until_complete(main)
         remaining = asyncio.all_tasks(loop)
