--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every benchmark module of this folder, or those named."""
+"""Runs all benchmark modules of this folder, or those named."""
 
 import importlib
 import pkgutil
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Prints each module's lines; 1 if a bound broke or a module failed."""
+    """Prints all lines; returns 1 if a bound or a module failed."""
     selected = sys.argv[1:]
     passed = True
     for module_info in pkgutil.iter_modules(bench.__path__):
--- a/bench/_relay_parts.py
+++ b/bench/_relay_parts.py
@@ -1,4 +1,4 @@
-"""The simplest possible surroundings of the request path."""
+"""Minimal dependencies of the request path."""
 
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.dependencies import plain
@@ -10,7 +10,7 @@
 
 
 class FirstVersion(versions.VersionChooser):
-    """Always chooses a stage's first version."""
+    """Always chooses the first version of a stage."""
 
     async def choose(self, *, template, stage_index, session, request_id):
         """Returns it."""
@@ -23,7 +23,7 @@
         )
 
     def check_dispatch(self, *, template, choice):
-        """Lets all pass."""
+        """Permits every dispatch."""
 
 
 class OneBackend(backends.BackendChooser):
@@ -46,25 +46,25 @@
 
 
 class NoRetries(admission.RetryBudget, admission.RetryBudgets):
-    """Gives no leave: a failure ends the benchmark."""
+    """Denies every retry: a failure ends the benchmark."""
 
     def budget_for(self, dependency):
-        """Returns the only one."""
+        """Returns itself, the only budget."""
         return self
 
     def note_request(self):
         """Ignores it."""
 
     def try_spend(self):
-        """Refuses."""
+        """Denies the retry."""
         return False
 
 
 class InstantLedger(ledger.Ledger):
-    """Takes bills and forgets them."""
+    """Discards all bills."""
 
     async def claim(self, identity, *, request_id, timeout):
-        """Lets all win."""
+        """Grants every claim."""
         return ledger.ClaimResult(state=ledger.ClaimState.WON)
 
     async def release(self, identity, *, request_id):
@@ -78,15 +78,15 @@
 
 
 class NoService(plain.PlainServiceConnector):
-    """Reaches nothing."""
+    """Has no plain services."""
 
     async def call(self, address, call):
-        """Is not called."""
+        """Must not be called."""
         raise NotImplementedError
 
 
 class NoRatings(ratings.RatingService):
-    """Takes nothing."""
+    """Discards all rating tasks."""
 
     async def submit(self, tasks):
         """Does nothing."""
--- a/bench/_relay_process.py
+++ b/bench/_relay_process.py
@@ -1,7 +1,7 @@
-"""The processes of the relay benchmark: source, bare relay and request path.
+"""Processes of the relay benchmark: source, bare relay and request path.
 
 `python -m bench._relay_process ROLE [SOURCE]` prints the port it listens on.
-`GET /cpu` answers the processor seconds that the process has used.
+`GET /cpu` returns the processor time that the process has used, in seconds.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 async def source_handler(request: web.Request) -> web.StreamResponse:
-    """Streams one token a line, at a steady pace, the first one at once."""
+    """Streams one token per line at a steady rate, the first at once."""
     generation = _generation_decoder.decode(await request.read())
     response = web.StreamResponse()
     await response.prepare(request)
@@ -71,7 +71,7 @@
 def bare_handler(
     session: aiohttp.ClientSession, source: str
 ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-    """Makes a relay that passes bytes on and does nothing else."""
+    """Returns the handler of a relay that only forwards bytes."""
 
     async def handle(request: web.Request) -> web.StreamResponse:
         body = await request.read()
@@ -92,7 +92,7 @@
 def request_path(
     session: aiohttp.ClientSession, source: str
 ) -> web.Application:
-    """Makes the whole request path, its policies being the simplest ones."""
+    """Returns the whole request path with minimal policies."""
     clock = clock_module.SystemClock()
     events = events_module.EventRing(clock=clock)
     config = view.FixedConfigView(snapshot=_snapshot())
--- a/bench/_virtual_time.py
+++ b/bench/_virtual_time.py
@@ -1,7 +1,7 @@
 """An event loop whose time jumps to the next timer instead of waiting.
 
-Hours of a fleet run in seconds, in a fixed order, without the many empty
-turns by which a hand-driven clock lets tasks settle.
+Simulates hours of a fleet in seconds, in a deterministic order. Unlike a fake
+clock, it needs no idle loop iterations to let tasks settle.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop for code that waits for nothing but timers."""
+    """An event loop for code that waits only for timers."""
 
     def __init__(self):
         super().__init__(_VirtualTimeSelector(loop=self))
@@ -32,7 +32,7 @@
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is None:
-            raise RuntimeError("all tasks wait, and no timer will wake one")
+            raise RuntimeError("all tasks wait and no timer is scheduled")
         self._loop.elapsed_s += max(0.0, timeout)
         return super().select(0)
 
--- a/bench/affinity.py
+++ b/bench/affinity.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes and sessions: cache hits, and what a change moves."""
+"""Prefix cache hits, and sessions that move when a replica is removed."""
 
 import collections
 import dataclasses
@@ -17,7 +17,7 @@
 REPLICAS = 50
 SESSIONS = 20_000
 SEEDS = (1, 2, 3)
-# Prefixes that a replica's cache holds; the least recently used falls out.
+# Prefixes that a replica's cache holds; the least recently used is evicted.
 CACHE_PREFIXES = 40
 PREFIXES = 400
 # Popularity of the n-th prefix is 1 / n ** this.
@@ -26,7 +26,7 @@
 
 
 class PrefixCache:
-    """Which prefixes a replica holds; counts hits."""
+    """The prefixes that a replica holds; counts hits."""
 
     __slots__ = ("_prefixes", "hits")
 
@@ -40,7 +40,7 @@
         return prefix in self._prefixes
 
     def use(self, prefix: str) -> None:
-        """Notes a request with the prefix."""
+        """Records a request with the prefix."""
         if prefix in self._prefixes:
             self.hits += 1
         self._prefixes[prefix] = None
@@ -51,14 +51,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class CacheRun:
-    """What a policy gave."""
+    """Results of a policy."""
 
     hit_share: float
     fullest_load_share: float
 
 
 def run() -> list[report.Line]:
-    """Measures hit shares, the bound on load, and what moves."""
+    """Measures hit shares, the maximum load, and moved sessions."""
     product = [_run_caches(seed, "product") for seed in SEEDS]
     clairvoyant = [_run_caches(seed, "clairvoyant") for seed in SEEDS]
     no_affinity = [_run_caches(seed, "unaware") for seed in SEEDS]
@@ -107,9 +107,9 @@
 
 
 def _moved_share(seed: int) -> float:
-    """Returns the share of sessions whose owner changes when one replica goes.
+    """Returns the share of sessions that move when a replica is removed.
 
-    Of 50 replicas one goes, drawn by the seed; a fair share is 0.02.
+    One of 50 replicas is removed at random; the ideal share is 0.02.
     """
     ring = affinity.AffinityRing()
     ring.add_all(fleet_parts.address_of(n) for n in range(REPLICAS))
@@ -128,8 +128,8 @@
 def _run_caches(seed: int, policy: str) -> CacheRun:
     """Runs 12 replicas with prefix caches at 70% load under one policy.
 
-    A hit saves nothing here: the load stays the same for all policies, so
-    that hit shares compare.
+    A hit saves no work, so that the load is the same for all policies and
+    their hit shares are comparable.
     """
     rng = random.Random(f"prefixes {seed}")
     clock = simulation.Simulation()
@@ -179,7 +179,7 @@
 def _clairvoyant(
     engines: list[replicas.Replica], caches: list[PrefixCache], prefix: str
 ) -> int:
-    """Returns the least loaded with the prefix and a free slot, or any."""
+    """Returns the least loaded with the prefix and a free slot, or of all."""
     numbers = range(len(engines))
     with_room = [
         n
--- a/bench/balance.py
+++ b/bench/balance.py
@@ -1,8 +1,8 @@
-"""How long requests stand before a batch, by policy, against a clairvoyant.
+"""Time that requests wait to join a batch, relative to a clairvoyant policy.
 
-The clairvoyant joins the truly shortest queue; all others know reports that
-are 1 s late. Every policy meets the same requests. A ratio is the geometric
-mean over the seeds; the worst seed's stands beside it.
+The clairvoyant policy joins the shortest queue; all others see reports that
+are 1 s old. Every policy receives the same requests. A ratio is the geometric
+mean over the seeds; the worst seed's ratio is reported too.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 )
 TODAY_STEADY = dataclasses.replace(TODAY_BURSTS, bursts=False)
 TODAY_SMALL_BATCH = dataclasses.replace(TODAY_STEADY, capacity=8)
-# A tenth of the planned fleet, in one data centre and of one version.
+# A tenth of the planned fleet, in one data centre with one version.
 TENTH = fleet_parts.Shape(
     routers=42,
     replicas=440,
@@ -31,8 +31,8 @@
     warm_up_s=30.0,
     duration_s=60.0,
 )
-# A tenth of it again, but as one of the 13 versions: fewer replicas than
-# routers, so that each cell has five of them.
+# The replicas of one of 13 versions in that fleet: fewer replicas than routers,
+# so that each cell has five of them.
 ONE_VERSION = fleet_parts.Shape(
     routers=42,
     replicas=36,
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Outcome:
-    """What one policy gave on one seed."""
+    """Results of one policy and seed."""
 
     p95_wait_s: float
     mean_wait_s: float
@@ -75,7 +75,7 @@
 def ratios(
     shape: fleet_parts.Shape, policy: str, best: dict[int, Outcome]
 ) -> list[float]:
-    """Returns p95 wait over the clairvoyant's, for each of its seeds."""
+    """Returns the p95 wait divided by the clairvoyant's, for each seed."""
     return [
         measure(shape, policy, seed).p95_wait_s / outcome.p95_wait_s
         for seed, outcome in best.items()
@@ -92,8 +92,8 @@
 def run() -> list[report.Line]:
     """Measures all shapes.
 
-    The target is 1.3. Where it is not met the bound only keeps the measured
-    figure from getting worse; docs/design/backend-choice.md tells why.
+    The target is 1.3. Larger bounds are regression bounds where the target is
+    not met; docs/design/backend-choice.md gives the reasons.
     """
     return [
         *_lines("", TODAY_BURSTS, FIVE_SEEDS, bound=1.3, policies=BASELINES),
--- a/bench/cascade.py
+++ b/bench/cascade.py
@@ -1,4 +1,4 @@
-"""Cost of cascades at the quality target, against baselines and the best."""
+"""Cost of cascades at the quality target, against baselines and an optimum."""
 
 import random
 import statistics
@@ -9,8 +9,7 @@
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.foundation import clock
 
-# The policy was chosen while looking at lower seeds; these were
-# not seen.
+# Not the seeds that the policy was developed with.
 SEEDS = tuple(range(301, 309))
 LEARNING_REQUESTS = 20_000
 MEASURED_REQUESTS = 20_000
@@ -44,7 +43,7 @@
 
 
 # Lookups and legality checks are mostly easy, dossier reviews mostly hard.
-# The last two are Siamroster's choice for the first: few or no answers held.
+# The last two are the first with few or no answers held, as Siamroster wants.
 WORKLOADS = (
     quality.Workload(
         name="lookup",
@@ -86,7 +85,7 @@
 
 
 def run() -> list[report.Line]:
-    """Returns the lines of all workloads, the two that are bound first."""
+    """Returns the lines of all workloads; the two with bounds come first."""
     results = {
         workload.name: [_seed(workload, seed) for seed in SEEDS]
         for workload in WORKLOADS
--- a/bench/cold_shares.py
+++ b/bench/cold_shares.py
@@ -1,4 +1,4 @@
-"""Ways to share what a cold replica bears: the worst second, and the use."""
+"""Policies for sharing the request rate of a cold replica."""
 
 import statistics
 
@@ -14,13 +14,13 @@
     "few_senders_double": cold_fleet.ElectedSenders(senders=16),
     "one_holder": cold_fleet.SingleGranter(),
 }
-# The ones that are built; the others are only reported.
+# Only the product's policy has bounds, in these scenarios.
 _PRODUCT_POLICY = "few_senders"
 _BOUND_SCENARIOS = ("all_agree", "third_dead", "two_islands")
 
 
 def run() -> list[report.Line]:
-    """Returns the figures of all ways, sizes and scenes."""
+    """Returns the lines of all policies, sizes and scenarios."""
     return [
         line
         for policy in _POLICIES
--- a/bench/config.py
+++ b/bench/config.py
@@ -1,8 +1,8 @@
-"""How fast a change is in force everywhere, and what that costs.
+"""Time until a change is in force everywhere, and its cost.
 
-Instances run in one process, on this machine's clock, over TCP on loopback
-with a table in memory. What is measured is the protocol with the codec and the
-sockets, not the network's or the table service's own time.
+Instances run in one process on the system clock, over TCP on loopback, with a
+table in memory. This measures the protocol with its codec and sockets, not the
+latency of the network or the table service.
 """
 
 import asyncio
@@ -41,8 +41,8 @@
 PLANNED_INSTANCES = 420
 PLANNED_DATA_CENTRES = 9
 PLANNED_CHANGES_PER_S = 3700 / 86_400
-# Two readers a data centre, twice a second, with jitter on the pauses; at
-# nine data centres that is 45 of the store's 2,000 reads a second.
+# Two readers per data centre, twice a second, plus 25% for jitter. With nine
+# data centres that is 45 of the store's 2,000 reads a second.
 READS_BOUND_PER_S = DATA_CENTRES * 2 * 2 * 1.25
 # Of the 4.6% of a core that a node may spend on all control.
 CPU_BOUND_PERCENT = 1.0
@@ -54,10 +54,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Measured:
-    """What one fleet size gave.
+    """Measurements of one fleet size.
 
-    Bytes are sent and received, a node; so is processor time, which holds
-    this bench's own and the table's.
+    Bytes are sent plus received, per node. Processor time is per node and
+    includes that of this benchmark and of the table.
     """
 
     in_force_s: list[float]
@@ -95,13 +95,13 @@
         self.parts: assembly.ConfigParts | None = None
 
     def total_bytes(self) -> int:
-        """Returns what it sent and received so far."""
+        """Returns the bytes sent and received so far."""
         total = self.traffic.total()
         return total.sent_bytes + total.received_bytes
 
 
 def run(sizes: tuple[int, ...] = SIZES) -> list[report.Line]:
-    """Measures all sizes, given from the smallest to the largest."""
+    """Measures all sizes, in ascending order."""
     lines: list[report.Line] = []
     p99_s: dict[int, float] = {}
     for size in sizes:
@@ -265,7 +265,7 @@
     in_force_s: list[float],
     accept_s: list[float],
 ) -> None:
-    """Accepts a change as the administration API does, and times it."""
+    """Accepts a change as the administration API does, and measures it."""
     loop = asyncio.get_running_loop()
     started_s = loop.time()
 
@@ -342,6 +342,6 @@
 
 
 def _percentile(values: list[float], share: float) -> float:
-    """Returns the smallest value that a share of all does not exceed."""
+    """Returns the percentile of the values, by the nearest rank."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
--- a/bench/decision.py
+++ b/bench/decision.py
@@ -1,7 +1,7 @@
 """Processor time of one choice of backend server, by number of replicas.
 
-A decision is a choice and the notes of its attempt's start and end; every
-second one has an affinity key. All replicas stand in one cell, which is the
+A decision is a choice and the records of its attempt's start and end; every
+second one has an affinity key. All replicas are in one cell, which is the
 worst case: at the planned size a cell has about sixty.
 """
 
@@ -25,7 +25,7 @@
 
 
 class RouterScenario:
-    """A router that knows a number of replicas, some of them busy."""
+    """A router with a number of replicas, some of them busy."""
 
     __slots__ = ("_clock", "_criteria", "_router")
 
@@ -54,7 +54,7 @@
             chooser.started(chooser.choose(criteria))
 
     def decide_all(self) -> float:
-        """Makes the decisions; returns microseconds of processor each."""
+        """Makes the decisions; returns microseconds of processor time each."""
         chooser = self._router.chooser
         duration = datetime.timedelta(seconds=1)
         started_ns = time.process_time_ns()
@@ -67,14 +67,14 @@
                 duration=duration,
             )
         spent_ns = time.process_time_ns() - started_ns
-        # Time goes on between rounds, as it does between requests, so that
-        # the notes of changes are forgotten as they would be.
+        # Advances the clock, so that the records of changes expire as they do
+        # in production.
         self._clock.run_until(self._clock.now_s + 10.0)
         return spent_ns / 1000 / DECISIONS
 
 
 def run() -> list[report.Line]:
-    """Measures both sizes in turn and compares the medians."""
+    """Measures both sizes alternately and compares the medians."""
     small, large = RouterScenario(size=SMALL), RouterScenario(size=LARGE)
     small.decide_all()
     large.decide_all()
--- a/bench/drain.py
+++ b/bench/drain.py
@@ -1,7 +1,7 @@
-"""How long a leaving or dead backend server still gets new work.
+"""How long a leaving or dead backend server still receives new work.
 
-On a virtual clock; the worst case over moments at which it begins to leave,
-so that each phase of the polls is met.
+Runs on a virtual clock. Takes the worst case over several start times of the
+leaving, to cover each phase of the polling period.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 def run() -> list[report.Line]:
-    """Measures each way of leaving; the bound is on the worst of them."""
+    """Measures all scenarios; the bound applies to the worst."""
     lines = []
     worst_s = 0.0
     for scenario in SCENARIOS:
--- a/bench/exposure.py
+++ b/bench/exposure.py
@@ -1,4 +1,4 @@
-"""Bad answers until a bad version is out, false stops, and time lost."""
+"""Bad answers until a bad version is withdrawn, false stops, and duration."""
 
 import random
 import statistics
@@ -10,11 +10,12 @@
 
 SEEDS = 80
 GOOD_SEEDS = 200
-# The rules were chosen while looking at lower seeds; these were not seen.
+# Not the seeds that the rules were developed with.
 _FIRST_SEED = 5_000
-# The Agency fears a bad version most: few answers out unrated, many ratings
-# before each step. Siamroster wants new versions sooner. Today's traffic is
-# that of a large team; at the planned size a template has ten times as much.
+# The Agency wants little exposure to a bad version: few unrated answers, and
+# many ratings before each step. Siamroster wants new versions sooner. Today's
+# traffic is that of a large team; at the planned size a template has ten times
+# as much.
 _AGENCY = documents.RollOutPolicy(unrated_cap=20)
 _SIAMROSTER = documents.RollOutPolicy(
     unrated_cap=80,
@@ -39,16 +40,16 @@
     for share in (0.2, 0.5)
     for percent in (0.0, 5.0, 50.0)
 )
-# Bad from the first answer at full share on: no roll-out can see it, so it is
-# reported apart from the ratio.
+# Bad only from the first answer at full share: no roll-out can detect this, so
+# it is not part of the ratio.
 BAD_AT_FULL_SHARE = tuple(
     rollouts.Version(bad_share=share, bad_from_percent=100.0)
     for share in (0.2, 0.5)
 )
 _THRESHOLDS = (0.08, 0.1, 0.12, 0.15, 0.18, 0.2, 0.25, 0.3)
 _FALSE_STOPS = 0.01
-# The target is 0.33. Today's traffic misses it, so those lines hold what was
-# measured; docs/design/rollouts.md says why.
+# The target is 0.33. Larger values are regression bounds: today's traffic
+# misses the target, for reasons given in docs/design/rollouts.md.
 _RATIO_BOUNDS = {
     "agency": 0.5,
     "siamroster": 0.45,
@@ -62,7 +63,7 @@
 
 
 def run() -> list[report.Line]:
-    """Returns the lines of both users' settings, the headlines first."""
+    """Returns the lines of both users' settings; the summary comes first."""
     lines = [line for deployment in DEPLOYMENTS for line in _lines(deployment)]
     lines += _full_share_lines()
     values = {line.name: line.value for line in lines}
@@ -182,7 +183,7 @@
 
 
 def _measure(deployment: rollouts.Deployment, threshold: float | None):
-    """Returns runs of good versions, of each bad one, and at the edge."""
+    """Returns runs of good, bad and just tolerated versions."""
     good = _runs(deployment, GOOD, threshold, GOOD_SEEDS)
     bad = [_runs(deployment, version, threshold, SEEDS) for version in BAD]
     at_tolerance = _runs(deployment, AT_TOLERANCE, threshold, GOOD_SEEDS)
@@ -222,7 +223,7 @@
 
 
 def _full_share_lines() -> list[report.Line]:
-    """Returns how many answers a version at full share gives while bad."""
+    """Returns how many bad-phase answers pass until detection at full share."""
     lines = []
     for bad_share in (0.2, 0.5):
         counts = sorted(
@@ -261,7 +262,7 @@
 def _ratings_until_detected(
     bad_share: float, source: random.Random, *, limit: int = 100_000
 ) -> int:
-    """Returns the ratings from the change on; 1,000 good ones came before."""
+    """Returns the number of ratings until detection, after 1,000 good ones."""
     rule = evidence.FullShareRule(tolerated_bad_share=0.05)
     found = evidence.Evidence()
     for _ in range(1_000):
--- a/bench/footprint.py
+++ b/bench/footprint.py
@@ -1,8 +1,8 @@
-"""What one more of each thing costs an instance, in memory, time and bytes.
+"""Marginal cost of an instance's data and work, in memory, time and bytes.
 
-The slopes behind docs/CAPACITY.md that no other benchmark gives. Memory is
-what Python's allocator keeps (of streams: what the process has resident),
-processor time is a median over rounds, bytes are by the real codecs.
+Gives the slopes of docs/CAPACITY.md that no other benchmark measures. Memory is
+what Python's allocator holds (for streams: the process's resident memory),
+processor time is a median over rounds, bytes are encoded by the real codecs.
 """
 
 from bench import report
--- a/bench/history.py
+++ b/bench/history.py
@@ -1,8 +1,8 @@
-"""Trials with faults drawn by seed: operations checked, violations found.
+"""Trials with random faults: operations checked and violations found.
 
-Real processes under load; each trial brings two faults of different kinds
-about together. The seed fixes the faults and the work, not the timing: two
-runs differ, and the bound must hold for every one of them.
+Runs real processes under load; each trial injects two faults of different
+kinds at the same time. The seed determines the faults and the load but not the
+timing, so runs differ; the bound must hold for each of them.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 from nutmeghook.experiment import faults
 from nutmeghook.experiment import trial as trial_module
 
-# Taken for their variety, from the draws and before any run.
+# Chosen for the variety of their faults.
 SEEDS = (101, 104, 106, 158)
 WORKS = 200
 WORKS_PER_S = 40.0
 INSTANCES = 3
 FIRST_FAULT_AFTER_S = 1.0
 DRAIN_LAG_MS = 700
-# Two of one kind would undo each other: a stand-in's faults are replaced as a
-# whole, and an instance can't both be killed and end with status 0.
+# Two faults of one kind would interfere: setting a stand-in's faults replaces
+# all earlier ones, and an instance can't both be killed and exit with status 0.
 KINDS: tuple[tuple[faults.Fault, ...], ...] = (
     (faults.kill_instance, faults.freeze_instance, faults.drain_instance),
     (
@@ -40,13 +40,13 @@
 
 
 def drawn_faults(seed: int) -> list[faults.Fault]:
-    """Returns the two faults of a seed, each of another kind."""
+    """Returns the two faults of a seed, of different kinds."""
     randomness = random.Random(seed)
     return [randomness.choice(kind) for kind in randomness.sample(KINDS, 2)]
 
 
 def run() -> list[report.Line]:
-    """Runs a trial for each seed and adds up what the checks say."""
+    """Runs a trial for each seed and sums up the checks' results."""
     checked = 0
     violations: list[checks.Violation] = []
     for seed in SEEDS:
@@ -78,7 +78,7 @@
 async def _run_trial(
     folder: pathlib.Path, seed: int
 ) -> tuple[int, list[checks.Violation]]:
-    """Returns how many requests callers sent, and the violations."""
+    """Returns the number of requests sent, and the violations."""
     trial = trial_module.Trial(
         folder=folder, seed=seed, drain_lag_ms=DRAIN_LAG_MS
     )
--- a/bench/instance_list.py
+++ b/bench/instance_list.py
@@ -1,8 +1,8 @@
-"""What reading the instance list costs a node, in bytes and processor time.
+"""Cost of reading the instance list per node, in bytes and processor time.
 
-Bytes are counted on loopback between the real adapter and the stand-in of the
-platform's service, headers and bodies of both directions; they are exact. The
-average is worked out from them at one read a second and the planned changes.
+Bytes are counted exactly, on loopback between the real adapter and the
+stand-in of the platform's service: headers and bodies of both directions. The
+average is computed from them for one read a second and the planned changes.
 """
 
 import asyncio
@@ -30,13 +30,13 @@
 _SIZES = ((12, 7), (440, 42), (4400, 420))
 _BOUND_BYTES_PER_S = 300
 _DAY_S = 86_400
-# A failure takes a line off and puts its successor on; a replacement says
-# before that it is leaving. Each is taken for a change of its own.
+# A failure removes a line and adds its successor; a replacement first marks the
+# line as leaving. Each is counted as a separate change.
 _CHANGES_PER_DAY = (
     2 * planned.FAILURES_PER_DAY + 3 * planned.REPLACEMENTS_PER_DAY
 )
-# As if all of them were entry instances, which read a whole list as they
-# start.
+# An upper bound: counts all of them as entry instances, which read the whole
+# list at their start.
 _STARTS_PER_DAY = planned.FAILURES_PER_DAY + planned.REPLACEMENTS_PER_DAY
 _ROUNDS = 15
 _CHUNK_BYTES = 65_536
@@ -44,18 +44,18 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class _ReadBytes:
-    """What one read of each kind takes."""
+    """Bytes of one read of each kind."""
 
     whole: int
     not_modified: int
     changed: int
 
     def average_per_s(self, *, changed: int, nodes: int) -> float:
-        """Returns bytes a second, for a read a second.
+        """Returns the average bytes per second at one read a second.
 
         Args:
-            changed: What a read takes when one line has changed.
-            nodes: How many share the starts.
+            changed: Bytes of a read after one line has changed.
+            nodes: Number of nodes among which starts are spread.
         """
         changes_per_s = _CHANGES_PER_DAY / _DAY_S
         starts_per_s = _STARTS_PER_DAY / _DAY_S / nodes
@@ -67,7 +67,7 @@
 
 
 class _CountingRelay:
-    """Passes a server's connections on and counts their bytes."""
+    """Relays connections to a server and counts their bytes."""
 
     def __init__(self, *, target: str):
         host, _, port = target.rpartition(":")
@@ -76,7 +76,7 @@
         self.relayed_bytes = 0
 
     async def start(self) -> asyncio.Server:
-        """Listens; the address is the server's first socket's."""
+        """Starts listening and returns the server."""
         return await asyncio.start_server(self._accept, _HOST, 0)
 
     async def _accept(
@@ -154,7 +154,7 @@
         async def read() -> int:
             before = relay.relayed_bytes
             listed = await adapter.list_instances()
-            # A bench that counted reads of a wrong list would mean nothing.
+            # The bytes of a wrong list would be meaningless.
             if sorted(listed, key=_address) != sorted(
                 await memory.list_instances(), key=_address
             ):
@@ -188,7 +188,7 @@
             read.average_per_s(changed=read.changed, nodes=entries),
             bound=_BOUND_BYTES_PER_S,
         ),
-        # Of a service that can say "not modified" but knows no changes.
+        # For a service that supports "not modified" but not deltas.
         _rate_line(
             f"node_average_without_changes.{engines}",
             read.average_per_s(changed=read.whole, nodes=entries),
@@ -218,7 +218,7 @@
 def _apply_line(
     rows: list[instances.ListedInstance], engines: int
 ) -> report.Line:
-    """Times what routing does with a list in which nothing changed."""
+    """Measures how long routing takes to apply an unchanged list."""
     clock = clock_module.SystemClock()
     directory = directory_module.BackendDirectory(
         clock=clock,
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,7 +1,7 @@
 """The ledger at the planned peak: store writes, latency, processor time.
 
 Everything runs in one process on virtual time, with a table service that
-answers after 5 ms. Processor time is this machine's; the rest is exact.
+answers after 5 ms. Processor time is this machine's; the rest is deterministic.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 
 def _peak_lines() -> list[report.Line]:
-    """All requests have a caller's key: the dearest mix there is."""
+    """All requests have a caller's key, which is the most expensive mix."""
     peak = ledger_load.measure_steady_rate(
         per_s=_PEAK_PER_S, instances=_INSTANCES, seconds=_MEASURED_S
     )
@@ -97,7 +97,7 @@
 
 
 def _low_rate_lines() -> list[report.Line]:
-    """Today's size at a low rate: a commit goes out at once."""
+    """At today's size and a low rate a commit is sent at once."""
     low_rate = ledger_load.measure_steady_rate(
         per_s=_LOW_RATE_PER_S, instances=_TODAY_INSTANCES, seconds=20
     )
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,9 +1,9 @@
-"""Membership: detection, bytes and processor time a node, false deaths.
+"""Membership: detection time, bytes and processor time per node, false deaths.
 
-In one process on virtual time, with the real codec and seals. Bytes count IP
-and UDP headers, sent plus received. Processor time includes the stand-in for
-the network and leaves out the kernel's part. Loss, freezes and the cut are run
-with 63 instances.
+Runs in one process on virtual time, with the real codec and seals. Bytes are
+sent plus received, with IP and UDP headers. Processor time includes the
+network stand-in but not the kernel's part. Loss, freezes and the network
+partition are run with 63 instances.
 """
 
 import datetime
@@ -41,7 +41,7 @@
         self.suspicions = 0
 
     async def start(self) -> float:
-        """Starts all at once; returns how long until they agree, in s."""
+        """Starts all at once; returns the time until they agree, in s."""
         self.fleet.list_all(self.size)
         for number in range(self.size):
             member = self.fleet.start(number)
@@ -49,11 +49,11 @@
         return await self.agreement_s()
 
     async def warm_up(self) -> None:
-        """Waits until the rumours of the start are spent."""
+        """Waits until the updates of the start are no longer gossiped."""
         await self.clock.sleep((60 + 1.5 * self.size) * SECOND)
 
     async def agreement_s(self) -> float:
-        """Returns how long it takes until all believe in those that run."""
+        """Returns the time until all agree on the running instances, in s."""
         start = self.clock.monotonic()
         while not self.fleet.agrees():
             if self.clock.monotonic() - start > AGREEMENT_TIMEOUT_S * SECOND:
@@ -62,12 +62,12 @@
         return (self.clock.monotonic() - start) / SECOND
 
     def total_bytes(self) -> int:
-        """Returns what all have sent and received so far."""
+        """Returns the bytes that all have sent and received so far."""
         totals = [m.traffic.total() for m in self.fleet.running.values()]
         return sum(t.sent_bytes + t.received_bytes for t in totals)
 
     async def bytes_per_s(self, duration_s: int) -> float:
-        """Returns the bytes a node over a time, a second."""
+        """Returns the bytes per node and second, over a time."""
         before = self.total_bytes()
         await self.clock.sleep(duration_s * SECOND)
         return (self.total_bytes() - before) / duration_s / self.size
@@ -130,7 +130,7 @@
 
 
 async def _measure_loss(size: int) -> list[report.Line]:
-    """Loses datagrams while each instance in turn freezes for a second."""
+    """Drops datagrams while each instance in turn freezes for a second."""
     trial = Trial(size)
     await trial.start()
     await trial.warm_up()
@@ -160,7 +160,7 @@
 
 
 async def _measure_cut(size: int) -> list[report.Line]:
-    """Cuts a region off, heals it, and measures the way back."""
+    """Partitions a region off, heals it, and measures the recovery."""
     trial = Trial(size)
     await trial.start()
     await trial.warm_up()
--- a/bench/node.py
+++ b/bench/node.py
@@ -1,8 +1,8 @@
-"""What one real instance costs: memory, and processor time when idle.
+"""Memory and processor time of a real instance, idle and under load.
 
-Runs the stand-ins and three instances as processes. The figures of the
-planned share of load (20 requests and 4,286 tokens a second a node) are taken
-from the first instance, which gets that share alone.
+Runs the stand-ins and three instances as processes. The load is a node's
+planned share (20 requests and 4,286 tokens a second) and is sent only to the
+first instance, which is the one measured.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 def run() -> list[report.Line]:
-    """Starts everything, measures and ends it."""
+    """Starts the system, measures the first instance and stops the system."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_measure(pathlib.Path(folder)))
 
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,8 +1,8 @@
-"""What the orders' holder spends to learn what is loaded on all engines.
+"""Cost for the orders' holder of reading what is loaded on all engines.
 
-The holder's real reader asks stand-ins of the other cells' members over a
-network in one process, which counts the frames' bytes. The engines' own load
-reports are not asked for, as in a fleet whose cells all have members.
+The holder's real reader queries simulated members of the other cells over an
+in-process network that counts the frames' bytes. Engines are not queried
+directly, as in a fleet whose cells all have members.
 """
 
 import asyncio
@@ -28,18 +28,19 @@
 from nutmeghook.internal.orders import report_pages
 from nutmeghook.internal.routing import backends
 
-# Members and engines; the first is today's.
+# Members and engines; the first size is today's.
 _SIZES = ((7, 12), (42, 440), (420, 4400))
 _VERSIONS = 13
-# A page that changed holds all engines of its cell; in a roll-out so many do
-# from one pass to the next.
+# Cells that change from one pass to the next in a roll-out. A changed page
+# holds all engines of its cell.
 _CHANGED_CELLS = 4
 _BOUND_BYTES_PER_S = 900
-# Planning stops the event loop; it may grow little faster than the engines.
+# Planning blocks the event loop; its time may grow little faster than the
+# number of engines.
 _PLANNED_ENGINES = (110, 880)
 _PLAN_ROUNDS = 7
 _BOUND_GROWTH = 2.0
-# What TCP and IP add to a frame.
+# TCP and IP headers of a frame.
 _HEADER_BYTES = 40
 
 
@@ -49,7 +50,7 @@
 
     Attributes:
         size_bytes: Both directions, with TCP's and IP's headers.
-        interval_s: How long the holder waits for the next one.
+        interval_s: Time until the holder's next pass.
     """
 
     size_bytes: int
@@ -58,14 +59,14 @@
 
 
 class _Cell:
-    """Answers for one cell."""
+    """Serves the report pages of one cell."""
 
     def __init__(self, *, clock: clock_module.Clock, numbers: range):
         self._clock = clock
         self._known = [_backend(number, clock) for number in numbers]
 
     def change(self) -> None:
-        """Has a version loaded on one engine more."""
+        """Loads a version on one more engine."""
         first = self._known[0]
         loaded = (*first.report.loaded, _version(99))
         self._known[0] = dataclasses.replace(
@@ -73,7 +74,7 @@
         )
 
     async def answer(self, pull: ttypes.LoadedPull) -> ttypes.LoadedPage:
-        """As `cell_reports.CellReports` does, without a directory."""
+        """Answers as `cell_reports.CellReports` does, without a directory."""
         now = self._clock.monotonic()
         page = report_pages.page_of(self._known, now)
         return report_pages.write_page(
@@ -86,7 +87,7 @@
 
 
 class _Platform(engine.EngineConnector, instances.InstanceList):
-    """The list of the engines; none of them may be asked."""
+    """The engine list; connecting to an engine is an error."""
 
     def __init__(self, count: int):
         self._rows = [samples.listed_engine(number) for number in range(count)]
@@ -96,8 +97,8 @@
         return self._rows
 
     def connect(self, address: str) -> engine.Engine:
-        """Fails: a cell did not tell of an engine."""
-        raise RuntimeError(f"{address} is read one by one")
+        """Fails, since a cell has not reported an engine."""
+        raise RuntimeError(f"{address} was not reported by its cell")
 
 
 def run() -> list[report.Line]:
@@ -120,7 +121,7 @@
 
 
 def _plan_growth_line() -> report.Line:
-    """Times the plan of a version that is loaded nowhere, at two sizes."""
+    """Compares the time to plan a version loaded nowhere, at two sizes."""
     few_ms, many_ms = (_plan_ms(count) for count in _PLANNED_ENGINES)
     ratio = many_ms / few_ms
     size_ratio = _PLANNED_ENGINES[1] / _PLANNED_ENGINES[0]
@@ -232,7 +233,7 @@
         views = await reader.read()
         processor_s = time.process_time() - started
         if any(view.loaded is None for view in views):
-            raise RuntimeError("an engine was not told of")
+            raise RuntimeError("an engine was not reported")
         # As `OrderController.run`.
         interval = max(datetime.timedelta(seconds=2), reader.cost)
         return _FleetPass(
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -9,7 +9,7 @@
 from bench.models import load_scenarios
 
 SEEDS = (1, 2, 3)
-# Regression bounds, not targets; docs/design/overload.md says why.
+# Regression bounds, not targets; docs/design/overload.md gives the reasons.
 SMALL_BATCHES_BOUND = 0.8
 RECOVERY_BOUND_S = 45.0
 
@@ -17,7 +17,7 @@
 def results(
     scenario: busy_fleet.Scenario, factory: busy_fleet.LimitsFactory
 ) -> list[busy_fleet.Result]:
-    """Runs a scenario once a seed."""
+    """Runs a scenario once for each seed."""
     return [
         busy_fleet.Fleet(scenario=scenario, factory=factory, seed=seed).run()
         for seed in SEEDS
@@ -130,9 +130,9 @@
     bound: float | None = None,
     better: report.Better = report.Better.LOWER,
 ) -> list[report.Line]:
-    """Returns the mean over the seeds, and how far they lie apart.
+    """Returns the mean over the seeds, and their range.
 
-    Baselines carry no bound.
+    Baselines have no bound.
     """
     full_name = f"{name}.{policy}" if policy else name
     mean = report.Line(
--- a/bench/plot_balance.py
+++ b/bench/plot_balance.py
@@ -1,4 +1,4 @@
-"""Draws docs/plots/balance.png: p95 wait by load and policy.
+"""Plots the p95 wait by load and policy to docs/plots/balance.png.
 
 Run it as `python -m bench.plot_balance`; it takes about half a minute.
 """
--- a/bench/plot_decisions.py
+++ b/bench/plot_decisions.py
@@ -1,4 +1,4 @@
-"""Draws the benchmarks' lines of cascades and exposure into docs/plots/.
+"""Plots the cascade and exposure benchmarks into docs/plots/.
 
 python -m bench cascade exposure > out/decisions.jsonl
 python -m bench.plot_decisions out/decisions.jsonl
--- a/bench/plot_heavy_days.py
+++ b/bench/plot_heavy_days.py
@@ -1,10 +1,11 @@
-"""Draws heavy loads in virtual time, for each way to choose models.
+"""Plots simulated overloads for each policy of choosing models.
 
     python -m bench.plot_heavy_days [FILE.png]
 
-Worth over time, who is answered by the largest model, and the queues, for the
-product's choice and the baselines beside it; three loads of a grown fleet's
-third. Prints the means as one JSON object a line.
+Shows the utility over time, the share of requests answered by the largest
+model, and the queues, for the product's policy and the baselines. The three
+loads are of a third of a grown fleet. Prints the means, one JSON object
+per line.
 """
 
 import json
@@ -53,7 +54,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Plays all loads and writes the picture."""
+    """Simulates all loads and writes the plot."""
     file = pathlib.Path(arguments[0]) if arguments else DEFAULT_FILE
     outcomes_by_load = {name: _simulate(load) for name, load in loads().items()}
     for load_name, outcomes in outcomes_by_load.items():
--- a/bench/plot_overload.py
+++ b/bench/plot_overload.py
@@ -1,4 +1,4 @@
-"""Draws goodput over offered load: `python -m bench.plot_overload`."""
+"""Plots goodput over offered load: `python -m bench.plot_overload`."""
 
 import dataclasses
 import pathlib
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,9 +1,9 @@
-"""What the request path costs a token, beside a bare relay, and in latency.
+"""Cost of the request path per token, relative to a bare relay, and latency.
 
 The source streams one token at a time at the planned rate of a node (4,286
 tokens a second). The bare relay copies bytes from one aiohttp connection to
 another; the request path checks, counts, re-encodes and bills. Their runs
-alternate, so that what else the machine does hits both; the ratio is the
+alternate, so that other load on the machine affects both; the ratio is the
 median over the pairs.
 """
 
@@ -98,7 +98,7 @@
 
 
 async def _tokens_per_core_s(session, address: str, send) -> float:
-    """Returns tokens relayed a second of the process's processor time."""
+    """Returns tokens relayed per second of the process's processor time."""
     before_s = await _cpu_s(session, address)
     await asyncio.gather(
         *(send(session, address, TOKENS_PER_STREAM) for _ in range(STREAMS))
@@ -113,7 +113,7 @@
 
 
 async def _added_first_token_ms(session, source: str, path: str) -> float:
-    """Returns the difference of the 95th percentiles, through and direct."""
+    """Returns the 95th percentile through the path minus the direct one."""
     direct_ms = []
     through_ms = []
     for _ in range(FIRST_TOKENS):
@@ -145,7 +145,7 @@
 
 
 async def _first_token_ms(sending, tokens: int) -> float:
-    """Reads a stream; checks that each token came, and times the first."""
+    """Reads a stream, verifies its tokens and returns the first one's time."""
     started_s = time.monotonic()
     first_s = 0.0
     received = 0
@@ -156,5 +156,5 @@
             if received and not first_s:
                 first_s = time.monotonic()
     if received != tokens:
-        raise RuntimeError(f"{received} tokens came of {tokens}")
+        raise RuntimeError(f"received {received} of {tokens} tokens")
     return (first_s - started_s) * 1000
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""One figure of a benchmark, and how it is printed."""
+"""A measured figure of a benchmark, and its output."""
 
 import enum
 import sys
@@ -18,8 +18,8 @@
     """One measured figure.
 
     Attributes:
-        bound: The worst value that passes; None where the figure is only
-            reported (a time on this machine, a baseline).
+        bound: The worst value that passes; None if the figure is only
+            reported, such as a time on this machine or a baseline.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 def print_lines(lines: list[Line], *, out: TextIO = sys.stdout) -> bool:
-    """Prints a JSON object a line; returns whether all bounds hold."""
+    """Prints one JSON object per line; returns whether all bounds hold."""
     for line in lines:
         out.write(msgspec.json.encode(line).decode() + "\n")
     out.flush()
--- a/bench/token_budgets.py
+++ b/bench/token_budgets.py
@@ -1,8 +1,8 @@
-"""How much of a template's budget equal shares let through.
+"""How much of a template's budget can be used with equal shares.
 
-A team asks for exactly its budget, over instances chosen at random. Where an
-instance sees less than a request a minute, some refuse while others have
-budget left.
+A team requests exactly its budget, over randomly chosen instances. Where an
+instance receives less than a request a minute, some instances refuse requests
+while others have budget left.
 """
 
 import datetime
@@ -21,12 +21,12 @@
 COST_TOKENS = 200
 WARM_UP_S = 120.0
 DURATION_S = 600.0
-# Regression bounds; docs/design/overload.md says why they are no targets.
+# Regression bounds, not targets; docs/design/overload.md gives the reasons.
 CASES = ((7, 600, 0.95), (420, 600, 0.7), (420, 6000, 0.95))
 
 
 def run() -> list[report.Line]:
-    """Returns the share of the budget that is served, by size."""
+    """Returns the served share of the budget, by size."""
     return [
         report.Line(
             name=f"limits.budget_served_share.{members_count}.{per_minute}",
