--- a/bench/affinity.py
+++ b/bench/affinity.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes and sessions: cache hits, and what a change moves."""
+"""Prefix cache hits, and sessions that move when a replica is removed."""
 
 import collections
 import dataclasses
@@ -17,7 +17,7 @@
 REPLICAS = 50
 SESSIONS = 20_000
 SEEDS = (1, 2, 3)
-# Prefixes that a replica's cache holds; the least recently used falls out.
+# Prefixes that a replica's cache holds; the least recently used is evicted.
 CACHE_PREFIXES = 40
 PREFIXES = 400
 # Popularity of the n-th prefix is 1 / n ** this.
@@ -26,49 +26,51 @@
 
 
 class PrefixCache:
-    """Which prefixes a replica holds; counts hits."""
+    """The prefixes that a replica holds; counts hits."""
 
-    __slots__ = ("_held", "hits")
+    __slots__ = ("_prefixes", "hits")
 
     def __init__(self):
-        self._held: collections.OrderedDict[str, None] = (
+        self._prefixes: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self.hits = 0
 
     def __contains__(self, prefix: str) -> bool:
-        return prefix in self._held
+        return prefix in self._prefixes
 
     def use(self, prefix: str) -> None:
-        """Notes a request with the prefix."""
-        if prefix in self._held:
+        """Records a request with the prefix."""
+        if prefix in self._prefixes:
             self.hits += 1
-        self._held[prefix] = None
-        self._held.move_to_end(prefix)
-        if len(self._held) > CACHE_PREFIXES:
-            self._held.popitem(last=False)
+        self._prefixes[prefix] = None
+        self._prefixes.move_to_end(prefix)
+        if len(self._prefixes) > CACHE_PREFIXES:
+            self._prefixes.popitem(last=False)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class CacheRun:
-    """What a policy gave."""
+    """Results of a policy."""
 
     hit_share: float
     fullest_load_share: float
 
 
 def run() -> list[report.Line]:
-    """Measures hit shares, the bound on load, and what moves."""
+    """Measures hit shares, the maximum load, and moved sessions."""
     product = [_run_caches(seed, "product") for seed in SEEDS]
     clairvoyant = [_run_caches(seed, "clairvoyant") for seed in SEEDS]
-    unaware = [_run_caches(seed, "unaware") for seed in SEEDS]
+    no_affinity = [_run_caches(seed, "unaware") for seed in SEEDS]
     moved = [_moved_share(seed) for seed in SEEDS]
     return [
         _share("affinity.prefix_hit_share", _mean_hits(product)),
         _share(
             "affinity.prefix_hit_share.clairvoyant", _mean_hits(clairvoyant)
         ),
-        _share("affinity.prefix_hit_share.no_affinity", _mean_hits(unaware)),
+        _share(
+            "affinity.prefix_hit_share.no_affinity", _mean_hits(no_affinity)
+        ),
         report.Line(
             name="affinity.prefix_hit_vs_clairvoyant",
             value=round(_mean_hits(product) / _mean_hits(clairvoyant), 3),
@@ -105,15 +107,15 @@
 
 
 def _moved_share(seed: int) -> float:
-    """Returns the share of sessions whose owner changes when one replica goes.
+    """Returns the share of sessions that move when a replica is removed.
 
-    Of 50 replicas one goes, drawn by the seed; a fair share is 0.02.
+    One of 50 replicas is removed at random; the ideal share is 0.02.
     """
     ring = affinity.AffinityRing()
     ring.add_all(fleet_parts.address_of(n) for n in range(REPLICAS))
     before = [_owner(ring, n) for n in range(SESSIONS)]
-    gone = fleet_parts.address_of(random.Random(seed).randrange(REPLICAS))
-    ring.remove(gone)
+    removed = fleet_parts.address_of(random.Random(seed).randrange(REPLICAS))
+    ring.remove(removed)
     after = [_owner(ring, n) for n in range(SESSIONS)]
     moved = sum(a != b for a, b in zip(before, after, strict=True))
     return moved / SESSIONS
@@ -126,8 +128,8 @@
 def _run_caches(seed: int, policy: str) -> CacheRun:
     """Runs 12 replicas with prefix caches at 70% load under one policy.
 
-    A hit saves nothing here: the load stays the same for all policies, so
-    that hit shares compare.
+    A hit saves no work, so that the load is the same for all policies and
+    their hit shares are comparable.
     """
     rng = random.Random(f"prefixes {seed}")
     clock = simulation.Simulation()
@@ -144,9 +146,11 @@
     work_s = fleet.MEAN_WORK_S
     gap_s = work_s / (0.7 * shape.replicas * shape.capacity)
     for number in range(shape.replicas):
-        router.take_report(number, fleet_parts.report_of(engines[number]), 0.0)
+        router.receive_report(
+            number, fleet_parts.report_of(engines[number]), 0.0
+        )
     numbers = {fleet_parts.address_of(n): n for n in range(shape.replicas)}
-    fullest = 0.0
+    max_load_share = 0.0
     for _ in range(REQUESTS):
         clock.run_until(clock.now_s + rng.expovariate(1 / gap_s))
         prefix = f"prefix-{rng.choices(range(PREFIXES), weights)[0]}"
@@ -163,15 +167,19 @@
             chosen = numbers[backend.address]
         caches[chosen].use(prefix)
         _send(router, backend, engines[chosen], clock, work_s)
-        fullest = max(fullest, engines[chosen].load / shape.capacity)
+        max_load_share = max(
+            max_load_share, engines[chosen].load / shape.capacity
+        )
     hits = sum(cache.hits for cache in caches)
-    return CacheRun(hit_share=hits / REQUESTS, fullest_load_share=fullest)
+    return CacheRun(
+        hit_share=hits / REQUESTS, fullest_load_share=max_load_share
+    )
 
 
 def _clairvoyant(
     engines: list[replicas.Replica], caches: list[PrefixCache], prefix: str
 ) -> int:
-    """Returns the least loaded with the prefix and a free slot, or any."""
+    """Returns the least loaded with the prefix and a free slot, or of all."""
     numbers = range(len(engines))
     with_room = [
         n
@@ -197,6 +205,6 @@
             duration=datetime.timedelta(seconds=work_s),
         )
 
-    replica.arrive(
+    replica.submit(
         replicas.Job(arrived_s=clock.now_s, work_s=work_s, done=done)
     )
--- a/bench/cascade.py
+++ b/bench/cascade.py
@@ -1,4 +1,4 @@
-"""Cost of cascades at the quality target, against baselines and the best."""
+"""Cost of cascades at the quality target, against baselines and an optimum."""
 
 import random
 import statistics
@@ -9,8 +9,7 @@
 from nutmeghook.internal.config import documents
 from nutmeghook.internal.foundation import clock
 
-# The policy was chosen while looking at lower seeds; these were
-# not seen.
+# Not the seeds that the policy was developed with.
 SEEDS = tuple(range(301, 309))
 LEARNING_REQUESTS = 20_000
 MEASURED_REQUESTS = 20_000
@@ -44,7 +43,7 @@
 
 
 # Lookups and legality checks are mostly easy, dossier reviews mostly hard.
-# The last two are Siamroster's choice for the first: few or no answers held.
+# The last two are the first with few or no answers held, as Siamroster wants.
 WORKLOADS = (
     quality.Workload(
         name="lookup",
@@ -86,12 +85,12 @@
 
 
 def run() -> list[report.Line]:
-    """Returns the lines of all workloads, the two that are bound first."""
+    """Returns the lines of all workloads; the two with bounds come first."""
     results = {
         workload.name: [_seed(workload, seed) for seed in SEEDS]
         for workload in WORKLOADS
     }
-    free = [
+    unlimited_held_ratios = [
         _mean_cost_ratio(results[workload.name])
         for workload in WORKLOADS
         if workload.template.held_share_percent == 100.0
@@ -103,7 +102,7 @@
     lines = [
         report.Line(
             name="cascade.cost_vs_best_at_target",
-            value=round(max(free), 4),
+            value=round(max(unlimited_held_ratios), 4),
             unit="ratio",
             bound=_COST_RATIO_BOUND,
         ),
@@ -181,17 +180,19 @@
 
 def _seed(workload: quality.Workload, seed: int) -> dict[str, quality.Outcome]:
     source = random.Random(seed)
-    learning = quality.requests_of(
+    learning = quality.generate_requests(
         workload, count=LEARNING_REQUESTS, source=source
     )
-    measured = quality.requests_of(
+    measured = quality.generate_requests(
         workload, count=MEASURED_REQUESTS, source=source
     )
-    rated_run = quality.RatedRun(workload=workload, clock=clock.FakeClock())
-    while_learning = rated_run.serve(learning)
+    learned_run = quality.LearnedCascadeRun(
+        workload=workload, clock=clock.FakeClock()
+    )
+    while_learning = learned_run.serve(learning)
     target = workload.template.quality_target
     return {
-        "learned": rated_run.serve(measured),
+        "learned": learned_run.serve(measured),
         "learned_while_new": while_learning,
         "best": quality_baselines.best_thresholds(measured, target=target),
         "best_each_request": quality_baselines.best_each_request(
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,9 +1,9 @@
-"""Membership: detection, bytes and processor time a node, false deaths.
+"""Membership: detection time, bytes and processor time per node, false deaths.
 
-In one process on virtual time, with the real codec and seals. Bytes count IP
-and UDP headers, sent plus received. Processor time includes the stand-in for
-the network and leaves out the kernel's part. Loss, freezes and the cut are run
-with 63 instances.
+Runs in one process on virtual time, with the real codec and seals. Bytes are
+sent plus received, with IP and UDP headers. Processor time includes the
+network stand-in but not the kernel's part. Loss, freezes and the network
+partition are run with 63 instances.
 """
 
 import datetime
@@ -25,7 +25,7 @@
 CRASHES = 3
 STEADY_S = 60
 CUT_S = 300
-GIVE_UP_S = 300
+AGREEMENT_TIMEOUT_S = 300
 
 
 class Trial:
@@ -41,7 +41,7 @@
         self.suspicions = 0
 
     async def start(self) -> float:
-        """Starts all at once; returns how long until they agree, in s."""
+        """Starts all at once; returns the time until they agree, in s."""
         self.fleet.list_all(self.size)
         for number in range(self.size):
             member = self.fleet.start(number)
@@ -49,25 +49,25 @@
         return await self.agreement_s()
 
     async def warm_up(self) -> None:
-        """Waits until the rumours of the start are spent."""
+        """Waits until the updates of the start are no longer gossiped."""
         await self.clock.sleep((60 + 1.5 * self.size) * SECOND)
 
     async def agreement_s(self) -> float:
-        """Returns how long it takes until all believe in those that run."""
+        """Returns the time until all agree on the running instances, in s."""
         start = self.clock.monotonic()
         while not self.fleet.agrees():
-            if self.clock.monotonic() - start > GIVE_UP_S * SECOND:
+            if self.clock.monotonic() - start > AGREEMENT_TIMEOUT_S * SECOND:
                 return float("inf")
             await self.clock.sleep(SECOND / 4)
         return (self.clock.monotonic() - start) / SECOND
 
     def total_bytes(self) -> int:
-        """Returns what all have sent and received so far."""
+        """Returns the bytes that all have sent and received so far."""
         totals = [m.traffic.total() for m in self.fleet.running.values()]
         return sum(t.sent_bytes + t.received_bytes for t in totals)
 
     async def bytes_per_s(self, duration_s: int) -> float:
-        """Returns the bytes a node over a time, a second."""
+        """Returns the bytes per node and second, over a time."""
         before = self.total_bytes()
         await self.clock.sleep(duration_s * SECOND)
         return (self.total_bytes() - before) / duration_s / self.size
@@ -83,7 +83,7 @@
     """Measures everything; takes about three minutes."""
     lines = []
     for size in SIZES:
-        lines += _virtual_time.run(_grow(size))
+        lines += _virtual_time.run(_measure_size(size))
     bytes_per_s = _by_size(lines, "bytes_per_s")
     slope, _ = numpy.polyfit(SIZES, bytes_per_s, 1)
     lines += [
@@ -97,11 +97,11 @@
             bound=0.01,
         ),
     ]
-    lines += _virtual_time.run(_lossy(63))
-    return lines + _virtual_time.run(_cut(63))
+    lines += _virtual_time.run(_measure_loss(63))
+    return lines + _virtual_time.run(_measure_cut(63))
 
 
-async def _grow(size: int) -> list[report.Line]:
+async def _measure_size(size: int) -> list[report.Line]:
     trial = Trial(size)
     join_s = await trial.start()
     await trial.warm_up()
@@ -129,8 +129,8 @@
     ]
 
 
-async def _lossy(size: int) -> list[report.Line]:
-    """Loses datagrams while each instance in turn freezes for a second."""
+async def _measure_loss(size: int) -> list[report.Line]:
+    """Drops datagrams while each instance in turn freezes for a second."""
     trial = Trial(size)
     await trial.start()
     await trial.warm_up()
@@ -159,8 +159,8 @@
     ]
 
 
-async def _cut(size: int) -> list[report.Line]:
-    """Cuts a region off, heals it, and measures the way back."""
+async def _measure_cut(size: int) -> list[report.Line]:
+    """Partitions a region off, heals it, and measures the recovery."""
     trial = Trial(size)
     await trial.start()
     await trial.warm_up()
--- a/bench/models/fleet.py
+++ b/bench/models/fleet.py
@@ -1,4 +1,4 @@
-"""Many routers before many replicas, with reports that come late."""
+"""Many routers in front of many replicas, with delayed load reports."""
 
 from collections.abc import Callable
 import datetime
@@ -11,10 +11,10 @@
 from nutmeghook.internal.routing import backends
 from nutmeghook.internal.routing import poller
 
-# By then each replica was heard of, as by an instance that says it is ready.
+# By then every replica has reported, as before an instance is ready.
 TRAFFIC_STARTS_S = 8.0
-# An answer's tokens: lookups, checks and a few reviews; 214 in the mean, as
-# 1.8 million tokens and 8,400 requests a second give.
+# Tokens of an answer: lookups, checks and a few reviews. The mean is 214, from
+# 1.8 million tokens and 8,400 requests a second.
 TOKENS_OF_KIND = (90, 300, 1500)
 SHARE_OF_KIND = (0.70, 0.25, 0.05)
 TOKEN_S = 0.034
@@ -24,12 +24,12 @@
 )
 
 
-class Fleet(routers_module.Surroundings):
-    """Runs routers and replicas on a virtual clock and notes the waits.
+class Fleet(routers_module.RouterEnvironment):
+    """Runs routers and replicas on a virtual clock and records the waits.
 
     Attributes:
-        waits_s: Time that each request stood before a batch.
-        unevenness: At each sample, the largest queue over the mean one.
+        waits_s: Time that each request waited to join a batch.
+        imbalance: The largest load divided by the mean load, for each sample.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.shape = shape
         self.simulation = simulation.Simulation()
         self.rng = random.Random(seed)
-        # The traffic's own, so that every policy meets the same requests.
+        # Separate, so that every policy receives the same requests.
         self._traffic_rng = random.Random(f"traffic {seed}")
         self.replicas = [
             replicas.Replica(
@@ -56,7 +56,7 @@
         }
         self.routers = [build_router(self, n) for n in range(shape.routers)]
         self.waits_s: list[float] = []
-        self.unevenness: list[float] = []
+        self.imbalance: list[float] = []
         self._rate_factor = 1.0
         self._rate_per_s = (
             shape.load_share * shape.replicas * shape.capacity / MEAN_WORK_S
@@ -77,11 +77,11 @@
         if self.shape.bursts:
             self._switch_rate()
         self.simulation.call_every(0.5, self._sample, first_s=0.0)
-        self.simulation.call_at(TRAFFIC_STARTS_S, self._arrive)
+        self.simulation.call_at(TRAFFIC_STARTS_S, self._start_request)
         self.simulation.run_until(self.shape.duration_s)
 
     def _report_period_s(self) -> float:
-        """Returns how often a report is polled at this size."""
+        """Returns the polling period of a report at this size."""
         polled = self.shape.replicas // self.shape.routers
         return poller.report_period(polled).total_seconds()
 
@@ -92,11 +92,11 @@
         if measured_s >= self.shape.reports_stop_s:
             return
 
-        def arrive() -> None:
+        def submit() -> None:
             for router in self.routers:
-                router.take_report(number, report, measured_s)
+                router.receive_report(number, report, measured_s)
 
-        self.simulation.call_at(measured_s + fleet_parts.REPORT_LAG_S, arrive)
+        self.simulation.call_at(measured_s + fleet_parts.REPORT_DELAY_S, submit)
 
     def _switch_rate(self) -> None:
         in_burst = self._rate_factor > 1.0
@@ -112,13 +112,13 @@
             return
         loads = [replica.load for replica in self.replicas]
         mean = sum(loads) / len(loads)
-        self.unevenness.append(max(loads) / max(mean, 1.0))
+        self.imbalance.append(max(loads) / max(mean, 1.0))
 
-    def _arrive(self) -> None:
+    def _start_request(self) -> None:
         rng = self._traffic_rng
         now_s = self.simulation.now_s
         gap_s = rng.expovariate(self._rate_per_s * self._rate_factor)
-        self.simulation.call_at(now_s + gap_s, self._arrive)
+        self.simulation.call_at(now_s + gap_s, self._start_request)
         chooser = rng.choice(self.routers).chooser
         kind_tokens = rng.choices(TOKENS_OF_KIND, SHARE_OF_KIND)[0]
         work_s = TOKEN_S * kind_tokens * rng.uniform(0.5, 1.5)
@@ -127,10 +127,10 @@
         )
         chooser.started(backend)
         job = replicas.Job(arrived_s=now_s, work_s=work_s)
-        job.done = lambda: self._end(chooser, backend, job)
-        self.by_address[backend.address].arrive(job)
+        job.done = lambda: self._finish_request(chooser, backend, job)
+        self.by_address[backend.address].submit(job)
 
-    def _end(
+    def _finish_request(
         self,
         chooser: backends.BackendChooser,
         backend: backends.Backend,
--- a/bench/models/load_policies.py
+++ b/bench/models/load_policies.py
@@ -1,4 +1,4 @@
-"""The product's limits and the baselines that they are measured against."""
+"""The product's limits and their baselines."""
 
 import random
 
@@ -14,7 +14,7 @@
 from nutmeghook.internal.membership import members
 
 
-def following(
+def adaptive_limit_policy(
     clock: virtual_loop.LoopClock,
     randomness: random.Random,
     scenario: busy_fleet.Scenario,
@@ -31,7 +31,7 @@
     randomness: random.Random,
     scenario: busy_fleet.Scenario,
 ) -> busy_fleet.Limits:
-    """Fair admission with places that don't follow service."""
+    """Fair admission with a fixed number of slots."""
     limit = concurrency_limit.FixedLimit(slots=_ceiling(scenario))
     return _fair(
         clock, randomness, limit, retry_budget.TokenBucketRetryBudget()
@@ -65,7 +65,7 @@
 
 
 POLICIES = {
-    "": following,
+    "": adaptive_limit_policy,
     "fixed_limit": fixed_limit,
     "fifo": fifo,
     "no_admission": no_admission,
--- a/bench/models/quality.py
+++ b/bench/models/quality.py
@@ -1,9 +1,9 @@
-"""A model of requests, models' answers, scores and late sampled ratings.
+"""A simulation of requests, answers, scores and delayed sampled ratings.
 
-Each request has a difficulty that nobody sees. A stage's answer is as good as
-the stage is strong for that difficulty; the score of a cheap answer follows
-that with noise. An answer's quality is the rating that it would get, which has
-noise of its own. Ratings come for sampled answers only, and late.
+Each request has a hidden difficulty. The expected quality of a stage's answer
+falls once the difficulty exceeds the stage's strength. The score of an answer
+and its quality, the rating that it would get, are that expected value with
+independent noise. Only sampled answers are rated, after a delay.
 """
 
 import collections
@@ -28,12 +28,12 @@
     """One template's requests and the models that answer them.
 
     Attributes:
-        kind_shares: Shares of short, middle and long prompts.
-        difficulty: Mean difficulty of each, 0 to 1.
-        strengths: For each stage, the difficulty at which answers get poor.
-        score_noise: Spread of a score around what it should be.
-        rating_noise: Spread of ratings of answers that are equally good.
-        rating_delay: Requests that pass before a rating comes.
+        kind_shares: Shares of short, medium and long prompts.
+        difficulty: Mean difficulty of each kind, 0 to 1.
+        strengths: For each stage, the difficulty above which quality falls.
+        score_noise: Standard deviation of scores.
+        rating_noise: Standard deviation of ratings.
+        rating_delay: Number of requests until a rating arrives.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Request:
-    """One request with all that the model, but no policy, knows."""
+    """One request with values that are hidden from policies."""
 
     request_id: str
     prompt_chars: int
@@ -65,10 +65,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What a policy did with many requests.
+    """Totals of a policy over many requests.
 
     Attributes:
-        held: Requests whose first answer was held back.
+        held: Requests whose first answer was held until it was judged.
     """
 
     cost: float = 0.0
@@ -90,27 +90,31 @@
 
     @property
     def mean_cost(self) -> float:
-        """Mean cost of a request, all its stages together."""
+        """Mean cost of a request over all its stages."""
         return self.cost / self.requests
 
     @property
     def held_share(self) -> float:
-        """Share of requests whose first token came only after a judgement."""
+        """Share of requests whose first token waited for a judgement."""
         return self.held / self.requests
 
 
-def requests_of(
+def generate_requests(
     workload: Workload, *, count: int, source: random.Random
 ) -> list[Request]:
-    """Draws requests."""
-    return [_request(workload, n, source) for n in range(count)]
+    """Generates random requests."""
+    return [_generate_request(workload, n, source) for n in range(count)]
 
 
-def _request(workload: Workload, number: int, source: random.Random) -> Request:
+def _generate_request(
+    workload: Workload, number: int, source: random.Random
+) -> Request:
     kind = source.choices(range(len(PROMPT_CHARS)), workload.kind_shares)[0]
-    middle = workload.difficulty[kind]
-    difficulty = source.betavariate(4 * middle, 4 * (1 - middle))
-    goodness = tuple(
+    mean_difficulty = workload.difficulty[kind]
+    difficulty = source.betavariate(
+        4 * mean_difficulty, 4 * (1 - mean_difficulty)
+    )
+    expected_qualities = tuple(
         0.95 - 1.4 * max(0.0, difficulty - strength)
         for strength in workload.strengths
     )
@@ -118,19 +122,19 @@
         request_id=f"req-{source.getrandbits(64):x}-{number}",
         prompt_chars=PROMPT_CHARS[kind],
         qualities=tuple(
-            _between_0_and_1(g + source.gauss(0, workload.rating_noise))
-            for g in goodness
+            _between_0_and_1(expected + source.gauss(0, workload.rating_noise))
+            for expected in expected_qualities
         ),
         scores=tuple(
-            _between_0_and_1(g + source.gauss(0, workload.score_noise))
-            for g in goodness
+            _between_0_and_1(expected + source.gauss(0, workload.score_noise))
+            for expected in expected_qualities
         ),
-        costs=costs_of(workload, PROMPT_CHARS[kind]),
+        costs=stage_costs(workload, PROMPT_CHARS[kind]),
     )
 
 
-def costs_of(workload: Workload, prompt_chars: int) -> tuple[float, ...]:
-    """Returns what one answer of each stage costs."""
+def stage_costs(workload: Workload, prompt_chars: int) -> tuple[float, ...]:
+    """Returns the cost of one answer of each stage."""
     models = {model.name: model for model in workload.fleet.models}
     return tuple(
         prompt_chars
@@ -146,15 +150,15 @@
 
 
 class ScoreInText(cascade_scorer.AnswerScorer):
-    """Reads the model's score of an answer from its text."""
+    """Reads the simulated score of an answer from its text."""
 
     def score(self, answer: cascade.CascadeAnswer) -> float:
-        """Returns the number that the text is."""
+        """Returns the text as a number."""
         return float(answer.text)
 
 
-class RatedRun:
-    """Runs the product's learned policy over requests, with late ratings."""
+class LearnedCascadeRun:
+    """Runs the product's learned policy with delayed ratings."""
 
     def __init__(self, *, workload: Workload, clock, learn_every: int = 500):
         self._workload = workload
@@ -163,7 +167,7 @@
             clock=clock, scorer=ScoreInText()
         )
         self._table = cascade_tables.empty_table(len(workload.template.stages))
-        self._waiting: collections.deque = collections.deque()
+        self._pending_ratings: collections.deque = collections.deque()
         self._served = 0
 
     def serve(self, requests: list[Request]) -> Outcome:
@@ -173,7 +177,7 @@
             cost, quality, held = self._serve_one(request)
             outcome.add(cost=cost, quality=quality, held=held)
             self._served += 1
-            self._take_in_ratings()
+            self._apply_due_ratings()
         return outcome
 
     def _serve_one(self, request: Request) -> tuple[float, float, bool]:
@@ -192,7 +196,7 @@
                 output_tokens=_OUTPUT_TOKENS,
                 hit_length_limit=False,
             )
-            self._hand_in(question, request, stage, answer)
+            self._submit_for_rating(question, request, stage, answer)
             if (
                 not plan.may_escalate
                 or stage == last
@@ -203,7 +207,7 @@
                 break
         return cost, request.qualities[stage], plan.may_escalate
 
-    def _hand_in(
+    def _submit_for_rating(
         self,
         question: cascade.CascadeQuestion,
         request: Request,
@@ -215,12 +219,17 @@
         rating_id = self._policy.rating_id(
             question, stage_index=stage, answer=answer
         )
-        due = self._served + self._workload.rating_delay
-        self._waiting.append((due, stage, rating_id, request.qualities[stage]))
+        due_at = self._served + self._workload.rating_delay
+        self._pending_ratings.append(
+            (due_at, stage, rating_id, request.qualities[stage])
+        )
 
-    def _take_in_ratings(self) -> None:
-        while self._waiting and self._waiting[0][0] <= self._served:
-            _, stage, rating_id, rating = self._waiting.popleft()
+    def _apply_due_ratings(self) -> None:
+        while (
+            self._pending_ratings
+            and self._pending_ratings[0][0] <= self._served
+        ):
+            _, stage, rating_id, rating = self._pending_ratings.popleft()
             self._table.add(
                 stage_index=stage,
                 label=cascade_labels.read(rating_id),
--- a/bench/node.py
+++ b/bench/node.py
@@ -1,8 +1,8 @@
-"""What one real instance costs: memory, and processor time when idle.
+"""Memory and processor time of a real instance, idle and under load.
 
-Runs the stand-ins and three instances as processes. The figures of the
-planned share of load (20 requests and 4,286 tokens a second a node) are taken
-from the first instance, which gets that share alone.
+Runs the stand-ins and three instances as processes. The load is a node's
+planned share (20 requests and 4,286 tokens a second) and is sent only to the
+first instance, which is the one measured.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 def run() -> list[report.Line]:
-    """Starts everything, measures and ends it."""
+    """Starts the system, measures the first instance and stops the system."""
     with tempfile.TemporaryDirectory() as folder:
         return asyncio.run(_measure(pathlib.Path(folder)))
 
@@ -65,7 +65,7 @@
     idle_percent = (_processor_s(process) - before_s) / IDLE_S * 100
     idle_mb = process.memory_info().rss / _MB
     before_s = _processor_s(process)
-    seen = await load_module.run(
+    load_result = await load_module.run(
         load_module.LoadSettings(
             addresses=[measured.listen_address],
             token=tokens[example_fleet.AGENCY_TEAMS[0]],
@@ -111,14 +111,14 @@
         ),
         report.Line(
             name="node.load_answered_share",
-            value=seen.answered / seen.sent,
+            value=load_result.answered / load_result.sent,
             unit="share",
             bound=1.0,
             better=report.Better.HIGHER,
         ),
         report.Line(
             name="node.load_first_token_p95_ms",
-            value=seen.p95_first_token_ms,
+            value=load_result.p95_first_token_ms,
             unit="ms",
         ),
     ]
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,8 +1,8 @@
-"""What the orders' holder spends to learn what is loaded on all engines.
+"""Cost for the orders' holder of reading what is loaded on all engines.
 
-The holder's real reader asks stand-ins of the other cells' members over a
-network in one process, which counts the frames' bytes. The engines' own load
-reports are not asked for, as in a fleet whose cells all have members.
+The holder's real reader queries simulated members of the other cells over an
+in-process network that counts the frames' bytes. Engines are not queried
+directly, as in a fleet whose cells all have members.
 """
 
 import asyncio
@@ -28,44 +28,45 @@
 from nutmeghook.internal.orders import report_pages
 from nutmeghook.internal.routing import backends
 
-# Members and engines; the first is today's.
+# Members and engines; the first size is today's.
 _SIZES = ((7, 12), (42, 440), (420, 4400))
 _VERSIONS = 13
-# A page that changed holds all engines of its cell; in a roll-out so many do
-# from one pass to the next.
+# Cells that change from one pass to the next in a roll-out. A changed page
+# holds all engines of its cell.
 _CHANGED_CELLS = 4
 _BOUND_BYTES_PER_S = 900
-# Planning stops the event loop; it may grow little faster than the engines.
+# Planning blocks the event loop; its time may grow little faster than the
+# number of engines.
 _PLANNED_ENGINES = (110, 880)
 _PLAN_ROUNDS = 7
 _BOUND_GROWTH = 2.0
-# What TCP and IP add to a frame.
+# TCP and IP headers of a frame.
 _HEADER_BYTES = 40
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class _Pass:
+class _FleetPass:
     """One reading of the fleet.
 
     Attributes:
         size_bytes: Both directions, with TCP's and IP's headers.
-        lasts_s: How long the holder waits for the next one.
+        interval_s: Time until the holder's next pass.
     """
 
     size_bytes: int
-    lasts_s: float
+    interval_s: float
     processor_ms: float
 
 
 class _Cell:
-    """Answers for one cell."""
+    """Serves the report pages of one cell."""
 
     def __init__(self, *, clock: clock_module.Clock, numbers: range):
         self._clock = clock
         self._known = [_backend(number, clock) for number in numbers]
 
     def change(self) -> None:
-        """Has a version loaded on one engine more."""
+        """Loads a version on one more engine."""
         first = self._known[0]
         loaded = (*first.report.loaded, _version(99))
         self._known[0] = dataclasses.replace(
@@ -73,7 +74,7 @@
         )
 
     async def answer(self, pull: ttypes.LoadedPull) -> ttypes.LoadedPage:
-        """As `cell_reports.CellReports` does, without a directory."""
+        """Answers as `cell_reports.CellReports` does, without a directory."""
         now = self._clock.monotonic()
         page = report_pages.page_of(self._known, now)
         return report_pages.write_page(
@@ -86,7 +87,7 @@
 
 
 class _Platform(engine.EngineConnector, instances.InstanceList):
-    """The list of the engines; none of them may be asked."""
+    """The engine list; connecting to an engine is an error."""
 
     def __init__(self, count: int):
         self._rows = [samples.listed_engine(number) for number in range(count)]
@@ -96,22 +97,22 @@
         return self._rows
 
     def connect(self, address: str) -> engine.Engine:
-        """Fails: a cell did not tell of an engine."""
-        raise RuntimeError(f"{address} is read one by one")
+        """Fails, since a cell has not reported an engine."""
+        raise RuntimeError(f"{address} was not reported by its cell")
 
 
 def run() -> list[report.Line]:
     """Measures all sizes; takes some seconds."""
     lines = []
     for members, engines in _SIZES:
-        first, still, changed = asyncio.run(_measure(members, engines))
+        first, unchanged, changed = asyncio.run(_measure(members, engines))
         lines += [
             _line(f"first_pass.{engines}", first.size_bytes, "bytes"),
-            *_pass_lines(f"unchanged_pass.{engines}", still),
+            *_pass_lines(f"unchanged_pass.{engines}", unchanged),
             *_pass_lines(f"changed_pass.{engines}", changed),
             _line(
                 f"pass_processor.{engines}",
-                still.processor_ms,
+                unchanged.processor_ms,
                 "ms of processor",
             ),
         ]
@@ -120,7 +121,7 @@
 
 
 def _plan_growth_line() -> report.Line:
-    """Times the plan of a version that is loaded nowhere, at two sizes."""
+    """Compares the time to plan a version loaded nowhere, at two sizes."""
     few_ms, many_ms = (_plan_ms(count) for count in _PLANNED_ENGINES)
     ratio = many_ms / few_ms
     size_ratio = _PLANNED_ENGINES[1] / _PLANNED_ENGINES[0]
@@ -171,20 +172,22 @@
     return statistics.median(rounds_ms)
 
 
-def _pass_lines(name: str, one: _Pass) -> list[report.Line]:
+def _pass_lines(name: str, one: _FleetPass) -> list[report.Line]:
     return [
         _line(name, one.size_bytes, "bytes"),
-        _line(f"{name}.lasts", one.lasts_s, "s"),
+        _line(f"{name}.lasts", one.interval_s, "s"),
         _line(
             f"{name}.rate",
-            round(one.size_bytes / one.lasts_s),
+            round(one.size_bytes / one.interval_s),
             "bytes/s",
             bound=_BOUND_BYTES_PER_S,
         ),
     ]
 
 
-async def _measure(members: int, engines: int) -> tuple[_Pass, _Pass, _Pass]:
+async def _measure(
+    members: int, engines: int
+) -> tuple[_FleetPass, _FleetPass, _FleetPass]:
     clock = clock_module.FakeClock()
     network = local.LocalNetwork(clock=clock)
     everyone = [samples.member(number) for number in range(members)]
@@ -224,26 +227,26 @@
         ),
     )
 
-    async def read() -> _Pass:
+    async def read() -> _FleetPass:
         before = _bytes_so_far(traffic)
         started = time.process_time()
         views = await reader.read()
         processor_s = time.process_time() - started
         if any(view.loaded is None for view in views):
-            raise RuntimeError("an engine was not told of")
+            raise RuntimeError("an engine was not reported")
         # As `OrderController.run`.
-        lasts = max(datetime.timedelta(seconds=2), reader.cost)
-        return _Pass(
+        interval = max(datetime.timedelta(seconds=2), reader.cost)
+        return _FleetPass(
             size_bytes=_bytes_so_far(traffic) - before,
-            lasts_s=lasts.total_seconds(),
+            interval_s=interval.total_seconds(),
             processor_ms=round(processor_s * 1000, 1),
         )
 
     first = await read()
-    still = await read()
+    unchanged = await read()
     for cell in cells[:_CHANGED_CELLS]:
         cell.change()
-    return first, still, await read()
+    return first, unchanged, await read()
 
 
 def _bytes_so_far(traffic: traffic_module.Traffic) -> int:
--- a/bench/plot_heavy_days.py
+++ b/bench/plot_heavy_days.py
@@ -1,10 +1,11 @@
-"""Draws heavy loads in virtual time, for each way to choose models.
+"""Plots simulated overloads for each policy of choosing models.
 
     python -m bench.plot_heavy_days [FILE.png]
 
-Worth over time, who is answered by the largest model, and the queues, for the
-product's choice and the baselines beside it; three loads of a grown fleet's
-third. Prints the means as one JSON object a line.
+Shows the utility over time, the share of requests answered by the largest
+model, and the queues, for the product's policy and the baselines. The three
+loads are of a third of a grown fleet. Prints the means, one JSON object
+per line.
 """
 
 import json
@@ -22,11 +23,11 @@
 from nutmeghook.experiment import fleet_emulator
 from nutmeghook.internal.relay import model_choice
 
-USUAL_PER_S = 72.0
+NORMAL_RATE_PER_S = 72.0
 SECONDS = 24.0
 SEED = 1
 DEFAULT_FILE = pathlib.Path("docs/plots/heavy_days.png")
-WAYS = {
+POLICIES = {
     "weighed": model_choice.ExpectedUtility,
     "threshold 50": model_choice.FixedThreshold,
     "smallest only": lambda: model_choice.FixedThreshold(least_confidence=0),
@@ -36,7 +37,7 @@
 
 def loads() -> dict[str, emulated_fleet.Load]:
     """Returns the loads by their names."""
-    steady = {"per_s": lambda at_s: USUAL_PER_S, "duration_s": SECONDS}
+    steady = {"per_s": lambda at_s: NORMAL_RATE_PER_S, "duration_s": SECONDS}
     return {
         "usual load": emulated_fleet.Load(
             **steady, replicas_at=lambda at_s: 12
@@ -45,7 +46,7 @@
             **steady, replicas_at=lambda at_s: 6 if 6 < at_s < 16 else 12
         ),
         "twice the callers from 6 s to 14 s": emulated_fleet.Load(
-            per_s=lambda at_s: USUAL_PER_S * (2 if 6 < at_s < 14 else 1),
+            per_s=lambda at_s: NORMAL_RATE_PER_S * (2 if 6 < at_s < 14 else 1),
             duration_s=SECONDS,
             replicas_at=lambda at_s: 12,
         ),
@@ -53,53 +54,54 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Plays all loads and writes the picture."""
+    """Simulates all loads and writes the plot."""
     file = pathlib.Path(arguments[0]) if arguments else DEFAULT_FILE
-    played = {name: _play(load) for name, load in loads().items()}
-    for load_name, outcomes in played.items():
-        for way, outcome in outcomes.items():
+    outcomes_by_load = {name: _simulate(load) for name, load in loads().items()}
+    for load_name, outcomes in outcomes_by_load.items():
+        for policy, outcome in outcomes.items():
             print(
                 json.dumps(
                     {
                         "load": load_name,
-                        "way": way,
+                        "way": policy,
                         "worth_share": round(outcome.utility_share, 3),
                         "larger_share": round(outcome.larger_model_share, 3),
                         "wait_p90_s": round(outcome.wait_s(0.9), 2),
                     }
                 )
             )
-    _draw(played, file)
+    _draw(outcomes_by_load, file)
     return 0
 
 
-def _play(load: emulated_fleet.Load) -> dict[str, emulated_outcome.Outcome]:
+def _simulate(load: emulated_fleet.Load) -> dict[str, emulated_outcome.Outcome]:
     return {
-        way: fleet_emulator.FleetEmulator(
+        policy: fleet_emulator.FleetEmulator(
             load=load, models=choice(), seed=SEED
         ).run()
-        for way, choice in WAYS.items()
+        for policy, choice in POLICIES.items()
     }
 
 
 def _draw(
-    played: dict[str, dict[str, emulated_outcome.Outcome]], file: pathlib.Path
+    outcomes_by_load: dict[str, dict[str, emulated_outcome.Outcome]],
+    file: pathlib.Path,
 ) -> None:
     figure, grid = pyplot.subplots(
-        3, len(played), figsize=(15, 9), sharex=True, sharey="row"
+        3, len(outcomes_by_load), figsize=(15, 9), sharex=True, sharey="row"
     )
-    for column, (load_name, outcomes) in enumerate(played.items()):
+    for column, (load_name, outcomes) in enumerate(outcomes_by_load.items()):
         utility, larger, queues = (grid[row][column] for row in range(3))
         utility.set_title(load_name)
-        for way, outcome in outcomes.items():
+        for policy, outcome in outcomes.items():
             seconds, shares = _by_second(outcome, _utility_share)
-            utility.plot(seconds, shares, label=way)
+            utility.plot(seconds, shares, label=policy)
             seconds, shares = _by_second(outcome, _larger_model_share)
-            larger.plot(seconds, shares, label=way)
+            larger.plot(seconds, shares, label=policy)
             queues.plot(
                 [sample.at_s for sample in outcome.queues],
                 [sample.waiting for sample in outcome.queues],
-                label=way,
+                label=policy,
             )
         queues.set_xlabel("s")
     grid[0][0].set_ylabel("worth, of what is owed")
--- a/tools/payload.py
+++ b/tools/payload.py
@@ -12,8 +12,8 @@
 
 from packaging import requirements
 
-# Nothing that serves or administers needs these; they are half of the size.
-LEFT_OUT_FOLDERS = frozenset(
+# Not needed to serve or administer; they would double the size.
+EXCLUDED_FOLDERS = frozenset(
     (
         "__pycache__",
         "curses",
@@ -33,9 +33,9 @@
         "venv",
     )
 )
-# Of the standard library's compiled modules: tests, and what would bring a
-# shared library along that no code of ours calls.
-LEFT_OUT_EXTENSIONS = (
+# Extension modules of the standard library that are tests, or that need a
+# shared library which this project does not use.
+EXCLUDED_EXTENSIONS = (
     "_crypt",
     "_ctypes_test",
     "_curses",
@@ -58,61 +58,68 @@
     """One module, or the code of one package.
 
     Attributes:
-        path: Where it is on the building machine.
-        place: Where it belongs, relative to the root of all modules.
+        path: Path on the build machine.
+        archive_path: Path in the archive, relative to the module root.
     """
 
     path: pathlib.Path
-    place: pathlib.PurePath
+    archive_path: pathlib.PurePath
 
     @property
     def is_extension(self) -> bool:
-        """Whether it is machine code."""
+        """Whether it is an extension module."""
         return self.path.name.endswith(_EXTENSION_SUFFIXES)
 
     @property
     def module_name(self) -> str:
-        """The dotted name it is imported by."""
-        bare = self.place.name.split(".")[0]
-        return ".".join((*self.place.parent.parts, bare))
+        """The dotted name under which it is imported."""
+        bare = self.archive_path.name.split(".")[0]
+        return ".".join((*self.archive_path.parent.parts, bare))
 
 
 def collect(project: str, source: pathlib.Path) -> list[SourceFile]:
-    """Lists the standard library, a project's needs and its own modules.
+    """Lists the modules of a project, its requirements and the stdlib.
 
     Args:
         project: The distribution whose requirements are followed.
         source: The folder that holds its packages.
     """
     files = list(_standard_library())
-    for name in sorted(_requirements(project) - {project}):
+    for name in sorted(_transitive_requirements(project) - {project}):
         files.extend(_distribution_files(name))
     files.extend(_tree(source))
-    return sorted(files, key=lambda file: file.place)
+    return sorted(files, key=lambda file: file.archive_path)
 
 
 def namespace_folders(
     files: collections.abc.Iterable[SourceFile],
 ) -> set[pathlib.PurePath]:
-    """Returns the folders of packages that have no code of their own.
+    """Returns the folders of namespace packages.
 
-    In an archive such a package (zope is one) is only found if its folder has
-    an entry; without it, importing what it holds fails.
+    zipimport finds such a package (zope, for example) only if the archive has
+    an entry for its folder.
     """
-    places = {file.place for file in files}
-    folders = {folder for place in places for folder in place.parents}
+    archive_paths = {file.archive_path for file in files}
+    folders = {
+        folder
+        for archive_path in archive_paths
+        for folder in archive_path.parents
+    }
     folders.discard(pathlib.PurePath())
-    return {f for f in folders if f / "__init__.py" not in places}
+    return {f for f in folders if f / "__init__.py" not in archive_paths}
 
 
 def compiled(file: SourceFile) -> bytes:
-    """Returns what a `.pyc` file holds, free of the building machine's paths.
+    """Returns the content of a `.pyc` file without build machine paths.
 
-    The header says that it is never compared with its source: the source is
-    not there at run time.
+    The header disables the comparison with the source, which does not exist
+    at run time.
     """
     code = compile(
-        file.path.read_bytes(), str(file.place), "exec", dont_inherit=True
+        file.path.read_bytes(),
+        str(file.archive_path),
+        "exec",
+        dont_inherit=True,
     )
     return _pyc(code)
 
@@ -132,34 +139,37 @@
     yield from _tree(pathlib.Path(sysconfig.get_path("stdlib")))
     extensions = pathlib.Path(sysconfig.get_config_var("DESTSHARED"))
     for path in extensions.glob("*.so"):
-        if not path.name.startswith(LEFT_OUT_EXTENSIONS):
-            yield SourceFile(path=path, place=pathlib.PurePath(path.name))
+        if not path.name.startswith(EXCLUDED_EXTENSIONS):
+            yield SourceFile(
+                path=path, archive_path=pathlib.PurePath(path.name)
+            )
 
 
 def _tree(folder: pathlib.Path) -> collections.abc.Iterator[SourceFile]:
     for path in folder.rglob("*.py"):
-        place = path.relative_to(folder)
-        if LEFT_OUT_FOLDERS.isdisjoint(place.parts):
-            yield SourceFile(path=path, place=place)
+        archive_path = path.relative_to(folder)
+        if EXCLUDED_FOLDERS.isdisjoint(archive_path.parts):
+            yield SourceFile(path=path, archive_path=archive_path)
 
 
 def _distribution_files(name: str) -> collections.abc.Iterator[SourceFile]:
     distribution = importlib.metadata.distribution(name)
     for file in distribution.files or ():
-        place = pathlib.PurePath(file)
+        archive_path = pathlib.PurePath(file)
         wanted = file.name.endswith((".py", *_EXTENSION_SUFFIXES))
-        if wanted and LEFT_OUT_FOLDERS.isdisjoint(place.parts):
+        if wanted and EXCLUDED_FOLDERS.isdisjoint(archive_path.parts):
             yield SourceFile(
-                path=pathlib.Path(distribution.locate_file(file)), place=place
+                path=pathlib.Path(distribution.locate_file(file)),
+                archive_path=archive_path,
             )
 
 
-def _requirements(project: str) -> set[str]:
-    """Returns a project and all it needs, its extras left out."""
+def _transitive_requirements(project: str) -> set[str]:
+    """Returns a project and its transitive requirements, without extras."""
     found: set[str] = set()
-    left = [project]
-    while left:
-        name = left.pop().lower().replace("_", "-")
+    pending = [project]
+    while pending:
+        name = pending.pop().lower().replace("_", "-")
         if name in found:
             continue
         found.add(name)
@@ -167,5 +177,5 @@
             needed = requirements.Requirement(line)
             marker = needed.marker
             if marker is None or marker.evaluate({"extra": ""}):
-                left.append(needed.name)
+                pending.append(needed.name)
     return found
--- a/tools/soaks.py
+++ b/tools/soaks.py
@@ -1,10 +1,10 @@
-"""Plays a range of soak seeds, a few at a time.
+"""Runs a range of soak seeds, a few in parallel.
 
-    python -m tools.soaks FIRST LAST [AT_ONCE]
+    python -m tools.soaks FIRST LAST [CONCURRENCY]
 
-Prints each seed's report as a JSON line. The logs of seeds that found
-something are kept under out/soak; each of them goes into tests/whole/test_soak
-with a line on its cause. Exit status 1 if any did.
+Prints each seed's report as a JSON line. Logs of failed seeds are kept under
+out/soak; add each such seed to tests/whole/test_soak with a line on its cause.
+The exit status is 1 if any seed failed.
 """
 
 import concurrent.futures
@@ -14,39 +14,39 @@
 import sys
 
 LOGS = pathlib.Path("out/soak")
-AT_ONCE = 3
-# A soak takes some 25 s; beyond this it hangs, which is a finding too.
+DEFAULT_CONCURRENCY = 3
+# A soak takes about 25 s; one that exceeds this hangs and counts as failed.
 TIMEOUT_S = 180.0
 
 
 def main(arguments: list[str]) -> int:
-    """Plays the seeds and sums up."""
+    """Runs the seeds and prints a summary."""
     if len(arguments) not in (2, 3):
         print(__doc__, file=sys.stderr)
         return 2
     first, last, *rest = (int(argument) for argument in arguments)
-    at_once = rest[0] if rest else AT_ONCE
-    with concurrent.futures.ThreadPoolExecutor(at_once) as pool:
-        held = list(pool.map(_play, range(first, last + 1)))
-    print(f"{sum(held)} passed, {len(held) - sum(held)} failed")
-    return 0 if all(held) else 1
+    concurrency = rest[0] if rest else DEFAULT_CONCURRENCY
+    with concurrent.futures.ThreadPoolExecutor(concurrency) as pool:
+        passed = list(pool.map(_run_seed, range(first, last + 1)))
+    print(f"{sum(passed)} passed, {len(passed) - sum(passed)} failed")
+    return 0 if all(passed) else 1
 
 
-def _play(seed: int) -> bool:
+def _run_seed(seed: int) -> bool:
     logs = LOGS / str(seed)
     command = [sys.executable, "-m", "nutmeghook", "soak"]
     command += ["--seed", str(seed), "--keep", str(logs)]
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             command, capture_output=True, text=True, timeout=TIMEOUT_S
         )
     except subprocess.TimeoutExpired:
         print(f"seed {seed} did not end within {TIMEOUT_S:.0f} s", flush=True)
         return False
-    print(done.stdout + done.stderr, end="", flush=True)
-    if done.returncode == 0:
+    print(completed.stdout + completed.stderr, end="", flush=True)
+    if completed.returncode == 0:
         shutil.rmtree(logs, ignore_errors=True)
-    return done.returncode == 0
+    return completed.returncode == 0
 
 
 if __name__ == "__main__":
