--- a/src/nutmeghook/internal/administration/status.py
+++ b/src/nutmeghook/internal/administration/status.py
@@ -153,11 +153,13 @@
 
 
 def _fault_texts(snapshot: documents.Snapshot, team: str | None) -> list[str]:
-    mine = () if team is None else (f"template/{team}/", f"team/{team}.")
+    own_prefixes = (
+        () if team is None else (f"template/{team}/", f"team/{team}.")
+    )
     return [
         str(fault)
         for fault in validation.find_faults(snapshot)
-        if team is None or fault.path.startswith(mine)
+        if team is None or fault.path.startswith(own_prefixes)
     ]
 
 
--- a/src/nutmeghook/internal/observe/attempt_waits.py
+++ b/src/nutmeghook/internal/observe/attempt_waits.py
@@ -151,7 +151,7 @@
 ) -> Wait | None:
     """Returns a wait; None if its length is not known."""
     answer = _first(later, log_records.AttemptAnswered)
-    left = _first(later, log_records.AttemptLeft)
+    abandoned = _first(later, log_records.AttemptLeft)
     failed = _first(later, log_records.AttemptFailed)
     running, waiting = None, None
     if answer is not None:
@@ -163,7 +163,7 @@
     else:
         if failed is not None and failed[1].outcome == _NOT_SENT:
             return None
-        last_event = left or failed or end
+        last_event = abandoned or failed or end
         waited_ms = (last_event[0] - sent_s) * 1000.0 if last_event else None
     if waited_ms is None:
         return None
@@ -181,7 +181,7 @@
         forecast_ms=(sent.waiting_ms or 0.0) + (sent.reading_ms or 0.0),
         waited_ms=waited_ms,
         is_answered=answer is not None,
-        is_abandoned=left is not None,
+        is_abandoned=abandoned is not None,
         running=running,
         waiting=waiting,
     )
--- a/src/nutmeghook/internal/observe/slow_replicas_text.py
+++ b/src/nutmeghook/internal/observe/slow_replicas_text.py
@@ -98,13 +98,13 @@
     waits: Sequence[RelativeWait], names: Mapping[log_reading.Source, str]
 ) -> Iterator[str]:
     inner = [wait.wait for wait in waits]
-    seen_by = sorted({names.get(w.instance, w.instance.path) for w in inner})
-    left = sum(wait.is_abandoned for wait in inner)
+    instances = sorted({names.get(w.instance, w.instance.path) for w in inner})
+    abandoned = sum(wait.is_abandoned for wait in inner)
     unanswered = sum(not wait.is_answered for wait in inner)
     yield (
         f"  {len(inner)} requests in that time, {unanswered} without an answer,"
-        f" {left} left it as silent or dark; seen by {len(seen_by)} instances,"
-        f" one of them {seen_by[0]}"
+        f" {abandoned} left it as silent or dark; seen by {len(instances)}"
+        f" instances, one of them {instances[0]}"
     )
     versions = sorted({wait.version for wait in inner})
     configurations = sorted(
--- a/tests/cover/test_entry_http.py
+++ b/tests/cover/test_entry_http.py
@@ -224,7 +224,7 @@
             self.assertEqual(generation.priority, given)
             self.assertEqual(generation.deadline_ms, 700)
 
-    async def test_a_service_s_answer_comes_back_as_it_is(self):
+    async def test_a_service_s_answer_is_returned_unchanged(self):
         async with self.session.post(
             "/services/crew/bookings/7?day=2", data=b"crew"
         ) as response:
--- a/tests/cover/test_platform_engine.py
+++ b/tests/cover/test_platform_engine.py
@@ -74,7 +74,7 @@
         self.assertIs(seen[-1].finish, engine.FinishReason.STOP)
         self.assertEqual(len(await self.log("engine")), 1)
 
-    async def test_a_stream_left_early_is_not_read_by_the_next_request(self):
+    async def test_a_stream_closed_early_is_not_read_by_the_next_request(self):
         """The first stream is closed after one chunk.
 
         Its connection must not be used for the second request, which would
--- a/tests/cover/test_story.py
+++ b/tests/cover/test_story.py
@@ -161,7 +161,7 @@
         last = story_lines(path)[-1]
         self.assertIn("not logged which one let the request in", last)
 
-    def test_an_unreachable_store_stays_so_through_other_lines(self):
+    def test_a_store_is_unreachable_until_a_line_says_it_is_back(self):
         path = self.write(
             "edge-1.log",
             [
