--- a/src/nutmeghook/internal/assembly/observation.py
+++ b/src/nutmeghook/internal/assembly/observation.py
@@ -22,7 +22,7 @@
     gatherer: gathering.EventsGatherer,
     principals: principals_module.PrincipalFinder,
 ) -> None:
-    """Adds `/metrics` and the path of the time line's events."""
+    """Adds `/metrics` and the path of the timeline's events."""
 
     async def show_metrics(request: web.Request) -> web.Response:
         gauges.refresh()
--- a/src/nutmeghook/internal/assembly/router.py
+++ b/src/nutmeghook/internal/assembly/router.py
@@ -200,8 +200,8 @@
     def apply(self, settings: settings_module.InstanceSettings) -> None:
         """Applies changed settings, as far as a running process can.
 
-        Listening addresses and the data centre stay as at the start; the
-        platform restarts the process to change those.
+        Others, such as the session time, stay as at the start. The platform
+        restarts the process to change listening addresses or the data centre.
         """
         self._settings = settings
         self._store.address = settings.store_address
@@ -316,7 +316,7 @@
         )
 
     def _hold_list_deletions(self) -> None:
-        """Holds deletions back after a store outage; entries expire in it."""
+        """Holds deletions after a store outage, in which entries expire."""
         self.directory.hold_deletions(
             self._clock.monotonic() + directory_module.LAPSE_GRACE
         )
--- a/src/nutmeghook/internal/entry/application.py
+++ b/src/nutmeghook/internal/entry/application.py
@@ -235,7 +235,7 @@
 async def _code_routing_errors(
     request: web.Request, handler: _WebHandler
 ) -> web.StreamResponse:
-    """Returns the router's own errors, 404 and 405, with a coded body."""
+    """Gives 404 and 405, which aiohttp's routing raises, a coded body."""
     try:
         return await handler(request)
     except web.HTTPException as refusal:
--- a/src/nutmeghook/internal/entry/bodies.py
+++ b/src/nutmeghook/internal/entry/bodies.py
@@ -22,7 +22,7 @@
 
     Otherwise a dozen callers that send the permitted 10 MB each would exceed
     the instance's 128 MB, and it would be killed with all other requests.
-    Small bodies, which are nearly all, are bounded by admission control.
+    Small bodies, by far the most common, are bounded by admission control.
     """
 
     __slots__ = ("_reserved_bytes",)
--- a/src/nutmeghook/internal/entry/drain.py
+++ b/src/nutmeghook/internal/entry/drain.py
@@ -22,7 +22,7 @@
 
 
 class Drain:
-    """Counts requests in flight and decides when new ones are refused.
+    """Counts requests in flight, and refuses new ones after `refuse`.
 
     The load balancer notices a failing `/readyz` after a lag and sends
     requests until then. The instance serves these; later requests are refused
--- a/src/nutmeghook/internal/entry/sinks.py
+++ b/src/nutmeghook/internal/entry/sinks.py
@@ -26,7 +26,7 @@
         self._created_s = created_s
 
     async def take(self, text: str, model_version: engine.ModelVersion) -> None:
-        """Does nothing; the dispatcher keeps the text."""
+        """Does nothing; the dispatcher collects the text."""
 
     def detach(self) -> None:
         """Does nothing; nothing is being sent."""
--- a/src/nutmeghook/platform/headers.py
+++ b/src/nutmeghook/platform/headers.py
@@ -46,8 +46,8 @@
     "kv-fetch",
     "wait-ms",
 }
-# Of one connection, wrong once the body is framed anew, or meant only for the
-# router.
+# They concern one connection or the framing of its body, or are meant only for
+# the router.
 _NOT_RETURNED = http_headers.CONNECTION_FIELDS | {"x-replica-load"}
 # One day; no replica stays cold for that long after its start.
 _MAX_COLD_MS = 86_400_000
--- a/src/nutmeghook/platform/replicas.py
+++ b/src/nutmeghook/platform/replicas.py
@@ -21,7 +21,8 @@
 _MAX_SLOTS = 1_000_000
 # One day; no replica stays cold for that long after its start.
 _MAX_COLD_MS = 86_400_000.0
-# The year 2100. A later start never replaces one that lies far in the future.
+# The year 2100. An entry with an earlier start than the last known one is
+# ignored, so one far in the future would hide all later entries of its replica.
 _MAX_START_MS = 4_102_444_800_000
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
--- a/src/nutmeghook/platform/store.py
+++ b/src/nutmeghook/platform/store.py
@@ -11,8 +11,8 @@
 from nutmeghook.internal.dependencies import table as table_module
 from nutmeghook.internal.table_replication import source
 
-# The store answers in 4 ms, and in some 60 times as long on slow days. A call
-# that takes longer is given up and can be repeated: its answer may be lost.
+# The store answers in 4 ms, or in up to about 60 times as long when it is slow.
+# A longer call is abandoned, since its answer may be lost, and can be repeated.
 CALL_TIMEOUT = datetime.timedelta(milliseconds=1200)
 # Added to the time that a feed call is asked to wait.
 FEED_TIMEOUT_MARGIN = datetime.timedelta(milliseconds=600)
@@ -61,7 +61,7 @@
 
 
 class _Transaction(msgspec.Struct, frozen=True, rename="camel"):
-    # Called a revision on the wire; each entry is a condition on one row.
+    # Conditions on the versions of rows; the wire calls them revisions.
     expected_rev: list[_Expected]
     write: list[_Write]
     remove: list[_RowRef]
