--- a/src/nutmeghook/internal/administration/principals.py
+++ b/src/nutmeghook/internal/administration/principals.py
@@ -59,7 +59,7 @@
             raise _not_allowed(self, f"read what is of team {team!r}")
 
     def check_may_settle(self) -> None:
-        """Checks that the principal may end an operation of its team.
+        """Checks that the principal may make an operation's outcome final.
 
         Raises:
             errors.CodedError: `NOT_ALLOWED`.
--- a/src/nutmeghook/internal/observe/attempt_waits.py
+++ b/src/nutmeghook/internal/observe/attempt_waits.py
@@ -200,10 +200,11 @@
 def _with_services(waits: list[Wait], services: dict[str, str]) -> list[Wait]:
     """Fills in the waits' services.
 
-    A replica that no log lists gets the service that alone has waits of the
-    same model, or of the same route for plain services. Collectors that keep
-    only a log's end lose the `replica:listed` lines of earlier replicas;
-    without this the replicas listed later would have none to be compared with.
+    A replica that no log lists gets the service of the listed replicas with
+    waits of the same model (for plain services, of the same route), if they
+    have one service in common. Collectors that keep only a log's end lose the
+    `replica:listed` lines of earlier replicas; without this the replicas
+    listed later could not be compared with them.
     """
     services_by_workload: dict[tuple[str, str], set[str]] = {}
     for wait in waits:
--- a/src/nutmeghook/internal/observe/endings_table.py
+++ b/src/nutmeghook/internal/observe/endings_table.py
@@ -74,7 +74,7 @@
     """All endings.
 
     Attributes:
-        rows: Most cut answers first, then failures, callers that left, and
+        rows: Most cut answers first, then failures, disconnected callers and
             successes.
         open_requests: Requests with a line of an attempt but none of the end.
     """
--- a/src/nutmeghook/internal/observe/log_records.py
+++ b/src/nutmeghook/internal/observe/log_records.py
@@ -33,7 +33,13 @@
 
 
 class AttemptSent(AttemptRecord, frozen=True, kw_only=True):
-    """An attempt was sent, with its forecast."""
+    """An attempt was sent, with its forecast.
+
+    Attributes:
+        waiting_ms: Forecast time in the replica's queue.
+        reading_ms: Forecast time of prefill.
+        kept: Probability that the replica has the prompt prefix cached.
+    """
 
     replica: str
     version: str | None = None
@@ -77,7 +83,13 @@
 
 
 class AttemptLeft(AttemptRecord, frozen=True, kw_only=True):
-    """A silent or unreachable replica was given up for another one."""
+    """A silent or unreachable replica was given up for another one.
+
+    Attributes:
+        dark: It is unreachable; otherwise it is only silent.
+        begun: Its answer had begun.
+        after_event: Id of the event after which the next attempt resumes.
+    """
 
     replica: str
     dark: bool | None = None
--- a/src/nutmeghook/internal/observe/relative_waits.py
+++ b/src/nutmeghook/internal/observe/relative_waits.py
@@ -29,13 +29,13 @@
 class Limits:
     """The thresholds for reporting a replica as slow.
 
-    With any of them halved or doubled, a replica that is eight times as slow is
-    still found in generated logs (tests/cover/test_slow_replicas).
+    Their exact values matter little: with any of them halved or doubled, a
+    replica that is eight times as slow is still found.
 
     Attributes:
-        factor: A wait of more than this many times the baseline is long. Half
-            of the slowdown that has to be found, five times, so that most
-            waits on such a replica are long although they vary.
+        factor: A wait of more than this many times the baseline is long.
+            Half of five, the slowdown that has to be found, so that most waits
+            on such a replica are long although they vary.
         window_answers: The number of consecutive answers in a moving median.
             Few enough to detect a slow period of some seconds on one replica,
             more than are late together by chance.
@@ -44,8 +44,8 @@
             few milliseconds without any effect for callers.
         interval_s: Answers within this time are compared. Shorter than an
             overload's rise and fall, long enough for answers of each replica.
-        min_others: The fewest answers of other replicas that a median is taken
-            of; its error is then about a fifth of the waits' spread.
+        min_others: The fewest answers of other replicas for a median; its
+            error is then about a fifth of the waits' spread.
         false_alarm_probability: The probability, over all logs, of reporting a
             replica although all are alike, if waits are independent.
     """
--- a/src/nutmeghook/internal/observe/timeline.py
+++ b/src/nutmeghook/internal/observe/timeline.py
@@ -12,7 +12,7 @@
     """The events that one process kept, and its wall clock's offset.
 
     Attributes:
-        process: Its inner address and incarnation.
+        process: Its data centre, inner address and incarnation.
         offset_ms: Added to its wall times, gives those of the instance that
             gathered the events.
         uncertainty_ms: Half of the round trip in which the offset was
