--- a/src/nutmeghook/internal/dependencies/failures.py
+++ b/src/nutmeghook/internal/dependencies/failures.py
@@ -1,6 +1,6 @@
 """How a call to the platform or to a backend server can fail.
 
-The two kinds are kept apart because they allow different next steps: after
+The two kinds are distinguished because they allow different next steps: after
 `NotDoneError` the call may be repeated freely; after `OutcomeUnknownError` it
 may have taken effect, or may still do so later.
 """
--- a/src/nutmeghook/internal/dependencies/instances.py
+++ b/src/nutmeghook/internal/dependencies/instances.py
@@ -15,7 +15,7 @@
 
 
 class InstanceState(enum.Enum):
-    """An instance's state in the platform, which learns of deaths late."""
+    """An instance's state in the list; a crash is noticed there late."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/src/nutmeghook/internal/dependencies/ratings.py
+++ b/src/nutmeghook/internal/dependencies/ratings.py
@@ -40,7 +40,7 @@
 
 
 class RatingService(abc.ABC):
-    """Rates answers, late; may raise `failures.PlatformError`."""
+    """Rates answers after a delay; may raise `failures.PlatformError`."""
 
     @abc.abstractmethod
     async def submit(self, tasks: list[RatingTask]) -> None:
@@ -66,7 +66,7 @@
 
     Returns:
         The ratings in order. If the service fails, the ratings read before the
-        failure, possibly none, so that the caller can go on with other work.
+        failure, possibly none, so that the caller can continue.
     """
     found: list[Rating] = []
     for _ in range(max_pages):
--- a/src/nutmeghook/internal/foundation/clock.py
+++ b/src/nutmeghook/internal/foundation/clock.py
@@ -52,8 +52,8 @@
             timer.cancel()
             if not work.done():
                 work.cancel()
-                # As `asyncio.timeout` does: the cancelled work has cleaned up
-                # before the caller goes on.
+                # As with `asyncio.timeout`, the cancelled work cleans up before
+                # the caller continues.
                 await asyncio.wait({work})
 
 
--- a/src/nutmeghook/internal/foundation/errors.py
+++ b/src/nutmeghook/internal/foundation/errors.py
@@ -11,7 +11,7 @@
     Attributes:
         code: The numbered result.
         detail: What was wrong, with the value, and what to do about it.
-        retry_after: Delay before a retry; None if a retry would not help.
+        retry_after: Delay before a retry; None if none is specified.
         run_state: Whether the work ran. It is the code's own state unless the
             raiser has more exact knowledge (for example of a failover that
             ended before anything was sent).
--- a/src/nutmeghook/internal/settings/flags.py
+++ b/src/nutmeghook/internal/settings/flags.py
@@ -17,7 +17,7 @@
     """Replaces `**flags` by one parameter for each setting.
 
     fire builds flags and help from a function's signature and docstring. They
-    are generated, as 25 parameters written by hand would be a second list of
+    are generated, as parameters written by hand would be a second list of
     settings and could differ from `specs`. Values stay text: fire would turn
     `1,2` into a tuple and `0x1` into a number. The docstring's line on
     `**flags` is replaced by one line for each setting.
--- a/src/nutmeghook/standins/loopback_host.py
+++ b/src/nutmeghook/standins/loopback_host.py
@@ -15,6 +15,6 @@
     """
     number = os.getpid() + 1
     # The second byte is never 0, because 127.0.0.1 is what other programs
-    # use. It stays under 65, because a process id has at most 22 bits.
+    # use. It is at most 65, because a process id has at most 22 bits.
     second = 1 + (number >> 16)
     return f"{_FIRST_BYTE}.{second}.{number >> 8 & 0xFF}.{number & 0xFF}"
--- a/src/nutmeghook/standins/users_replica.py
+++ b/src/nutmeghook/standins/users_replica.py
@@ -49,7 +49,7 @@
         body: Body of a whole answer; ignored if there are events.
         events: Numbers of the events of a stream. It starts after the caller's
             last event if the request names one.
-        sealed: The answer carries the seal.
+        sealed: The answer carries the seal, the replica's proof of origin.
         not_run: The answer states that the request was not run.
         confidence: The model's confidence in the answer.
         framed: The answer has a content length or is chunked.
