--- a/tests/cover/test_entry_http.py
+++ b/tests/cover/test_entry_http.py
@@ -303,7 +303,7 @@
         """A caller closes its connection after two tokens.
 
         aiohttp cancels the handler; the cancellation must reach the engine,
-        or it would go on generating.
+        or it would continue to generate.
         """
         fake = self.fixture.engines["e1:1"]
         fake.scripts.extend(
--- a/tests/cover/test_platform_engine.py
+++ b/tests/cover/test_platform_engine.py
@@ -23,7 +23,7 @@
     def connect(self):
         """Opens a new session, for calls after the engine cut all connections.
 
-        On a kept connection that was cut the outcome depends on a race: it is
+        On a pooled connection that was cut the outcome depends on a race: it is
         unknown, unless the cut was noticed first and a new connection made.
         """
         session = http_exchange.open_session()
