--- a/bench/capacity/herd.py
+++ b/bench/capacity/herd.py
@@ -44,7 +44,7 @@
         probe=_never,
         probe_every=ledger_settings.LedgerSettings().probe_every,
     )
-    health.record_failure()
+    health.note_failure()
     by_second = [0] * _OUTAGE_S
 
     def refuse(gives_up_s: float) -> None:
--- a/bench/capacity/processor.py
+++ b/bench/capacity/processor.py
@@ -175,7 +175,7 @@
     )
     for partition in range(64):
         holder = samples.member(partition % count).inner_address
-        directory.record_holder(partition, holder)
+        directory.note_holder(partition, holder)
 
     def act() -> int:
         for number in range(20):
--- a/src/nutmeghook/internal/dispatch/attempts.py
+++ b/src/nutmeghook/internal/dispatch/attempts.py
@@ -195,7 +195,7 @@
     ) -> engine_module.Chunk:
         engine = self._connector.connect(attempt.backend.address)
         while True:
-            seen = attempt.next_token
+            previous_token = attempt.next_token
             try:
                 return await self._read(engine, attempt, consumer)
             except (
@@ -203,7 +203,7 @@
                 failures.OutcomeUnknownError,
                 _CutError,
             ) as error:
-                if attempt.next_token > seen:
+                if attempt.next_token > previous_token:
                     attempt.resumes = 0
                 if _try_abandon(attempt):
                     raise _attempt_error(error, attempt) from error
--- a/src/nutmeghook/internal/dispatch/retry_permission.py
+++ b/src/nutmeghook/internal/dispatch/retry_permission.py
@@ -100,7 +100,7 @@
         )
 
     def try_permit_elsewhere(
-        self, call: stage_calls.StageCall, at_work: backends_module.Backend
+        self, call: stage_calls.StageCall, current: backends_module.Backend
     ) -> backends_module.Backend | None:
         """Permits one more attempt while one is at work.
 
@@ -117,14 +117,14 @@
         except errors.CodedError:
             return None
         other = self._backends.choose(
-            stage_calls.backend_criteria(call, at_work.address)
+            stage_calls.backend_criteria(call, current.address)
         )
         if other is None or not self.budget(call).try_spend():
             return None
         return other
 
     def try_grant(
-        self, call: stage_calls.StageCall, at_work: backends_module.Backend
+        self, call: stage_calls.StageCall, current: backends_module.Backend
     ) -> bool:
         """Permits continuing at another engine than the one at work.
 
@@ -135,5 +135,5 @@
         """
         if call.failed_attempts + 1 >= MAX_ATTEMPTS_PER_STAGE:
             return False
-        call.granted = self.try_permit_elsewhere(call, at_work)
+        call.granted = self.try_permit_elsewhere(call, current)
         return call.granted is not None
--- a/src/nutmeghook/internal/ledger/directory.py
+++ b/src/nutmeghook/internal/ledger/directory.py
@@ -57,12 +57,12 @@
         # unreachable from here while another holds the lease.
         return order[self._misses.get(partition, 0) % len(order)].inner_address
 
-    def record_holder(self, partition: int, inner_address: str) -> None:
+    def note_holder(self, partition: int, inner_address: str) -> None:
         """Records that an instance answered as the holder."""
         self._holders[partition] = inner_address
         self._misses.pop(partition, None)
 
-    async def record_miss(
+    async def note_miss(
         self, partition: int, inner_address: str, hint: str
     ) -> None:
         """Records that an instance is not the holder, or is unreachable.
--- a/src/nutmeghook/internal/ledger/sender.py
+++ b/src/nutmeghook/internal/ledger/sender.py
@@ -157,7 +157,7 @@
         results = await self._exchange(address, items)
         if results is None:
             self._requeue(items)
-            await self._directory.record_miss(self._partition, address, "")
+            await self._directory.note_miss(self._partition, address, "")
             return False
         return await self._handle_results(address, items, results)
 
@@ -219,10 +219,10 @@
             elif not item.reply.done():
                 item.reply.set_result(result)
         if not misdirected:
-            self._directory.record_holder(self._partition, address)
+            self._directory.note_holder(self._partition, address)
             return True
         self._requeue(misdirected)
-        await self._directory.record_miss(self._partition, address, hint)
+        await self._directory.note_miss(self._partition, address, hint)
         return False
 
     def _requeue(self, items: list[_PendingRequest]) -> None:
--- a/src/nutmeghook/internal/ledger/store_health.py
+++ b/src/nutmeghook/internal/ledger/store_health.py
@@ -91,14 +91,14 @@
         """Whether work that depends on the store should be refused."""
         return self._out
 
-    def record_success(self) -> None:
+    def note_success(self) -> None:
         """Records that the store answered."""
         self._failures = 0
         if self._out:
             self._out = False
             self._events.record(events_module.EventKind.STORE_BACK, self._name)
 
-    def record_failure(self) -> None:
+    def note_failure(self) -> None:
         """Records that a call failed or timed out."""
         self._failures += 1
         if self._failures >= self._failures_to_out and not self._out:
@@ -119,7 +119,7 @@
             await self._probe()
         except failures.PlatformError:
             return
-        self.record_success()
+        self.note_success()
 
 
 class _CallMonitor:
@@ -160,19 +160,19 @@
         try:
             result = await self._clock.wait_for(work, self._timeout)
         except TimeoutError as error:
-            self._health.record_failure()
+            self._health.note_failure()
             message = f"no answer within {self._timeout}"
             if writes:
                 raise failures.OutcomeUnknownError(message) from error
             raise failures.NotDoneError(message) from error
         except failures.NotDoneError as error:
             if not error.overloaded:
-                self._health.record_failure()
+                self._health.note_failure()
             raise
         except failures.OutcomeUnknownError:
-            self._health.record_failure()
+            self._health.note_failure()
             raise
-        self._health.record_success()
+        self._health.note_success()
         return result
 
 
--- a/src/nutmeghook/internal/membership/gossip.py
+++ b/src/nutmeghook/internal/membership/gossip.py
@@ -117,7 +117,7 @@
             return False
         finally:
             del self._waiting[sequence]
-        self._table.record_ack(target_address or inner_address, sent_at)
+        self._table.note_ack(target_address or inner_address, sent_at)
         if not refuted:
             self._confirmed_at = max(self._confirmed_at or sent_at, sent_at)
         return True
--- a/src/nutmeghook/internal/membership/table.py
+++ b/src/nutmeghook/internal/membership/table.py
@@ -147,9 +147,7 @@
             return Verdict.KNOWN
         return self._adopt(record, claim)
 
-    def record_ack(
-        self, inner_address: str, sent_at: datetime.timedelta
-    ) -> None:
+    def note_ack(self, inner_address: str, sent_at: datetime.timedelta) -> None:
         """Records that a member answered a probe sent at `sent_at`."""
         record = self._records.get(inner_address)
         if record is not None:
--- a/src/nutmeghook/internal/orders/cell_reports.py
+++ b/src/nutmeghook/internal/orders/cell_reports.py
@@ -179,34 +179,34 @@
     def _refresh(self) -> None:
         """Recomputes the cells if the members have changed."""
         found = tuple(self._members.members())
-        places = [(m.inner_address, m.region, m.data_centre) for m in found]
+        locations = [(m.inner_address, m.region, m.data_centre) for m in found]
         before = [
             (m.inner_address, m.region, m.data_centre)
             for m in self._cell_members
         ]
-        if places == before:
+        if locations == before:
             return
         self._cell_members = found
         self._cells = cells_among(found)
         addresses = {member.inner_address for member in found}
-        for kept in (self._pages, self._avoided):
-            for address in kept.keys() - addresses:
-                del kept[address]
+        for by_address in (self._pages, self._avoided):
+            for address in by_address.keys() - addresses:
+                del by_address[address]
 
 
 def cells_among(
     found: tuple[members_module.Member, ...],
 ) -> tuple[_CellMembers, ...]:
     """Returns all cells, each as its members' inner addresses."""
-    left = {member.inner_address: member for member in found}
+    remaining = {member.inner_address: member for member in found}
     cells: list[_CellMembers] = []
-    while left:
-        _, member = left.popitem()
+    while remaining:
+        _, member = remaining.popitem()
         others = tuple(m for m in found if m is not member)
         cell = cells_module.cell_of(
             members_module.FixedMemberView(myself=member, others=others)
         )
         for address in cell.peers:
-            left.pop(address, None)
+            remaining.pop(address, None)
         cells.append((member.inner_address, *cell.peers))
     return tuple(cells)
--- a/src/nutmeghook/internal/orders/controller.py
+++ b/src/nutmeghook/internal/orders/controller.py
@@ -226,7 +226,7 @@
             if self._drain.has_drained(placement, view, snapshot, now):
                 await self._unload(placement)
         for placement in plan.surplus:
-            if self._drain.stayed_surplus(placement, now):
+            if self._drain.has_stayed_surplus(placement, now):
                 await self._unload(placement)
 
     async def _unload(self, placement: planning.Placement) -> None:
--- a/src/nutmeghook/internal/orders/drain_tracker.py
+++ b/src/nutmeghook/internal/orders/drain_tracker.py
@@ -50,7 +50,7 @@
             return True
         return now > in_force_at + 2 * _longest_deadline(snapshot)
 
-    def stayed_surplus(
+    def has_stayed_surplus(
         self, placement: planning.Placement, now: datetime.timedelta
     ) -> bool:
         """Tells whether a replica was surplus for `SURPLUS_RETENTION`."""
--- a/src/nutmeghook/internal/orders/fleet_reading.py
+++ b/src/nutmeghook/internal/orders/fleet_reading.py
@@ -173,9 +173,9 @@
         )
 
     def _prune(self, engines: dict[str, instances.ListedInstance]) -> None:
-        for kept in (self._direct_views, self._tried_at):
-            for address in kept.keys() - engines.keys():
-                del kept[address]
+        for by_address in (self._direct_views, self._tried_at):
+            for address in by_address.keys() - engines.keys():
+                del by_address[address]
 
     def _newest(
         self, row: instances.ListedInstance, reported: EngineView | None
--- a/src/nutmeghook/internal/orders/weight_grants.py
+++ b/src/nutmeghook/internal/orders/weight_grants.py
@@ -54,9 +54,9 @@
 
     async def ticket_for(self, placement: planning.Placement) -> str | None:
         """Returns a ticket, or None if the store can't grant one now."""
-        kept = self._tickets.pop(placement, None)
-        if kept is not None:
-            return kept
+        unused = self._tickets.pop(placement, None)
+        if unused is not None:
+            return unused
         if self.time_until_next():
             return None
         try:
--- a/src/nutmeghook/internal/routing/version_choice.py
+++ b/src/nutmeghook/internal/routing/version_choice.py
@@ -273,12 +273,15 @@
     rolling = [
         v for v in usable if v.standing is version_rules.Standing.ROLLING_OUT
     ]
-    left_percent = _WHOLE_PERCENT
+    remaining_percent = _WHOLE_PERCENT
     for version in rolling:
         position = _position_percent(key, str(version.model_version))
-        if position * left_percent < version.share_percent * _WHOLE_PERCENT:
+        if (
+            position * remaining_percent
+            < version.share_percent * _WHOLE_PERCENT
+        ):
             return version
-        left_percent -= version.share_percent
+        remaining_percent -= version.share_percent
     return _among_serving(_serving(usable) or rolling, key)
 
 
--- a/src/nutmeghook/internal/table_replication/follower.py
+++ b/src/nutmeghook/internal/table_replication/follower.py
@@ -67,10 +67,10 @@
         self.time_offset: datetime.timedelta | None = None
         self._answered_at: datetime.timedelta | None = None
 
-    def record_response(self, store_time: datetime.timedelta) -> None:
+    def note_response(self, store_time: datetime.timedelta) -> None:
         """Records a successful call."""
         now = self._clock.monotonic()
-        self.record_contact(now)
+        self.note_contact(now)
         if self.is_unreachable:
             self.is_unreachable = False
             logs.note("store:back")
@@ -84,7 +84,7 @@
         else:
             self.time_offset += (offset - self.time_offset) * 0.02
 
-    def record_contact(self, at: datetime.timedelta) -> None:
+    def note_contact(self, at: datetime.timedelta) -> None:
         """Records that the store answered this instance or a peer."""
         if self._answered_at is None or at > self._answered_at:
             self._answered_at = at
@@ -99,7 +99,7 @@
             return datetime.timedelta()
         return self._clock.monotonic() - self._answered_at
 
-    def record_failure(self, error: Exception) -> None:
+    def note_failure(self, error: Exception) -> None:
         """Records a failed call."""
         if not self.is_unreachable:
             self.is_unreachable = True
@@ -162,9 +162,9 @@
         self.revision = -1
         self.confirmed_at: datetime.timedelta | None = None
 
-    def record_contact(self, at: datetime.timedelta) -> None:
+    def note_contact(self, at: datetime.timedelta) -> None:
         """Records that the store answered a peer."""
-        self._store_monitor.record_contact(at)
+        self._store_monitor.note_contact(at)
 
     @property
     def is_store_reachable(self) -> bool:
@@ -197,7 +197,7 @@
             logs.note("store:history_gone", table=self._table.name)
             self._feed_position = -1
         except failures.PlatformError as error:
-            self._store_monitor.record_failure(error)
+            self._store_monitor.note_failure(error)
             jitter = 0.75 + 0.5 * self._random.random()
             await self._clock.sleep((retry_delay or self._retry_delay) * jitter)
             self._retry_delay = min(self._retry_delay * 2, MAX_RETRY_DELAY)
@@ -213,7 +213,7 @@
             page = await self._table.read_all()
         else:
             page = await self._table.changes(start_position, wait)
-        self._store_monitor.record_response(page.store_time)
+        self._store_monitor.note_response(page.store_time)
         # A peer's newer rows may have been applied meanwhile. An older page
         # would bring back rows that those deleted.
         if page.revision < self.revision:
--- a/src/nutmeghook/internal/table_replication/gossip.py
+++ b/src/nutmeghook/internal/table_replication/gossip.py
@@ -280,7 +280,7 @@
 
     def _receive(self, message: ttypes.TablesDigest) -> None:
         """Handles a peer's digest."""
-        self._record_peer(message)
+        self._note_peer(message)
         for name, revision, age_ms in zip(
             message.tables,
             message.revisions,
@@ -290,21 +290,21 @@
             table = self._tables.get(name)
             if table is None:
                 continue
-            table.record_peer(revision, age_ms)
+            table.note_peer(revision, age_ms)
             if revision > table.revision:
                 self._newest_report[name] = _RevisionReport(
                     revision=revision, at=self._clock.monotonic()
                 )
                 self._peers_ahead[name][message.sender_address] = revision
 
-    def _record_peer(self, digest: ttypes.TablesDigest) -> None:
+    def _note_peer(self, digest: ttypes.TablesDigest) -> None:
         peer_id = digest.sender_id
         if peer_id == self._instance_id:
             return
         if peer_id not in self.peers and len(self.peers) >= _MAX_PEERS:
             return
         self.peers[peer_id] = digest.sender_address
-        self._election.record_digest(
+        self._election.note_digest(
             None if digest.out_of_touch else digest.sender_id,
             digest.low_ranks or (),
             digest.low_ages_ms or (),
--- a/src/nutmeghook/internal/table_replication/reader_election.py
+++ b/src/nutmeghook/internal/table_replication/reader_election.py
@@ -56,7 +56,7 @@
         lower = sum(priority < self._priority for priority in live)
         return lower < READER_COUNT
 
-    def record_digest(
+    def note_digest(
         self,
         sender_id: str | None,
         priorities: Iterable[int],
@@ -71,10 +71,10 @@
         """
         now = self._clock.monotonic()
         if sender_id is not None:
-            self._record_live(priority_of(sender_id), now)
+            self._note_live(priority_of(sender_id), now)
         for priority, age_ms in zip(priorities, ages_ms, strict=False):
             if age_ms >= 0 and priority != self._priority:
-                self._record_live(priority, now - age_ms * _MILLISECOND)
+                self._note_live(priority, now - age_ms * _MILLISECOND)
         self._last_seen = self.live_priorities(fleet_size=fleet_size)
 
     def live_priorities(
@@ -92,7 +92,7 @@
         )
         return dict(live[:_MAX_PRIORITIES_SENT])
 
-    def _record_live(self, priority: int, at: datetime.timedelta) -> None:
+    def _note_live(self, priority: int, at: datetime.timedelta) -> None:
         known = self._last_seen.get(priority)
         if known is None or at > known:
             self._last_seen[priority] = at
--- a/src/nutmeghook/internal/table_replication/shared_table.py
+++ b/src/nutmeghook/internal/table_replication/shared_table.py
@@ -67,12 +67,12 @@
             return _NEVER_MS
         return round((self._clock.monotonic() - confirmed_at) / _MILLISECOND)
 
-    def record_peer(self, revision: int, age_ms: int) -> None:
+    def note_peer(self, revision: int, age_ms: int) -> None:
         """Records a peer's confirmation; it counts at the same revision."""
         if age_ms < 0:
             return
         proven_at = self._clock.monotonic() - age_ms * _MILLISECOND
-        self.follower.record_contact(proven_at)
+        self.follower.note_contact(proven_at)
         if revision != self.revision:
             return
         if self._confirmed_at is None or proven_at > self._confirmed_at:
--- a/tests/cover/test_followed_tables.py
+++ b/tests/cover/test_followed_tables.py
@@ -77,7 +77,7 @@
         self.store.fault = fault
         with self.assertRaises(failures.NotDoneError) as caught:
             await self.follower._read(datetime.timedelta())
-        self.store_monitor.record_failure(caught.exception)
+        self.store_monitor.note_failure(caught.exception)
         self.store.fault = users_store.StoreFault.NONE
 
     async def test_a_deletion_without_an_outage_is_applied_at_once(self):
--- a/tests/cover/test_ledger_retry_after.py
+++ b/tests/cover/test_ledger_retry_after.py
@@ -41,7 +41,7 @@
         """
         clock = clock_module.FakeClock()
         health = health_of(clock)
-        health.record_failure()
+        health.note_failure()
         asyncio.run(clock.advance(datetime.timedelta(seconds=age_s)))
         waits = [health.suggested_retry_after() for _ in range(REFUSED_CALLERS)]
         least = min(
@@ -54,9 +54,9 @@
     def test_retry_after_is_short_once_the_store_is_back(self):
         clock = clock_module.FakeClock()
         health = health_of(clock)
-        health.record_failure()
+        health.note_failure()
         asyncio.run(clock.advance(datetime.timedelta(minutes=10)))
-        health.record_success()
+        health.note_success()
         self.assertLessEqual(
             health.suggested_retry_after(), store_health.MIN_RETRY_AFTER * 1.5
         )
--- a/tests/cover/test_membership_table.py
+++ b/tests/cover/test_membership_table.py
@@ -108,7 +108,7 @@
             table = new_table()
             table.apply_claim(claim("10.0.0.1:1", "a", HEALTHS[0], 1))
             if answered:
-                table.record_ack("10.0.0.1:1", table.changed_at)
+                table.note_ack("10.0.0.1:1", table.changed_at)
             dead = claim("10.0.0.1:1", "a", HEALTHS[2], 1)
             self.assertIs(table.apply_claim(dead), verdict)
 
--- a/tests/cover/test_version_plans.py
+++ b/tests/cover/test_version_plans.py
@@ -97,7 +97,7 @@
         """
         self.instance.begin()
         await self.advance(0.85)
-        self.instance.store_monitor.record_failure(ValueError("no answer"))
+        self.instance.store_monitor.note_failure(ValueError("no answer"))
         await self.advance(0.95)
         self.assertLess(self.new_share("away"), 0.11)
 
@@ -211,7 +211,7 @@
         for number, instance in enumerate(fleet):
             instance.answer("v1", times=60)
             instance.begin(started=datetime.timedelta())
-            instance.store_monitor.record_failure(ValueError("no answer"))
+            instance.store_monitor.note_failure(ValueError("no answer"))
             instance.answer("v2", number=1 + number % 3, failed=True)
         for instance in fleet:
             instance.gossip.send_update()
@@ -232,7 +232,7 @@
         here.answer("v2", times=10)
         known = there.rollouts.evidence_of(version_fixture.ORDER)
         await self.advance(0.5)
-        here.store_monitor.record_failure(ValueError("no answer"))
+        here.store_monitor.note_failure(ValueError("no answer"))
         here.gossip.send_update()
         self.assertEqual(known.answers_seen, 0)
         await self.advance(0.87)
--- a/tests/cover/test_waiting.py
+++ b/tests/cover/test_waiting.py
@@ -60,7 +60,7 @@
         self.assertEqual(await self.sentences("agency"), [table_out, unread])
 
         for _ in range(self.cluster.settings.failures_to_out):
-            ledger.objects_health.record_failure()
+            ledger.objects_health.note_failure()
         self.assertIn("object store to be out", (await self.sentences())[1])
 
         self.cluster.table.faults.down = False
--- a/tests/gossip_fleet.py
+++ b/tests/gossip_fleet.py
@@ -276,7 +276,7 @@
         for name in names:
             table = self.tables[name]
             table.apply_update((row,), version, whole=table.revision < 0)
-            table.record_peer(version, 0)
+            table.note_peer(version, 0)
 
     def behind(self, version: int) -> list[str]:
         """Returns the live instances without a version."""
--- a/tests/version_fixture.py
+++ b/tests/version_fixture.py
@@ -79,7 +79,7 @@
         if started is None:
             started = self.clock.monotonic()
         self.orders.place(ORDER)
-        self.store_monitor.record_response(self.clock.monotonic())
+        self.store_monitor.note_response(self.clock.monotonic())
         self.rollouts.apply_plan(
             plan_module.PlanRow(
                 order_id=ORDER.order_id,
@@ -152,7 +152,7 @@
     async def advance(self, part: float) -> None:
         """Moves to a fraction of the order's time; the store answers."""
         await self.advance_in_silence(part)
-        self.instance.store_monitor.record_contact(self.clock.monotonic())
+        self.instance.store_monitor.note_contact(self.clock.monotonic())
 
     async def advance_in_silence(self, part: float) -> None:
         """Moves to a fraction of the order's time; the store is silent."""
--- a/tests/version_outages.py
+++ b/tests/version_outages.py
@@ -170,9 +170,9 @@
     ) -> None:
         instance = self._instances[number]
         if self._is_away(number):
-            instance.store_monitor.record_failure(ValueError("no answer"))
+            instance.store_monitor.note_failure(ValueError("no answer"))
             return
-        instance.store_monitor.record_response(self.clock.monotonic())
+        instance.store_monitor.note_response(self.clock.monotonic())
         last_read = self._read_versions[number]
         self._readers[number].change(
             tuple(row for row in rows if row.version > last_read)
