--- a/src/nutmeghook/internal/config/distribution.py
+++ b/src/nutmeghook/internal/config/distribution.py
@@ -25,11 +25,11 @@
 _READ_PERIOD = datetime.timedelta(milliseconds=500)
 _PARENT_EXCHANGE_PERIOD = datetime.timedelta(seconds=1)
 _RANDOM_EXCHANGE_PERIOD = datetime.timedelta(seconds=3)
-# An instance whose configuration is older than this, as peers don't confirm it,
-# reads the store itself. In normal operation the tree keeps all ages below.
-# During a store outage 420 instances retrying at this period are a tenth of the
-# store's reads.
+# An instance whose peers have not confirmed its configuration for this long
+# reads the store itself. In normal operation the tree keeps all ages below it.
 _FALLBACK_READ_AGE = datetime.timedelta(seconds=3)
+# During a store outage the retries of 420 instances at this period are a tenth
+# of the store's reads.
 _FALLBACK_READ_PERIOD = datetime.timedelta(seconds=2)
 _PUSH_FAN_OUT = 4
 _PUSH_ROUNDS = 8
@@ -218,7 +218,7 @@
         return [m for m in self._others() if m.data_centre == here]
 
     async def _sleep(self, duration: datetime.timedelta) -> None:
-        # Jitter keeps instances that started together from staying in step.
+        # Jitter, since instances that start together would stay synchronised.
         await self._clock.sleep(duration * self._random.uniform(0.8, 1.2))
 
     def _record_store_state(self, *, unreachable: bool, detail: str) -> None:
--- a/src/nutmeghook/internal/config/replica.py
+++ b/src/nutmeghook/internal/config/replica.py
@@ -147,7 +147,7 @@
         """Replaces the state; nothing else does.
 
         Each replacement is recorded with the revision before it, so that even
-        a momentary step back would show in the events.
+        a momentary decrease would show in the events.
         """
         before = self.revision
         self._state = state
--- a/src/nutmeghook/internal/dispatch/bills.py
+++ b/src/nutmeghook/internal/dispatch/bills.py
@@ -1,4 +1,4 @@
-"""Bills for answers, and for parts that callers received and left."""
+"""Bills for answers, and for parts received before a disconnect."""
 
 import datetime
 
--- a/src/nutmeghook/internal/dispatch/dispatcher.py
+++ b/src/nutmeghook/internal/dispatch/dispatcher.py
@@ -240,9 +240,9 @@
         """Runs the work in a task that can outlive the caller.
 
         A caller that disconnects cancels this coroutine. Work whose claim a
-        retry will find goes on, so that the retry gets the answer instead of
-        `unknown`; so does a call that may not be repeated, which cancelling
-        would not undo, and a bill that is being recorded. Anything else is
+        retry will find continues, so that the retry gets the answer instead
+        of `unknown`. So does a call that may not be repeated, since cancelling
+        would not undo it, and the recording of a bill. Anything else is
         cancelled, down to the engine.
         """
         task = self._background.start(work)
--- a/src/nutmeghook/internal/dispatch/engine_crashes.py
+++ b/src/nutmeghook/internal/dispatch/engine_crashes.py
@@ -49,8 +49,8 @@
     def is_quarantined(self, request: requests.GenerationRequest) -> bool:
         """Tells whether a request must not be sent to any engine.
 
-        The registry is rarely other than empty, and computing an identity
-        hashes the whole prompt, so that is done only if there is a suspect.
+        The registry is usually empty, and computing an identity hashes the
+        whole prompt, so that is done only if there is a suspect.
         """
         return not self._registry.is_empty and self._registry.is_quarantined(
             _identity(request)
--- a/src/nutmeghook/internal/dispatch/retry_permission.py
+++ b/src/nutmeghook/internal/dispatch/retry_permission.py
@@ -102,10 +102,10 @@
     def try_permit_elsewhere(
         self, call: stage_calls.StageCall, current: backends_module.Backend
     ) -> backends_module.Backend | None:
-        """Permits one more attempt while one is at work.
+        """Permits one more attempt while one is in progress.
 
-        The budget is spent last, since a retry spent for nothing would be
-        missing where a request needs it.
+        The budget is spent last, so that no retry is spent on an attempt that
+        is then not made.
 
         Returns:
             The backend server to send it to; None if it is not permitted.
@@ -126,12 +126,12 @@
     def try_grant(
         self, call: stage_calls.StageCall, current: backends_module.Backend
     ) -> bool:
-        """Permits continuing at another engine than the one at work.
+        """Permits continuing at another engine than the current one.
 
         An engine that is unreachable for half a second still has the answer,
         so it must not be abandoned for an attempt that is then refused. The
-        next attempt is permitted, backend server included, before the one at
-        work is abandoned; it is sent at once, and nothing is checked again.
+        next attempt is permitted, backend server included, before the current
+        one is abandoned; it is sent at once, and nothing is checked again.
         """
         if call.failed_attempts + 1 >= MAX_ATTEMPTS_PER_STAGE:
             return False
--- a/src/nutmeghook/internal/dispatch/stage_calls.py
+++ b/src/nutmeghook/internal/dispatch/stage_calls.py
@@ -36,7 +36,7 @@
         tried: Addresses that failed.
         failed_attempts: Attempts that gave no answer.
         granted: Where the next attempt goes, if it was permitted while the
-            previous one was at work.
+            previous one was in progress.
         fallback: The attempt that gave the answer's text so far, from when it
             is abandoned until another one has begun.
     """
--- a/src/nutmeghook/internal/dispatch/stages.py
+++ b/src/nutmeghook/internal/dispatch/stages.py
@@ -127,8 +127,9 @@
 
         An engine that is unreachable for a moment may be abandoned with the
         last of the retry budget for one that then refuses. So the abandoned
-        attempt is kept until the next one has begun, and is resumed if that
-        never happens. A resume is no further run, so it needs no permission.
+        attempt is not cancelled until the next one has begun, and is resumed
+        if that never happens. A resume is no further run, so it needs no
+        permission.
         After an answer that is worded differently no other engine is tried:
         its answer would hardly match either.
         """
--- a/src/nutmeghook/internal/leases/keeper.py
+++ b/src/nutmeghook/internal/leases/keeper.py
@@ -31,7 +31,7 @@
 
 
 class LeaseKeeper(lease.Lease):
-    """One instance's side of one lease; `run` keeps it going.
+    """One instance's side of one lease; `run` contends for it and renews it.
 
     Args:
         name: The lease's name; the row's key follows from it.
--- a/src/nutmeghook/internal/leases/preference.py
+++ b/src/nutmeghook/internal/leases/preference.py
@@ -41,10 +41,10 @@
     ]
 
 
-# Cached, because every keeper asks each second, and with 420 members sorting
-# for 16 leases would take half a per cent of a core. Sized for 64 partitions,
-# the other leases, and the orders before and after a membership change: with
-# 64 entries, 67 leases asked in turn would never hit the cache.
+# Cached, because every keeper calls it each second, and with 420 members
+# sorting for 16 leases would take half a per cent of a core. Sized for 64
+# partitions, the other leases, and the orders before and after a membership
+# change: with 64 entries, 67 leases looked up in turn would never hit it.
 @functools.lru_cache(maxsize=256)
 def _top_candidates(
     lease_name: str, incarnations: tuple[str, ...]
--- a/src/nutmeghook/internal/ledger/client.py
+++ b/src/nutmeghook/internal/ledger/client.py
@@ -191,7 +191,7 @@
     async def _settle_within_timeout(
         self, identity: ledger.RequestIdentity, record: records.Request
     ) -> None:
-        """Waits up to 2 s for a record; retries go on in the background."""
+        """Waits up to 2 s for a record; retries continue in the background."""
         task = self._start(self._settle(identity, record))
         # Until it is durable, the caller's retries get the state `RUNNING`.
         with contextlib.suppress(TimeoutError):
--- a/src/nutmeghook/internal/ledger/directory.py
+++ b/src/nutmeghook/internal/ledger/directory.py
@@ -68,8 +68,8 @@
         """Records that an instance is not the holder, or is unreachable.
 
         Args:
-            partition: The partition that was asked for.
-            inner_address: The instance that was asked.
+            partition: The partition of the request.
+            inner_address: The instance that the request was sent to.
             hint: The holder that it named; empty if it knows none.
         """
         if self._holders.get(partition) == inner_address:
--- a/src/nutmeghook/internal/ledger/index.py
+++ b/src/nutmeghook/internal/ledger/index.py
@@ -58,7 +58,8 @@
         is_alive: Tells whether an incarnation is still a member.
         max_entries: New claims and pins are refused beyond these.
         window_ms: How long entries and pins are kept.
-        minted_window_ms: How long bills without a caller's key are.
+        minted_window_ms: The same for bills of requests without a caller's
+            key, whose id was generated ("minted") on arrival.
     """
 
     __slots__ = (
--- a/src/nutmeghook/internal/ledger/records.py
+++ b/src/nutmeghook/internal/ledger/records.py
@@ -94,7 +94,7 @@
 class PinRequest(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="q"
 ):
-    """Asks for a session's version, proposing one if it has none usable.
+    """Requests a session's version; without a usable pin, `proposed` is pinned.
 
     Attributes:
         revision: The sender's configuration revision.
--- a/src/nutmeghook/internal/ledger/sender.py
+++ b/src/nutmeghook/internal/ledger/sender.py
@@ -123,7 +123,7 @@
         return result
 
     def _start_messages(self) -> None:
-        """Starts messages while requests wait and fewer than 16 are sent."""
+        """Starts messages while requests wait, with at most 16 in flight."""
         while self._pending and self._in_flight < _MAX_MESSAGES_IN_FLIGHT:
             self._in_flight += 1
             task = asyncio.ensure_future(self._send_next())
--- a/src/nutmeghook/internal/ledger/store_health.py
+++ b/src/nutmeghook/internal/ledger/store_health.py
@@ -75,10 +75,10 @@
         """Returns the delay before a refused caller should retry.
 
         At the planned peak, retries after one second would add thousands of
-        requests a second that can only be refused again. A long outage is
-        likely to go on, so the delay is half the outage's age, within bounds,
-        plus jitter of up to half the delay. Retries then stay a fraction of
-        the load.
+        requests a second that can only be refused again. An outage that has
+        lasted long is likely to continue, so the delay is half the outage's
+        age, within bounds, plus jitter of up to half the delay. Retries then
+        stay a fraction of the load.
         """
         wait = MIN_RETRY_AFTER
         if self._out:
--- a/src/nutmeghook/internal/limits/fair_queue.py
+++ b/src/nutmeghook/internal/limits/fair_queue.py
@@ -6,9 +6,9 @@
 because virtual time advances on service only.
 
 Priority alone would let a team that marks all its work urgent starve the
-others; fairness alone would refuse a dossier review in favour of a lookup. So
-most of the served work is picked by priority first, and a guaranteed share of
-it by fairness alone.
+others; fairness alone would let urgent requests wait behind other teams'
+ordinary ones. So most of the served work is picked by priority first, and a
+guaranteed share of it by fairness alone.
 """
 
 import asyncio
@@ -20,6 +20,7 @@
 from nutmeghook.internal.limits import admission
 
 DEFAULT_GUARANTEED_SHARE = 0.25
+# Unused share that an idle team may save, in requests.
 _SAVED_REQUESTS = 4
 
 
--- a/src/nutmeghook/internal/membership/detector.py
+++ b/src/nutmeghook/internal/membership/detector.py
@@ -1,4 +1,4 @@
-"""Detects members that no longer answer, and confirms before it says so."""
+"""Detects members that no longer answer; confirms before declaring a death."""
 
 import asyncio
 import datetime
@@ -34,7 +34,7 @@
 
     Unlike in SWIM, a suspicion is not gossiped. Gossiped, it would start a
     timer on every instance, which only an equally fast refutation stops. Here
-    the suspecting instance goes on probing, directly and through three
+    the suspecting instance continues to probe, directly and through three
     helpers, and only its conclusion is gossiped.
     """
 
@@ -162,8 +162,8 @@
             return
         if self._gossip.is_confirmed():
             self._gossip.spread(claim)
-            # Starts the rumour at several members: at 100 members this saves
-            # seconds.
+            # The rumour starts at several members: in a fleet of 100 it
+            # reaches all of them seconds earlier.
             for helper in self._helpers(claim.member):
                 self._gossip.announce_to(helper.inner_address)
         self._listener.on_verdict(claim, table_module.Verdict.ADOPTED)
--- a/src/nutmeghook/internal/membership/members.py
+++ b/src/nutmeghook/internal/membership/members.py
@@ -1,4 +1,4 @@
-"""The entry instances, as the rest of the system sees them."""
+"""The members (entry instances), and the interface to the known ones."""
 
 import abc
 import enum
--- a/src/nutmeghook/internal/orders/controller.py
+++ b/src/nutmeghook/internal/orders/controller.py
@@ -123,8 +123,8 @@
         except LeaseLostError:
             self._reset()
         except (failures.PlatformError, TimeoutError):
-            # Without the instance list nothing is ordered; engines go on
-            # serving the versions that they have loaded.
+            # Without the instance list nothing is ordered; engines continue to
+            # serve the versions that they have loaded.
             return
 
     def _reset(self) -> None:
@@ -233,7 +233,8 @@
         """Unloads one replica, unless an order for its version is open.
 
         With at most one open order for each version, an order that arrives
-        late removes at most one replica too many, and the plan keeps two.
+        late removes at most one replica too many, and `planning.MIN_REPLICAS`
+        is two.
         """
         now = self._clock.monotonic()
         if self._tracker.is_open(placement.model_version):
--- a/src/nutmeghook/internal/orders/drain_tracker.py
+++ b/src/nutmeghook/internal/orders/drain_tracker.py
@@ -27,7 +27,7 @@
         self._since: dict[planning.Placement, datetime.timedelta] = {}
 
     def update(self, plan: planning.Plan, now: datetime.timedelta) -> None:
-        """Records the plan's removals; one that was not in it starts anew."""
+        """Records the plan's removals; known ones keep their start time."""
         current = {*plan.withdrawn, *plan.surplus}
         self._since = {
             placement: self._since.get(placement, now) for placement in current
--- a/src/nutmeghook/internal/orders/fleet_reading.py
+++ b/src/nutmeghook/internal/orders/fleet_reading.py
@@ -14,10 +14,10 @@
 LIST_TIMEOUT = datetime.timedelta(seconds=3)
 REPORT_TIMEOUT = datetime.timedelta(seconds=2)
 # Most engines read directly in a pass: those that no cell reports, and those
-# whose own report is needed. The rest of them are taken from earlier passes.
+# whose own report is needed. For the rest, reports of earlier passes are used.
 MAX_DIRECT_READS = 60
-# How long each kind of traffic lasts within the 900 bytes a second that orders
-# may use. Reading an engine takes about 450 bytes, both directions with their
+# How long each kind of traffic takes at the 900 bytes a second that orders may
+# use. Reading an engine takes about 450 bytes, both directions with their
 # headers; a call to a cell 120, and 1,750 more if something has changed there.
 READ_COST = datetime.timedelta(milliseconds=500)
 CALL_COST = datetime.timedelta(milliseconds=135)
--- a/src/nutmeghook/internal/orders/order_tracker.py
+++ b/src/nutmeghook/internal/orders/order_tracker.py
@@ -109,7 +109,7 @@
     def apply_reports(
         self, engines: planning.Engines, now: datetime.timedelta
     ) -> planning.Engines:
-        """Closes the orders that the reports show as done or as hopeless.
+        """Closes the orders that are done or will never be, by the reports.
 
         Returns:
             The engines with `loading` and `avoided` set.
@@ -156,7 +156,7 @@
     done_at = entry.done_at
     if done_at is not None and view.measured_at > done_at + REPORT_LAG:
         # The report shows the effect, or a later order or a restart has undone
-        # it and the plan starts anew. A report from before that moment may not
+        # it, and the next plan contains it again. An earlier report may not
         # show the effect yet, and the order would be sent again.
         return True
     shown = entry.placement.model_version in view.loaded
--- a/src/nutmeghook/internal/orders/readiness.py
+++ b/src/nutmeghook/internal/orders/readiness.py
@@ -36,7 +36,7 @@
         known: Returns all known backend servers.
         clock: Counts are cached for a second on it, so that the cost for each
             request does not grow with the number of engines. Without it they
-            are made anew each time.
+            are recomputed each time.
     """
 
     __slots__ = ("_clock", "_counts", "_known")
--- a/src/nutmeghook/internal/orders/weight_grants.py
+++ b/src/nutmeghook/internal/orders/weight_grants.py
@@ -18,7 +18,8 @@
     """Requests grants no faster than allowed, and keeps unused tickets.
 
     Only the holder of the orders' lease requests grants, so pacing here paces
-    the fleet. A former holder that goes on is refused by the store's own limit.
+    the fleet. A former holder that still requests grants is refused by the
+    store's own limit.
     """
 
     __slots__ = (
@@ -48,7 +49,7 @@
         self._tickets: dict[planning.Placement, str] = {}
 
     def time_until_next(self) -> datetime.timedelta:
-        """Returns how long until the store may be asked again."""
+        """Returns how long until a grant may be requested again."""
         wait = self._not_before - self._clock.monotonic()
         return max(datetime.timedelta(), wait)
 
--- a/src/nutmeghook/internal/routing/cascade_learned.py
+++ b/src/nutmeghook/internal/routing/cascade_learned.py
@@ -16,7 +16,7 @@
 from nutmeghook.internal.routing import cascade_scorer
 
 # More requests than one instance has in flight. Beyond it the oldest decisions
-# are dropped, and those requests are decided anew by the current plan.
+# are dropped, and those requests are decided again by the current plan.
 _REMEMBERED_REQUESTS = 4096
 _CHEAPEST = cascade_plans.PlannedOption(first_stage=0, go_on_below_bin=0)
 # Older plans are ignored: the publisher, the store, or this instance's link
@@ -31,7 +31,7 @@
     Attributes:
         explored: All stages run, to compare the quality of their answers.
         rated: Its answers are submitted for rating.
-        sampled: They would be even if it were not explored.
+        sampled: Drawn for rating from all requests, explored or not.
         score_bin: Of the first stage's held answer, once there is one.
     """
 
--- a/src/nutmeghook/internal/routing/cascade_reader.py
+++ b/src/nutmeghook/internal/routing/cascade_reader.py
@@ -13,7 +13,7 @@
 from nutmeghook.internal.routing import cascade_rows
 
 READ_EVERY = datetime.timedelta(seconds=60)
-# Bytes on the wire after which the rest waits for the next reading. It bounds
+# Bytes on the wire after which the rest waits for the next read. It bounds
 # the traffic to about 200 B/s, however many plans change.
 MAX_READ_BYTES = 12_000
 # A request and an answer with their headers; values are sent in base64.
--- a/src/nutmeghook/internal/routing/directory.py
+++ b/src/nutmeghook/internal/routing/directory.py
@@ -21,7 +21,6 @@
 # the list is taken to be faulty. A rack or one data centre of three is less.
 LIST_FAULT_SHARE = 0.4
 
-
 # A plain service sends no reports. If the list still shows an instance as live
 # this long after it refused work as leaving, it is used again.
 LEAVING_TTL = datetime.timedelta(seconds=30)
--- a/src/nutmeghook/internal/routing/stall_detector.py
+++ b/src/nutmeghook/internal/routing/stall_detector.py
@@ -10,8 +10,8 @@
 MIN_PAUSE = datetime.timedelta(seconds=2)
 # The list is read and the configuration's digests are exchanged each second,
 # but load reports come from peers, which took a long-paused instance for dead
-# and must first accept it again. They repeat all reports within 5 s; with 2 s,
-# an engine that had left got work 3.2 s after the pause.
+# and must first accept it again. They repeat all reports within 5 s; with a
+# delay of 2 s, an engine that had left could get work 3.2 s after the pause.
 CATCH_UP = datetime.timedelta(seconds=5)
 TICK = datetime.timedelta(milliseconds=250)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -28,9 +28,9 @@
     ticks shows the pause at the first call after it, before any timer or
     socket is served; until knowledge is fresh, callers are refused as not run.
 
-    It is asked at the choice and again as a generation is handed to the
-    connection, for calls to plain services at the choice only. A pause
-    between that and the system call is not detected.
+    It is checked when a backend server is chosen and, for generations, again
+    just before the first byte is written to the connection. A pause between
+    the last check and the system call is not detected.
     """
 
     __slots__ = ("_clock", "_events", "_last_tick", "_may_send_at")
--- a/src/nutmeghook/internal/routing/version_choice.py
+++ b/src/nutmeghook/internal/routing/version_choice.py
@@ -17,7 +17,8 @@
 _WHOLE_PERCENT = 100.0
 _HASH_RANGE = 2.0**64
 # A pin may name a version that the template no longer lists. The second try
-# names it as unusable; the third is for another instance doing the same.
+# reports that version as unusable; the third is for the case that another
+# instance replaced the pin meanwhile.
 _PIN_TRIES = 3
 _RETRY_UNKNOWN_PIN = datetime.timedelta(seconds=2)
 
@@ -110,8 +111,8 @@
         serving = _serving(usable)
         if serving:
             return _among_serving(serving, share_key)
-        # A template with nothing but roll-outs has no version to fall back
-        # on; its operator chose that, and the answer still counts.
+        # A template whose versions are all in roll-out has none to fall back
+        # on. Its operator chose that, so the answer counts but is not refused.
         self._gate.take_regardless(template=template, model_version=version)
         return wanted
 
@@ -218,7 +219,7 @@
         taken: version_rules.ListedVersion,
         used: versions.VersionChoice | None,
     ) -> None:
-        """Makes the allowance taken match the version that will be used."""
+        """Adjusts the allowance taken to the version that will be used."""
         had_allowance = taken.standing is version_rules.Standing.ROLLING_OUT
         if used is not None and used.model_version == taken.model_version:
             return
--- a/src/nutmeghook/internal/table_replication/gossip.py
+++ b/src/nutmeghook/internal/table_replication/gossip.py
@@ -45,9 +45,10 @@
 REMOTE_PUSH_FANOUT = 1.0
 # An instance whose confirmation is older than the time in which a change has to
 # be in force, less this, reads the store itself, so that a change that no
-# reader sees is still in force in time. This remainder is for noticing, one
-# call and a slow store. In a fleet of 7 to 420 instances, one in a thousand has
-# a confirmation older than 1.8 s at a given moment, so such reads are rare.
+# reader receives is still in force in time. The reserve covers noticing the
+# age, one call and a slow store. In a fleet of 7 to 420 instances, one in a
+# thousand has a confirmation older than 1.8 s at a given moment, so such reads
+# are rare.
 _READ_RESERVE = datetime.timedelta(seconds=1)
 # Each reader gets a confirmation once per wait of its feed. With a lower limit
 # all instances would read whenever the readers' feeds return together.
@@ -65,14 +66,15 @@
 _POLL_INTERVAL = datetime.timedelta(milliseconds=100)
 # A reader's own feed usually delivers a change within this time.
 _READER_DELAY = datetime.timedelta(milliseconds=250)
-# After a failed call, in a large fleet, of an instance that is no reader. In a
-# store outage all confirmations grow old and all instances call the store: 200
-# made some 400 calls a second, which are billed and load the store on its
-# return. The first instance with a response informs the others by gossip, and
-# readers retry every second, so one call in four seconds from each suffices.
+# Wait after a failed call, in a large fleet, of an instance that is no reader.
+# In a store outage all confirmations grow old and all instances call the store:
+# with the readers' back-off, 200 of them make some 400 calls a second, which
+# are billed and load the store on its return. The first instance with a
+# response informs the others by gossip, and readers retry every second, so one
+# call in four seconds from each suffices.
 _NON_READER_RETRY_DELAY = datetime.timedelta(seconds=4)
-# Before a peer whose link was busy is asked again. The token bucket of a slow
-# link refills by a piece in this time.
+# Wait before the next request to a peer whose link was busy. The token bucket
+# of a slow link refills by a piece in this time.
 _BUSY_RETRY_DELAY = datetime.timedelta(milliseconds=50)
 _MAX_PEERS = 1000
 # At 73 instances a digest of a given peer arrives about every five seconds.
--- a/src/nutmeghook/internal/table_replication/page_fetcher.py
+++ b/src/nutmeghook/internal/table_replication/page_fetcher.py
@@ -13,8 +13,8 @@
 from nutmeghook.internal.table_replication import shared_table
 
 # For one piece, which takes 26 ms on a slow link and a few ms on others. A
-# slower peer is abandoned, since others have the same bytes; the pieces that
-# were received from it are kept.
+# slower peer is abandoned, since others have the same bytes; the transfer
+# continues after the pieces received from it.
 _PIECE_TIMEOUT = datetime.timedelta(milliseconds=400)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
@@ -23,8 +23,8 @@
     """The result of an attempt to catch up from a peer."""
 
     CAUGHT_UP = "caught_up"
-    # The same peer may be asked again shortly: its link was busy, the store's
-    # feed advanced the table meanwhile, or a delta's base is missing here.
+    # To be requested from the same peer again shortly: its link was busy, the
+    # store's feed advanced the table meanwhile, or a delta's base is missing.
     TRY_AGAIN = "try_again"
     FAILED = "failed"
 
