--- a/src/nutmeghook/internal/config/acceptance.py
+++ b/src/nutmeghook/internal/config/acceptance.py
@@ -142,7 +142,7 @@
         fails, or it fails and the recorded outcome is read.
 
         Args:
-            author: Who asks; recorded if the operation ends abandoned.
+            author: The requester; recorded if the operation ends abandoned.
             operation_id: An id of the author's team.
             grace: How long to wait for an instance that is still accepting
                 the operation.
--- a/src/nutmeghook/internal/config/replica.py
+++ b/src/nutmeghook/internal/config/replica.py
@@ -79,7 +79,7 @@
         """Applies consecutive changes; returns whether any was new.
 
         Changes after a gap are ignored, and the next exchange sends what is
-        missing: applying them would lose the change in the gap for good.
+        missing: applying them would lose the change in the gap permanently.
         """
         state = self._state
         for change in changes:
--- a/src/nutmeghook/internal/dispatch/stages.py
+++ b/src/nutmeghook/internal/dispatch/stages.py
@@ -130,8 +130,8 @@
         attempt is not cancelled until the next one has begun, and is resumed
         if that never happens. A resume is no further run, so it needs no
         permission.
-        After an answer that is worded differently no other engine is tried:
-        its answer would hardly match either.
+        After an answer that is worded differently no other engine is tried,
+        since its answer is unlikely to match either.
         """
         try:
             last = await self._send(call, backend)
--- a/src/nutmeghook/internal/inner/tcp_server.py
+++ b/src/nutmeghook/internal/inner/tcp_server.py
@@ -154,7 +154,7 @@
             task.cancel()
 
     async def run(self) -> None:
-        """Serves until either side closes or the caller sends garbage."""
+        """Serves until either side closes or a frame is malformed."""
         sockets.set_options(self._writer)
         self._reading = asyncio.create_task(self._read_requests())
         try:
--- a/src/nutmeghook/internal/leases/keeper.py
+++ b/src/nutmeghook/internal/leases/keeper.py
@@ -114,7 +114,7 @@
         return rows.row_key(self._name)
 
     def row_version(self) -> int:
-        """The row's version as last seen."""
+        """The row's version as last read."""
         return self._version
 
     def fencing_token(self) -> int | None:
@@ -138,7 +138,7 @@
         return None
 
     def known_holder(self) -> rows.LeaseRow | None:
-        """Returns the row as last seen, for referring others to the holder."""
+        """Returns the row as last read, for referring others to the holder."""
         return self._row
 
     def wake(self) -> None:
--- a/src/nutmeghook/internal/routing/version_choice.py
+++ b/src/nutmeghook/internal/routing/version_choice.py
@@ -234,7 +234,7 @@
 
 
 def _overrides_pin(standing: version_rules.Standing) -> bool:
-    """Tells whether a session has to leave a version for good.
+    """Tells whether a session must be moved off a version permanently.
 
     A stale configuration is no reason: the version may well be usable, and
     the session would change its version because of this instance's outage.
--- a/src/nutmeghook/internal/table_replication/follower.py
+++ b/src/nutmeghook/internal/table_replication/follower.py
@@ -117,7 +117,7 @@
 
     The store has one counter for all tables, whose value comes with each
     response. As the table's revision it would make each caller look ahead of
-    all peers, who would ask for changes that do not exist, and a confirmation
+    all peers, who would request changes that do not exist, and a confirmation
     that a revision is the newest would hold for no other instance. So the
     revision advances with the table's own rows, and the position in the feed is
     kept separately.
@@ -215,7 +215,7 @@
             page = await self._table.changes(start_position, wait)
         self._store_monitor.note_response(page.store_time)
         # A peer's newer rows may have been applied meanwhile. An older page
-        # would bring back rows that those deleted.
+        # would restore rows that they deleted.
         if page.revision < self.revision:
             return
         if start_position < 0:
--- a/tests/cover/test_cascade_publishing.py
+++ b/tests/cover/test_cascade_publishing.py
@@ -316,7 +316,7 @@
         await reader.step()
         self.assertEqual(len(policy._plans), len(NAMES))
 
-    async def test_a_template_that_is_gone_leaves_the_plans_in_turn(self):
+    async def test_the_plan_of_a_removed_template_is_dropped(self):
         await self.rate_all()
         await self.publish()
         await self.reader.step()
--- a/tests/cover/test_dispatch_claims.py
+++ b/tests/cover/test_dispatch_claims.py
@@ -36,7 +36,7 @@
     """How long a caller waits for the refusal of a claim."""
 
     @hypothesis.given(strategies.integers(1, 60_000))
-    def test_a_silent_store_is_told_within_a_second(self, deadline_ms):
+    def test_a_silent_store_is_reported_within_a_second(self, deadline_ms):
         """The store goes silent, and a keyed request's claim waits for an
         in-doubt commit. The caller must get `not_run` with a Retry-After within
         a second, not when the store answers again 10 s later.
--- a/tests/cover/test_dispatch_fallback.py
+++ b/tests/cover/test_dispatch_fallback.py
@@ -102,7 +102,7 @@
         )
 
     async def test_the_first_is_still_unreachable_then(self):
-        """Resumes go on counting, up to seven, until it is reachable."""
+        """It is resumed until it is reachable, up to seven times in all."""
         self.lose_first(_REFUSED_UNTIL_ABANDONED + 3)
         self.second.scripts.extend(refusals(1))
         await self.assert_first_resumed()
@@ -193,7 +193,7 @@
 
 
 class OnlyOneTest(FallbackCase):
-    """The caller gets one engine's text only, and no run goes on."""
+    """The caller gets one engine's text only, and no run continues."""
 
     async def test_both_engines_are_reachable_again(self):
         """The engine asked last continues the answer.
--- a/tests/cover/test_dispatch_generation.py
+++ b/tests/cover/test_dispatch_generation.py
@@ -272,7 +272,7 @@
     async def test_a_keyed_request_is_finished_for_its_retry(self):
         """The caller's connection breaks, and it retries with the same key.
 
-        The first try goes on, is billed and its answer stored; the retry gets
+        The first try continues, is billed and its answer stored; the retry gets
         that answer and nothing runs twice.
         """
         gate = asyncio.Event()
--- a/tests/cover/test_guarantees_send.py
+++ b/tests/cover/test_guarantees_send.py
@@ -165,11 +165,11 @@
         return await work
 
     async def test_a_request_chosen_before_a_pause_is_not_sent_after_it(self):
-        """Otherwise work runs on a withdrawn version after the bound.
+        """A process is stopped for 5 s between the choice and the send.
 
-        The process is stopped for 5 s after the choice, while the connection
-        is being made. Meanwhile the version may be withdrawn and the server
-        leave, unknown to this instance. The caller gets "not run".
+        Meanwhile the version may be withdrawn and the server leave, unknown to
+        this instance. The caller must get "not run", or work would run on a
+        withdrawn version after the bound.
         """
         ticking = asyncio.create_task(self.detector.run())
         work = await self.start_request()
--- a/tests/cover/test_ledger_pins.py
+++ b/tests/cover/test_ledger_pins.py
@@ -102,7 +102,7 @@
         moved = await self.pin(late, V1, unusable=[V2], revision=4)
         self.assertEqual(moved, V1)
 
-    async def test_a_session_that_was_moved_is_not_remembered_where_it_was(
+    async def test_a_moved_session_is_not_served_from_an_old_cached_pin(
         self,
     ):
         """A version is withdrawn, and one instance moves a session off it.
--- a/tests/cover/test_membership_failures.py
+++ b/tests/cover/test_membership_failures.py
@@ -102,7 +102,7 @@
         """An instance freezes past the suspicion time, is dropped and thaws.
 
         Before its first task runs it must count as unconfirmed. The first ack
-        tells it of its death, it raises its number and all take it back. It
+        tells it of its death, it raises its number and all accept it. It
         must declare no other dead, although all were silent for a minute by
         its clock.
         """
--- a/tests/cover/test_membership_joining.py
+++ b/tests/cover/test_membership_joining.py
@@ -64,7 +64,7 @@
         self.assertTrue(s.fleet.agrees())
         self.assertEqual(s.changes, [])
 
-    def test_lines_without_a_usable_inner_address_are_left_out(self):
+    def test_rows_without_a_usable_inner_address_are_ignored(self):
         fleet = local_fleet.LocalFleet(
             clock=clock.FakeClock(), random=random.Random(1)
         )
--- a/tests/cover/test_orders_cells.py
+++ b/tests/cover/test_orders_cells.py
@@ -29,7 +29,7 @@
 
 
 class Members(members_module.MemberView):
-    """All members as one of them sees them; the test changes the list."""
+    """One member's view of all members; the test changes the list."""
 
     def __init__(self, number, everyone):
         self.number = number
@@ -144,9 +144,9 @@
             await self.clock.advance(SECOND)
         return {view.address: view.loaded for view in reading.result()}
 
-    def is_seen(self, seen):
+    def matches(self, reading):
         """Tells whether a reading matches the engines."""
-        return seen == {
+        return reading == {
             address: None if one.dead else frozenset(one.loaded)
             for address, one in self.engines.items()
         }
@@ -192,21 +192,21 @@
             fleet = Fleet(c0=40, c1=40)
             holder = fleet.members[0].inner_address
             traffic = fleet.network._traffic[holder]
-            self.assertTrue(fleet.is_seen(await fleet.read()))
+            self.assertTrue(fleet.matches(await fleet.read()))
             first = traffic.kinds()["loaded_page"].received_bytes
             fleet.poll()
-            self.assertTrue(fleet.is_seen(await fleet.read()))
+            self.assertTrue(fleet.matches(await fleet.read()))
             second = traffic.kinds()["loaded_page"].received_bytes - first
             self.assertLess(second, 40)
             fleet.engines[fleet.addresses_in("c1")[3]].loaded = (V1, V2)
             fleet.poll()
-            self.assertTrue(fleet.is_seen(await fleet.read()))
+            self.assertTrue(fleet.matches(await fleet.read()))
             self.assertEqual(fleet.read_directly, [])
 
         _run(scenario)
 
     def test_a_data_centre_without_members(self):
-        """The last members of a data centre died, and its engines go on.
+        """The last members of a data centre died; its engines continue to run.
 
         No cell polls them, so the holder reads a limited number of them in
         each pass and keeps the earlier reports. A withdrawal that needs direct
@@ -222,7 +222,7 @@
                 self.assertLessEqual(
                     len(fleet.read_directly), fleet_reading.MAX_DIRECT_READS
                 )
-            self.assertTrue(fleet.is_seen(seen))
+            self.assertTrue(fleet.matches(seen))
 
         asyncio.run(scenario(lambda fleet: frozenset()))
         asyncio.run(scenario(lambda fleet: frozenset(fleet.addresses_in("c0"))))
@@ -246,7 +246,7 @@
                     fleet.engines[address].loaded = (V1, V2)
                 await fleet.clock.advance(report_pages.MAX_REPORT_AGE + SECOND)
                 fleet.poll()
-                self.assertTrue(fleet.is_seen(await fleet.read()))
+                self.assertTrue(fleet.matches(await fleet.read()))
                 self.assertEqual(
                     sorted(fleet.read_directly), sorted(unreported)
                 )
@@ -265,11 +265,11 @@
             fleet.network.freeze(fleet.members[first].inner_address)
             for _ in range(2):
                 costs.append(fleet.reader.cost)
-                self.assertTrue(fleet.is_seen(await fleet.read()))
+                self.assertTrue(fleet.matches(await fleet.read()))
                 self.assertEqual(fleet.read_directly, [])
             self.assertEqual(fleet.reader.cost, fleet_reading.CALL_COST)
             fleet.network.freeze(fleet.members[second].inner_address)
-            self.assertTrue(fleet.is_seen(await fleet.read()))
+            self.assertTrue(fleet.matches(await fleet.read()))
             self.assertEqual(
                 set(fleet.read_directly), set(fleet.addresses_in("c1"))
             )
@@ -297,8 +297,8 @@
             fleet.engines[loading].loaded = (V1, V2)
             fleet.engines[dying].dead = True
             seen = await fleet.read(urgent=frozenset({loading, dying}))
-            self.assertTrue(fleet.is_seen(seen))
-            self.assertTrue(fleet.is_seen(await fleet.read()))
+            self.assertTrue(fleet.matches(seen))
+            self.assertTrue(fleet.matches(await fleet.read()))
             fleet.engines[loading].loaded = (V1,)
             # A page is as old as its oldest report, here the dead engine's.
             await fleet.clock.advance(report_pages.MAX_REPORT_AGE)
@@ -319,7 +319,7 @@
                 fleet.engines[address].dead = True
             await fleet.clock.advance(report_pages.MAX_REPORT_AGE + SECOND)
             fleet.poll()
-            self.assertTrue(fleet.is_seen(await fleet.read()))
+            self.assertTrue(fleet.matches(await fleet.read()))
             self.assertEqual(len(fleet.read_directly), 2)
 
         _run(scenario)
--- a/tests/cover/test_orders_controller.py
+++ b/tests/cover/test_orders_controller.py
@@ -105,7 +105,7 @@
         asyncio.run(scenario(down=True))
         asyncio.run(scenario(delay=3600 * SECOND))
 
-    def test_engines_that_refuse_are_left_alone(self):
+    def test_engines_that_refuse_are_avoided(self):
         """Two engines expect another secret and answer FORBIDDEN.
 
         The version must get its replicas elsewhere, and the two must not be
--- a/tests/cover/test_orders_planning.py
+++ b/tests/cover/test_orders_planning.py
@@ -125,7 +125,7 @@
         later = snapshot(v1="serving:50", v2="rolling_out:50")
         self.assertEqual(planning.make_plan(later, views).surplus, ())
 
-    def test_a_version_in_no_template_is_left_alone(self):
+    def test_a_version_in_no_template_stays_loaded(self):
         """Operators loaded a version ahead of the roll-out they will accept."""
         views = [_view(i, [version(1), version(9)]) for i in range(4)]
         plan = planning.make_plan(snapshot(v1="serving:100"), views)
--- a/tests/cover/test_routing_affinity.py
+++ b/tests/cover/test_routing_affinity.py
@@ -26,11 +26,12 @@
         numbers=strategies.sets(strategies.integers(0, 500), min_size=2),
         index=strategies.integers(0, 10**6),
     )
-    def test_only_the_keys_of_the_one_that_goes_move(self, numbers, index):
-        """Otherwise sessions of healthy replicas lose their cached prefixes.
+    def test_removal_moves_only_the_removed_ones_keys(self, numbers, index):
+        """One replica of many is removed and added again.
 
-        One replica of many is removed and added again. Only its keys move, it
-        had at most about twice its share of them, and all return to it.
+        Only its keys may move, or sessions of healthy replicas would lose
+        their cached prefixes. It had at most about twice its share of the
+        keys, and all return to it.
         """
         numbers = sorted(numbers)
         gone = address(numbers[index % len(numbers)])
--- a/tests/cover/test_routing_backends.py
+++ b/tests/cover/test_routing_backends.py
@@ -47,7 +47,7 @@
     )
 
 
-class Scene:
+class RoutingScenario:
     """A directory and a chooser on a fake clock."""
 
     def __init__(self):
@@ -107,7 +107,7 @@
     def test_chosen_has_the_version_is_not_excluded_nor_leaving(
         self, loads, excluded
     ):
-        scene = Scene()
+        scene = RoutingScenario()
         scene.directory.apply_list([row(n) for n in range(len(loads))])
         eligible = set()
         for number, (loaded, running, leaving) in enumerate(loads):
@@ -128,7 +128,7 @@
                 scene.chooser.started(chosen)
 
     def test_unloading_a_version_takes_effect(self):
-        scene = Scene()
+        scene = RoutingScenario()
         scene.directory.apply_list([row(0)])
         scene.report(0, report(STRONG))
         criteria = backends.BackendCriteria(model_version=STRONG)
@@ -142,7 +142,7 @@
     """Failing backend servers are ejected for a while, a limited share."""
 
     def setUp(self):
-        self.scene = Scene()
+        self.scene = RoutingScenario()
         self.scene.directory.apply_list([row(n) for n in range(12)])
         for number in range(12):
             self.scene.report(number, report(CHEAP))
@@ -156,7 +156,7 @@
         ]
 
     def test_ejections_double_while_attempts_on_probation_fail(self):
-        """Without back-off, callers would see a failure each second.
+        """Without back-off, callers would get a failure each second.
 
         One replica fails every attempt, also that on probation. Each ejection
         lasts twice as long, up to a minute, and on probation the replica gets
@@ -218,10 +218,10 @@
         rounds=strategies.integers(20, 60),
     )
     def test_uniformly_slow_pool_is_not_ejected(self, factor, fails, rounds):
-        """Otherwise callers get `NO_CANDIDATE` in place of a slow answer.
+        """All replicas become slow, or fail, at once.
 
-        All replicas become slow, or fail, at once. Slow ones must all stay
-        in, and at least half of the failing ones.
+        All slow ones must stay in, and at least half of the failing ones, or
+        callers would get `NO_CANDIDATE` instead of a slow answer.
         """
         self.setUp()
         known = self.scene.directory.known()
@@ -253,13 +253,12 @@
     """The choice by estimated load."""
 
     def test_stale_reports_do_not_attract_all_work_to_one(self):
-        """Otherwise all work would queue at the replica last reported idle.
+        """One replica reports that it is idle, eleven are full; reports stop.
 
-        One replica reports that it is idle, eleven that they are full; then
-        reports stop. The difference must decay, so that work spreads evenly
-        over all twelve.
+        The difference must decay, so that work spreads evenly over all twelve
+        and does not queue at the one last reported idle.
         """
-        scene = Scene()
+        scene = RoutingScenario()
         scene.directory.apply_list([row(n) for n in range(12)])
         for number in range(12):
             scene.report(number, report(CHEAP, running=16 if number else 0))
@@ -272,7 +271,7 @@
 
     @hypothesis.given(requests=strategies.integers(1, 150))
     def test_hot_prefix_fills_no_replica_beyond_its_batch(self, requests):
-        scene = Scene()
+        scene = RoutingScenario()
         scene.directory.apply_list([row(n) for n in range(12)])
         for number in range(12):
             scene.report(number, report(CHEAP))
@@ -287,7 +286,7 @@
             self.assertEqual(counts[-1], requests)
 
     def test_overloaded_server_is_avoided_for_a_while(self):
-        scene = Scene()
+        scene = RoutingScenario()
         scene.directory.apply_list([row(n) for n in range(4)])
         for number in range(4):
             scene.report(number, report(CHEAP, running=8))
@@ -304,14 +303,14 @@
         known=strategies.integers(2, 60), left=strategies.integers(0, 59)
     )
     def test_faulty_list_is_not_applied(self, known, left):
-        """Otherwise callers get `NO_CANDIDATE` though all engines are healthy.
+        """The platform's list loses rows at once, none of them leaving.
 
-        The platform's list loses rows at once, none of them leaving. The loss
-        of a large part must change nothing and record one event; a small loss
-        is applied.
+        The loss of a large part must change nothing and record one event, or
+        callers would get `NO_CANDIDATE` though all engines are healthy. A
+        small loss is applied.
         """
         hypothesis.assume(left <= known)
-        scene = Scene()
+        scene = RoutingScenario()
         scene.directory.apply_list([row(n) for n in range(known)])
         scene.directory.apply_list([row(n) for n in range(left)])
         scene.directory.apply_list([row(n) for n in range(left)])
@@ -328,7 +327,7 @@
         self.assertEqual(len(faults), 0 if applied else 1)
 
     def test_successor_at_the_same_address_gets_work(self):
-        scene = Scene()
+        scene = RoutingScenario()
         leaving = instances.InstanceState.LEAVING
         scene.directory.apply_list([row(0, state=leaving, plain=True)])
         criteria = backends.BackendCriteria(service="registry")
@@ -336,8 +335,8 @@
         scene.directory.apply_list([row(0, plain=True)])
         self.assertIsNotNone(scene.chooser.choose(criteria))
 
-    def test_rows_that_left_in_order_are_dropped(self):
-        scene = Scene()
+    def test_rows_listed_as_leaving_before_are_dropped(self):
+        scene = RoutingScenario()
         scene.directory.apply_list([row(n) for n in range(9)])
         leaving = instances.InstanceState.LEAVING
         scene.directory.apply_list([row(n, state=leaving) for n in range(9)])
--- a/tests/cover/test_routing_load_gossip.py
+++ b/tests/cover/test_routing_load_gossip.py
@@ -65,11 +65,12 @@
     def test_cells_cover_all_and_one_instance_polls_each(
         self, members, engines
     ):
-        """Otherwise callers would queue at few replicas while others are idle.
+        """Each instance computes its cell alone, from what it knows.
 
-        Each instance computes its cell alone, knowing more of the engines in
-        it than of others. Each engine must be in a cell, cells must be mutual,
-        and in each cell one instance must poll each engine's report.
+        It knows more of the engines in its cell than of others. Each engine
+        must be in a cell, cells must be mutual, and in each cell one instance
+        must poll each engine's report, or callers would queue at few replicas
+        while others are idle.
         """
         views = [_CellView(n, members, engines) for n in range(members)]
         by_address = {
@@ -205,10 +206,10 @@
         routing.chooser.started(routing.directory.find(address))
 
     async def test_ready_only_when_half_of_the_engines_are_known(self):
-        """Otherwise all work would queue at the first replicas that reported.
+        """An instance starts while one engine of six reports.
 
-        An instance starts while one engine of six reports. It must not be
-        ready until more do.
+        It must not be ready until more do, or all work would queue at the
+        first replicas that reported.
         """
         reports = {a: e.report for a, e in self.platform.engines.items()}
         for address in list(reports)[1:]:
@@ -227,10 +228,10 @@
             self.assertEqual(len(routing.directory.pool(criteria)), 6)
 
     async def test_peers_agree_after_a_partition(self):
-        """Otherwise callers would wait behind work unknown to their instance.
+        """Two partitioned instances send attempts to the same replica.
 
-        Two partitioned instances send attempts to the same replica. After the
-        partition heals, each must know of the other's.
+        After the partition heals, each must know of the other's, or callers
+        would wait behind work unknown to their instance.
         """
         address = row(2).address
         self.start(0, address)
@@ -248,10 +249,10 @@
         self.assertEqual([b.peers_in_flight for b in known], [1, 2, 3, 3])
 
     async def test_load_of_a_silent_peer_is_dropped(self):
-        """Otherwise a replica would count as busy for ever and get no work.
+        """An instance dies with attempts in flight, whose end nobody reports.
 
-        An instance dies with attempts in flight, whose end nobody reports.
-        After a few seconds they must not count any more.
+        After a few seconds they must not count any more, or the replica would
+        count as busy for ever and get no work.
         """
         self.start(3, row(2).address)
         await self.advance(1)
--- a/tests/cover/test_table_gossip.py
+++ b/tests/cover/test_table_gossip.py
@@ -277,7 +277,7 @@
             instance[0]._send_digest(local=10, remote=0)
         self.assertEqual(self.reading(living), sorted(by_priority[1:4]))
 
-    async def test_as_few_read_in_a_fleet_in_which_each_hears_a_part(self):
+    async def test_as_few_read_in_a_large_fleet(self):
         """Seventy instances send digests to six others per round, so each hears
         from a given peer only every few seconds. Judged by that alone, the
         number of readers would grow with the fleet. When all readers die,
@@ -345,9 +345,10 @@
         return [n._instance_id for n, t, _ in everyone if n.should_read(t)]
 
     async def test_without_confirmations_every_instance_reads(self):
-        """All readers are cut off from the store; their digests go on, without
-        newer confirmations. An instance that relied on digests alone would
-        never learn of a change.
+        """All readers are cut off from the store; their digests continue.
+
+        The digests bring no newer confirmations. An instance that relied on
+        them alone would never learn of a change.
         """
         everyone = [self.instance(name) for name in "abcd"]
         self.connect(*everyone)
--- a/tests/cover/test_versions.py
+++ b/tests/cover/test_versions.py
@@ -185,7 +185,7 @@
             behind.choose(session="s").model_version, versions_fleet.NEW
         )
 
-    def test_a_version_that_a_newer_template_lacks_is_left(self):
+    def test_a_session_leaves_a_version_that_its_template_lost(self):
         """A team removes a version from the template that a session runs on.
 
         Every instance with the new configuration gives the session the
--- a/tests/cover/test_versions_shares.py
+++ b/tests/cover/test_versions_shares.py
@@ -49,9 +49,9 @@
 
     @hypothesis.given(strategies.integers(0, 20))
     def test_new_sessions_never_exceed_the_allowance(self, allowance):
-        """Otherwise all new sessions would get the version in roll-out.
+        """By its share, the version in roll-out would get all new sessions.
 
-        Once the allowance is used up, each gets the serving version. A
+        Once the allowance is used up, each must get the serving version. A
         session pinned to the new version keeps it, and its answers count;
         allowance taken for a session pinned to the old version is returned.
         """
--- a/tests/cover/test_window_budget.py
+++ b/tests/cover/test_window_budget.py
@@ -71,7 +71,7 @@
             self.assertLessEqual(len(within), BURST, sent_s)
 
     async def sent_s(self, steps: list[str]) -> list[float]:
-        """Plays steps and returns when further attempts were made."""
+        """Performs steps and returns when further attempts were made."""
         clock = clock_module.FakeClock()
         budget = self.budget(clock)
         taken = 0
