--- a/bench/models/admission_baselines.py
+++ b/bench/models/admission_baselines.py
@@ -1,4 +1,4 @@
-"""What fair admission is measured against."""
+"""Baselines for fair admission and for the retry budget."""
 
 import asyncio
 import collections
@@ -14,7 +14,7 @@
 
 
 class FifoAdmission(admission.Admission):
-    """A fixed number of places, and a queue bounded by its length only."""
+    """A fixed number of slots, and a queue bounded by its length only."""
 
     __slots__ = ("_max_waiting", "_slots", "_waiting")
 
@@ -29,12 +29,12 @@
     async def admitted(
         self, request: admission.AdmissionRequest
     ) -> AsyncIterator[None]:
-        """Holds a place while the request runs."""
-        await self._enter()
+        """Holds a slot while the request runs."""
+        await self._acquire()
         try:
             yield
         finally:
-            self._leave()
+            self._release()
 
     def note_service(
         self,
@@ -45,7 +45,7 @@
     ) -> None:
         """Ignores it."""
 
-    async def _enter(self) -> None:
+    async def _acquire(self) -> None:
         if self._slots:
             self._slots -= 1
             return
@@ -53,26 +53,26 @@
             raise errors.CodedError(
                 code=codes.Code.OVERLOADED, retry_after=_RETRY_AFTER
             )
-        turn = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
+        slot = asyncio.get_running_loop().create_future()
+        self._waiting.append(slot)
         try:
-            await turn
+            await slot
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self._leave()
+            if slot.done() and not slot.cancelled():
+                self._release()
             raise
 
-    def _leave(self) -> None:
+    def _release(self) -> None:
         while self._waiting:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            slot = self._waiting.popleft()
+            if not slot.done():
+                slot.set_result(None)
                 return
         self._slots += 1
 
 
 class NaiveRetries(admission.RetryBudget):
-    """Allows every retry; the dispatcher's attempt count is the only bound."""
+    """Allows every retry; only the dispatcher's attempt count bounds them."""
 
     __slots__ = ()
 
@@ -80,5 +80,5 @@
         """Ignores it."""
 
     def try_spend(self) -> bool:
-        """Always allows one more."""
+        """Always allows the retry."""
         return True
--- a/bench/models/quality_baselines.py
+++ b/bench/models/quality_baselines.py
@@ -1,4 +1,4 @@
-"""Policies that the learned cascade is compared with."""
+"""Baseline policies for the learned cascade."""
 
 from bench.models import quality
 from nutmeghook.internal.routing import cascade_labels
@@ -10,7 +10,7 @@
 
 
 def always(requests: list[quality.Request], *, stage: int) -> quality.Outcome:
-    """Runs one stage for all."""
+    """Runs one fixed stage for all requests."""
     outcome = quality.Outcome()
     for request in requests:
         outcome.add(
@@ -22,7 +22,7 @@
 
 
 def fixed_cascade(requests: list[quality.Request]) -> quality.Outcome:
-    """Goes on below one score, whatever the template and its target."""
+    """Escalates below one fixed score for all templates and targets."""
     outcome = quality.Outcome()
     for request in requests:
         _run_cascade(outcome, request, request.scores[0] < _FIXED_THRESHOLD)
@@ -32,24 +32,26 @@
 def best_each_request(
     requests: list[quality.Request], *, target: float
 ) -> quality.Outcome:
-    """Knows each answer's quality before it runs; nobody can do better.
+    """Chooses a stage per request, knowing all qualities; an upper bound.
 
     Upgrades the requests that gain most quality for their cost until the
     mean meets the target.
     """
-    order = sorted(
+    by_gain = sorted(
         requests,
         key=lambda r: (
             (r.costs[1] - r.costs[0])
             / max(1e-9, r.qualities[1] - r.qualities[0])
         ),
     )
-    missing = target * len(requests) - sum(r.qualities[0] for r in requests)
+    missing_quality = target * len(requests) - sum(
+        r.qualities[0] for r in requests
+    )
     outcome = quality.Outcome()
-    for request in order:
+    for request in by_gain:
         gain = request.qualities[1] - request.qualities[0]
-        stage = 1 if missing > 0 and gain > 0 else 0
-        missing -= gain * stage
+        stage = 1 if missing_quality > 0 and gain > 0 else 0
+        missing_quality -= gain * stage
         outcome.add(
             cost=request.costs[stage],
             quality=request.qualities[stage],
@@ -63,8 +65,8 @@
 ) -> quality.Outcome:
     """The best policy of the learned one's form, knowing all qualities.
 
-    For each kind of request it may start anywhere and go on below any score
-    bin, and mix two of these; it is told the exact mean of each choice.
+    For each kind of request it may start at any stage, escalate below any
+    score bin and mix two such options, knowing the exact mean of each.
     """
     kinds = [
         [r for r in requests if r.kind == kind]
@@ -72,33 +74,34 @@
     ]
     groups = [
         cascade_plans.Group(
-            weight=len(members) / len(requests), options=_exact(members)
+            weight=len(group_requests) / len(requests),
+            options=_exact(group_requests),
         )
-        for members in kinds
+        for group_requests in kinds
     ]
     plans = cascade_plans.cheapest_mix(groups, target=target).plans
     outcome = quality.Outcome()
-    for members, plan in zip(kinds, plans, strict=True):
-        upgraded = round(plan.upgraded_share * len(members))
-        for number, request in enumerate(members):
+    for group_requests, plan in zip(kinds, plans, strict=True):
+        upgraded = round(plan.upgraded_share * len(group_requests))
+        for number, request in enumerate(group_requests):
             option = plan.upgraded if number < upgraded else plan.usual
             _run_option(outcome, request, option)
     return outcome
 
 
 def _exact(
-    members: list[quality.Request],
+    group_requests: list[quality.Request],
 ) -> list[cascade_options.Option]:
     forms = [(1, 0), *((0, b) for b in range(cascade_scorer.SCORE_BINS))]
-    found = []
+    options = []
     for first_stage, go_on_below_bin in forms:
         outcome = quality.Outcome()
         planned = cascade_plans.PlannedOption(
             first_stage=first_stage, go_on_below_bin=go_on_below_bin
         )
-        for request in members:
+        for request in group_requests:
             _run_option(outcome, request, planned)
-        found.append(
+        options.append(
             cascade_options.Option(
                 first_stage=first_stage,
                 go_on_below_bin=go_on_below_bin,
@@ -106,7 +109,7 @@
                 quality=outcome.mean_quality,
             )
         )
-    return found
+    return options
 
 
 def _run_option(
@@ -127,10 +130,10 @@
 
 
 def _run_cascade(
-    outcome: quality.Outcome, request: quality.Request, goes_on: bool
+    outcome: quality.Outcome, request: quality.Request, escalates: bool
 ) -> None:
     outcome.add(
-        cost=request.costs[0] + goes_on * request.costs[1],
-        quality=request.qualities[1 if goes_on else 0],
+        cost=request.costs[0] + escalates * request.costs[1],
+        quality=request.qualities[1 if escalates else 0],
         held=True,
     )
--- a/bench/models/rollouts.py
+++ b/bench/models/rollouts.py
@@ -1,7 +1,8 @@
-"""A model of one roll-out: traffic, answers that turn bad, late ratings.
+"""A simulation of one roll-out with bad answers and delayed ratings.
 
-Time goes in steps of a second. The product's own pool and decisions run on
-it; the fleet's gates are taken together as one that uses all leave at once.
+Time advances in steps of one second. Uses the product's own pool and
+decisions; the gates of all instances are simulated as a single one that uses
+the whole allowance at once.
 """
 
 import abc
@@ -23,37 +24,37 @@
 _NEW = engine.ModelVersion(model="small", version="2")
 _KEY = pool.VersionKey(team="team", template="lookup", model_version=_NEW)
 FULL_PERCENT = 100.0
-# Versions up to this are not run on at their full share.
-_STAYS_GOOD = 0.05
+# Versions up to this count as good; their run ends at full share.
+_MAX_GOOD_BAD_SHARE = 0.05
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Place:
-    """Where a version is rolled out.
+class Deployment:
+    """The template in which a version is rolled out.
 
     Attributes:
-        requests_per_s: Of the template, over the whole fleet.
-        rating_delay_s: Mean time from an answer to its rating; at least half
-            of it, and exponential beyond.
-        in_force_s: From a decision to its being in force everywhere.
-        full_rated_share: Share of answers rated at full share; in roll-out
-            all are.
+        requests_per_s: Requests of the template, over the whole fleet.
+        rating_delay_s: Mean time from an answer to its rating: half of it
+            constant, the rest exponentially distributed.
+        propagation_s: Time from a decision until it is in force everywhere.
+        full_rated_share: Share of answers rated at full share; during the
+            roll-out all are.
     """
 
     name: str
     policy: documents.RollOutPolicy
     requests_per_s: int = 8
     rating_delay_s: float = 30.0
-    in_force_s: int = 3
+    propagation_s: int = 3
     full_rated_share: float = 0.05
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Version:
-    """How good a version is.
+    """The quality of a version.
 
     Attributes:
-        bad_share: Of its answers once it is bad; before that, `good_share`.
+        bad_share: Share of bad answers once it is bad; `good_share` before.
         bad_from_percent: Roll-out share from which it is bad.
     """
 
@@ -70,12 +71,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class RunResult:
-    """What a roll-out came to.
+    """The result of a roll-out.
 
     Attributes:
-        bad_answers: Given while the version was bad.
+        bad_answers: Bad answers given while the version was bad.
         stopped: It was withdrawn before it had its full share.
-        seconds: Until it was withdrawn or had its full share.
+        seconds: Time until it was withdrawn or had its full share.
     """
 
     bad_answers: int = 0
@@ -84,19 +85,19 @@
 
 
 class Driver(abc.ABC):
-    """Decides on shares and leave from ratings."""
+    """Decides on shares and on the exposure allowance from ratings."""
 
     @abc.abstractmethod
-    def may_send(self, wanted: int) -> int:
-        """Returns how many of the answers wanted may be sent."""
+    def may_send(self, requested: int) -> int:
+        """Returns how many of the requested answers may be sent."""
 
     @abc.abstractmethod
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
-        """Takes ratings in (True for bad); returns a new share, if any."""
+        """Adds ratings (True for bad); returns a new share, if any."""
 
 
 class ProductDriver(Driver):
-    """The product's pool, decisions and leave."""
+    """The product's pool, decisions and exposure allowance."""
 
     def __init__(self, policy: documents.RollOutPolicy):
         self._template = documents.Template(
@@ -106,26 +107,26 @@
         self._allowance = allowance.VersionAllowance(rollout_id=1)
 
     def counts(self, key: pool.VersionKey) -> allowance.VersionAllowance:
-        """Returns the leave counts, as the product's keeper does."""
+        """Returns the allowance's counts, as the product's keeper does."""
         return self._allowance
 
-    def may_send(self, wanted: int) -> int:
-        """Grants what is ready."""
-        granted = min(wanted, self._allowance.available)
+    def may_send(self, requested: int) -> int:
+        """Grants what the allowance permits."""
+        granted = min(requested, self._allowance.available)
         self._allowance.granted += granted
         return granted
 
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
         """Runs one step of the product's decisions."""
         snapshot = self._snapshot(percent)
-        after = pool.with_versions_of(self._pool, snapshot)
-        after = pool.with_ratings(
-            after, [_rating(bad) for bad in new_ratings], snapshot
+        state = pool.with_versions_of(self._pool, snapshot)
+        state = pool.with_ratings(
+            state, [_rating(bad) for bad in new_ratings], snapshot
         )
-        after = decisions.with_allowance(after, snapshot, self)
-        self._pool = after
-        self._allowance.reserved = after.watch(_KEY).reserved_by_holder
-        steps = decisions.steps(after, snapshot)
+        state = decisions.with_allowance(state, snapshot, self)
+        self._pool = state
+        self._allowance.reserved = state.watch(_KEY).reserved_by_holder
+        steps = decisions.steps(state, snapshot)
         return steps[0].share_percent if steps else None
 
     def _snapshot(self, percent: float) -> documents.Snapshot:
@@ -158,7 +159,7 @@
 
 
 class FixedThresholdDriver(Driver):
-    """Stops at an error share over the last ratings; no cap."""
+    """Stops at an error share of recent ratings; exposure is not capped."""
 
     def __init__(
         self,
@@ -166,55 +167,58 @@
         *,
         threshold: float,
         window: int = 100,
-        least_ratings: int = 20,
+        min_ratings: int = 20,
     ):
         self._policy = policy
         self._threshold = threshold
-        self._least_ratings = least_ratings
-        self._last: collections.deque[bool] = collections.deque(maxlen=window)
-        self._at_share = 0
+        self._min_ratings = min_ratings
+        self._recent: collections.deque[bool] = collections.deque(maxlen=window)
+        self._ratings_at_share = 0
         self._percent = 0.0
 
-    def may_send(self, wanted: int) -> int:
-        """Sends all."""
-        return wanted
+    def may_send(self, requested: int) -> int:
+        """Permits all."""
+        return requested
 
     def decide(self, new_ratings: list[bool], percent: float) -> float | None:
         """Compares the error share with the threshold after each rating."""
         if percent != self._percent:
-            self._percent, self._at_share = percent, 0
+            self._percent, self._ratings_at_share = percent, 0
         for bad in new_ratings:
-            self._last.append(bad)
-            self._at_share += 1
-            enough = len(self._last) >= self._least_ratings
-            if enough and sum(self._last) / len(self._last) > self._threshold:
+            self._recent.append(bad)
+            self._ratings_at_share += 1
+            enough = len(self._recent) >= self._min_ratings
+            if (
+                enough
+                and sum(self._recent) / len(self._recent) > self._threshold
+            ):
                 return 0.0
-        if self._at_share < self._policy.ratings_per_step:
+        if self._ratings_at_share < self._policy.ratings_per_step:
             return None
         larger = [s for s in self._policy.steps_percent if s > percent]
         return min(larger, default=None)
 
 
 class Run:
-    """One version's way from its first answer to its withdrawal or the end.
+    """One version from its first answer to its withdrawal or full share.
 
-    A version that reaches its full share bad is run on until it is withdrawn.
+    A bad version that reaches its full share runs until it is withdrawn.
     """
 
     def __init__(
         self,
-        place: Place,
+        deployment: Deployment,
         version: Version,
         driver: Driver,
         source: random.Random,
     ):
-        self._place = place
+        self._deployment = deployment
         self._version = version
         self._driver = driver
         self._source = source
-        self._percent = place.policy.steps_percent[0]
-        self._due: list[tuple[float, bool]] = []
-        self._change: tuple[int, float] | None = None
+        self._percent = deployment.policy.steps_percent[0]
+        self._pending_ratings: list[tuple[float, bool]] = []
+        self._pending_change: tuple[int, float] | None = None
         self._result = RunResult()
 
     def result(self, *, limit_s: int = 20_000) -> RunResult:
@@ -227,45 +231,56 @@
         return self._result
 
     def _is_over(self, second: int) -> bool:
-        if self._change is not None and second >= self._change[0]:
-            self._percent, self._change = self._change[1], None
+        if (
+            self._pending_change is not None
+            and second >= self._pending_change[0]
+        ):
+            self._percent, self._pending_change = self._pending_change[1], None
         if self._percent not in (0.0, FULL_PERCENT):
             return False
         if self._result.seconds is None:
             self._result.seconds = second
             self._result.stopped = self._percent == 0.0
-        stays_good = self._version.bad_share <= _STAYS_GOOD
-        return self._percent == 0.0 or stays_good
+        is_good = self._version.bad_share <= _MAX_GOOD_BAD_SHARE
+        return self._percent == 0.0 or is_good
 
     def _answer(self, second: int) -> None:
-        place, source = self._place, self._source
-        wanted = _binomial(place.requests_per_s, self._percent / 100, source)
+        deployment, source = self._deployment, self._source
+        requested = _binomial(
+            deployment.requests_per_s, self._percent / 100, source
+        )
         is_full = self._percent == FULL_PERCENT
-        rated_share = place.full_rated_share if is_full else 1.0
+        rated_share = deployment.full_rated_share if is_full else 1.0
         bad_share = self._version.share_at(self._percent)
-        count = wanted if is_full else self._driver.may_send(wanted)
+        count = requested if is_full else self._driver.may_send(requested)
         for _ in range(count):
             bad = source.random() < bad_share
             if bad and bad_share == self._version.bad_share:
                 self._result.bad_answers += 1
             if source.random() < rated_share:
-                due_at = second + _delay(place, source)
-                heapq.heappush(self._due, (due_at, bad))
+                due_at = second + _delay(deployment, source)
+                heapq.heappush(self._pending_ratings, (due_at, bad))
 
     def _decide(self, second: int) -> None:
         new_ratings = []
-        while self._due and self._due[0][0] <= second:
-            new_ratings.append(heapq.heappop(self._due)[1])
-        decided = self._driver.decide(new_ratings, self._percent)
-        if decided is None:
+        while self._pending_ratings and self._pending_ratings[0][0] <= second:
+            new_ratings.append(heapq.heappop(self._pending_ratings)[1])
+        new_percent = self._driver.decide(new_ratings, self._percent)
+        if new_percent is None:
             return
-        # A withdrawal goes before a step that is on its way.
-        if self._change is None or decided == 0.0 < self._change[1]:
-            self._change = (second + self._place.in_force_s, decided)
-
-
-def _delay(place: Place, source: random.Random) -> float:
-    half = place.rating_delay_s / 2
+        # A withdrawal replaces a pending step.
+        if (
+            self._pending_change is None
+            or new_percent == 0.0 < self._pending_change[1]
+        ):
+            self._pending_change = (
+                second + self._deployment.propagation_s,
+                new_percent,
+            )
+
+
+def _delay(deployment: Deployment, source: random.Random) -> float:
+    half = deployment.rating_delay_s / 2
     return half + source.expovariate(1 / half)
 
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -9,7 +9,7 @@
 from bench.models import load_scenarios
 
 SEEDS = (1, 2, 3)
-# Regression bounds, not targets; docs/design/overload.md says why.
+# Regression bounds, not targets; docs/design/overload.md gives the reasons.
 SMALL_BATCHES_BOUND = 0.8
 RECOVERY_BOUND_S = 45.0
 
@@ -17,7 +17,7 @@
 def results(
     scenario: busy_fleet.Scenario, factory: busy_fleet.LimitsFactory
 ) -> list[busy_fleet.Result]:
-    """Runs a scenario once a seed."""
+    """Runs a scenario once for each seed."""
     return [
         busy_fleet.Fleet(scenario=scenario, factory=factory, seed=seed).run()
         for seed in SEEDS
@@ -82,11 +82,11 @@
 def _small_batches_lines(
     policy: str, factory: busy_fleet.LimitsFactory
 ) -> list[report.Line]:
-    halved = results(load_scenarios.small_batches(), factory)
+    small_batches = results(load_scenarios.small_batches(), factory)
     return _lines(
         "overload.small_batches_goodput_share",
         policy,
-        [load_measures.goodput_share(r) for r in halved],
+        [load_measures.goodput_share(r) for r in small_batches],
         bound=SMALL_BATCHES_BOUND,
         better=report.Better.HIGHER,
     )
@@ -95,23 +95,26 @@
 def _brown_out_lines(
     policy: str, factory: busy_fleet.LimitsFactory
 ) -> list[report.Line]:
-    browned = results(load_scenarios.brown_out(), factory)
+    in_brown_out = results(load_scenarios.brown_out(), factory)
     return [
         *_lines(
             "retry.amplification",
             policy,
-            [load_measures.amplification(r) for r in browned],
+            [load_measures.amplification(r) for r in in_brown_out],
             bound=1.1,
         ),
         *_lines(
             "retry.attempts_per_caller_request",
             policy,
-            [load_measures.attempts_per_caller_request(r) for r in browned],
+            [
+                load_measures.attempts_per_caller_request(r)
+                for r in in_brown_out
+            ],
         ),
         *_lines(
             "overload.recovery_s",
             policy,
-            [load_measures.recovery_s(r) for r in browned],
+            [load_measures.recovery_s(r) for r in in_brown_out],
             unit="s",
             bound=RECOVERY_BOUND_S,
         ),
@@ -127,9 +130,9 @@
     bound: float | None = None,
     better: report.Better = report.Better.LOWER,
 ) -> list[report.Line]:
-    """Returns the mean over the seeds, and how far they lie apart.
+    """Returns the mean over the seeds, and their range.
 
-    Baselines carry no bound.
+    Baselines have no bound.
     """
     full_name = f"{name}.{policy}" if policy else name
     mean = report.Line(
--- a/src/nutmeghook/internal/version_plans/evidence.py
+++ b/src/nutmeghook/internal/version_plans/evidence.py
@@ -13,10 +13,10 @@
 # The same before completion, which can't be undone: weaker evidence suffices.
 SUSPICION_SHARE = 0.05
 # A version is slow if its paces deviate by this many standard errors over at
-# least `_MIN_PACES` answers. Tested after each of 60 answers, 3.0 finds 13 good
-# versions in 1,000 slow and 3.5 none of 300, while a version whose first event
-# comes six times later in 6 of 10 requests is found after a median of 8 answers
-# instead of 6.
+# least `_MIN_PACES` answers. When tested after each of 60 answers, 13 good
+# versions in 1,000 exceed 3.0 and none of 300 exceeds 3.5, while a version
+# whose first event comes six times later in 6 of 10 requests is found after a
+# median of 8 answers instead of 6.
 _SLOW_DEVIATIONS = 3.5
 _MIN_PACES = 4
 # This many standard deviations of slowness weigh as much as a bad answer.
@@ -28,7 +28,7 @@
 
 
 class RouteCount(msgspec.Struct, kw_only=True):
-    """Answers of the new version on one route, as one instance saw them."""
+    """One instance's counts of the new version's answers on one route."""
 
     good: int = 0
     bad: int = 0
@@ -49,7 +49,7 @@
 
 
 class EvidenceRow(msgspec.Struct, kw_only=True):
-    """Answers of the new version that one instance saw during one order.
+    """One instance's counts of the new version's answers during one order.
 
     Attributes:
         paces: Paces by latency measure.
@@ -94,8 +94,8 @@
 
     Counts only grow, so a row that is read twice or out of order adds
     nothing; an instance that restarts begins a new row. Answers are kept in
-    the order in which they were received, and are evaluated again when the
-    baseline has changed.
+    the order in which they were received, and all are evaluated at each
+    judgement, since the baseline changes in between.
     """
 
     __slots__ = ("_answers", "_own", "_peer_rows", "_replicas", "order_id")
@@ -117,24 +117,24 @@
         return self._own
 
     @property
-    def answers(self) -> int:
+    def observation_count(self) -> int:
         """How many answers and paces are known."""
         rows = [self._own, *self._peer_rows.values()]
         pace_count = sum(row.pace_count for row in rows)
-        return self.answers_seen + pace_count
+        return self.answer_count + pace_count
 
     @property
-    def answers_seen(self) -> int:
+    def answer_count(self) -> int:
         """How many answers of the version are known, of all instances."""
         return len(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
     @property
-    def bad_seen(self) -> int:
+    def bad_count(self) -> int:
         """How many of them were bad."""
         return sum(self._answers.get(baseline_module.ALL_ROUTES, ()))
 
     def note(self, route: str, replica_id: str, *, bad: bool) -> None:
-        """Adds an answer of the new version that this instance saw."""
+        """Adds an answer of the new version to this instance's evidence."""
         count = self._own.routes.setdefault(route, RouteCount())
         if bad:
             count.bad += 1
@@ -228,14 +228,14 @@
         if not self.exceeds_tolerance(replicas, baseline):
             return None
         chance = binomial_tail.probability_of_at_least(
-            self.bad_seen,
-            of=self.answers_seen,
+            self.bad_count,
+            of=self.answer_count,
             share=baseline.tolerated_share(baseline_module.ALL_ROUTES),
         )
         if chance > SUSPICION_SHARE:
             return None
         return (
-            f"{self.bad_seen} of {self.answers_seen} answers were bad at the"
+            f"{self.bad_count} of {self.answer_count} answers were bad at the"
             " end of the canary"
         )
 
@@ -251,7 +251,7 @@
         if failing < min(2, replicas):
             return False
         tolerated = baseline.tolerated_share(baseline_module.ALL_ROUTES)
-        return self.bad_seen > tolerated * self.answers_seen
+        return self.bad_count > tolerated * self.answer_count
 
     def _slowness(self, deviations: float) -> str | None:
         for measure in baseline_module.LatencyMeasure:
--- a/src/nutmeghook/internal/version_plans/progress.py
+++ b/src/nutmeghook/internal/version_plans/progress.py
@@ -26,7 +26,7 @@
     Args:
         schedule: Which share a new version gets, and when.
         store_monitor: The store's time and availability.
-        answers_seen: How many answers of a plan's version are known here.
+        answer_count: How many answers of a plan's version are known here.
         clock: Measures time.
 
     Attributes:
@@ -34,7 +34,7 @@
     """
 
     __slots__ = (
-        "_answers_seen",
+        "_answer_count",
         "_clock",
         "_final_phase_since",
         "_had_long_outage",
@@ -48,12 +48,12 @@
         *,
         schedule: schedule_module.Schedule,
         store_monitor: follower.StoreMonitor,
-        answers_seen: Callable[[plan_module.PlanRow], int],
+        answer_count: Callable[[plan_module.PlanRow], int],
         clock: clock_module.Clock,
     ):
         self.schedule = schedule
         self._store_monitor = store_monitor
-        self._answers_seen = answers_seen
+        self._answer_count = answer_count
         self._clock = clock
         # Since when an order's final phase has lasted here with the store
         # reachable throughout.
@@ -70,7 +70,7 @@
         )
 
     def steady_fraction(self, plan: plan_module.PlanRow) -> float:
-        """Returns the elapsed fraction, at need capped before the final phase.
+        """Returns the elapsed fraction, capped while the canary has to last.
 
         The cap holds while the store is out, since then nobody can complete the
         roll-out and other instances' evidence does not arrive, and while too
@@ -96,7 +96,7 @@
         """
         if plan.order_id not in self._had_long_outage:
             return False
-        return self._answers_seen(plan) < ENOUGH_ANSWERS_AFTER_OUTAGE
+        return self._answer_count(plan) < ENOUGH_ANSWERS_AFTER_OUTAGE
 
     def is_canary_over(self, plan: plan_module.PlanRow) -> bool:
         """Tells whether all requests go to the new version now."""
@@ -105,7 +105,7 @@
         )
 
     def is_final_report_due(self, plan: plan_module.PlanRow) -> bool:
-        """Tells whether all answers seen are to be reported, good and bad."""
+        """Tells whether all answers are to be reported, good and bad."""
         return self.schedule.is_final_report_due_at(
             self.elapsed_fraction(plan), plan.within_s
         )
@@ -134,11 +134,15 @@
             now = self._clock.monotonic()
             self._final_phase_since.setdefault(plan.order_id, now)
 
-    def note_store_unreachable(self, open_orders: Iterable[int]) -> None:
-        """Records that the store does not answer, and the orders open then."""
+    def note_store_unreachable(self, order_ids: Iterable[int]) -> None:
+        """Records that the store does not answer.
+
+        Args:
+            order_ids: The orders that a long outage affects.
+        """
         self._final_phase_since.clear()
         now = self._clock.monotonic()
         if self._unreachable_since is None:
             self._unreachable_since = now
         if now - self._unreachable_since >= LONG_OUTAGE:
-            self._had_long_outage = set(open_orders)
+            self._had_long_outage = set(order_ids)
--- a/src/nutmeghook/internal/version_plans/rollouts.py
+++ b/src/nutmeghook/internal/version_plans/rollouts.py
@@ -2,7 +2,7 @@
 
 There is no leader. The first instance that sees an order writes the plan,
 insert-if-absent; from then on each instance computes the share from the
-store's steady clock. Each counts the new version's answers that it sees and
+store's steady clock. Each counts the new version's answers that it receives and
 publishes the counts when there are bad ones; the instance that finds a proof
 writes the verdict, conditional on the plan being open. An instance that was
 killed, stalled or partitioned therefore blocks nothing, and its late writes
@@ -72,7 +72,7 @@
         self.progress = progress_module.RollOutProgress(
             schedule=schedule,
             store_monitor=store_monitor,
-            answers_seen=self._answers_seen,
+            answer_count=self._answer_count,
             clock=clock,
         )
         self._sessions = sessions_module.SessionVersions(
@@ -129,7 +129,7 @@
     def pinned_sessions(
         self, order: orders_module.RollOutOrder
     ) -> pinned_sessions_module.PinnedSessions:
-        """Returns the sessions that an order leaves on their version."""
+        """Returns the sessions that stay on the old version during an order."""
         return self._pinned_of(order.service, order.order_id)
 
     def _pinned_of(
@@ -169,20 +169,20 @@
             self._evidence[order.service] = pooled
         return pooled
 
-    def _answers_seen(self, plan: plan_module.PlanRow) -> int:
+    def _answer_count(self, plan: plan_module.PlanRow) -> int:
         seen = self._evidence.get(plan.service)
         if seen is None or seen.order_id != plan.order_id:
             return 0
-        return seen.answers_seen
+        return seen.answer_count
 
     def judge(self, order: orders_module.RollOutOrder) -> str | None:
         """Returns why the version is bad, or None while it isn't proven."""
         if order.service in self._local_verdicts:
             return self._local_verdicts[order.service]
         pooled = self.evidence_of(order)
-        if self._judged.get(order.order_id) == pooled.answers:
+        if self._judged.get(order.order_id) == pooled.observation_count:
             return None
-        self._judged[order.order_id] = pooled.answers
+        self._judged[order.order_id] = pooled.observation_count
         reason = pooled.proven_bad(self._new_replicas(order), self._baseline)
         if reason is not None:
             self._local_verdicts[order.service] = reason
--- a/tests/cover/test_evacuations.py
+++ b/tests/cover/test_evacuations.py
@@ -71,7 +71,7 @@
         self.assertEqual(self.restored, ["pest"])
 
     def test_a_full_read_ends_an_order(self):
-        """The same for a roll-out, which would go on without an order."""
+        """The same for a roll-out, which would continue without an order."""
         order = {"service": "pool", "to": "v2", "withinS": 20.0}
         key = rollout_rows.ORDER_PREFIX + "pool"
         self.rows.change((row(key, 1, value=msgspec.json.encode(order)),))
@@ -148,7 +148,7 @@
             self.assertEqual(relay_fixture.status_of(answer), 200)
         self.assertEqual(self.local.received, [])
 
-    async def test_a_retry_avoids_it_too(self):
+    async def test_a_retry_avoids_an_evacuated_data_centre(self):
         """The remote replica refuses, and the other one is evacuated. The
         caller gets an answer that the request was not run, with Retry-After.
         """
@@ -210,7 +210,7 @@
         answer = await self.ask(model.RouteKind.STREAM)
         self.assertEqual(relay_fixture.status_of(answer), 503)
         self.assertIn(b"retry-after", answer.lower())
-        self.assertEqual(self.seen(), [])
+        self.assertEqual(self.received_requests(), [])
         self.registry.restore("far")
         answer = await self.ask(model.RouteKind.STREAM)
         self.assertEqual(relay_fixture.status_of(answer), 200)
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,6 +1,6 @@
-"""Builds `dist/nutmeghook`: one file, one process, no disk.
+"""Builds `dist/nutmeghook`, a single executable that needs no other files.
 
-docs/design/binary.md says why it is built this way.
+The reasons for its structure are in docs/design/binary.md.
 """
 
 import collections.abc
@@ -22,21 +22,21 @@
 COMPILE = ("gcc", "-Os", "-s", "-Wall", "-Wextra", "-Werror", "-o")
 COMPILER_PACKAGE = "build-essential"
 EXECUTABLE_MODE = 0o755
-# The interpreter reads these before it can decompress anything.
-_LIST_FIRST_MODULES = (
+# Modules that the interpreter imports before zlib is available.
+_LIST_STARTUP_MODULES = (
     "import sys, importlib.machinery, os, zipimport;"
     "print(*sys.modules, sep='\\n')"
 )
 _DECOMPRESSOR = "zlib"
-# One moment for all entries: the same input gives the same file.
+# A fixed date for all entries makes the build reproducible.
 _ENTRY_DATE = (1980, 1, 1, 0, 0, 0)
 
 
 def build(result: pathlib.Path) -> None:
-    """Builds the file.
+    """Builds the executable.
 
     Args:
-        result: Replaced at once, so that a running one is not disturbed.
+        result: Replaced atomically, so that a running process keeps its file.
     """
     _require_compiler()
     files = payload.collect("nutmeghook", ROOT / "src")
@@ -46,10 +46,10 @@
         _compile_launcher(unfinished, scratch)
         _append_archive(unfinished, files, scratch)
         result.parent.mkdir(parents=True, exist_ok=True)
-        beside = result.with_suffix(".new")
-        shutil.copyfile(unfinished, beside)
-        beside.chmod(EXECUTABLE_MODE)
-        beside.replace(result)
+        new_file = result.with_suffix(".new")
+        shutil.copyfile(unfinished, new_file)
+        new_file.chmod(EXECUTABLE_MODE)
+        new_file.replace(result)
 
 
 def _require_compiler() -> None:
@@ -64,20 +64,23 @@
 def _compile_launcher(result: pathlib.Path, scratch: pathlib.Path) -> None:
     """Compiles the launcher around the interpreter.
 
-    Python's machine code is in the interpreter itself, or in a library that
-    a small interpreter of ours opens.
+    Python's machine code is either in the interpreter itself or in a shared
+    library, which a small interpreter (interpreter.c) then loads.
     """
     interpreter = pathlib.Path(sys.executable).resolve()
     needed = list(libraries.needed_by([interpreter]).values())
     if not needed:
         embedded = {"python": interpreter}
     elif len(needed) == 1:
-        embedded = {"python": _own_interpreter(scratch), "library": needed[0]}
+        embedded = {
+            "python": _compile_interpreter(scratch),
+            "library": needed[0],
+        }
     else:
         raise libraries.MissingLibraryError(
             f"{interpreter.name} is linked to {len(needed)} libraries, "
             f"{', '.join(str(path) for path in needed)}; build with a Python "
-            "that is linked to its own library at most"
+            "that is linked to no library other than its own"
         )
     for name, path in embedded.items():
         content = libraries.stripped(path, scratch)
@@ -88,8 +91,8 @@
     subprocess.run([*COMPILE, result, launcher, table], check=True)
 
 
-def _own_interpreter(scratch: pathlib.Path) -> pathlib.Path:
-    """Compiles the interpreter that opens Python's library."""
+def _compile_interpreter(scratch: pathlib.Path) -> pathlib.Path:
+    """Compiles the interpreter that loads Python's shared library."""
     result = scratch / "interpreter"
     source = ROOT / "tools" / "interpreter.c"
     subprocess.run([*COMPILE, result, source], check=True)
@@ -97,7 +100,7 @@
 
 
 def _assembly(names: list[str], scratch: pathlib.Path) -> str:
-    """Writes the table that launcher.c calls EMBEDDED."""
+    """Returns assembly for the EMBEDDED table of launcher.c."""
     contents = [
         f'name{i}: .asciz "{name}"\n'
         f'start{i}: .incbin "{scratch}/{name}.embedded"\n'
@@ -123,11 +126,11 @@
     files: list[payload.SourceFile],
     scratch: pathlib.Path,
 ) -> None:
-    """Appends all Python modules; zip archives are read from their end."""
-    first = _first_modules()
+    """Appends all modules as a zip archive, which is read from its end."""
+    first = _startup_modules()
     start = payload.SourceFile(
         path=ROOT / "tools" / START_MODULE,
-        place=pathlib.PurePath(START_MODULE),
+        archive_path=pathlib.PurePath(START_MODULE),
     )
     with zipfile.ZipFile(result, "a") as archive:
         for file in [start, *files]:
@@ -138,8 +141,8 @@
             )
             archive.writestr(entry, _content(file, scratch))
         for number, content in enumerate(_libraries(files, scratch)):
-            # Read before anything can be decompressed, hence stored. The
-            # number keeps their order.
+            # Stored uncompressed, since they are read before zlib is loaded.
+            # The number gives the load order.
             entry = zipfile.ZipInfo(f"{LIBRARIES}{number:03}", _ENTRY_DATE)
             archive.writestr(entry, content)
         for folder in sorted(payload.namespace_folders(files)):
@@ -156,10 +159,10 @@
         yield libraries.stripped(needed[name], scratch)
 
 
-def _first_modules() -> set[str]:
-    """Returns the modules that have to be readable without zlib."""
+def _startup_modules() -> set[str]:
+    """Returns the modules that must be readable without zlib."""
     listing = subprocess.run(
-        [sys.executable, "-PSB", "-Xutf8", "-c", _LIST_FIRST_MODULES],
+        [sys.executable, "-PSB", "-Xutf8", "-c", _LIST_STARTUP_MODULES],
         capture_output=True,
         text=True,
         check=True,
@@ -171,7 +174,7 @@
 def _entry_name(file: payload.SourceFile) -> str:
     if file.is_extension:
         return f"extensions/{file.module_name}"
-    return str(file.place.with_suffix(".pyc"))
+    return str(file.archive_path.with_suffix(".pyc"))
 
 
 def _content(file: payload.SourceFile, scratch: pathlib.Path) -> bytes:
@@ -181,7 +184,7 @@
 
 
 def main() -> None:
-    """Builds into `dist` and says where."""
+    """Builds into `dist` and prints the path and size."""
     build(RESULT)
     print(f"built {RESULT.relative_to(ROOT)}: {RESULT.stat().st_size} bytes")
 
