--- a/bench/capacity/outage_retries.py
+++ b/bench/capacity/outage_retries.py
@@ -44,7 +44,7 @@
         probe=_never,
         probe_every=ledger_settings.LedgerSettings().probe_every,
     )
-    health.record_failure()
+    health.note_failure()
     retries_by_second = [0] * _OUTAGE_S
 
     def refuse(deadline_s: float) -> None:
--- a/src/nutmeghook/internal/config/replica.py
+++ b/src/nutmeghook/internal/config/replica.py
@@ -79,7 +79,7 @@
         """Applies consecutive changes; returns whether any was new.
 
         Changes after a gap are ignored, and the next exchange sends what is
-        missing: applying them would lose the change in the gap for good.
+        missing: applying them would lose the change in the gap permanently.
         """
         state = self._state
         for change in changes:
@@ -147,7 +147,7 @@
         """Replaces the state; nothing else does.
 
         Each replacement is recorded with the revision before it, so that even
-        a momentary step back would show in the events.
+        a momentary decrease would show in the events.
         """
         before = self.revision
         self._state = state
--- a/src/nutmeghook/internal/dispatch/retry_permission.py
+++ b/src/nutmeghook/internal/dispatch/retry_permission.py
@@ -100,12 +100,12 @@
         )
 
     def try_permit_elsewhere(
-        self, call: stage_calls.StageCall, at_work: backends_module.Backend
+        self, call: stage_calls.StageCall, current: backends_module.Backend
     ) -> backends_module.Backend | None:
-        """Permits one more attempt while one is at work.
+        """Permits one more attempt while one is in progress.
 
-        The budget is spent last, since a retry spent for nothing would be
-        missing where a request needs it.
+        The budget is spent last, so that no retry is spent on an attempt that
+        is then not made.
 
         Returns:
             The backend server to send it to; None if it is not permitted.
@@ -117,23 +117,23 @@
         except errors.CodedError:
             return None
         other = self._backends.choose(
-            stage_calls.backend_criteria(call, at_work.address)
+            stage_calls.backend_criteria(call, current.address)
         )
         if other is None or not self.budget(call).try_spend():
             return None
         return other
 
     def try_grant(
-        self, call: stage_calls.StageCall, at_work: backends_module.Backend
+        self, call: stage_calls.StageCall, current: backends_module.Backend
     ) -> bool:
-        """Permits continuing at another engine than the one at work.
+        """Permits continuing at another engine than the current one.
 
         An engine that is unreachable for half a second still has the answer,
         so it must not be abandoned for an attempt that is then refused. The
-        next attempt is permitted, backend server included, before the one at
-        work is abandoned; it is sent at once, and nothing is checked again.
+        next attempt is permitted, backend server included, before the current
+        one is abandoned; it is sent at once, and nothing is checked again.
         """
         if call.failed_attempts + 1 >= MAX_ATTEMPTS_PER_STAGE:
             return False
-        call.granted = self.try_permit_elsewhere(call, at_work)
+        call.granted = self.try_permit_elsewhere(call, current)
         return call.granted is not None
--- a/src/nutmeghook/internal/orders/drain_tracker.py
+++ b/src/nutmeghook/internal/orders/drain_tracker.py
@@ -27,7 +27,7 @@
         self._since: dict[planning.Placement, datetime.timedelta] = {}
 
     def update(self, plan: planning.Plan, now: datetime.timedelta) -> None:
-        """Records the plan's removals; one that was not in it starts anew."""
+        """Records the plan's removals; known ones keep their start time."""
         current = {*plan.withdrawn, *plan.surplus}
         self._since = {
             placement: self._since.get(placement, now) for placement in current
@@ -50,7 +50,7 @@
             return True
         return now > in_force_at + 2 * _longest_deadline(snapshot)
 
-    def stayed_surplus(
+    def has_stayed_surplus(
         self, placement: planning.Placement, now: datetime.timedelta
     ) -> bool:
         """Tells whether a replica was surplus for `SURPLUS_RETENTION`."""
--- a/src/nutmeghook/internal/table_replication/gossip.py
+++ b/src/nutmeghook/internal/table_replication/gossip.py
@@ -45,9 +45,10 @@
 REMOTE_PUSH_FANOUT = 1.0
 # An instance whose confirmation is older than the time in which a change has to
 # be in force, less this, reads the store itself, so that a change that no
-# reader sees is still in force in time. This remainder is for noticing, one
-# call and a slow store. In a fleet of 7 to 420 instances, one in a thousand has
-# a confirmation older than 1.8 s at a given moment, so such reads are rare.
+# reader receives is still in force in time. The reserve covers noticing the
+# age, one call and a slow store. In a fleet of 7 to 420 instances, one in a
+# thousand has a confirmation older than 1.8 s at a given moment, so such reads
+# are rare.
 _READ_RESERVE = datetime.timedelta(seconds=1)
 # Each reader gets a confirmation once per wait of its feed. With a lower limit
 # all instances would read whenever the readers' feeds return together.
@@ -65,14 +66,15 @@
 _POLL_INTERVAL = datetime.timedelta(milliseconds=100)
 # A reader's own feed usually delivers a change within this time.
 _READER_DELAY = datetime.timedelta(milliseconds=250)
-# After a failed call, in a large fleet, of an instance that is no reader. In a
-# store outage all confirmations grow old and all instances call the store: 200
-# made some 400 calls a second, which are billed and load the store on its
-# return. The first instance with a response informs the others by gossip, and
-# readers retry every second, so one call in four seconds from each suffices.
+# Wait after a failed call, in a large fleet, of an instance that is no reader.
+# In a store outage all confirmations grow old and all instances call the store:
+# with the readers' back-off, 200 of them make some 400 calls a second, which
+# are billed and load the store on its return. The first instance with a
+# response informs the others by gossip, and readers retry every second, so one
+# call in four seconds from each suffices.
 _NON_READER_RETRY_DELAY = datetime.timedelta(seconds=4)
-# Before a peer whose link was busy is asked again. The token bucket of a slow
-# link refills by a piece in this time.
+# Wait before the next request to a peer whose link was busy. The token bucket
+# of a slow link refills by a piece in this time.
 _BUSY_RETRY_DELAY = datetime.timedelta(milliseconds=50)
 _MAX_PEERS = 1000
 # At 73 instances a digest of a given peer arrives about every five seconds.
@@ -280,7 +282,7 @@
 
     def _receive(self, message: ttypes.TablesDigest) -> None:
         """Handles a peer's digest."""
-        self._record_peer(message)
+        self._note_peer(message)
         for name, revision, age_ms in zip(
             message.tables,
             message.revisions,
@@ -290,21 +292,21 @@
             table = self._tables.get(name)
             if table is None:
                 continue
-            table.record_peer(revision, age_ms)
+            table.note_peer(revision, age_ms)
             if revision > table.revision:
                 self._newest_report[name] = _RevisionReport(
                     revision=revision, at=self._clock.monotonic()
                 )
                 self._peers_ahead[name][message.sender_address] = revision
 
-    def _record_peer(self, digest: ttypes.TablesDigest) -> None:
+    def _note_peer(self, digest: ttypes.TablesDigest) -> None:
         peer_id = digest.sender_id
         if peer_id == self._instance_id:
             return
         if peer_id not in self.peers and len(self.peers) >= _MAX_PEERS:
             return
         self.peers[peer_id] = digest.sender_address
-        self._election.record_digest(
+        self._election.note_digest(
             None if digest.out_of_touch else digest.sender_id,
             digest.low_ranks or (),
             digest.low_ages_ms or (),
