--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Measures the slopes, or those of the modules named, and writes the page.
+"""Measures the slopes, of all or the named modules, and writes the page.
 
 python -m bench.capacity                  all modules
 python -m bench.capacity config ledger    these; the rest stay as they are
@@ -27,7 +27,7 @@
 
 
 def main() -> int:
-    """Runs; 1 if a module failed or a bound of one broke."""
+    """Measures and writes; returns 1 if a module or a bound failed."""
     parser = argparse.ArgumentParser(prog="python -m bench.capacity")
     parser.add_argument("modules", nargs="*", metavar="module")
     parser.add_argument("--page-only", action="store_true")
@@ -41,13 +41,13 @@
 
 
 def _measure(name: str) -> bool:
-    """Measures one module and keeps what it gave, whatever comes after."""
+    """Measures one module and saves its results at once."""
     try:
         run = results_module.measure(name)
     except Exception:
         traceback.print_exc()
         return False
-    # Read again: another run may have written its module meanwhile.
+    # Read again, since another run may have saved its module meanwhile.
     results = results_module.load()
     results_module.save(results_module.Results(runs=results.runs | {name: run}))
     return report.print_lines(run.lines)
--- a/bench/capacity/budgets.py
+++ b/bench/capacity/budgets.py
@@ -1,4 +1,4 @@
-"""The sums, beside the users' budgets."""
+"""Totals compared with the users' budgets."""
 
 import dataclasses
 
@@ -11,7 +11,8 @@
 
 _LIST = "routing/directory"
 _LEASE_RANKS = "leases/preference"
-# Of the node's processor time, what an idle process of today hardly shows.
+# Mechanisms whose processor time hardly shows in an idle process of today's
+# fleet, since it grows with the fleet.
 _SCALING = (
     _LIST,
     _LEASE_RANKS,
@@ -24,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Check:
-    """One budget and what was worked out for it."""
+    """One budget and the figure computed for it."""
 
     name: str
     value: float
@@ -131,7 +132,7 @@
 def _traffic(facts: figures.Facts) -> list[Check]:
     parts = node.traffic(facts)
     total = sum(part.value for part in parts)
-    # What goes between instances is sent by one and received by another.
+    # Bytes between instances are sent by one and received by another.
     inner = sum(part.value for part in parts[:3])
 
     def check(name, value, basis):
--- a/bench/capacity/calls.py
+++ b/bench/capacity/calls.py
@@ -1,4 +1,4 @@
-"""Processor time of one call over a socket, on the side that is ours."""
+"""Processor time of one call over a socket."""
 
 import contextlib
 import datetime
@@ -39,7 +39,7 @@
 
 
 async def _http(address: str) -> list[float]:
-    """A short GET as the platform's adapters send it; the caller's side."""
+    """Measures the caller's side of a short GET of a platform adapter."""
     async with http_exchange.open_session() as session:
 
         async def call() -> None:
@@ -50,7 +50,7 @@
 
 
 async def _inner() -> list[float]:
-    """A digest sent and answered; the time of both sides together."""
+    """Measures both sides of a digest and its reply, together."""
     clock = clock_module.SystemClock()
     sides = [
         config.ConfigNode(clock=clock, number=number) for number in range(2)
--- a/bench/capacity/cascade_sizes.py
+++ b/bench/capacity/cascade_sizes.py
@@ -1,4 +1,4 @@
-"""Bytes of the cascades' rows on the wire."""
+"""Sizes of the cascades' rows on the wire."""
 
 from bench.capacity import figures
 from bench.capacity import messages
@@ -11,15 +11,15 @@
 
 
 def bucket_bytes(facts: figures.Facts) -> float:
-    """Returns what one read of a bucket's plans costs."""
+    """Returns the bytes of one read of a bucket's plans."""
     row_bytes = facts.at("footprint.plans_row_bytes", BUCKET_TEMPLATES)
     return messages.HTTP_BYTES + row_bytes * _IN_BASE64
 
 
 def reading_bytes(facts: figures.Facts) -> float:
-    """Returns the most that an instance reads at a time.
+    """Returns the most bytes that an instance reads at a time.
 
-    The limit is looked at before each bucket, so that one may exceed it.
+    The limit is checked before each bucket, so the last one may exceed it.
     """
     head_bytes = facts.value("footprint.cascades_head_bytes") * _IN_BASE64
     return (
@@ -31,7 +31,7 @@
 
 
 def tables_bytes(facts: figures.Facts) -> float:
-    """Returns what all tables take in the table service."""
+    """Returns the bytes of all tables in the table service."""
     return cascade_rows.BUCKETS * facts.at(
         "footprint.tables_row_bytes", BUCKET_TEMPLATES
     )
--- a/bench/capacity/data_path.py
+++ b/bench/capacity/data_path.py
@@ -1,4 +1,4 @@
-"""What goes with requests and tokens at one instance."""
+"""Costs of requests and tokens at one instance."""
 
 from bench.capacity import figures
 from bench.capacity import planned
@@ -7,13 +7,13 @@
 STREAMS = "open streams"
 
 _US_PERCENT = 1e-4
-# What a request records on the time line and in the metrics.
+# Records of a request on the time line and in the metrics.
 _EVENTS_PER_REQUEST = 6
 _METRICS_PER_REQUEST = 8
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what goes with requests and tokens."""
+    """Returns the figures of the data path."""
     requests = planned.NODE_REQUESTS_PER_S
 
     def percent(name, us, basis, mechanism, runs=("footprint",)):
--- a/bench/capacity/failure_effects.py
+++ b/bench/capacity/failure_effects.py
@@ -1,4 +1,4 @@
-"""Failures of an ordinary week at the planned size, and a centre's loss."""
+"""Effects of failures at the planned size, up to a lost data centre."""
 
 from bench.capacity import figures
 from bench.capacity import planned
@@ -12,7 +12,7 @@
 
 
 def ordinary_day(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns 89 failures and 360 replacements."""
+    """Returns the effects of a day's 89 failures and 360 replacements."""
     events = planned.FAILURES_PER_DAY + planned.REPLACEMENTS_PER_DAY
     lost_share = planned.LEASES / planned.NODES
     detect_s = facts.at("membership.detect_s", planned.NODES)
@@ -85,7 +85,7 @@
 
 
 def lost_rack(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what goes with a rack or its switch."""
+    """Returns the effects of losing a rack or its switch."""
     lost_share = planned.RACK_SHARE / planned.DATA_CENTRES
     return [
         figures.row(
@@ -136,7 +136,7 @@
 
 
 def lost_data_centre(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what the remaining eight carry."""
+    """Returns the effects of losing one of nine data centres."""
     tokens = planned.NODE_TOKENS_PER_S * _LOAD_FACTOR
     relay = tokens / facts.value("relay.tokens_per_core_s") * 100
     lost_nodes = planned.NODES / planned.DATA_CENTRES
@@ -202,7 +202,7 @@
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns all of the above."""
+    """Returns all figures of this module."""
     return [
         *ordinary_day(facts),
         *lost_rack(facts),
--- a/bench/capacity/figures.py
+++ b/bench/capacity/figures.py
@@ -1,4 +1,4 @@
-"""Figures of the planned size, worked out from the results."""
+"""Figures for the planned size, computed from the results."""
 
 import dataclasses
 import functools
@@ -12,12 +12,13 @@
     """One figure of a role.
 
     Attributes:
-        group: The table that it stands in.
-        basis: How it was worked out; `run` in it would say nothing new.
-        runs: Modules whose runs it rests on; empty for a setting's limit.
-        mechanism: The module that carries it, under
+        group: The table that contains it.
+        basis: How it was computed, without the runs.
+        runs: Modules whose runs it is computed from; empty if it follows from
+            the plan and the settings.
+        mechanism: The module that causes it, under
             `src/nutmeghook/internal/`.
-        exceeds_budget: It breaks a budget by itself.
+        exceeds_budget: It exceeds a budget by itself.
     """
 
     group: str
@@ -40,7 +41,7 @@
     runs: tuple[str, ...] = (),
     exceeds_budget: bool = False,
 ) -> Figure:
-    """Returns a figure; short, because the tables are long."""
+    """Returns a figure; shorthand for the long tables."""
     return Figure(
         group=group,
         name=name,
@@ -54,29 +55,29 @@
 
 
 class Facts:
-    """The results, read by short names."""
+    """Gives access to the results by short names."""
 
     def __init__(self, results: results_module.Results):
         self._results = results
         self.fit = functools.cache(self._fit)
 
     def _fit(self, series: str) -> fits.Fit:
-        """Fits a series; its module is the first part of the name."""
+        """Fits a series; the first part of its name is the module."""
         module = series.partition(".")[0]
         return fits.fit(self._results, module, series)
 
     def value(self, name: str) -> float:
-        """Returns one measured figure; its module is the first part."""
+        """Returns one value; the first part of its name is the module."""
         return self._results.value(name.partition(".")[0], name)
 
     def at(self, series: str, size: float) -> float:
-        """Returns a fit's value at a size."""
+        """Returns the fitted value at a size."""
         return self.fit(series).at(size)
 
     def slope(self, series: str) -> float:
-        """Returns a fit's slope."""
+        """Returns the slope of the fit."""
         return self.fit(series).slope
 
     def largest(self, series: str) -> float:
-        """Returns the value of the point with the largest size."""
+        """Returns the measured value at the largest size."""
         return self.fit(series).points[-1].value
--- a/bench/capacity/fits.py
+++ b/bench/capacity/fits.py
@@ -1,4 +1,4 @@
-"""A straight line through a series of measured points."""
+"""Linear fits of measured series."""
 
 import dataclasses
 import re
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Fit:
-    """A series with its line.
+    """A series with its fitted line.
 
     Attributes:
         largest_error: The largest distance of a point from the line, as a
--- a/bench/capacity/fleet_work.py
+++ b/bench/capacity/fleet_work.py
@@ -1,4 +1,4 @@
-"""Processor time of periodic work that grows with the replicas."""
+"""Processor time of periodic work that grows with the number of replicas."""
 
 from collections.abc import Callable
 
@@ -20,14 +20,14 @@
 from nutmeghook.internal.routing import load_tracker
 
 MEMBERS = 420
-# Engines of one model: 4,400 of five models at the planned size.
+# Engines of one model; the planned size has 4,400 of five models.
 ENGINES_OF_A_MODEL = (12, 110, 220, 440, 880)
 _MODEL = "inspection-large"
 _SERVING = engine.ModelVersion(model=_MODEL, version="2026.10")
 
 
 def lines() -> list[report.Line]:
-    """Returns medians over rounds."""
+    """Returns the medians over rounds."""
     replicas = memory.REPLICAS
     models = ENGINES_OF_A_MODEL
     return [
@@ -65,7 +65,7 @@
 
 
 def _cell_refresh(count: int) -> Callable[[], int]:
-    """Works the cell's replicas out again, as after any change of one."""
+    """Recomputes the cell's replicas, as after a change of any replica."""
     directory = _directory(count)
     view = cells.CellView(members=_members(), directory=directory)
 
@@ -78,7 +78,7 @@
 
 
 def _whose_report(count: int) -> Callable[[], int]:
-    """Asks of each replica whether its report is to be polled here."""
+    """Checks for each replica whether its report is polled here."""
     directory = _directory(count)
     view = cells.CellView(members=_members(), directory=directory)
     view.refresh()
@@ -108,12 +108,12 @@
 
 
 def _plan_without_changes(count: int) -> Callable[[], int]:
-    """Plans while all that is wanted is loaded."""
+    """Plans while all desired versions are loaded."""
     return _plan(count, loaded=frozenset((_SERVING, samples.VERSION)))
 
 
 def _plan_of_new_version(count: int) -> Callable[[], int]:
-    """Plans while a version that all engines are to hold is on none."""
+    """Plans while a version desired on all engines is loaded on none."""
     return _plan(count, loaded=frozenset((_SERVING,)))
 
 
--- a/bench/capacity/learning.py
+++ b/bench/capacity/learning.py
@@ -1,4 +1,4 @@
-"""What learning cascades costs: rows, plans, and a whole step."""
+"""Costs of learning cascades: rows, plans, and a whole step."""
 
 import asyncio
 import itertools
@@ -27,12 +27,12 @@
 from nutmeghook.standins import memory_table
 
 TEMPLATES = (10, 30, 100, 300)
-# Of one bucket; at the planned size it has a dozen.
+# Templates of one bucket; at the planned size it has a dozen.
 BUCKET_TEMPLATES = (1, 3, 12, 30)
-# Different tables for a step's templates, in turn.
+# Distinct tables that a step's templates use in turn.
 _DISTINCT_TABLES = 30
 _RATINGS = 500
-# What comes at the planned peak while a step lasts: 5% of 8,400 requests a
+# Ratings that arrive at the planned peak during a step: 5% of 8,400 requests a
 # second, for 15 s.
 _STEP_RATINGS = 6_300
 _NOW_S = 1_764_000_000.0
@@ -53,7 +53,7 @@
 
 
 class _HeldLease(lease_module.Lease):
-    """A lease that nobody else wants, on a row that isn't there."""
+    """A held lease without contenders, on a row that doesn't exist."""
 
     name = "cascades"
     row_key = "lease/cascades"
@@ -66,7 +66,7 @@
 
 
 def lines() -> list[report.Line]:
-    """Measures rows by templates, planning, and one step of the holder."""
+    """Measures row sizes, planning, and one step of the holder."""
     rng = random.Random(1)
     tables = [_learned(_template(n), rng) for n in range(max(TEMPLATES))]
     return [
@@ -92,7 +92,7 @@
 def _row_lines(
     tables: list[cascade_tables.TemplateTable],
 ) -> list[report.Line]:
-    """Sizes of a bucket's two rows, and of the head after many revisions."""
+    """Returns sizes of a bucket's two rows and of the head."""
     measured = []
     for count in BUCKET_TEMPLATES:
         of_bucket = {
@@ -117,7 +117,7 @@
 async def _step_lines(
     tables: list[cascade_tables.TemplateTable],
 ) -> list[report.Line]:
-    """A step at the planned size, where every template gets ratings."""
+    """Measures a step at the planned size with ratings for all templates."""
     templates = {
         _key(template): template
         for template in map(_template, range(planned.TEMPLATES))
--- a/bench/capacity/ledger_holder.py
+++ b/bench/capacity/ledger_holder.py
@@ -1,4 +1,4 @@
-"""What a partition of the ledger costs the instance that holds it."""
+"""Costs of a ledger partition for the instance that holds it."""
 
 import functools
 
@@ -10,32 +10,32 @@
 
 _US_PERCENT = 1e-4
 _LEDGER = ledger_settings.LedgerSettings()
-# With three regions, two thirds of what goes to an instance drawn at random
-# go to another region.
+# With three regions, two thirds of the messages to a random instance go to
+# another region.
 REMOTE_SHARE = 2 / 3
 REGION_LINKS = planned.REGIONS * (planned.REGIONS - 1)
 
 
 def entries_a_partition() -> float:
-    """Returns the keyed requests of the window, of one partition."""
+    """Returns the keyed requests of one partition in the window."""
     window_s = _LEDGER.window.total_seconds()
     keyed = planned.REQUESTS_PER_S * planned.KEYED_SHARE
     return keyed * window_s / planned.PARTITIONS
 
 
 def records_a_partition() -> float:
-    """Returns claims and bills a second of one partition."""
+    """Returns the claims and bills per second of one partition."""
     return planned.RECORDS_PER_S / planned.PARTITIONS
 
 
 def full_after_s() -> float:
-    """Returns when a partition's index is full at the peak."""
+    """Returns the time until a partition's index is full at the peak."""
     keyed = planned.REQUESTS_PER_S * planned.KEYED_SHARE
     return _LEDGER.max_entries * planned.PARTITIONS / keyed
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what one of 64 partitions costs its holder."""
+    """Returns the costs of one of 64 partitions for its holder."""
     row = functools.partial(figures.row, GROUP)
     record_us = facts.value("ledger.holder_cpu_us_per_record")
     inner_us = facts.value("footprint.inner_call_both_sides_us")
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -1,4 +1,4 @@
-"""Bytes of memory for one more of each thing that an instance keeps."""
+"""Memory of an instance per replica, member, template and other items."""
 
 from collections.abc import Callable
 import datetime
@@ -23,13 +23,13 @@
 TEMPLATES = (10, 100, 300, 1000, 3000)
 ENTRIES = (500, 2000, 8000, 20_000)
 EVENTS = (512, 1024, 2048, 4096, 8192)
-# The metrics are the process's own, and keep each label set they ever saw.
+# Metrics are shared by the process and keep all label sets ever used.
 _LABEL_NUMBERS = itertools.count()
 METRIC_SERIES = (10, 100, 300, 1000, 3000)
 
 
 def lines() -> list[report.Line]:
-    """Returns the bytes that stay allocated, by number of things kept."""
+    """Returns the allocated bytes by number of items."""
     return [
         *_series("replica", REPLICAS, _replicas),
         *_series("member", MEMBERS, _members),
@@ -45,7 +45,7 @@
 def _series(
     name: str, sizes: tuple[int, ...], build: Callable[[int], object]
 ) -> list[report.Line]:
-    # What a first use keeps for good (caches, compiled coders) is no part of
+    # A first build allocates caches and compiled coders, which are not part of
     # the slope.
     build(sizes[0])
     return [
@@ -73,7 +73,7 @@
 
 
 def _replicas(count: int) -> decision.RouterScenario:
-    """Replicas with reports, all on one affinity ring: the most there is."""
+    """Builds replicas with reports on one affinity ring, the worst case."""
     scenario = decision.RouterScenario(size=count)
     scenario.decide_all()
     return scenario
@@ -105,7 +105,7 @@
 
 
 def _claims(count: int) -> index.PartitionIndex:
-    """Claims that were finished, as nearly all in the window are."""
+    """Builds finished claims, as nearly all in the window are."""
     container = _index()
     for number in range(count):
         row_key = samples.row_key(number)
@@ -149,7 +149,7 @@
 
 
 def _metric_series(count: int) -> metrics.Metrics:
-    """One label set of the first token's histogram for each."""
+    """Builds one label set of the first token's histogram for each."""
     container = samples.metrics()
     for _ in range(count):
         number = next(_LABEL_NUMBERS)
--- a/bench/capacity/messages.py
+++ b/bench/capacity/messages.py
@@ -1,4 +1,4 @@
-"""Bytes of each message between instances and to the platform."""
+"""Sizes of messages between instances and to the platform."""
 
 import datetime
 
@@ -19,10 +19,10 @@
 from nutmeghook.internal.ledger import records
 from nutmeghook.internal.observe import events
 
-# A frame's length and the headers of TCP and IP.
+# The length field of a frame and the headers of TCP and IP.
 FRAME_BYTES = 44
-# A request's line and headers and an answer's, as aiohttp sends them, with
-# the headers of TCP and IP of both.
+# First line and headers of a request and its response, as sent by aiohttp, with
+# the TCP and IP headers of both.
 HTTP_BYTES = 400
 ENTRIES = (0, 5, 20, 80)
 RECORDS = (1, 10, 50, 200)
@@ -30,7 +30,7 @@
 
 
 def lines() -> list[report.Line]:
-    """Returns sizes by the real codecs, with the headers' bytes added."""
+    """Returns sizes as encoded by the real codecs, plus headers."""
     return [
         *_list_lines(),
         *[
@@ -133,7 +133,7 @@
 
 
 def _row_bytes(count: int) -> int:
-    """A row of the log: half claims, half bills with kept answers."""
+    """Returns the size of a log row, half claims, half bills with answers."""
     batch = records.Batch(
         token=7,
         sequence=123_456,
@@ -164,7 +164,7 @@
 
 
 def _lease_renewal() -> int:
-    """The commit and its answer over HTTP."""
+    """Returns the size of the commit and its response over HTTP."""
     member = samples.member(7)
     row = lease_rows.LeaseRow(
         write_number=12_345,
@@ -184,7 +184,7 @@
 
 
 def _load_report() -> int:
-    """An engine's report over HTTP."""
+    """Returns the size of an engine's report over HTTP."""
     answer = engine.LoadReport(
         loaded=(samples.VERSION,), running=12, waiting=1, capacity=16
     )
@@ -192,7 +192,7 @@
 
 
 def _change_row() -> int:
-    """The change's row: a template replaced, with the reason for the audit."""
+    """Returns the size of the row of a change that replaces a template."""
     change = config_rows.Change(
         revision=12_345,
         operation_id="op-19ae3f2c0001d1-12345",
--- a/bench/capacity/node.py
+++ b/bench/capacity/node.py
@@ -1,4 +1,4 @@
-"""What every entry instance spends at the planned size."""
+"""Costs of every entry instance at the planned size."""
 
 from bench.capacity import cascade_sizes
 from bench.capacity import figures
@@ -21,7 +21,7 @@
 
 
 def memory(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns the control side's memory by what it holds, in MB."""
+    """Returns control's memory by content, in MB."""
     idle_mb = facts.value("node.memory_idle_mb") * _MIB
     events = int(
         next(
@@ -76,7 +76,7 @@
 
 
 def traffic(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns control bytes a second, sent plus received."""
+    """Returns control's bytes per second, sent plus received."""
 
     def row(name, value, basis, mechanism, runs=("footprint",)):
         return figures.Figure(
@@ -251,7 +251,7 @@
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns all of the above."""
+    """Returns all figures of this module."""
     return [
         *memory(facts),
         *traffic(facts),
--- a/bench/capacity/outage_retries.py
+++ b/bench/capacity/outage_retries.py
@@ -1,4 +1,4 @@
-"""How often refused callers return while a store is out, by the real rule."""
+"""Rate of refused callers' retries in a store outage, by the product's rule."""
 
 import dataclasses
 import functools
@@ -12,7 +12,8 @@
 
 # A caller gives up at a template's usual deadline.
 CALLER_TIMEOUT_S = 30.0
-# One in a hundred of the planned peak's callers; the rule has no sums in it.
+# Simulates 1 in 100 of the planned peak's callers; the rule does not depend on
+# their number.
 _SCALE = 100
 _OUTAGE_S = 300
 _LATE_S = 100
@@ -20,11 +21,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class RetryRates:
-    """Requests a second of callers who come again, beside new ones.
+    """Retries per second, in addition to new requests.
 
     Attributes:
         peak: In the worst second of the outage.
-        late: In the mean, once it has lasted for minutes.
+        late: On average, once the outage has lasted for minutes.
     """
 
     peak: float
@@ -33,7 +34,7 @@
 
 @functools.cache
 def retry_rates() -> RetryRates:
-    """Plays an outage: each caller comes when told, until it gives up."""
+    """Simulates an outage: callers retry when told to, up to their deadline."""
     clock = simulation.Simulation()
     health = store_health.StoreHealth(
         name="table",
@@ -71,4 +72,4 @@
 
 
 async def _never() -> None:
-    """The probe; the model ends before the outage does."""
+    """Serves as the probe; the simulation ends before the outage does."""
--- a/bench/capacity/outages.py
+++ b/bench/capacity/outages.py
@@ -1,4 +1,4 @@
-"""Long outages at the planned size: a region cut off, the store out."""
+"""Effects of long outages at the planned size: of a region or the store."""
 
 from bench.capacity import figures
 from bench.capacity import outage_retries
@@ -13,7 +13,7 @@
 
 
 def cut_region(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns a region cut off from the two others for an hour."""
+    """Returns the effects of an hour's network partition of a region."""
     inside = 1 / planned.REGIONS
     return [
         figures.row(
@@ -92,7 +92,7 @@
 
 
 def store_out(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns an hour without the table service."""
+    """Returns the effects of an hour without the table service."""
     puts = _LEDGER.overflow_writes_per_s
     objects = puts * _HOUR_S
     bills = planned.REQUESTS_PER_S * _HOUR_S
@@ -220,5 +220,5 @@
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns all of the above."""
+    """Returns all figures of this module."""
     return [*cut_region(facts), *store_out(facts)]
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Series:
-    """A measured series, and the size it is worked out at."""
+    """A measured series, and the size to which it is extrapolated."""
 
     name: str
     of: str
@@ -111,16 +111,16 @@
 
 
 def rewrite(results: results_module.Results, page: pathlib.Path = PAGE) -> None:
-    """Replaces the page's tables by those of the results."""
+    """Replaces the page's tables by those computed from the results."""
     page.write_text(rendered(results, page.read_text()))
 
 
 def rendered(results: results_module.Results, text: str) -> str:
-    """Returns the page's text with its tables as the results give them.
+    """Returns the page's text with tables computed from the results.
 
     Raises:
-        KeyError: The page asks for a table that does not exist, or a figure
-            is missing in the results.
+        KeyError: The page and the tables don't match, or a figure is missing
+            in the results.
     """
     tables = _tables(results)
 
--- a/bench/capacity/planned.py
+++ b/bench/capacity/planned.py
@@ -1,7 +1,7 @@
 """The size to design for, and its budgets.
 
-The first block is the users' plan. The second is assumed here, where the plan
-says nothing, and stands on the page as such.
+The first block is the users' plan. The second contains assumptions where the
+plan says nothing; the page lists them as such.
 """
 
 NODES = 420
@@ -21,20 +21,20 @@
 IN_FORCE_S = 4.0
 FIRST_TOKEN_S = 0.39
 TOKEN_GAP_S = 0.034
-# "Several hundred": what the stand-in allows.
+# The plan says "several hundred"; this is the stand-in's limit.
 TABLE_WRITES_PER_S = 400.0
 TABLE_READS_PER_S = 2000.0
 
-# Assumed. Every request has a caller's key and every second one a session:
-# the dearest mix there may be for claims.
+# Assumptions. Every request has a caller's key and every second one a session,
+# which is the most expensive mix for claims.
 KEYED_SHARE = 1.0
 SESSION_SHARE = 0.5
 TEMPLATES = 3000
 CONCURRENT_ROLL_OUTS = 10
-# As docs/design/ledger.md advises for this size.
+# As recommended in docs/design/ledger.md for this size.
 PARTITIONS = 64
 OTHER_LEASES = 3
-# The engine's queue and prefill and the network have to get the other part.
+# The rest is left to the engine's queue and prefill, and to the network.
 OWN_SHARE_OF_FIRST_TOKEN = 0.5
 # A rack is a tenth of a data centre.
 RACK_SHARE = 0.1
@@ -42,8 +42,8 @@
 SECONDS_PER_DAY = 86_400
 MB = 1e6
 
-# A failure takes a line off and puts one on; a replacement says before that
-# it is leaving.
+# A failure removes a line and adds one; a replacement first marks the line as
+# leaving.
 LIST_CHANGES_PER_S = (
     2 * FAILURES_PER_DAY + 3 * REPLACEMENTS_PER_DAY
 ) / SECONDS_PER_DAY
@@ -52,8 +52,8 @@
 NODE_REQUESTS_PER_S = REQUESTS_PER_S / NODES
 NODE_TOKENS_PER_S = TOKENS_PER_S / NODES
 TOKENS_PER_REQUEST = TOKENS_PER_S / REQUESTS_PER_S
-# Streams are open for the first token and the time between the others.
+# A stream is open until the first token and for the gaps between the others.
 STREAM_S = FIRST_TOKEN_S + TOKENS_PER_REQUEST * TOKEN_GAP_S
 NODE_STREAMS = NODE_REQUESTS_PER_S * STREAM_S
-# Claim and bill each.
+# A claim, if the request has a key, and a bill.
 RECORDS_PER_S = REQUESTS_PER_S * (1 + KEYED_SHARE)
--- a/bench/capacity/platform_load.py
+++ b/bench/capacity/platform_load.py
@@ -1,4 +1,4 @@
-"""What the fleet asks of the platform's services at the planned size."""
+"""Load on the platform's services at the planned size."""
 
 import functools
 
@@ -18,18 +18,18 @@
 
 GROUP = "platform"
 _LEDGER = ledger_settings.LedgerSettings()
-# Head, change, document and operation.
+# The rows of head, change, document and operation.
 _ROWS_PER_CHANGE = 4
-# docs/design/configuration.md: twice a second by two of each data centre.
+# By each of two readers per data centre; see docs/design/configuration.md.
 _HEAD_READS_PER_S = 2
 _READS_PER_LEASE = 2
 _RATED_SHARE = 0.05
-# Of plans in one reading, were they empty.
+# Buckets of one reading if their plans were empty.
 _MAX_BUCKETS = cascade_reader.MAX_READ_BYTES / messages.HTTP_BYTES
 
 
 def table_writes_per_s(facts: figures.Facts) -> float:
-    """Returns rows written a second; the ledger's part is measured."""
+    """Returns rows written per second; the ledger's part is measured."""
     return (
         facts.value("ledger.store_writes_per_s_64_partitions")
         + planned.OTHER_LEASES
@@ -40,7 +40,7 @@
 
 
 def table_reads_per_s() -> float:
-    """Returns rows read a second while nothing fails."""
+    """Returns rows read per second without failures."""
     readers = distribution_tree.READERS * planned.DATA_CENTRES
     return (
         readers * (_HEAD_READS_PER_S + planned.CHANGES_PER_S)
@@ -54,7 +54,7 @@
 
 
 def list_reads_per_s() -> float:
-    """Returns reads of the instance list a second."""
+    """Returns reads of the instance list per second."""
     readers = peer_discovery.LIST_READERS * planned.DATA_CENTRES
     return (
         planned.NODES / poller.LIST_PERIOD.total_seconds()
@@ -63,7 +63,7 @@
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns each service's load."""
+    """Returns the load of each service."""
     row = functools.partial(figures.row, GROUP)
     row_bytes = facts.at(
         "footprint.row_bytes", planned.RECORDS_PER_S / _LEDGER.writes_per_s
--- a/bench/capacity/processor.py
+++ b/bench/capacity/processor.py
@@ -1,4 +1,4 @@
-"""Processor microseconds of what an instance does over and over."""
+"""Processor time of an instance's periodic and per-request work."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,18 +33,18 @@
 from nutmeghook.standins import memory_table
 
 ROUNDS = 9
-# Ledger partitions as docs/design/ledger.md advises for the planned size,
-# and the leases of roll-outs, cascades and orders.
+# 64 ledger partitions, as recommended in docs/design/ledger.md for the planned
+# size, and the leases of roll-outs, cascades and orders.
 LEASES = 67
 # The same with the default of 16 partitions.
 FEW_LEASES = 19
-# In each round; all rounds together stay under the table's writes a second.
+# Renewals per round; all rounds stay within the table's write rate.
 RENEWALS = 30
 _LIST_DECODER = msgspec.json.Decoder(list[instances.ListedInstance])
 
 
 def lines() -> list[report.Line]:
-    """Returns medians over rounds, in processor time."""
+    """Returns the medians of processor time over rounds."""
     return [
         *series("list_poll", memory.REPLICAS, _list_poll),
         *series("change", memory.TEMPLATES, _change),
@@ -76,7 +76,7 @@
 def _measure(
     name: str, prepare: Callable[[], Callable[[], int]]
 ) -> report.Line:
-    """Measures acts; each call returns how many there were in it."""
+    """Measures a function that returns its number of iterations."""
     run = prepare()
     run()
     rounds_us = []
@@ -109,7 +109,7 @@
 
 
 def _list_poll(count: int) -> Callable[[], int]:
-    """Reads the instance list's body and compares it with what is known."""
+    """Decodes the instance list and applies it to the directory."""
     clock = clock_module.SystemClock()
     directory = directory_module.BackendDirectory(
         clock=clock,
@@ -128,7 +128,7 @@
 
 
 def _change(count: int) -> Callable[[], int]:
-    """Reads one change of a template and applies it."""
+    """Decodes and applies one change of a template."""
     before = samples.config_state(count)
     changed = edits.Replacement(templates=(samples.template(count // 2),))
     encoded = msgspec.msgpack.encode(changed)
@@ -142,7 +142,7 @@
 
 
 def _lease_rank(count: int, leases: int = LEASES) -> Callable[[], int]:
-    """All keepers of an instance ask for their rank once."""
+    """Computes the rank of an instance for each lease once."""
     view = _members(count)
 
     def run() -> int:
@@ -217,7 +217,7 @@
 
 
 def _ledger_message() -> Callable[[], int]:
-    """A sender's side of one record: write the message, read the reply."""
+    """Encodes the message of one record and decodes its reply."""
     reply = codec.encode(
         ttypes.LedgerResults(
             results=[records.encoder.encode(records.Recorded())]
@@ -238,7 +238,7 @@
 
 
 def _load_digest() -> Callable[[], int]:
-    """Writes and reads a digest of twenty backend servers."""
+    """Encodes and decodes a digest of twenty backend servers."""
     digest = ttypes.LoadDigest(
         addresses=[],
         address_hashes=list(range(100_000, 100_020)),
@@ -282,7 +282,7 @@
 
 
 async def _lease_renewal() -> list[float]:
-    """The keeper's part and a table in memory; no HTTP."""
+    """Renews a lease in a table in memory, without HTTP."""
     clock = clock_module.SystemClock()
     lease = keeper.LeaseKeeper(
         name="ledger/1",
--- a/bench/capacity/results.py
+++ b/bench/capacity/results.py
@@ -1,4 +1,4 @@
-"""The file of results: each benchmark module's newest run."""
+"""The results file with the latest run of each benchmark module."""
 
 import datetime
 import importlib
@@ -12,8 +12,8 @@
 from bench import report
 
 FILE = pathlib.Path("docs/capacity/results.json")
-# Beyond what `make bench` measures: at 126 instances a data centre of this
-# benchmark is as large as one at the planned size.
+# Larger sizes than `make bench` uses: with 126 instances, a data centre of this
+# benchmark is about as large as a planned one.
 _SIZES = {"config": (7, 21, 63, 126)}
 
 
@@ -22,8 +22,8 @@
 
     Attributes:
         started: Wall time, UTC.
-        load_average_start: Of the last minute, when the run began. The
-            machine may have been busy with other work.
+        load_average_start: One-minute load average at the start; the machine
+            may have been busy with other work.
     """
 
     module: str
@@ -55,14 +55,14 @@
 
 
 def load(file: pathlib.Path = FILE) -> Results:
-    """Reads the file; no runs if there is none."""
+    """Reads the file; returns no runs if it does not exist."""
     if not file.exists():
         return Results(runs={})
     return msgspec.json.decode(file.read_bytes(), type=Results)
 
 
 def save(results: Results, file: pathlib.Path = FILE) -> None:
-    """Writes the file, its runs in the order of their names."""
+    """Writes the file with its runs sorted by name."""
     file.parent.mkdir(parents=True, exist_ok=True)
     ordered = Results(runs=dict(sorted(results.runs.items())))
     data = msgspec.json.format(msgspec.json.encode(ordered), indent=1)
--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -1,4 +1,4 @@
-"""What the holders of special parts spend beyond a node's usual."""
+"""Costs of special roles in addition to those of every node."""
 
 import functools
 
@@ -21,17 +21,17 @@
 TIME_LINE = "time-line"
 
 _US_PERCENT = 1e-4
-# Instances without leave ask so often in all, for each version.
+# Rate of allowance requests by all instances that have none, per version.
 _ALLOWANCE_REQUESTS_PER_S = 25
 _HEAD_READS_PER_S = 2
-# An order that comes later than this holds a roll-out's step up for long.
+# An order that is later than this delays a roll-out's step.
 _MAX_PASS_S = 300
-# A longer stand of the event loop keeps a first token waiting for too long.
+# A longer stall of the event loop delays a first token too much.
 _MAX_STALL_S = 0.1
 
 
 def configuration(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what the readers and relays of the configuration spend."""
+    """Returns the costs of distributing the configuration."""
     exchange = facts.value("footprint.config_exchange_bytes")
     anywhere_per_s = planned.NODES / 3
 
@@ -97,9 +97,9 @@
 
 
 def _learning(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what the holder spends who learns the cascades for all.
+    """Returns the costs of the holder that learns the cascades for all.
 
-    At the planned size each step brings ratings to nearly every template.
+    At the planned size nearly every template gets ratings in each step.
     """
     row = functools.partial(figures.row, HOLDERS, runs=("footprint",))
     writing_s = cascade_rows.BUCKETS / cascade_publisher.COMMITS_PER_S
@@ -155,7 +155,7 @@
 
 
 def other_holders(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what holders of the leases of fleet-wide tasks spend."""
+    """Returns the costs of holders of the fleet-wide tasks' leases."""
     row = functools.partial(figures.row, HOLDERS)
     allowance_bytes = facts.value("footprint.leave_bytes")
     requests_per_s = _ALLOWANCE_REQUESTS_PER_S * planned.CONCURRENT_ROLL_OUTS
@@ -228,7 +228,7 @@
 
 
 def membership(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns the membership's own figures."""
+    """Returns the figures of the membership protocol."""
     row = functools.partial(figures.row, MEMBERSHIP, runs=("membership",))
     sent = facts.at("membership.bytes_per_s", planned.NODES) / 2
     list_s = timing.Timing().list_period.total_seconds()
@@ -270,7 +270,7 @@
 
 
 def time_line(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns what gathering the time line costs who is asked."""
+    """Returns the costs of gathering the time line."""
     per_s = planned.NODE_REQUESTS_PER_S * 6
     kept = 8192
     event_bytes = facts.slope("footprint.events_page_bytes")
@@ -309,7 +309,7 @@
 
 
 def all_figures(facts: figures.Facts) -> list[figures.Figure]:
-    """Returns all of the above."""
+    """Returns all figures of this module."""
     return [
         *ledger_holder.all_figures(facts),
         *configuration(facts),
--- a/bench/capacity/samples.py
+++ b/bench/capacity/samples.py
@@ -19,12 +19,12 @@
 DATA_CENTRES = 9
 TEMPLATES_A_TEAM = 10
 VERSION = engine.ModelVersion(model="inspection-large", version="2026.11")
-# Tokens of an answer in the mean, by the plan; a token has about 4 bytes.
+# The plan's mean tokens of an answer, at about 4 bytes a token.
 ANSWER_BYTES = 4 * 214
 
 
 def location(number: int) -> tuple[str, str]:
-    """Returns the region and data centre of the machine of a number."""
+    """Returns the region and data centre of a numbered machine."""
     centre = number % DATA_CENTRES
     region = f"region-{centre % REGIONS}"
     return region, f"{region}-{centre // REGIONS + 1}"
@@ -42,7 +42,7 @@
 
 
 def claim(number: int) -> claims.Claim:
-    """Returns what an entry instance says of itself."""
+    """Returns an entry instance's claim of itself."""
     return claims.Claim(member=member(number), number=1_764_000_000_000)
 
 
@@ -96,7 +96,7 @@
 
 
 def config_state(templates: int) -> state.ConfigState:
-    """Returns a configuration with so many templates."""
+    """Returns a configuration with a number of templates."""
     templates_kept = [template(number) for number in range(templates)]
     teams = [team(n) for n in range(-(-templates // TEMPLATES_A_TEAM))]
     snapshot = documents.Snapshot(
@@ -139,7 +139,7 @@
 def finish_record(
     number: int, *, given_by_caller: bool = True, answer_bytes: int = 0
 ) -> records.FinishRecord:
-    """Returns a bill, with an answer to keep if that has bytes."""
+    """Returns a bill, with a kept answer if `answer_bytes` is not 0."""
     answer = None
     if answer_bytes:
         answer = ledger.KeptAnswer(
@@ -175,7 +175,7 @@
 
 
 def pin_request(number: int) -> records.PinRequest:
-    """Returns the question for a session's pin."""
+    """Returns a request for a session's pin."""
     return records.PinRequest(
         team=f"team-{number % 300}",
         template=f"template-{number % 3000}",
@@ -192,7 +192,7 @@
 
 @functools.cache
 def metrics() -> metrics_module.Metrics:
-    """Returns the metrics; the library lets a process have them once."""
+    """Returns the metrics, which the library permits once per process."""
     return metrics_module.Metrics()
 
 
--- a/bench/capacity/streams.py
+++ b/bench/capacity/streams.py
@@ -13,7 +13,7 @@
 from bench import report
 
 STREAMS = (0, 20, 40, 80, 160, 320)
-# Streams last long enough for all of a size to be open at once.
+# Long enough for all streams of a size to be open at the same time.
 TOKENS = 600
 SETTLE_S = 2.0
 _QUESTION = {
@@ -25,7 +25,7 @@
 
 
 def lines() -> list[report.Line]:
-    """Starts a source of tokens and the request path, and ends them."""
+    """Measures with a source of tokens and the request path as processes."""
     with contextlib.ExitStack() as processes:
         _, source = start(processes, "source")
         process, path = start(processes, "path", source)
@@ -55,7 +55,7 @@
     measured = []
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        # What the first requests load and cache is no part of the slope.
+        # The first requests load and cache data that is not part of the slope.
         await _resident_bytes(session, process, path, streams=4)
         for streams in STREAMS:
             resident = await _resident_bytes(
--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page says what its file of results gives, and no more."""
+"""The tables of the capacity page match the stored results."""
 
 import pathlib
 import tempfile
@@ -41,7 +41,8 @@
         self.results = results_module.load(FILE)
         self.facts = figures.Facts(self.results)
 
-    def test_tables_are_those_of_the_results(self):
+    def test_tables_match_the_results(self):
+        """Results or formulas change, and the page is not written again."""
         text = PAGE.read_text()
         self.assertEqual(
             text,
@@ -49,7 +50,8 @@
             "run `python -m bench.capacity --page-only`",
         )
 
-    def test_every_figure_names_runs_that_were_made(self):
+    def test_every_named_run_is_in_the_results(self):
+        """A figure or a budget names a run that was never stored."""
         found = [
             *page.all_figures(self.facts),
             *budgets.checks(self.facts),
@@ -61,11 +63,11 @@
             self.assertIn(name, run.command)
             self.assertTrue(run.lines)
 
-    def test_a_figure_without_a_run_rests_on_no_measurement(self):
-        """A figure that reads the results has to say which run it is from.
+    def test_exactly_the_measured_figures_name_a_run(self):
+        """A figure uses measured values without naming their run.
 
-        Every measured value is doubled. What changes was measured, so it
-        must name a run; what doesn't comes from the plan and from settings.
+        Doubles all measured values: figures that change must name a run, the
+        others follow from the plan and the settings and must name none.
         """
         doubled = results_module.Results(
             runs={
@@ -92,12 +94,14 @@
         return [(each.name, each.runs, each.value) for each in found]
 
     def test_every_mechanism_is_a_module(self):
+        """A module is renamed and the page still names the old one."""
         for figure in page.all_figures(self.facts):
             for module in figure.mechanism.split(", "):
                 with self.subTest(f"{figure.name}: {module}"):
                     self.assertTrue((PACKAGE / f"{module}.py").is_file())
 
-    def test_what_misses_its_budget_is_bold(self):
+    def test_exceeded_budgets_are_marked(self):
+        """A budget that is not met is marked as met on the page."""
         text = PAGE.read_text()
         for check in budgets.checks(self.facts):
             [row] = [
@@ -108,7 +112,8 @@
             with self.subTest(check.name):
                 self.assertEqual("**no**" in row, not check.is_met)
 
-    def test_a_page_that_lacks_a_table_is_refused(self):
+    def test_page_without_a_table_is_refused(self):
+        """The page loses a table's markers, and the table is dropped."""
         with self.assertRaisesRegex(KeyError, "no place"):
             page.rendered(self.results, "# Capacity\n")
 
@@ -121,7 +126,9 @@
             strategies.integers(1, 10_000), min_size=2, max_size=8
         ),
     )
-    def test_points_on_a_line_give_it_back(self, slope, intercept, sizes):
+    def test_fit_of_points_on_a_line_is_that_line(
+        self, slope, intercept, sizes
+    ):
         lines = [
             report.Line(
                 name=f"sample.cost.{size}",
@@ -134,7 +141,7 @@
         self.assertAlmostEqual(found.at(20_000), intercept + slope * 20_000, 1)
         self.assertEqual([p.size for p in found.points], sorted(sizes))
 
-    def test_the_error_is_that_of_the_worst_point(self):
+    def test_error_is_that_of_the_worst_point(self):
         values = {1: 10.0, 2: 30.0, 3: 30.0}
         lines = [
             report.Line(name=f"sample.cost.{size}", value=value, unit="us")
@@ -144,7 +151,8 @@
         self.assertAlmostEqual(found.slope, 10.0)
         self.assertAlmostEqual(found.largest_error, (30 - 70 / 3) / (100 / 3))
 
-    def test_one_point_is_no_line(self):
+    def test_single_point_is_refused(self):
+        """Lines of other series are taken for points of the series."""
         lines = [
             report.Line(name="sample.cost.7", value=1.0, unit="us"),
             report.Line(name="sample.cost.7.idle", value=1.0, unit="us"),
@@ -155,7 +163,7 @@
 
 
 class ResultsTest(unittest.TestCase):
-    def test_results_are_read_back_as_written(self):
+    def test_results_are_loaded_as_saved(self):
         line = report.Line(name="sample.a", value=1.5, unit="s", bound=2.0)
         results = _results([line])
         with tempfile.TemporaryDirectory() as folder:
