--- a/bench/capacity/outage_retries.py
+++ b/bench/capacity/outage_retries.py
@@ -45,11 +45,11 @@
         probe=_never,
         probe_every=ledger_settings.LedgerSettings().probe_every,
     )
-    health.note_failure()
+    health.record_failure()
     retries_by_second = [0] * _OUTAGE_S
 
     def refuse(deadline_s: float) -> None:
-        wait_s = health.come_back_after().total_seconds()
+        wait_s = health.suggested_retry_after().total_seconds()
         if clock.now_s + wait_s <= deadline_s:
             clock.call_at(clock.now_s + wait_s, lambda: retry(deadline_s))
 
--- a/bench/plot_heavy_days.py
+++ b/bench/plot_heavy_days.py
@@ -64,8 +64,8 @@
                     {
                         "load": load_name,
                         "way": policy,
-                        "worth_share": round(outcome.worth_share, 3),
-                        "larger_share": round(outcome.larger_share, 3),
+                        "worth_share": round(outcome.utility_share, 3),
+                        "larger_share": round(outcome.larger_model_share, 3),
                         "wait_p90_s": round(outcome.wait_s(0.9), 2),
                     }
                 )
@@ -91,12 +91,12 @@
         3, len(outcomes_by_load), figsize=(15, 9), sharex=True, sharey="row"
     )
     for column, (load_name, outcomes) in enumerate(outcomes_by_load.items()):
-        worth, larger, queues = (grid[row][column] for row in range(3))
-        worth.set_title(load_name)
+        utility, larger, queues = (grid[row][column] for row in range(3))
+        utility.set_title(load_name)
         for policy, outcome in outcomes.items():
-            seconds, shares = _by_second(outcome, _worth_share)
-            worth.plot(seconds, shares, label=policy)
-            seconds, shares = _by_second(outcome, _larger_share)
+            seconds, shares = _by_second(outcome, _utility_share)
+            utility.plot(seconds, shares, label=policy)
+            seconds, shares = _by_second(outcome, _larger_model_share)
             larger.plot(seconds, shares, label=policy)
             queues.plot(
                 [sample.at_s for sample in outcome.queues],
@@ -122,11 +122,15 @@
     return seconds, [share(some) if some else 0.0 for some in answered]
 
 
-def _worth_share(answered: list[emulated_outcome.Answered]) -> float:
-    return sum(a.worth for a in answered) / sum(a.owed for a in answered)
+def _utility_share(answered: list[emulated_outcome.AnsweredRequest]) -> float:
+    return sum(a.utility for a in answered) / sum(
+        a.max_utility for a in answered
+    )
 
 
-def _larger_share(answered: list[emulated_outcome.Answered]) -> float:
+def _larger_model_share(
+    answered: list[emulated_outcome.AnsweredRequest],
+) -> float:
     return sum(a.model_index > 0 for a in answered) / len(answered)
 
 
--- a/src/nutmeghook/experiment/faults.py
+++ b/src/nutmeghook/experiment/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a trial can bring about, each with its own end."""
+"""The faults that a trial can inject; each ends by itself."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,7 +19,7 @@
 
 Fault = Callable[[trial_module.Trial], Awaitable[None]]
 
-# Longer than a lease lasts with its margin, so that others take over.
+# Longer than a lease and its margin, so that other instances take over.
 FREEZE_S = 7.0
 OUTAGE_S = 4.0
 KILL_AFTER_S = 1.2
@@ -27,41 +27,41 @@
 LOST_ANSWERS = 25
 SERVICE_SLOW_MS = 800.0
 WITHDRAWN_AFTER_S = 2.0
-LOOK_EVERY_S = 0.25
-MOST_LOOKS = 80
+POLL_PERIOD_S = 0.25
+MAX_POLLS = 80
 RACES = 5
-LONG_ANSWER = 60
+LONG_ANSWER_TOKENS = 60
 LONG_ANSWER_STEP_MS = 60.0
 
 
 async def kill_instance(trial: trial_module.Trial) -> None:
     """SIGKILL for the newest instance; another takes its place.
 
-    It comes a moment after the other faults of a pair, so that it finds their
-    work half done: bills that wait for a slow store, calls without an answer.
+    It begins after the faults that it is combined with, while their work is
+    half done: bills wait for a slow store, and calls have no answer yet.
     """
     victim = trial.running()[-1]
     await asyncio.sleep(KILL_AFTER_S)
     victim.process.kill()
     await victim.process.ended()
     await trial.add_instance()
-    await trial.forget_instance(victim)
+    await trial.remove_instance(victim)
 
 
 async def freeze_instance(trial: trial_module.Trial) -> None:
-    """SIGSTOP past every lease, then SIGCONT.
+    """SIGSTOP until every lease has expired, then SIGCONT.
 
-    Another instance than the one that `kill_instance` takes, so that both can
-    happen together.
+    It takes another instance than `kill_instance`, so that both faults can be
+    combined.
     """
     victim = trial.running()[1]
-    victim.process.freeze()
+    victim.process.pause()
     await asyncio.sleep(FREEZE_S)
-    victim.process.thaw()
+    victim.process.resume()
 
 
 async def drain_instance(trial: trial_module.Trial) -> None:
-    """SIGTERM; it must end with status 0 and cut nothing."""
+    """SIGTERM; the instance must end with status 0 and cut no request."""
     victim = trial.running()[-1]
     await trial.add_instance()
     await end_gracefully(trial, victim)
@@ -70,10 +70,10 @@
 async def end_gracefully(
     trial: trial_module.Trial, victim: system_module.RunningInstance
 ) -> None:
-    """SIGTERM; it must end with status 0."""
-    victim.process.ask_to_end()
+    """SIGTERM; the instance must end with status 0."""
+    victim.process.terminate()
     status = await victim.process.ended()
-    await trial.forget_instance(victim)
+    await trial.remove_instance(victim)
     if status != 0:
         raise AssertionError(
             f"{victim.name} ended with status {status}\n"
@@ -102,12 +102,12 @@
 
 
 async def ratings_down(trial: trial_module.Trial) -> None:
-    """The rating service is out."""
+    """The rating service cuts every connection."""
     await _outage(trial, "ratings", serving.DownMode.CUTTING)
 
 
 async def instance_list_down(trial: trial_module.Trial) -> None:
-    """The instance list is out."""
+    """The instance list cuts every connection."""
     await _outage(trial, "instances", serving.DownMode.CUTTING)
 
 
@@ -147,7 +147,7 @@
 
 
 async def engines_cut_streams(trial: trial_module.Trial) -> None:
-    """Each engine breaks five streams and crosses three."""
+    """Each engine cuts five streams and sends wrong chunks in three."""
     for name in engine_names(trial):
         change = {"cut_next_streams": 5, "crossed_next_streams": 3}
         await trial.system.control(
@@ -156,10 +156,13 @@
 
 
 async def engines_give_long_answers(trial: trial_module.Trial) -> None:
-    """Engines take seconds for an answer, so that streams are long."""
+    """Engines take seconds for an answer, so streams are long."""
     await _set_engines(
         trial,
-        {"step_ms": LONG_ANSWER_STEP_MS, "mean_answer_tokens": LONG_ANSWER},
+        {
+            "step_ms": LONG_ANSWER_STEP_MS,
+            "mean_answer_tokens": LONG_ANSWER_TOKENS,
+        },
     )
 
 
@@ -173,7 +176,7 @@
 
 
 async def engine_crashes(trial: trial_module.Trial) -> None:
-    """One engine of each pool dies and comes back empty."""
+    """One engine of each pool crashes and restarts without its state."""
     for name in ("inspection-0", "rostering-0"):
         await trial.system.control(name, "crash", b"")
 
@@ -244,7 +247,7 @@
 
 
 async def bad_rollout(trial: trial_module.Trial) -> None:
-    """A version that is bad from its first answer on is rolled out."""
+    """Rolls out a version that is bad from its first answer on."""
     await trial.accept(
         edits.RollOutVersion(
             team=trial_module.ROLLOUT_TEAM,
@@ -256,7 +259,7 @@
 
 
 async def good_rollout(trial: trial_module.Trial) -> None:
-    """A version that is as good as its predecessor is rolled out."""
+    """Rolls out a version that is as good as its predecessor."""
     await trial.accept(
         edits.RollOutVersion(
             team=trial_module.GOOD_ROLLOUT_TEAM,
@@ -267,26 +270,26 @@
     )
 
 
-async def _answered_by(
+async def _wait_for_run(
     trial: trial_module.Trial, version: engine.ModelVersion
 ) -> None:
-    """Waits until an engine has run work on a version, within limits."""
-    for _ in range(MOST_LOOKS):
-        runs = await evidence.runs_of(trial.system)
+    """Waits, for a limited time, until an engine has run a version."""
+    for _ in range(MAX_POLLS):
+        runs = await evidence.read_runs(trial.system)
         if any(run.model_version == str(version) for run in runs):
             return
-        await asyncio.sleep(LOOK_EVERY_S)
+        await asyncio.sleep(POLL_PERIOD_S)
 
 
 async def withdrawal(trial: trial_module.Trial) -> None:
-    """A version rolls out, and an operator withdraws it half-way.
+    """Rolls out a version and withdraws it during the roll-out.
 
-    Half-way is when callers are being answered by it, not some time: on a
-    busy machine engines are ready later, and a version that nobody was sent
-    to has nothing to withdraw.
+    It waits for answers by the version rather than for a fixed time: on a
+    busy machine engines load it later, and withdrawing a version that has
+    served nobody tests nothing.
     """
     await good_rollout(trial)
-    await _answered_by(trial, example_fleet.GOOD_VERSION)
+    await _wait_for_run(trial, example_fleet.GOOD_VERSION)
     await asyncio.sleep(WITHDRAWN_AFTER_S)
     await trial.accept(
         edits.WithdrawVersion(
--- a/src/nutmeghook/experiment/load.py
+++ b/src/nutmeghook/experiment/load.py
@@ -1,4 +1,4 @@
-"""Steady load on running instances, and what its callers saw."""
+"""Sends steady load to running instances and reports the outcome."""
 
 import asyncio
 import os
@@ -20,10 +20,10 @@
 from nutmeghook.internal.settings import loading
 
 EXIT_USAGE = 2
-MOST_AT_ONCE = 2000
+MAX_CONCURRENT = 2000
 
 
-async def do_drawn_works(
+async def perform_random_work(
     *,
     addresses: list[str],
     tokens: dict[str, str],
@@ -31,7 +31,7 @@
     run_name: str,
     seed: int = 2,
 ) -> list[history_module.Work]:
-    """Does works of both example users, all at once, and returns them."""
+    """Performs random work of both example users concurrently."""
     clock = clock_module.SystemClock()
     record = history_module.History()
     async with aiohttp.ClientSession() as http:
@@ -53,16 +53,18 @@
             agency_teams=example_fleet.AGENCY_TEAMS,
             airline_teams=example_fleet.AIRLINE_TEAMS,
         )
-        await asyncio.gather(*(caller.do(drawn.draw()) for _ in range(works)))
+        await asyncio.gather(
+            *(caller.perform(drawn.draw()) for _ in range(works))
+        )
     return record.works
 
 
 class LoadSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What to send where.
+    """The load and where to send it.
 
     Attributes:
-        addresses: `ip:port` of instances or of a balancer.
-        rate_per_s: Requests started a second, whatever became of others.
+        addresses: `ip:port` of instances or of a load balancer.
+        rate_per_s: Requests started a second, independent of responses.
     """
 
     addresses: list[str]
@@ -76,7 +78,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What the callers saw; times are of answered requests."""
+    """Outcomes for the callers; times are those of answered requests."""
 
     sent: int
     answered: int
@@ -88,7 +90,7 @@
 
 
 def checked(settings: LoadSettings) -> LoadSettings:
-    """Returns the settings if all of them are good.
+    """Returns the settings if all of them are valid.
 
     Raises:
         ExceptionGroup: A ValueError for each fault.
@@ -115,7 +117,7 @@
 
 
 async def run(settings: LoadSettings) -> LoadReport:
-    """Sends the load and returns what came of it."""
+    """Sends the load and returns its report."""
     clock = clock_module.SystemClock()
     record = history_module.History()
     connector = aiohttp.TCPConnector(limit=0)
@@ -140,11 +142,11 @@
     loop = asyncio.get_running_loop()
     count = int(settings.rate_per_s * settings.duration_s)
     start_s = loop.time()
-    slots = asyncio.Semaphore(MOST_AT_ONCE)
+    slots = asyncio.Semaphore(MAX_CONCURRENT)
 
     async def one(number: int) -> None:
         async with slots:
-            await caller.do(_assignment(settings, number))
+            await caller.perform(_assignment(settings, number))
 
     async with asyncio.TaskGroup() as tasks:
         for number in range(count):
--- a/src/nutmeghook/experiment/soak_checks.py
+++ b/src/nutmeghook/experiment/soak_checks.py
@@ -1,7 +1,8 @@
-"""What must hold at every moment of a soak, from callers and replicas alone.
+"""Checks of a soak, from what callers and replicas observed.
 
-Bounds in time hold for routers that had no trouble of their own, nor the
-store, for a while before. Whatever holds without a bound is judged always.
+Time bounds apply only to routers that neither had a fault themselves nor were
+affected by one of the store or the links for some time before. All other
+checks always apply.
 """
 
 from collections.abc import Iterable
@@ -13,36 +14,38 @@
 from nutmeghook.platform import headers
 from nutmeghook.standins import users_replica
 
-# The users' bounds: for a configuration and a leaving replica to be in force,
-# and for how long a router has to be without trouble before they hold.
-IN_FORCE_S = 2.0
-DRAINED_S = 2.0
-CONTACT_S = 3.0
-# What a caller's and the soak's own clocks may differ by in a busy process.
+# The users' bounds: for a configuration and for a leaving replica to be in
+# force, and for how long a router has to be without faults before they apply.
+CONFIGURATION_BOUND_S = 2.0
+DRAIN_BOUND_S = 2.0
+UNDISTURBED_S = 3.0
+# Timestamps of callers and of the soak may differ by this in a busy process.
 SLACK_S = 0.5
 RETRY_RATIO = 0.9
 RETRY_ALLOWANCE = 54
 EXPOSURE_SHARE = 0.15
 EXPOSURE_ALLOWANCE = 30
-EVACUATED_S = 5.0
-# What a cold replica of the soak's service bears, and the bound that follows
-# from its routers' settings.
-COLD_PER_S = 6.0
-MOST_COLD_IN_ONE_SECOND = COLD_PER_S * 1.5 + 5.0
+EVACUATION_BOUND_S = 5.0
+# The rate limit of a cold replica of the soak's service, and the bound that
+# follows from its routers' settings coldOverrun (1.5) and coldAllowance (5).
+MAX_COLD_RATE_PER_S = 6.0
+MAX_COLD_IN_ONE_SECOND = MAX_COLD_RATE_PER_S * 1.5 + 5.0
 ALL_ROUTERS = ""
-# The users' bound on sends of a request that has ended so many replicas.
+# The users' bound: a request that has crashed so many replicas is sent at most
+# so many times more.
 CRASHED_REPLICAS = 3
-CRASHING_RETRIES = 3
-# Disturbs everybody else, and not what is known of the request itself.
-CRASHING_COPY = "copy of a crashing request"
+MAX_CRASHING_RETRIES = 3
+# The kind of a fault that affects other requests, but not what routers know
+# about the crashing request itself.
+CRASHING_REQUEST = "copy of a crashing request"
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class Trouble:
-    """Something that was done to the fleet.
+class InjectedFault:
+    """A fault that was injected into the fleet.
 
     Attributes:
-        router: Whose trouble it is; empty for all.
+        router: The router that it affects; empty for all.
         is_stop: A graceful stop, which may cut no request.
     """
 
@@ -55,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class KeyRemoval:
-    """A key was taken away and, perhaps, given back."""
+    """The removal of an API key, until it was restored."""
 
     key: str
     from_s: float
@@ -64,7 +67,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Evacuation:
-    """A data centre was emptied, and taken back."""
+    """The evacuation of a data centre, until it was ended."""
 
     data_centre: str
     from_s: float
@@ -82,29 +85,29 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class History:
-    """All that was seen of a soak.
+    """The history of a soak.
 
     Attributes:
-        seen: What reached replicas, by replica id.
+        received: Requests that reached replicas, by replica id.
         broken: Ids of requests whose answer a replica broke off.
-        given_up: Ids of requests whose caller did not wait for the end.
-        left_at_s: When each leaving replica's word was accepted.
-        crashes: Replicas that ended under a request, in order.
-        bad_runs: Requests that the bad version ran.
-        evacuations: What the operator emptied.
+        abandoned: Ids of requests that were cancelled by their caller.
+        leaving_since_s: When each leaving replica was listed as leaving.
+        crashes: Replicas that crashed under a request, in order.
+        bad_runs: Number of requests that the bad version ran.
+        evacuations: Of data centres, by the operator.
         cold: When replicas were cold.
         data_centres: Of replicas, by their ids.
-        order_s: When the bad version was ordered; None if none was.
+        ordered_at_s: When the bad version was ordered; None if it was not.
     """
 
-    calls: list[platform_checks.CallSeen]
-    troubles: list[Trouble]
+    calls: list[platform_checks.ObservedCall]
+    injected_faults: list[InjectedFault]
     removals: list[KeyRemoval]
-    seen: dict[str, list[users_replica.SeenRequest]]
+    received: dict[str, list[users_replica.ReceivedRequest]]
     runs: dict[str, int]
     broken: set[str]
-    given_up: set[str]
-    left_at_s: dict[str, float]
+    abandoned: set[str]
+    leaving_since_s: dict[str, float]
     stop_statuses: list[int]
     crashes: list[platform_trial.ReplicaCrash] = dataclasses.field(
         default_factory=list
@@ -113,26 +116,26 @@
     evacuations: list[Evacuation] = dataclasses.field(default_factory=list)
     cold: list[ColdTime] = dataclasses.field(default_factory=list)
     data_centres: dict[str, str] = dataclasses.field(default_factory=dict)
-    order_s: float | None = None
+    ordered_at_s: float | None = None
     final_state: str = ""
 
-    def is_calm(self, router: str, from_s: float, to_s: float) -> bool:
-        """Tells whether a router had no trouble from long enough before."""
+    def is_undisturbed(self, router: str, from_s: float, to_s: float) -> bool:
+        """Tells whether a router had no fault then and for some time before."""
         return not any(
-            trouble.router in (ALL_ROUTERS, _name(router))
-            and trouble.from_s <= to_s
-            and trouble.to_s >= from_s - CONTACT_S
-            for trouble in self.troubles
+            fault.router in (ALL_ROUTERS, _name(router))
+            and fault.from_s <= to_s
+            and fault.to_s >= from_s - UNDISTURBED_S
+            for fault in self.injected_faults
         )
 
 
 def violations(history: History, *, with_bounds: bool = True) -> list[str]:
-    """Returns everything that did not hold.
+    """Returns all violations.
 
     Args:
-        history: What was seen.
-        with_bounds: Judge bounds in time too. On a machine that is busy with
-            other work a router may be late without being wrong.
+        history: The soak's history.
+        with_bounds: Check time bounds too. On a machine that is busy with
+            other work a router may be late without a fault of its own.
     """
     found = platform_checks.violations(
         calls=history.calls,
@@ -148,10 +151,10 @@
 
 def _changed_requests(history: History) -> Iterator[str]:
     sent = {call.request_id: call for call in history.calls}
-    for requests in history.seen.values():
+    for requests in history.received.values():
         for request in requests:
             call = sent.get(request.request_id)
-            if request.request_id in history.given_up:
+            if request.request_id in history.abandoned:
                 continue
             if call is None:
                 sent_line = f"{request.method} {request.target}"
@@ -161,23 +164,23 @@
             ):
                 yield f"{call.request_id} reached a replica changed"
             elif "authorization" in request.headers:
-                yield f"{call.request_id}'s key was passed on"
+                yield f"{call.request_id}'s key was forwarded"
             elif request.headers.get(headers.TEAM.lower()) != "team":
-                yield f"{call.request_id} came without its team"
+                yield f"{call.request_id} reached a replica without its team"
 
 
 def _removed_keys(history: History) -> Iterator[str]:
     for call, removal in _calls_with_removed_keys(history):
-        in_force_s = removal.from_s + IN_FORCE_S + SLACK_S
-        let_in = call.status == 200 or history.runs.get(call.request_id)
-        if not let_in or call.sent_s <= in_force_s:
+        in_force_s = removal.from_s + CONFIGURATION_BOUND_S + SLACK_S
+        admitted = call.status == 200 or history.runs.get(call.request_id)
+        if not admitted or call.sent_s <= in_force_s:
             continue
-        if history.is_calm(call.router, removal.from_s, call.sent_s):
-            yield f"{call.request_id} was let in by a removed key"
+        if history.is_undisturbed(call.router, removal.from_s, call.sent_s):
+            yield f"{call.request_id} was admitted with a removed key"
 
 
-def _keys_that_came_back(history: History) -> Iterator[str]:
-    """A router that refused a key once must not let it in again."""
+def _readmitted_keys(history: History) -> Iterator[str]:
+    """A router that has refused a removed key must not admit it again."""
     refused_at_s: dict[tuple[str, KeyRemoval], float] = {}
     for call, removal in _calls_with_removed_keys(history):
         if call.status == 401:
@@ -189,15 +192,15 @@
         if call.status != 200 or known_s is None:
             continue
         if call.sent_s > known_s + SLACK_S:
-            yield f"{call.request_id} was let in after the key's refusal"
+            yield f"{call.request_id} was admitted after its key was refused"
 
 
 def _calls_with_removed_keys(
     history: History,
-) -> Iterator[tuple[platform_checks.CallSeen, KeyRemoval]]:
+) -> Iterator[tuple[platform_checks.ObservedCall, KeyRemoval]]:
     for removal in history.removals:
-        # Until a while before it was given back: the news may be faster than
-        # the note of it.
+        # Calls shortly before the end are left out: routers may see the
+        # restored key before its restoration is recorded.
         end_s = removal.to_s - SLACK_S
         for call in history.calls:
             if call.key != removal.key:
@@ -208,21 +211,21 @@
 
 def _drained_replicas(history: History) -> Iterator[str]:
     sent = {call.request_id: call for call in history.calls}
-    for replica_id, left_s in history.left_at_s.items():
-        bound_s = left_s + DRAINED_S + SLACK_S
-        for request in history.seen.get(replica_id, ()):
+    for replica_id, left_s in history.leaving_since_s.items():
+        bound_s = left_s + DRAIN_BOUND_S + SLACK_S
+        for request in history.received.get(replica_id, ()):
             call = sent.get(request.request_id)
             if call is None or call.sent_s <= bound_s:
                 continue
-            if history.is_calm(call.router, left_s, request.arrived_s):
+            if history.is_undisturbed(call.router, left_s, request.arrived_s):
                 yield f"{call.request_id} reached {replica_id}, which had left"
 
 
 def _evacuated_replicas(history: History) -> Iterator[str]:
     sent = {call.request_id: call for call in history.calls}
     for evacuation in history.evacuations:
-        in_force_s = evacuation.from_s + EVACUATED_S + SLACK_S
-        for replica_id, requests in history.seen.items():
+        in_force_s = evacuation.from_s + EVACUATION_BOUND_S + SLACK_S
+        for replica_id, requests in history.received.items():
             if history.data_centres.get(replica_id) != evacuation.data_centre:
                 continue
             for request in requests:
@@ -231,14 +234,17 @@
                     in_force_s < request.arrived_s < evacuation.to_s
                 ):
                     continue
-                # What the router sends it may have been told of long before.
-                from_s = request.arrived_s - CONTACT_S
-                if history.is_calm(call.router, from_s, request.arrived_s):
+                # The evacuation may be much older than the request, so only
+                # faults shortly before the request matter.
+                from_s = request.arrived_s - UNDISTURBED_S
+                if history.is_undisturbed(
+                    call.router, from_s, request.arrived_s
+                ):
                     yield f"{call.request_id} reached an evacuated {replica_id}"
 
 
-def most_in_one_second(moments_s: Iterable[float]) -> int:
-    """Returns the most moments that lie within one second."""
+def max_in_one_second(moments_s: Iterable[float]) -> int:
+    """Returns the largest number of moments within one second."""
     known_s = list(moments_s)
     return max(
         (sum(begin <= at < begin + 1.0 for at in known_s) for begin in known_s),
@@ -248,18 +254,18 @@
 
 def _cold_replicas(history: History) -> Iterator[str]:
     for cold in history.cold:
-        most = most_in_one_second(
+        most = max_in_one_second(
             request.arrived_s
-            for request in history.seen.get(cold.replica_id, ())
+            for request in history.received.get(cold.replica_id, ())
             if cold.from_s <= request.arrived_s < cold.to_s
         )
-        if most > MOST_COLD_IN_ONE_SECOND:
+        if most > MAX_COLD_IN_ONE_SECOND:
             yield f"cold {cold.replica_id} got {most} requests in one second"
 
 
-def _cut_by_a_stop(history: History) -> Iterator[str]:
-    stops = [trouble for trouble in history.troubles if trouble.is_stop]
-    others = [trouble for trouble in history.troubles if not trouble.is_stop]
+def _requests_cut_by_stops(history: History) -> Iterator[str]:
+    stops = [fault for fault in history.injected_faults if fault.is_stop]
+    others = [fault for fault in history.injected_faults if not fault.is_stop]
     for call in history.calls:
         if call.status and call.complete:
             continue
@@ -268,28 +274,29 @@
         stop = _stop_around(call, stops)
         if stop is None:
             continue
-        alone = dataclasses.replace(history, troubles=others)
-        if alone.is_calm(call.router, call.sent_s, call.ended_s):
+        alone = dataclasses.replace(history, injected_faults=others)
+        if alone.is_undisturbed(call.router, call.sent_s, call.ended_s):
             yield f"{call.request_id} was cut by a graceful stop"
 
 
 def _stop_around(
-    call: platform_checks.CallSeen, stops: Iterable[Trouble]
-) -> Trouble | None:
-    """Returns the stop during which a request that was taken in ended."""
+    call: platform_checks.ObservedCall, stops: Iterable[InjectedFault]
+) -> InjectedFault | None:
+    """Returns the stop during which a request that was sent before ended."""
     for stop in stops:
         if stop.router != _name(call.router):
             continue
-        # Connections that were not yet taken in when the door closed are
-        # refused, and promise nothing.
+        # A request sent after the stop began may be refused.
         if call.sent_s < stop.from_s and call.ended_s >= stop.from_s:
             return stop
     return None
 
 
-def _budget(history: History) -> Iterator[str]:
-    arrived = sum(len(requests) for requests in history.seen.values())
-    distinct = len({r.request_id for rs in history.seen.values() for r in rs})
+def _retry_budget(history: History) -> Iterator[str]:
+    arrived = sum(len(requests) for requests in history.received.values())
+    distinct = len(
+        {r.request_id for rs in history.received.values() for r in rs}
+    )
     if arrived - distinct > RETRY_RATIO * distinct + RETRY_ALLOWANCE:
         yield f"{arrived} arrivals of {distinct} requests"
 
@@ -297,32 +304,32 @@
 def _crashing_requests(history: History) -> Iterator[str]:
     if len(history.crashes) < CRASHED_REPLICAS:
         return
-    bound_s = history.crashes[CRASHED_REPLICAS - 1].at_s + CONTACT_S
+    bound_s = history.crashes[CRASHED_REPLICAS - 1].at_s + UNDISTURBED_S
     sent = {call.request_id: call for call in history.calls}
-    others = [t for t in history.troubles if t.kind != CRASHING_COPY]
-    alone = dataclasses.replace(history, troubles=others)
+    others = [t for t in history.injected_faults if t.kind != CRASHING_REQUEST]
+    alone = dataclasses.replace(history, injected_faults=others)
     late = 0
     for request in _arrivals(history):
         call = sent.get(request.request_id)
         if request.body != platform_checks.CRASHING_BODY or call is None:
             continue
         is_late = request.arrived_s > bound_s
-        late += is_late and alone.is_calm(
+        late += is_late and alone.is_undisturbed(
             call.router, request.arrived_s, request.arrived_s
         )
-    if late > CRASHING_RETRIES:
-        yield f"a request that had ended three replicas was sent {late} times"
+    if late > MAX_CRASHING_RETRIES:
+        yield f"a request that crashed three replicas was sent {late} times"
 
 
-def _arrivals(history: History) -> Iterator[users_replica.SeenRequest]:
-    for requests in history.seen.values():
+def _arrivals(history: History) -> Iterator[users_replica.ReceivedRequest]:
+    for requests in history.received.values():
         yield from requests
 
 
 def _exposure(history: History) -> Iterator[str]:
-    if history.order_s is None:
+    if history.ordered_at_s is None:
         return
-    since = sum(call.sent_s >= history.order_s for call in history.calls)
+    since = sum(call.sent_s >= history.ordered_at_s for call in history.calls)
     bound = EXPOSURE_SHARE * since + EXPOSURE_ALLOWANCE
     if history.bad_runs > bound:
         yield f"the bad version ran {history.bad_runs} of {since} requests"
@@ -331,15 +338,15 @@
 
 
 def _name(router: str) -> str:
-    """Returns a router's name without the number of its start."""
+    """Returns a router's name, without the number of its start."""
     return router.partition("#")[0]
 
 
 _CHECKS = (
     _changed_requests,
-    _keys_that_came_back,
-    _cut_by_a_stop,
-    _budget,
+    _readmitted_keys,
+    _requests_cut_by_stops,
+    _retry_budget,
     _exposure,
     _crashing_requests,
     _cold_replicas,
--- a/src/nutmeghook/internal/entry/application.py
+++ b/src/nutmeghook/internal/entry/application.py
@@ -13,10 +13,10 @@
 from nutmeghook.internal.dispatch import dispatcher as dispatcher_module
 from nutmeghook.internal.entry import bodies
 from nutmeghook.internal.entry import drain as drain_module
-from nutmeghook.internal.entry import intake as intake_module
+from nutmeghook.internal.entry import openai_schema
 from nutmeghook.internal.entry import paths
 from nutmeghook.internal.entry import replies
-from nutmeghook.internal.entry import shapes
+from nutmeghook.internal.entry import request_reader as request_reader_module
 from nutmeghook.internal.entry import sinks
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import codes
@@ -26,13 +26,13 @@
 
 _WebHandler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 _Handler = Callable[[web.Request, str], Awaitable[web.StreamResponse]]
-_WorkHandler = Callable[
+_AuthenticatedHandler = Callable[
     [web.Request, str, tokens_module.TokenHolder], Awaitable[web.StreamResponse]
 ]
 
 
 class EntryHandlers:
-    """The handlers of the paths that callers use."""
+    """Handlers of the callers' paths."""
 
     __slots__ = (
         "_bodies",
@@ -41,8 +41,8 @@
         "_dispatcher",
         "_drain",
         "_identifiers",
-        "_intake",
         "_knows_backends",
+        "_reader",
     )
 
     def __init__(
@@ -63,25 +63,25 @@
         self._drain = drain
         self._identifiers = identifiers
         self._knows_backends = knows_backends
-        self._intake = intake_module.Intake(
+        self._reader = request_reader_module.RequestReader(
             clock=clock, config=config, tokens=tokens
         )
 
     def add_routes(self, application: web.Application) -> None:
         """Adds all paths."""
         router = application.router
-        router.add_post("/v1/chat/completions", self._work(self._chat))
+        router.add_post("/v1/chat/completions", self._authenticated(self._chat))
         router.add_get("/v1/models", self._coded(self._models))
         router.add_route(
             "*",
             paths.SERVICES_PREFIX + "{service}/{path:.*}",
-            self._work(self._plain),
+            self._authenticated(self._plain),
         )
         router.add_get("/healthz", self._healthz)
         router.add_get("/readyz", self._readyz)
 
     def _coded(self, handler: _Handler) -> _WebHandler:
-        """Gives each request an id, and each error its coded body."""
+        """Wraps a handler with a request id and coded error bodies."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             request_id = self._identifiers.mint("req")
@@ -96,16 +96,17 @@
 
         return handle
 
-    def _work(self, handler: _WorkHandler) -> _WebHandler:
-        """Wraps a handler that a drain has to wait for.
+    def _authenticated(self, handler: _AuthenticatedHandler) -> _WebHandler:
+        """Wraps a handler that needs a token and that a drain waits for.
 
-        The token comes first: what has none costs nothing else.
+        The token is checked first, so that a request without one costs
+        nothing else.
         """
 
         async def handle(
             request: web.Request, request_id: str
         ) -> web.StreamResponse:
-            caller = self._intake.caller(request)
+            caller = self._reader.caller(request)
             with self._drain.request(), self._bodies.reserved(request):
                 return await handler(request, request_id, caller)
 
@@ -117,13 +118,13 @@
         request_id: str,
         caller: tokens_module.TokenHolder,
     ) -> web.StreamResponse:
-        chat = await self._intake.chat(
+        chat = await self._reader.chat(
             request, request_id=request_id, caller=caller
         )
         created_s = int(self._clock.now().timestamp())
         model = chat.generation.template.name
         if not chat.is_streamed:
-            sink = sinks.WholeSink(
+            sink = sinks.WholeAnswerSink(
                 request_id=request_id,
                 model=model,
                 created_s=created_s,
@@ -154,7 +155,7 @@
         request_id: str,
         caller: tokens_module.TokenHolder,
     ) -> web.StreamResponse:
-        call = await self._intake.plain(
+        call = await self._reader.plain(
             request, request_id=request_id, caller=caller
         )
         answer = await self._dispatcher.call_plain(call)
@@ -169,17 +170,18 @@
     async def _models(
         self, request: web.Request, request_id: str
     ) -> web.StreamResponse:
-        team = self._intake.caller(request).team
+        team = self._reader.caller(request).team
         names = sorted(
             template.name
             for template in self._config.snapshot.templates.values()
             if template.team == team.name
         )
         items = [
-            shapes.ModelItem(id=name, owned_by=team.name) for name in names
+            openai_schema.ModelItem(id=name, owned_by=team.name)
+            for name in names
         ]
         return web.Response(
-            body=msgspec.json.encode(shapes.ModelList(data=items)),
+            body=msgspec.json.encode(openai_schema.ModelList(data=items)),
             content_type="application/json",
         )
 
@@ -187,7 +189,7 @@
         return web.Response(text="ok\n")
 
     async def _readyz(self, request: web.Request) -> web.Response:
-        """Tells the balancer whether to send new requests here."""
+        """Tells the load balancer whether to send new requests here."""
         if self._drain.state is not drain_module.DrainState.SERVING:
             return web.Response(status=503, text="leaving\n")
         if not self._config.snapshot.revision:
@@ -209,7 +211,7 @@
 ) -> web.Application:
     """Returns the application with all paths of callers.
 
-    Run it with `handler_cancellation=True`: a caller that hangs up then
+    Run it with `handler_cancellation=True`: a caller that disconnects then
     cancels its handler, and with it the work at the engine.
     """
     application = web.Application(
@@ -233,7 +235,7 @@
 async def _code_routing_errors(
     request: web.Request, handler: _WebHandler
 ) -> web.StreamResponse:
-    """Gives the router's own refusals the body that every error has."""
+    """Returns the router's own errors, 404 and 405, with a coded body."""
     try:
         return await handler(request)
     except web.HTTPException as refusal:
@@ -241,7 +243,7 @@
             raise
         error = errors.CodedError(
             code=codes.Code.NOT_FOUND,
-            detail=f"nothing answers {request.method[:20]!a} at"
+            detail=f"there is no handler for {request.method[:20]!a} at"
             f" {request.path[:100]!a}",
         )
         return replies.error_response(error, request_id="")
--- a/src/nutmeghook/internal/entry/intake.py
+++ b/src/nutmeghook/internal/entry/request_reader.py
@@ -1,4 +1,4 @@
-"""Turns HTTP requests into checked requests for the dispatcher."""
+"""Parses and validates HTTP requests for the dispatcher."""
 
 import dataclasses
 import datetime
@@ -15,27 +15,27 @@
 from nutmeghook.internal.dispatch import requests
 from nutmeghook.internal.entry import bodies
 from nutmeghook.internal.entry import headers as headers_module
+from nutmeghook.internal.entry import openai_schema
 from nutmeghook.internal.entry import paths
-from nutmeghook.internal.entry import shapes
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.foundation import codes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.ledger import ledger
 
-RETRY_UNCONFIGURED = datetime.timedelta(milliseconds=500)
+UNCONFIGURED_RETRY_AFTER = datetime.timedelta(milliseconds=500)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class ChatCall:
-    """A chat request, and the form that its answer is to have."""
+    """A chat request, and the requested form of its answer."""
 
     generation: requests.GenerationRequest
     is_streamed: bool
     include_usage: bool
 
 
-class Intake:
-    """Checks what callers send, cheapest check first."""
+class RequestReader:
+    """Parses and validates callers' requests, cheapest checks first."""
 
     __slots__ = ("_chat_decoder", "_clock", "_config", "_tokens")
 
@@ -49,10 +49,10 @@
         self._clock = clock
         self._config = config
         self._tokens = tokens
-        self._chat_decoder = msgspec.json.Decoder(shapes.ChatRequest)
+        self._chat_decoder = msgspec.json.Decoder(openai_schema.ChatRequest)
 
     def caller(self, request: web.Request) -> tokens_module.TokenHolder:
-        """Returns the holder of the token that the request came with.
+        """Returns the holder of the request's token.
 
         Raises:
             errors.CodedError: `STALE_CONFIG`, `BAD_TOKEN` or `NOT_ALLOWED`.
@@ -68,17 +68,17 @@
         return holder
 
     def _check_configured(self) -> None:
-        """Refuses for now where no configuration has come yet.
+        """Refuses requests until a configuration has been received.
 
-        A balancer may send requests to an instance that has just started.
-        Every token is unknown to it, and a caller told so would give up for
-        good on a request that any other instance serves.
+        The load balancer may send requests to an instance that has just
+        started and knows no token yet. `BAD_TOKEN` would make the caller give
+        up a request that any other instance serves.
         """
         if not self._config.snapshot.revision:
             raise errors.CodedError(
                 code=codes.Code.STALE_CONFIG,
-                detail="this instance has no configuration yet; come back",
-                retry_after=RETRY_UNCONFIGURED,
+                detail="this instance has no configuration yet; retry later",
+                retry_after=UNCONFIGURED_RETRY_AFTER,
             )
 
     async def chat(
@@ -91,7 +91,7 @@
         """Reads a chat request.
 
         Raises:
-            errors.CodedError: Something in it is wrong.
+            errors.CodedError: The request is invalid.
         """
         arrived = self._clock.monotonic()
         team = caller.team
@@ -117,7 +117,7 @@
             session=headers.session,
             priority=_priority(headers, template.priority),
             arrived=arrived,
-            deadline=arrived + _allowed(headers, template.deadline_ms),
+            deadline=arrived + _time_allowed(headers, template.deadline_ms),
         )
         return ChatCall(
             generation=generation,
@@ -136,7 +136,7 @@
         """Reads a call of a plain service.
 
         Raises:
-            errors.CodedError: Something in it is wrong.
+            errors.CodedError: The request is invalid.
         """
         arrived = self._clock.monotonic()
         team = caller.team
@@ -170,10 +170,10 @@
             call=call,
             priority=_priority(headers, route.priority),
             arrived=arrived,
-            deadline=arrived + _allowed(headers, route.deadline_ms),
+            deadline=arrived + _time_allowed(headers, route.deadline_ms),
         )
 
-    def _decode_chat(self, body: bytes) -> shapes.ChatRequest:
+    def _decode_chat(self, body: bytes) -> openai_schema.ChatRequest:
         try:
             chat = self._chat_decoder.decode(body)
         except msgspec.ValidationError as error:
@@ -208,14 +208,14 @@
     request_id: str,
     content: tuple[bytes, ...],
 ) -> ledger.RequestIdentity:
-    """Returns what a retry of the request would have in common with it."""
+    """Returns the identity that a request shares with its retries."""
     if not headers.idempotency_key:
         return ledger.RequestIdentity(
             team=team.name, key=request_id, given_by_caller=False
         )
     digest = xxhash.xxh3_128()
     for part in content:
-        # Lengths keep two splits of the same bytes apart.
+        # Lengths distinguish two splits of the same bytes.
         digest.update(len(part).to_bytes(8, "little"))
         digest.update(part)
     return ledger.RequestIdentity(
@@ -227,13 +227,13 @@
 
 
 def _priority(headers: headers_module.CallerHeaders, highest: int) -> int:
-    """Returns the caller's priority, which can only give way to others."""
+    """Returns the caller's priority, at most the configured one."""
     if headers.priority is None:
         return highest
     return min(headers.priority, highest)
 
 
-def _allowed(
+def _time_allowed(
     headers: headers_module.CallerHeaders, default_ms: int
 ) -> datetime.timedelta:
     return datetime.timedelta(milliseconds=headers.deadline_ms or default_ms)
--- a/src/nutmeghook/internal/entry/sinks.py
+++ b/src/nutmeghook/internal/entry/sinks.py
@@ -1,22 +1,22 @@
-"""A caller's side of an answer: streamed as server-sent events, or whole."""
+"""Answer sinks: streamed as server-sent events, or whole."""
 
 from aiohttp import web
 import msgspec
 
 from nutmeghook.internal.dependencies import engine
 from nutmeghook.internal.dispatch import answers
+from nutmeghook.internal.entry import openai_schema
 from nutmeghook.internal.entry import replies
-from nutmeghook.internal.entry import shapes
 from nutmeghook.internal.foundation import errors
 from nutmeghook.internal.ledger import ledger
 
 _CHUNK = "chat.completion.chunk"
-_MARK = "\x00"
+_TEXT_PLACEHOLDER = "\x00"
 _DONE = b"data: [DONE]\n\n"
 
 
-class WholeSink(answers.AnswerSink):
-    """Lets text go by: the whole answer comes at the end."""
+class WholeAnswerSink(answers.AnswerSink):
+    """Ignores pieces of text; the whole answer is sent at the end."""
 
     __slots__ = ("_created_s", "_model", "_request_id")
 
@@ -29,7 +29,7 @@
         """Does nothing; the dispatcher keeps the text."""
 
     def detach(self) -> None:
-        """Does nothing; there is nothing to hold back."""
+        """Does nothing; nothing is being sent."""
 
     def encode_whole(
         self, answer: answers.GeneratedAnswer
@@ -39,7 +39,7 @@
             status=200,
             content_type="application/json",
             body=msgspec.json.encode(
-                shapes.completion(
+                openai_schema.completion(
                     answer,
                     request_id=self._request_id,
                     model=self._model,
@@ -49,15 +49,21 @@
         )
 
 
-class StreamSink(WholeSink):
-    """Sends text as server-sent events while it comes.
+class StreamSink(WholeAnswerSink):
+    """Sends text as server-sent events while it arrives.
 
-    All events of one answer are alike but for their text. So one is encoded
-    at the start and cut at the text's place; each piece of text then costs
-    the encoding of one string.
+    The events of one answer differ only in their text. So one event with a
+    placeholder is encoded at the start and split there, and each piece of text
+    costs only the encoding of one string.
     """
 
-    __slots__ = ("_after", "_before", "_detached", "_request", "_response")
+    __slots__ = (
+        "_detached",
+        "_event_prefix",
+        "_event_suffix",
+        "_request",
+        "_response",
+    )
 
     def __init__(
         self,
@@ -73,12 +79,12 @@
         self._request = request
         self._response: web.StreamResponse | None = None
         self._detached = False
-        self._before = b""
-        self._after = b""
+        self._event_prefix = b""
+        self._event_suffix = b""
 
     @property
     def started(self) -> bool:
-        """Whether the response's head is on its way."""
+        """Whether the response's headers are being sent."""
         return self._response is not None
 
     async def take(self, text: str, model_version: engine.ModelVersion) -> None:
@@ -88,9 +94,11 @@
         if self._response is None:
             await self._start(model_version)
         try:
-            # Not through `_write`: one call less a token counts here.
+            # Not through `_write`, to save one call for each token.
             await self._response.write(
-                self._before + msgspec.json.encode(text) + self._after
+                self._event_prefix
+                + msgspec.json.encode(text)
+                + self._event_suffix
             )
         except ConnectionError:
             self._detached = True
@@ -102,14 +110,14 @@
     async def finish(
         self, answer: answers.GeneratedAnswer, *, include_usage: bool
     ) -> web.StreamResponse:
-        """Sends the end; to be called only after the bill is durable."""
+        """Ends the stream; call it only after the bill is durable."""
         if self._response is None:
             await self._start(answer.model_version)
         last = [
             self._event(
                 answer.model_version,
-                shapes.Delta(),
-                finish_reason=shapes.finish_reason(answer.finish),
+                openai_schema.Delta(),
+                finish_reason=openai_schema.finish_reason(answer.finish),
             )
         ]
         if include_usage:
@@ -119,16 +127,16 @@
         return self._response
 
     async def replay(self, kept: ledger.KeptAnswer) -> answers.GeneratedAnswer:
-        """Sends the text of an answer that was kept, and returns it."""
-        answer = shapes.answer_of(
-            msgspec.json.decode(kept.body, type=shapes.Completion)
+        """Sends the text of a kept answer, and returns the answer."""
+        answer = openai_schema.answer_of(
+            msgspec.json.decode(kept.body, type=openai_schema.Completion)
         )
         if answer.text:
             await self.take(answer.text, answer.model_version)
         return answer
 
     async def fail(self, error: errors.CodedError) -> web.StreamResponse:
-        """Ends a stream that has begun with the error as its last event."""
+        """Ends a started stream with the error as its last event."""
         body = replies.error_body(error, request_id=self._request_id)
         await self._write(b"data: " + body + b"\n\n" + _DONE)
         await self._response.write_eof()
@@ -144,11 +152,15 @@
         )
         await response.prepare(self._request)
         self._response = response
-        pattern = self._event(model_version, shapes.Delta(content=_MARK))
-        self._before, self._after = pattern.split(_ENCODED_MARK)
+        template_event = self._event(
+            model_version, openai_schema.Delta(content=_TEXT_PLACEHOLDER)
+        )
+        self._event_prefix, self._event_suffix = template_event.split(
+            _ENCODED_PLACEHOLDER
+        )
         await self._write(
             self._event(
-                model_version, shapes.Delta(role="assistant", content="")
+                model_version, openai_schema.Delta(role="assistant", content="")
             )
         )
 
@@ -156,30 +168,34 @@
         try:
             await self._response.write(data)
         except ConnectionError:
-            # The caller is gone. aiohttp cancels the handler too, which
-            # settles what becomes of the request; here only be quiet.
+            # The caller has disconnected. aiohttp also cancels the handler,
+            # which ends the request; here it is enough to stop sending.
             self._detached = True
 
     def _event(
         self,
         model_version: engine.ModelVersion,
-        delta: shapes.Delta,
+        delta: openai_schema.Delta,
         *,
         finish_reason: str | None = None,
     ) -> bytes:
-        choice = shapes.ChunkChoice(delta=delta, finish_reason=finish_reason)
+        choice = openai_schema.ChunkChoice(
+            delta=delta, finish_reason=finish_reason
+        )
         return self._encoded(model_version, [choice], None)
 
     def _usage_event(self, answer: answers.GeneratedAnswer) -> bytes:
-        return self._encoded(answer.model_version, [], shapes.usage(answer))
+        return self._encoded(
+            answer.model_version, [], openai_schema.usage(answer)
+        )
 
     def _encoded(
         self,
         model_version: engine.ModelVersion,
-        choices: list[shapes.ChunkChoice],
-        usage: shapes.Usage | None,
+        choices: list[openai_schema.ChunkChoice],
+        usage: openai_schema.Usage | None,
     ) -> bytes:
-        chunk = shapes.CompletionChunk(
+        chunk = openai_schema.CompletionChunk(
             id=self._request_id,
             object=_CHUNK,
             created=self._created_s,
@@ -191,4 +207,4 @@
         return b"data: " + msgspec.json.encode(chunk) + b"\n\n"
 
 
-_ENCODED_MARK = msgspec.json.encode(_MARK)
+_ENCODED_PLACEHOLDER = msgspec.json.encode(_TEXT_PLACEHOLDER)
--- a/src/nutmeghook/internal/ledger/bills.py
+++ b/src/nutmeghook/internal/ledger/bills.py
@@ -1,4 +1,4 @@
-"""Reads all bills, wherever they are, each once."""
+"""Reads each bill once from the overflow, the log and the archive."""
 
 from collections.abc import AsyncIterator
 import dataclasses
@@ -11,7 +11,7 @@
 from nutmeghook.internal.ledger import overflow
 from nutmeghook.internal.ledger import records
 
-_PAGE = 200
+_PAGE_SIZE = 200
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -26,7 +26,7 @@
     spent_micros: int = 0
 
     def add(self, bill: ledger.Bill) -> None:
-        """Counts a bill in."""
+        """Adds a bill to the totals."""
         self.requests += 1
         self.prompt_tokens += bill.prompt_tokens
         self.output_tokens += bill.output_tokens
@@ -35,12 +35,12 @@
 
 
 class BillReader:
-    """The union of the log, the archive and the overflow, by identity.
+    """The union of the overflow, the log and the archive, by identity.
 
-    Bills move from the overflow to the log and from the log to the archive,
-    and are deleted behind only after. The places are read in that order, so
-    a bill that moves meanwhile is met at least once; the identity sees to it
-    that it counts once. The identities take about 100 bytes a bill.
+    Bills are copied from the overflow to the log and from the log to the
+    archive before they are deleted at the source. Reading the three in that
+    order finds a bill that moves meanwhile at least once; duplicates are
+    dropped by identity. The identities take about 100 bytes a bill.
 
     Every method may raise `failures.NotDoneError`.
     """
@@ -58,15 +58,15 @@
 
     async def bills(self) -> AsyncIterator[ledger.Bill]:
         """Yields every bill once."""
-        met: set[str] = set()
+        seen: set[str] = set()
         async for record in self.all_records():
             identity = records.entry_key(record.team, record.key)
-            if identity not in met:
-                met.add(identity)
+            if identity not in seen:
+                seen.add(identity)
                 yield records.bill_of(record)
 
     async def usage(self) -> list[TeamUsage]:
-        """Returns the totals of each team, in order of their names."""
+        """Returns the totals of each team, in order of team names."""
         totals: dict[str, TeamUsage] = {}
         async for bill in self.bills():
             team = bill.identity.team
@@ -74,41 +74,41 @@
         return [totals[team] for team in sorted(totals)]
 
     async def all_records(self) -> AsyncIterator[records.FinishRecord]:
-        """Yields every place's records: a bill may come more than once."""
-        async for record in self._in_objects(overflow.KEY_PREFIX):
+        """Yields the records of all three stores; a bill may be repeated."""
+        async for record in self._read_objects(overflow.KEY_PREFIX):
             yield record
-        async for record in self._in_log():
+        async for record in self._read_log():
             yield record
-        async for record in self._in_objects(archive.KEY_PREFIX):
+        async for record in self._read_objects(archive.KEY_PREFIX):
             yield record
 
-    async def _in_log(self) -> AsyncIterator[records.FinishRecord]:
+    async def _read_log(self) -> AsyncIterator[records.FinishRecord]:
         after = ""
         while True:
             rows = await self._table.scan(
-                prefix=log.KEY_PREFIX, after=after, limit=_PAGE
+                prefix=log.KEY_PREFIX, after=after, limit=_PAGE_SIZE
             )
             for row in rows:
                 for record in records.decode_batch(row.value).records:
                     if isinstance(record, records.FinishRecord):
                         yield record
-            if len(rows) < _PAGE:
+            if len(rows) < _PAGE_SIZE:
                 return
             after = rows[-1].key
 
-    async def _in_objects(
+    async def _read_objects(
         self, prefix: str
     ) -> AsyncIterator[records.FinishRecord]:
         after = ""
         while True:
             keys = await self._objects.list_keys(
-                prefix=prefix, after=after, limit=_PAGE
+                prefix=prefix, after=after, limit=_PAGE_SIZE
             )
             for key in keys:
                 content = await self._objects.get(key)
                 if content is not None:
                     for record in records.decode_bills(content).records:
                         yield record
-            if len(keys) < _PAGE:
+            if len(keys) < _PAGE_SIZE:
                 return
             after = keys[-1]
--- a/src/nutmeghook/internal/ledger/entries.py
+++ b/src/nutmeghook/internal/ledger/entries.py
@@ -1,4 +1,4 @@
-"""What a partition's log says of one request with a caller's key."""
+"""The state of one request with a caller's key, from a partition's log."""
 
 import dataclasses
 import enum
@@ -6,12 +6,13 @@
 
 from nutmeghook.internal.ledger import records
 
-# Tries of one key that were given up; older ones' late claims are long past.
-_CLOSED_KEPT = 8
+# Voided tries remembered for each key. A claim that arrives late belongs to a
+# recent try, so older ones can be forgotten.
+_MAX_VOIDED = 8
 
 
 class EntryState(enum.IntEnum):
-    """What the log says of a request."""
+    """A request's state by the log."""
 
     OPEN = 0
     CLAIMED = 1
@@ -24,7 +25,7 @@
     """One request with a caller's key.
 
     Attributes:
-        closed: Tries that were given up; a claim of theirs is void.
+        voided: Request ids of released tries; their claims are void.
         row_key: Row that holds the answer, once finished.
         written_ms: Wall time of the last record.
     """
@@ -33,25 +34,25 @@
     request_id: str = ""
     claimant: str = ""
     body_digest: str = ""
-    closed: tuple[str, ...] = ()
+    voided: tuple[str, ...] = ()
     row_key: str = ""
     written_ms: int = 0
 
 
-NOTHING = Entry(state=EntryState.OPEN)
+EMPTY_ENTRY = Entry(state=EntryState.OPEN)
 
 
-def after(
+def apply_record(
     entry: Entry, record: records.Record, row_key: str, written_ms: int
 ) -> Entry:
-    """Returns the entry as it is after a record."""
+    """Returns the entry with a record applied."""
     if isinstance(record, records.ClaimRecord):
         return Entry(
             state=EntryState.CLAIMED,
             request_id=record.request_id,
             claimant=sys.intern(record.claimant),
             body_digest=record.body_digest,
-            closed=entry.closed,
+            voided=entry.voided,
             written_ms=written_ms,
         )
     if isinstance(record, records.FinishRecord):
@@ -62,17 +63,17 @@
             row_key=row_key,
             written_ms=written_ms,
         )
-    return _after_close(entry, record, written_ms)
+    return _apply_close(entry, record, written_ms)
 
 
-def _after_close(
+def _apply_close(
     entry: Entry,
     record: records.ReleaseRecord | records.UnknownRecord,
     written_ms: int,
 ) -> Entry:
-    mine = entry.request_id == record.request_id
+    same_try = entry.request_id == record.request_id
     if isinstance(record, records.UnknownRecord):
-        if entry.state is EntryState.OPEN or mine:
+        if entry.state is EntryState.OPEN or same_try:
             return dataclasses.replace(
                 entry,
                 state=EntryState.UNKNOWN,
@@ -80,9 +81,9 @@
                 written_ms=written_ms,
             )
         return entry
-    closed = (*entry.closed, record.request_id)[-_CLOSED_KEPT:]
-    if mine and entry.state is EntryState.CLAIMED:
+    voided = (*entry.voided, record.request_id)[-_MAX_VOIDED:]
+    if same_try and entry.state is EntryState.CLAIMED:
         return Entry(
-            state=EntryState.OPEN, closed=closed, written_ms=written_ms
+            state=EntryState.OPEN, voided=voided, written_ms=written_ms
         )
-    return dataclasses.replace(entry, closed=closed, written_ms=written_ms)
+    return dataclasses.replace(entry, voided=voided, written_ms=written_ms)
--- a/src/nutmeghook/internal/ledger/factory.py
+++ b/src/nutmeghook/internal/ledger/factory.py
@@ -1,4 +1,4 @@
-"""Puts one instance's ledger together."""
+"""Builds one instance's ledger."""
 
 import asyncio
 import dataclasses
@@ -31,8 +31,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class _Parts:
-    """Builds the parts that come in numbers, from what all of them share."""
+class _PartBuilder:
+    """Builds store health, writers and senders from shared dependencies."""
 
     members: members_module.MemberView
     clock: clock_module.Clock
@@ -74,7 +74,8 @@
             events=self.events,
             rank=lambda: preference.rank_of_myself(name, self.members),
             settings=self.lease_settings,
-            # All that a holder does is conditional on the lease's row.
+            # A wrong death verdict is safe: every commit by a holder is
+            # conditional on the lease's row.
             is_dead=self.liveness.is_gone,
         )
         return partition_module.PartitionWriter(
@@ -110,17 +111,17 @@
             for partition in range(self.settings.partitions)
         )
 
-    def overflow_share(self) -> float:
-        """Returns the puts a second that this instance may make."""
+    def overflow_put_rate(self) -> float:
+        """Returns this instance's share of the puts a second."""
         count = max(1, len(self.members.members()))
         return self.settings.overflow_writes_per_s / count
 
 
 class InstanceLedger:
-    """All ledger parts of one instance.
+    """All components of one instance's ledger.
 
-    `run` has to run from the start; `drain` comes after the last request and
-    before `run` is cancelled.
+    Start `run` first; call `drain` after the last request and before `run` is
+    cancelled.
 
     Attributes:
         client: Claims and bills for the dispatcher.
@@ -128,7 +129,7 @@
         service: The partitions held here.
         bill_reader: Bills of all instances, for administration.
         table: The table service with timeouts, counted by `table_health`.
-        objects: The object store likewise.
+        objects: The object store, counted by `objects_health`.
     """
 
     __slots__ = (
@@ -160,7 +161,7 @@
     ):
         settings = settings or settings_module.LedgerSettings()
         self._liveness = liveness_module.Liveness(members=members, clock=clock)
-        parts = _Parts(
+        builder = _PartBuilder(
             members=members,
             clock=clock,
             rng=rng,
@@ -169,19 +170,19 @@
             lease_settings=lease_settings or rows.LeaseSettings(),
             liveness=self._liveness,
         )
-        self.table_health = parts.health(
+        self.table_health = builder.health(
             "table service", lambda: self.table.read(_PROBE_KEY)
         )
-        self.objects_health = parts.health(
+        self.objects_health = builder.health(
             "object store", lambda: self.objects.get(_PROBE_KEY)
         )
-        self.table = store_health.WatchedTable(
+        self.table = store_health.MonitoredTable(
             table=table,
             health=self.table_health,
             clock=clock,
             timeout=settings.store_timeout,
         )
-        self.objects = store_health.WatchedObjects(
+        self.objects = store_health.MonitoredObjects(
             objects=objects,
             health=self.objects_health,
             clock=clock,
@@ -190,11 +191,11 @@
         archive = archive_module.BillArchive(
             table=self.table,
             objects=self.objects,
-            records_at_once=settings.fold_records,
+            batch_records=settings.archive_records,
         )
         self.service = service_module.LedgerService(
             writers=tuple(
-                parts.writer(
+                builder.writer(
                     partition,
                     table=self.table,
                     health=self.table_health,
@@ -211,7 +212,7 @@
             clock=clock,
             partitions=settings.partitions,
         )
-        senders = parts.senders(
+        senders = builder.senders(
             service=self.service, directory=directory, peer_caller=peer_caller
         )
         self._overflow = overflow_module.BillOverflow(
@@ -219,9 +220,9 @@
             objects=self.objects,
             table_health=self.table_health,
             append=lambda record: self.client.append_bill(record),
-            share=parts.overflow_share,
+            put_rate=builder.overflow_put_rate,
             is_alive=self._liveness.is_alive,
-            may_sweep=lambda: self.service.writers[0].is_serving,
+            should_sweep=lambda: self.service.writers[0].is_serving,
             clock=clock,
             rng=rng,
             events=events,
@@ -251,11 +252,11 @@
         return self.client.accepting_work()
 
     def bills_waiting(self) -> int:
-        """Objects with this instance's bills that wait for the log."""
+        """Overflow objects whose bills are not in the log yet."""
         return self._overflow.stored_objects
 
     async def run(self) -> None:
-        """Runs all parts until cancelled."""
+        """Runs all components until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._liveness.run())
             group.create_task(self.table_health.run())
@@ -265,6 +266,6 @@
             group.create_task(self.pins.run())
 
     async def drain(self, *, timeout: datetime.timedelta) -> None:
-        """Settles what is open, then hands the partitions over."""
+        """Settles open bills and claims, then releases the partitions."""
         await self.client.drain(timeout=timeout)
         await self.service.drain(timeout=timeout)
--- a/src/nutmeghook/internal/ledger/index.py
+++ b/src/nutmeghook/internal/ledger/index.py
@@ -1,8 +1,8 @@
 """A partition's claims, answers and pins, in the holder's memory.
 
-The index is what the partition's log says, plus the changes of the one batch
-that is being committed. Those are staged apart: they are merged when the
-commit is known to be durable and dropped when it is known not to be.
+The index holds the state of the partition's log. Changes of the batch being
+committed are staged separately: they are merged once the commit is durable
+and discarded once it has certainly failed.
 """
 
 from collections.abc import Callable
@@ -25,25 +25,25 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
 class Decision:
-    """What a request comes to.
+    """The outcome of a request.
 
     Attributes:
-        result: What to answer once everything it rests on is durable.
-        record: What has to be written first; None if nothing.
-        lasting: The result stays true even if this instance has lost the
+        result: The reply, sent once the state that it depends on is durable.
+        record: The record to commit before the reply; None if nothing.
+        is_final: The result stays true even if this instance has lost the
             partition meanwhile.
         answer_row: Row from which the kept answer has to be read.
     """
 
     result: records.Result
     record: records.Record | None = None
-    lasting: bool = False
+    is_final: bool = False
     answer_row: str = ""
 
 
 _RECORDED = records.Recorded()
 _FULL = Decision(
-    result=records.Refused(reason=records.RefusalReason.FULL), lasting=True
+    result=records.Refused(reason=records.RefusalReason.FULL), is_final=True
 )
 
 
@@ -52,10 +52,10 @@
 
 
 class PartitionIndex:
-    """Decides requests by the log's state.
+    """Decides requests from the log's state.
 
     Args:
-        is_alive: Tells whether an incarnation is a member still.
+        is_alive: Tells whether an incarnation is still a member.
         max_entries: New claims and pins are refused beyond these.
         window_ms: How long entries and pins are kept.
         minted_window_ms: How long bills without a caller's key are.
@@ -97,15 +97,15 @@
         """Returns how many claims and pins are kept."""
         return len(self._entries) + len(self._pins)
 
-    def touches_staged(self, request: records.Request) -> bool:
-        """Whether the decision rests on a commit that is under way."""
+    def depends_on_staged(self, request: records.Request) -> bool:
+        """Whether the decision depends on the commit in progress."""
         if isinstance(request, records.PinRequest):
             return records.pin_key(request) in self._staged_pins
         key = records.entry_key(request.team, request.key)
         return key in self._staged_entries or key in self._staged_minted
 
     def decide(self, request: records.Request, *, now_ms: int) -> Decision:
-        """Returns what a request comes to now, and changes nothing."""
+        """Returns a request's decision now, without changing state."""
         if isinstance(request, records.PinRequest):
             return self._decide_pin(request, now_ms)
         entry = self._entry(records.entry_key(request.team, request.key))
@@ -119,7 +119,7 @@
         self, record: records.Record, *, row_key: str, written_ms: int
     ) -> None:
         """Applies a record of the batch that is about to be committed."""
-        self._put(
+        self._apply(
             record,
             row_key,
             written_ms,
@@ -132,7 +132,7 @@
         self, record: records.Record, *, row_key: str, written_ms: int
     ) -> None:
         """Applies a record read back from the log, in the log's order."""
-        self._put(
+        self._apply(
             record,
             row_key,
             written_ms,
@@ -142,23 +142,23 @@
         )
 
     def merge_staged(self) -> None:
-        """Keeps the staged changes: their commit is durable."""
+        """Merges the staged changes; their commit is durable."""
         self._entries.update(self._staged_entries)
         self._pins.update(self._staged_pins)
         self._minted.update(self._staged_minted)
-        self.drop_staged()
+        self.discard_staged()
 
-    def drop_staged(self) -> None:
-        """Forgets the staged changes: their commit surely failed."""
+    def discard_staged(self) -> None:
+        """Discards the staged changes; their commit has certainly failed."""
         self._staged_entries.clear()
         self._staged_pins.clear()
         self._staged_minted.clear()
 
     def expire(self, *, now_ms: int) -> None:
-        """Forgets what is older than the windows."""
+        """Removes entries, pins and bills older than their windows."""
         oldest = now_ms - self._window_ms
         for key in [
-            k for k, e in self._entries.items() if self._old(e, oldest)
+            k for k, e in self._entries.items() if self._is_expired(e, oldest)
         ]:
             del self._entries[key]
         for key in [
@@ -169,7 +169,7 @@
         for key in [k for k, at in self._minted.items() if at < oldest_minted]:
             del self._minted[key]
 
-    def _old(self, entry: entries_module.Entry, oldest_ms: int) -> bool:
+    def _is_expired(self, entry: entries_module.Entry, oldest_ms: int) -> bool:
         return entry.written_ms < oldest_ms and not (
             entry.state is entries_module.EntryState.CLAIMED
             and self._is_alive(entry.claimant)
@@ -185,9 +185,9 @@
     def _decide_claim(
         self, claim: records.ClaimRecord, entry: entries_module.Entry | None
     ) -> Decision:
-        if entry is not None and claim.request_id in entry.closed:
-            # A claim that was given up and arrives after that: its sender
-            # has told its caller that nothing ran, so it must win nothing.
+        if entry is not None and claim.request_id in entry.voided:
+            # A late claim of a released try. Its sender has told the caller
+            # that nothing ran, so the claim must not win.
             return Decision(result=_claim_reply(ledger.ClaimState.RUNNING))
         if entry is None or entry.state is entries_module.EntryState.OPEN:
             if self._is_full():
@@ -198,17 +198,17 @@
         if entry.body_digest and entry.body_digest != claim.body_digest:
             return Decision(
                 result=_claim_reply(ledger.ClaimState.BODY_DIFFERS),
-                lasting=True,
+                is_final=True,
             )
-        return self._decide_repeated(claim, entry)
+        return self._decide_repeated_claim(claim, entry)
 
-    def _decide_repeated(
+    def _decide_repeated_claim(
         self, claim: records.ClaimRecord, entry: entries_module.Entry
     ) -> Decision:
         if entry.state is entries_module.EntryState.FINISHED:
             return Decision(
                 result=_claim_reply(ledger.ClaimState.ANSWERED),
-                lasting=True,
+                is_final=True,
                 answer_row=entry.row_key,
             )
         if entry.state is entries_module.EntryState.CLAIMED:
@@ -216,8 +216,8 @@
                 return Decision(result=_claim_reply(ledger.ClaimState.WON))
             if self._is_alive(entry.claimant):
                 return Decision(result=_claim_reply(ledger.ClaimState.RUNNING))
-        # The claimant is gone or lost sight of the outcome. It may have
-        # sent the work, so nobody may ever run it again.
+        # The claimant is gone or lost the outcome. It may have sent the
+        # work, so the request must never run again.
         return Decision(result=_claim_reply(ledger.ClaimState.UNKNOWN))
 
     def _decide_finish(
@@ -230,7 +230,7 @@
             and entry.state is entries_module.EntryState.FINISHED
         )
         if known or finished:
-            return Decision(result=_RECORDED, lasting=True)
+            return Decision(result=_RECORDED, is_final=True)
         return Decision(result=_RECORDED, record=finish)
 
     def _decide_close(
@@ -239,13 +239,13 @@
         entry: entries_module.Entry | None,
     ) -> Decision:
         if entry is not None:
-            if request.request_id in entry.closed:
-                return Decision(result=_RECORDED, lasting=True)
-            mine = entry.request_id == request.request_id
+            if request.request_id in entry.voided:
+                return Decision(result=_RECORDED, is_final=True)
+            same_try = entry.request_id == request.request_id
             if entry.state is entries_module.EntryState.FINISHED or (
-                mine and entry.state is entries_module.EntryState.UNKNOWN
+                same_try and entry.state is entries_module.EntryState.UNKNOWN
             ):
-                return Decision(result=_RECORDED, lasting=True)
+                return Decision(result=_RECORDED, is_final=True)
         return Decision(result=_RECORDED, record=request)
 
     def _decide_pin(self, request: records.PinRequest, now_ms: int) -> Decision:
@@ -256,13 +256,13 @@
         if pin is None or _may_replace(pin, request):
             return self._new_pin(request, request.proposed, request.revision)
         if now_ms - pin.written_ms > self._window_ms // 2:
-            # Still in use: written again, so that it outlives the window.
+            # Still in use: written again before the window expires it.
             return self._new_pin(request, pin.model_version, pin.revision)
         return Decision(
             result=records.PinReply(
                 model_version=pin.model_version, revision=pin.revision
             ),
-            lasting=True,
+            is_final=True,
         )
 
     def _new_pin(
@@ -282,7 +282,7 @@
             ),
         )
 
-    def _put(
+    def _apply(
         self,
         record: records.Record,
         row_key: str,
@@ -305,17 +305,18 @@
         ):
             minted[key] = written_ms
             return
-        entry = self._entry(key) or entries_module.NOTHING
-        entries[key] = entries_module.after(entry, record, row_key, written_ms)
+        entry = self._entry(key) or entries_module.EMPTY_ENTRY
+        entries[key] = entries_module.apply_record(
+            entry, record, row_key, written_ms
+        )
 
 
 def _may_replace(pin: Pin, request: records.PinRequest) -> bool:
     """Tells whether a session may leave its version.
 
-    The failure: a version has just been added. One instance knows it and pins
-    a session to it; another is a moment behind and finds that the template
-    does not list it. If that one could move the session, callers would see
-    its version change and change back.
+    Only a request under the pin's configuration revision or a later one may
+    replace a pin. An instance that has not yet received a newly added version
+    would otherwise find it unlisted and move the session back.
     """
     return (
         pin.model_version in request.unusable
--- a/src/nutmeghook/internal/ledger/liveness.py
+++ b/src/nutmeghook/internal/ledger/liveness.py
@@ -1,18 +1,18 @@
-"""What the ledger concludes from the list of members."""
+"""Which incarnations are alive or gone, from the list of members."""
 
 import datetime
 
 from nutmeghook.internal.foundation import clock as clock_module
 from nutmeghook.internal.membership import members as members_module
 
-_LOOK_EVERY = datetime.timedelta(milliseconds=500)
+_POLL_INTERVAL = datetime.timedelta(milliseconds=500)
 
 
 class Liveness:
-    """Tells members that exist from those that are gone.
+    """Distinguishes current members from former ones.
 
     An incarnation that this instance has never seen may be too new for its
-    list: it is neither alive nor gone.
+    list, so it counts as neither alive nor gone.
     """
 
     __slots__ = ("_clock", "_members", "_seen")
@@ -25,17 +25,17 @@
         self._seen: set[str] = set()
 
     async def run(self) -> None:
-        """Keeps in mind who was a member, until cancelled."""
+        """Records the members every 500 ms, until cancelled."""
         while True:
             self._present()
-            await self._clock.sleep(_LOOK_EVERY)
+            await self._clock.sleep(_POLL_INTERVAL)
 
     def is_alive(self, incarnation: str) -> bool:
         """Whether an incarnation is a member now."""
         return incarnation in self._present()
 
     def is_gone(self, incarnation: str) -> bool:
-        """Whether an incarnation was a member and is one no more."""
+        """Whether an incarnation was a member and no longer is."""
         present = self._present()
         return incarnation not in present and incarnation in self._seen
 
--- a/src/nutmeghook/internal/ledger/log.py
+++ b/src/nutmeghook/internal/ledger/log.py
@@ -1,8 +1,9 @@
-"""One partition's log: rows in the table service that are used in turn.
+"""One partition's log: reused rows in the table service.
 
-A row holds one commit's records. When its records are older than the window
-and its bills are in the object store, the next commit writes over it. Deleting
-rows instead would cost as many writes again, and the table service has few.
+A row holds one commit's records. Once its records are older than the window
+and its bills are in the object store, a later commit overwrites it. Deleting
+rows instead would double the writes, and the table service's write rate is
+limited.
 """
 
 import collections
@@ -26,11 +27,11 @@
 
 
 class LostPartitionError(Exception):
-    """Another instance holds the partition; the commit surely failed."""
+    """Another instance holds the partition; the commit certainly failed."""
 
 
 class StoreOutError(Exception):
-    """The table service is out; the commit surely failed."""
+    """The table service is out; the commit certainly failed."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
@@ -38,7 +39,7 @@
     """A row of the log as the holder remembers it.
 
     Attributes:
-        version: What the next write over it is conditional on.
+        version: Row version that the next overwrite is conditional on.
         written_ms: Wall time of its batch; 0 for a row not yet written.
         position: Token and sequence of its batch, which give the order.
     """
@@ -50,7 +51,7 @@
 
 
 def partition_prefix(partition: int) -> str:
-    """Returns what the keys of a partition's rows start with."""
+    """Returns the key prefix of a partition's rows."""
     return f"{KEY_PREFIX}{partition:03d}/"
 
 
@@ -66,8 +67,8 @@
         "_live",
         "_partition",
         "_random",
+        "_row_count",
         "_sequence",
-        "_slots",
         "_table",
         "_token",
     )
@@ -93,7 +94,7 @@
         self._clock = clock
         self._random = rng
         self._sequence = 0
-        self._slots = 0
+        self._row_count = 0
         self._live: collections.deque[LogRow] = collections.deque()
         self._free: list[LogRow] = []
 
@@ -102,10 +103,10 @@
         return len(self._live)
 
     async def read_all(self) -> list[tuple[str, records.Batch]]:
-        """Reads the whole log, oldest batch first, answers left out.
+        """Reads the whole log, oldest batch first, without answers.
 
         Once this instance has the lease, no commit of an earlier holder can
-        succeed any more: what is read here is all there is.
+        succeed, so the log read here is complete.
         """
         found: list[tuple[LogRow, records.Batch]] = []
         after = ""
@@ -120,20 +121,20 @@
             after = page[-1].key
         found.sort(key=lambda pair: pair[0].position)
         self._live.extend(row for row, _ in found)
-        self._slots = len(found)
+        self._row_count = len(found)
         return [(row.key, batch) for row, batch in found]
 
     def next_row(self) -> LogRow:
         """Returns the row that the next commit writes."""
         if not self._free:
-            key = f"{partition_prefix(self._partition)}{self._slots:08d}"
-            self._slots += 1
+            key = f"{partition_prefix(self._partition)}{self._row_count:08d}"
+            self._row_count += 1
             self._free.append(LogRow(key=key))
         return self._free[-1]
 
-    async def may_commit(self) -> None:
+    async def wait_to_commit(self) -> None:
         """Waits until the budget allows the next commit."""
-        await self._budget.take()
+        await self._budget.acquire()
 
     async def commit(
         self, batch_records: tuple[records.Record, ...], *, written_ms: int
@@ -144,7 +145,7 @@
         when it is certain that it is not and never will be.
 
         Raises:
-            LostPartitionError: The lease is another's.
+            LostPartitionError: Another instance holds the lease.
             StoreOutError: The table service refused, and is out.
         """
         row = self.next_row()
@@ -182,7 +183,7 @@
         return rows
 
     def free(self, count: int) -> None:
-        """Lets the oldest rows be written over."""
+        """Allows the oldest rows to be overwritten."""
         for _ in range(count):
             self._free.insert(0, self._live.popleft())
 
@@ -200,7 +201,7 @@
                 await self._pause(error.retry_after)
                 continue
             except failures.OutcomeUnknownError:
-                # It may take effect yet. Writing the same again under the
+                # It may still take effect. Repeating the write under the
                 # same conditions is safe: only one of the two can succeed,
                 # and a failed condition shows whether the first one did.
                 in_doubt = True
@@ -208,7 +209,7 @@
                 continue
             if result.committed:
                 return result.versions[0]
-            version = self._version_if_written(row, batch, result)
+            version = self._version_if_committed(row, batch, result)
             if version is not None:
                 return version
 
@@ -225,16 +226,16 @@
             puts=(table_module.Put(key=row.key, value=value),),
         )
 
-    def _version_if_written(
+    def _version_if_committed(
         self,
         row: LogRow,
         batch: records.Batch,
         result: table_module.CommitResult,
     ) -> int | None:
-        """Returns the row's version if the failed commit's twin wrote it.
+        """Returns the row's version if an earlier try of the commit wrote it.
 
         Raises:
-            LostPartitionError: It did not, and never will.
+            LostPartitionError: None did, and none can any more.
         """
         current = {found.key: found for found in result.current}
         written = current.get(row.key)
@@ -246,16 +247,17 @@
             ):
                 return written.version
             raise LostPartitionError
-        # Only the lease's row differs: a renewal of our own, or the end.
-        still_mine = self._lease.apply_row(current.get(self._lease.row_key))
-        if not still_mine or self._lease.last_token() != self._token:
+        # Only the lease's row differs: either this instance has renewed it,
+        # or it has lost the lease.
+        still_held = self._lease.apply_row(current.get(self._lease.row_key))
+        if not still_held or self._lease.last_token() != self._token:
             raise LostPartitionError
         return None
 
     async def _pause(self, retry_after: datetime.timedelta | None) -> None:
         pause = retry_after or _RETRY_PAUSE
         await self._clock.sleep(pause * (1 + self._random.random()))
-        await self._budget.take()
+        await self._budget.acquire()
 
 
 def _decoded(row: table_module.Row) -> tuple[LogRow, records.Batch]:
@@ -270,11 +272,11 @@
 
 
 def _without_answers(batch: records.Batch) -> records.Batch:
-    """Drops kept answers, which would fill the memory at a take-over."""
-    light = tuple(
+    """Drops kept answers, which would fill the memory in a take-over."""
+    without_answers = tuple(
         msgspec.structs.replace(record, answer=None)
         if isinstance(record, records.FinishRecord)
         else record
         for record in batch.records
     )
-    return msgspec.structs.replace(batch, records=light)
+    return msgspec.structs.replace(batch, records=without_answers)
--- a/src/nutmeghook/internal/ledger/overflow.py
+++ b/src/nutmeghook/internal/ledger/overflow.py
@@ -1,9 +1,9 @@
-"""Bills that go to the object store while the table service is out.
+"""Stores bills in the object store while the table service is out.
 
 Each instance puts its bills there in batches, as objects under its own
-incarnation. When the table service is back they are appended to the log, and
-only then deleted. A bill that is in both places for a while is one bill: it
-is known by its request's identity.
+incarnation. When the table service is back they are appended to the log and
+only then deleted. A bill in both stores is counted once, by its request's
+identity.
 """
 
 import asyncio
@@ -25,8 +25,8 @@
 KEY_PREFIX = "bills-overflow/"
 _BATCH_RECORDS = 500
 _RETRY_PAUSE = datetime.timedelta(milliseconds=200)
-_RECOVER_EVERY = datetime.timedelta(seconds=1)
-_SWEEP_EVERY = datetime.timedelta(seconds=10)
+_RECOVERY_INTERVAL = datetime.timedelta(seconds=1)
+_SWEEP_INTERVAL = datetime.timedelta(seconds=10)
 _SWEEP_KEYS = 100
 
 
@@ -35,11 +35,11 @@
 
     Args:
         append: Appends a bill to the log; True once it is durable there.
-        share: Returns this instance's share of the write budget, in puts a
+        put_rate: Returns this instance's share of the write budget, in puts a
             second.
         is_alive: Tells whether an incarnation is a member.
-        may_sweep: Tells whether this instance looks after the bills of those
-            that are not.
+        should_sweep: Tells whether this instance recovers the bills of
+            incarnations that are gone.
     """
 
     __slots__ = (
@@ -49,14 +49,14 @@
         "_events",
         "_incarnation",
         "_is_alive",
-        "_may_sweep",
         "_objects",
+        "_pending",
+        "_put_rate",
         "_random",
         "_sequence",
-        "_share",
+        "_should_sweep",
         "_stored",
         "_table_health",
-        "_waiting",
         "_wake",
     )
 
@@ -67,9 +67,9 @@
         objects: objects_module.ObjectStore,
         table_health: store_health.StoreHealth,
         append: Callable[[records.FinishRecord], Awaitable[bool]],
-        share: Callable[[], float],
+        put_rate: Callable[[], float],
         is_alive: Callable[[str], bool],
-        may_sweep: Callable[[], bool],
+        should_sweep: Callable[[], bool],
         clock: clock_module.Clock,
         rng: random.Random,
         events: events_module.EventRing,
@@ -78,36 +78,36 @@
         self._objects = objects
         self._table_health = table_health
         self._append = append
-        self._share = share
+        self._put_rate = put_rate
         self._is_alive = is_alive
-        self._may_sweep = may_sweep
+        self._should_sweep = should_sweep
         self._clock = clock
         self._random = rng
         self._events = events
         self._budget = budget_module.WriteBudget(
-            clock=clock, per_s=share(), burst=1
+            clock=clock, per_s=put_rate(), burst=1
         )
         self._sequence = 0
-        # Only keys are remembered, so that a long outage costs no memory.
+        # Only keys are kept, so that a long outage takes little memory.
         self._stored: collections.deque[str] = collections.deque()
-        self._waiting: collections.deque[
+        self._pending: collections.deque[
             tuple[records.FinishRecord, asyncio.Future[bool]]
         ] = collections.deque()
         self._wake = asyncio.Event()
 
     @property
     def stored_objects(self) -> int:
-        """How many of this instance's objects wait for the log."""
+        """How many of this instance's objects are not in the log yet."""
         return len(self._stored)
 
     async def put(self, record: records.FinishRecord) -> bool:
         """Makes a bill durable in the object store.
 
         Returns:
-            False where it surely is not there.
+            False if it is certainly not stored.
         """
         reply: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._waiting.append((record, reply))
+        self._pending.append((record, reply))
         self._wake.set()
         return await reply
 
@@ -139,7 +139,8 @@
             )
             for key in keys:
                 owner = key.removeprefix(KEY_PREFIX).partition("/")[0]
-                # A wrong guess does no harm: both append the same bills.
+                # Sweeping a live instance's objects is harmless: both append
+                # the same bills.
                 if not self._is_alive(owner) and not await self._recover_one(
                     key
                 ):
@@ -152,14 +153,14 @@
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._waiting:
-                self._budget.set_rate(self._share())
-                await self._budget.take()
+            while self._pending:
+                self._budget.set_rate(self._put_rate())
+                await self._budget.acquire()
                 await self._put_batch()
 
     async def _put_batch(self) -> None:
-        count = min(len(self._waiting), _BATCH_RECORDS)
-        batch = [self._waiting.popleft() for _ in range(count)]
+        count = min(len(self._pending), _BATCH_RECORDS)
+        batch = [self._pending.popleft() for _ in range(count)]
         bills = tuple(record for record, _ in batch)
         self._sequence += 1
         key = f"{KEY_PREFIX}{self._incarnation}/{self._sequence:08d}"
@@ -184,8 +185,8 @@
         in_doubt = False
         while True:
             try:
-                # False means that a try whose answer was lost has done it:
-                # nobody else uses a key with our incarnation.
+                # False means that an earlier put, whose reply was lost, has
+                # stored it: no other instance uses this incarnation's keys.
                 await self._objects.put_if_absent(key, content)
                 return True
             except failures.NotDoneError:
@@ -194,12 +195,12 @@
             except failures.OutcomeUnknownError:
                 in_doubt = True
             await self._clock.sleep(_RETRY_PAUSE * (1 + self._random.random()))
-            await self._budget.take()
+            await self._budget.acquire()
 
     async def _recover_one(self, key: str) -> bool:
         """Moves one object's bills to the log; False if the log refuses."""
         content = await self._objects.get(key)
-        # An object that is not there was moved before, by a sweep.
+        # A missing object has already been moved, by a sweep.
         if content is not None:
             bills = records.decode_bills(content).records
             appended = await asyncio.gather(
@@ -213,13 +214,13 @@
     async def _recover_forever(self) -> None:
         while True:
             await self._clock.sleep(
-                _RECOVER_EVERY * (1 + self._random.random())
+                _RECOVERY_INTERVAL * (1 + self._random.random())
             )
             await self.recover()
 
     async def _sweep_forever(self) -> None:
         while True:
-            await self._clock.sleep(_SWEEP_EVERY)
-            if self._may_sweep() and not self._table_health.is_out:
+            await self._clock.sleep(_SWEEP_INTERVAL)
+            if self._should_sweep() and not self._table_health.is_out:
                 with contextlib.suppress(failures.PlatformError):
                     await self.sweep()
--- a/src/nutmeghook/internal/ledger/partition.py
+++ b/src/nutmeghook/internal/ledger/partition.py
@@ -1,9 +1,9 @@
-"""The holder's side of one partition: takes requests, commits, answers.
+"""The holder's side of one partition: decides, commits and answers requests.
 
-Requests wait until the next commit and are decided in their order. Nothing is
-answered before all that the answer rests on is durable: a holder killed
-between commit and reply has recorded what its successor reads back, and a
-repeated request gets the same answer there.
+Requests queue for the next commit and are decided in order. A request is
+answered only when the state that its answer depends on is durable: if the
+holder is killed between commit and reply, its successor reads the same state
+back, and a repeated request gets the same answer there.
 """
 
 import asyncio
@@ -25,18 +25,18 @@
 from nutmeghook.internal.ledger import settings as settings_module
 from nutmeghook.internal.ledger import store_health
 
-_RETRY_TAKE_OVER = datetime.timedelta(milliseconds=300)
+_TAKE_OVER_RETRY_PAUSE = datetime.timedelta(milliseconds=300)
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 # Batches replayed before other tasks get a turn during a take-over.
 _REPLAY_BATCHES = 50
-_FOLDS_AT_ONCE = 8
+_MAX_OBJECTS_PER_PASS = 8
 
 _STORE_OUT = records.Refused(reason=records.RefusalReason.STORE_OUT)
 _FULL = records.Refused(reason=records.RefusalReason.FULL)
 
 
-class _Waiting:
-    """A request and whoever waits for its result."""
+class _PendingRequest:
+    """A queued request and the future of its result."""
 
     __slots__ = ("decision", "reply", "request")
 
@@ -48,18 +48,18 @@
         )
 
     def answer_bytes(self) -> int:
-        """Returns the size of the answer to keep, if there is one."""
+        """Returns the size of the answer to keep; 0 if there is none."""
         if not isinstance(self.request, records.FinishRecord):
             return 0
         answer = self.request.answer
         return len(answer.body) if answer and answer.body else 0
 
     def answer(self, result: records.Result) -> None:
-        """Answers with a result that nothing rests on."""
+        """Answers with a result that depends on no record."""
         self.resolve(index_module.Decision(result=result))
 
     def resolve(self, decision: index_module.Decision) -> None:
-        """Answers with a decision whose grounds are durable."""
+        """Answers with a decision; the state it depends on is durable."""
         if not self.reply.done():
             self.reply.set_result(decision)
 
@@ -114,7 +114,7 @@
             per_s=settings.writes_per_s / settings.partitions,
             burst=settings.burst_writes,
         )
-        self._queue: collections.deque[_Waiting] = collections.deque()
+        self._queue: collections.deque[_PendingRequest] = collections.deque()
         self._log: log_module.PartitionLog | None = None
         self._index: index_module.PartitionIndex | None = None
         self._token: int | None = None
@@ -136,9 +136,9 @@
     async def append(
         self, requests: list[records.Request]
     ) -> list[records.Result]:
-        """Decides requests and makes durable what has to be."""
-        waiting = [self._admit(request) for request in requests]
-        return [await self._result(item) for item in waiting]
+        """Decides requests and commits their records."""
+        pending = [self._admit(request) for request in requests]
+        return [await self._result(item) for item in pending]
 
     async def run(self) -> None:
         """Serves the partition whenever the lease is held, until cancelled."""
@@ -149,38 +149,38 @@
                 await self._serve()
             except failures.PlatformError:
                 await self._clock.sleep(
-                    _RETRY_TAKE_OVER * (1 + self._random.random())
+                    _TAKE_OVER_RETRY_PAUSE * (1 + self._random.random())
                 )
                 self._wake.set()
 
-    async def tidy(self) -> None:
-        """Moves old bills to the object store, so that rows can be reused."""
+    async def archive_old_rows(self) -> None:
+        """Archives old bills, so that their rows can be reused."""
         if self._index is None:
             return
         now_ms = self._now_ms()
         self._index.expire(now_ms=now_ms)
         before_ms = now_ms - self._settings.window // _MILLISECOND
-        for _ in range(_FOLDS_AT_ONCE):
-            if not await self._fold(before_ms):
+        for _ in range(_MAX_OBJECTS_PER_PASS):
+            if not await self._archive_rows(before_ms):
                 return
 
-    async def _fold(self, before_ms: int) -> bool:
-        """Moves one object's worth of bills; returns whether it did."""
+    async def _archive_rows(self, before_ms: int) -> bool:
+        """Archives one object of bills; returns whether it did."""
         log = self._log
         if log is None or self._health.is_out:
             return False
         rows = log.rows_before(
-            before_ms=before_ms, limit=self._settings.fold_records
+            before_ms=before_ms, limit=self._settings.archive_records
         )
         if not rows:
             return False
-        kept = await self._archive.keep(self._partition, rows)
+        archived = await self._archive.archive(self._partition, rows)
         if self._log is log:
-            log.free(kept)
-        return kept > 0
+            log.free(archived)
+        return archived > 0
 
     async def stop(self, *, timeout: datetime.timedelta) -> None:
-        """Finishes what waits, then hands the partition over."""
+        """Answers queued requests, then releases the lease."""
         give_up_at = self._clock.monotonic() + timeout
         while self._queue and self._clock.monotonic() < give_up_at:
             await self._clock.sleep(timeout / 20)
@@ -188,9 +188,9 @@
         self._refuse_queue(self._not_holder())
         await self._lease.release()
 
-    def _admit(self, request: records.Request) -> _Waiting:
-        """Answers at once what needs no commit; queues the rest."""
-        item = _Waiting(request)
+    def _admit(self, request: records.Request) -> _PendingRequest:
+        """Answers a request that needs no commit; queues any other."""
+        item = _PendingRequest(request)
         if not self.is_serving:
             if self._lease.last_token() is None:
                 self._lease.wake()
@@ -212,21 +212,22 @@
         self, request: records.Request
     ) -> index_module.Decision | None:
         if isinstance(request, records.FinishRecord):
-            # Nearly always new: decided once, with its commit.
+            # Nearly always new, so it is decided only with its commit.
             return None
-        if self._index.touches_staged(request):
+        if self._index.depends_on_staged(request):
             return None
         decision = self._index.decide(request, now_ms=self._now_ms())
         if decision.record is not None:
             return None
-        # Most results could be out of date if another instance has taken the
-        # partition over. Some can't: a pin, a finished request. Those are
-        # given from memory during an outage of the table service too.
-        if decision.lasting or self._lease.fencing_token() is not None:
+        # Most results may be stale if another instance has taken the
+        # partition over. Final ones, such as a pin or a finished request,
+        # can't be, so they are answered from memory even during an outage of
+        # the table service.
+        if decision.is_final or self._lease.fencing_token() is not None:
             return decision
         return None
 
-    async def _result(self, item: _Waiting) -> records.Result:
+    async def _result(self, item: _PendingRequest) -> records.Result:
         decision = await item.reply
         if not decision.answer_row:
             return decision.result
@@ -241,7 +242,7 @@
     async def _read_answer(
         self, row_key: str, claim: records.ClaimRecord
     ) -> ledger.KeptAnswer | None:
-        """Reads a kept answer back; the index holds no answers."""
+        """Reads a kept answer from its row; the index holds none."""
         row = await self._table.read(row_key)
         if row is None:
             return None
@@ -256,7 +257,7 @@
 
     async def _serve(self) -> None:
         if self._lease.last_token() != self._token:
-            self._drop()
+            self._discard_state()
         if self._lease.last_token() is None:
             return
         if self._index is None:
@@ -264,15 +265,15 @@
         while self._queue and self._token == self._lease.last_token():
             await self._commit_next()
 
-    def _drop(self) -> None:
-        """Forgets everything: the partition is another's now."""
+    def _discard_state(self) -> None:
+        """Discards the partition's state; another instance holds it now."""
         self._index = None
         self._log = None
         self._token = None
         self._refuse_queue(self._not_holder())
 
     async def _take_over(self, token: int) -> None:
-        """Reads the log; until that is done, nothing is answered here."""
+        """Reads the log; requests are answered only once that is done."""
         log = log_module.PartitionLog(
             partition=self._partition,
             token=token,
@@ -303,9 +304,9 @@
             self._token = token
 
     async def _commit_next(self) -> None:
-        """Decides what waits, commits it as one row, and answers."""
-        # What arrives during this wait still goes into the commit.
-        await self._log.may_commit()
+        """Decides queued requests, commits them as one row, and answers."""
+        # Requests that arrive during this wait join the commit.
+        await self._log.wait_to_commit()
         batch = self._take_batch()
         row = self._log.next_row()
         now_ms = self._now_ms()
@@ -318,17 +319,18 @@
                     item.decision.record, row_key=row.key, written_ms=now_ms
                 )
         try:
-            # With nothing to store, a commit may still have to prove that
-            # this is the holder: the results rest on that.
+            # Without a valid lease, even an empty batch is committed: it
+            # proves that this is still the holder, on which the results
+            # depend.
             if stored or self._lease.fencing_token() is None:
                 await self._log.commit(tuple(stored), written_ms=now_ms)
                 self.commits += 1
         except log_module.LostPartitionError:
-            self._index.drop_staged()
+            self._index.discard_staged()
             _answer_all(batch, self._not_holder())
             self._wake.set()
         except log_module.StoreOutError:
-            self._index.drop_staged()
+            self._index.discard_staged()
             _answer_all(batch, _STORE_OUT)
             self._refuse_queue(_STORE_OUT)
         else:
@@ -336,8 +338,8 @@
             for item in batch:
                 item.resolve(item.decision)
 
-    def _take_batch(self) -> list[_Waiting]:
-        batch: list[_Waiting] = []
+    def _take_batch(self) -> list[_PendingRequest]:
+        batch: list[_PendingRequest] = []
         size_bytes = 0
         while (
             self._queue
@@ -364,7 +366,7 @@
 
 
 def _answer_all(
-    items: collections.abc.Iterable[_Waiting], result: records.Result
+    items: collections.abc.Iterable[_PendingRequest], result: records.Result
 ) -> None:
     for item in items:
         item.answer(result)
--- a/src/nutmeghook/internal/ledger/service.py
+++ b/src/nutmeghook/internal/ledger/service.py
@@ -1,4 +1,4 @@
-"""All partitions of one instance, and the handler for other instances."""
+"""All partitions of one instance, and the handler of peers' requests."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 from nutmeghook.internal.ledger import records
 
 LEASE_PREFIX = "ledger/"
-_TIDY_EVERY = datetime.timedelta(seconds=5)
+_ARCHIVE_INTERVAL = datetime.timedelta(seconds=5)
 
 
 def lease_name(partition: int) -> str:
@@ -36,15 +36,15 @@
 
     @property
     def writers(self) -> tuple[partition_module.PartitionWriter, ...]:
-        """One for each partition, held or not."""
+        """One writer for each partition, held or not."""
         return self._writers
 
     def held(self) -> int:
-        """How many partitions this instance writes now."""
+        """How many partitions this instance serves now."""
         return sum(writer.is_serving for writer in self._writers)
 
     def register(self, handlers: peers.PeerHandlers) -> None:
-        """Takes requests from other instances."""
+        """Registers the handler of requests from other instances."""
         handlers.register(ttypes.LedgerAppend, self.handle)
 
     async def handle(self, message: ttypes.LedgerAppend) -> peers.Message:
@@ -72,10 +72,10 @@
             for writer in self._writers:
                 group.create_task(writer.run())
                 group.create_task(writer.lease.run())
-            group.create_task(self._tidy())
+            group.create_task(self._archive_forever())
 
     async def drain(self, *, timeout: datetime.timedelta) -> None:
-        """Finishes what waits and hands every partition over at once."""
+        """Answers queued requests, then releases all leases in parallel."""
         await asyncio.gather(
             *(self._stop(writer, timeout) for writer in self._writers)
         )
@@ -85,12 +85,12 @@
         writer: partition_module.PartitionWriter,
         timeout: datetime.timedelta,
     ) -> None:
-        # Where the store does not answer, the lease lapses by itself.
+        # If the store does not answer, the lease expires by itself.
         with contextlib.suppress(failures.PlatformError):
             await writer.stop(timeout=timeout)
 
-    async def _tidy(self) -> None:
+    async def _archive_forever(self) -> None:
         while True:
-            await self._clock.sleep(_TIDY_EVERY)
+            await self._clock.sleep(_ARCHIVE_INTERVAL)
             for writer in self._writers:
-                await writer.tidy()
+                await writer.archive_old_rows()
--- a/src/nutmeghook/internal/ledger/settings.py
+++ b/src/nutmeghook/internal/ledger/settings.py
@@ -4,17 +4,18 @@
 
 import msgspec
 
-_MOST_KEPT_BYTES = 16_384
+_MAX_KEPT_BYTES = 16_384
 
 
 class LedgerSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """How the ledger spreads, bounds and keeps its records.
+    """How the ledger partitions, limits and retains its records.
 
     Attributes:
         partitions: Logs that the ledger is split into; fixed for the life
             of the stored rows.
         writes_per_s: Commits a second that all partitions together may make.
-        burst_writes: Commits that a partition may make at once after a rest.
+        burst_writes: Commits that a partition may make at once when its write
+            budget is full.
         window: How long claims, answers and pins are kept.
         minted_window: How long a repeated bill of a request without a
             caller's key is recognised by the holder.
@@ -24,8 +25,9 @@
         max_batch: Records in one commit.
         max_batch_bytes: Size at which a commit takes no further answers.
         kept_answer_bytes: The largest answer that is kept for retries.
-        fold_records: Bills that are moved to the object store together.
-        store_timeout: The most to wait for a call to the platform's stores.
+        archive_records: Bills after which an archive object takes no further
+            row; also the most rows in one.
+        store_timeout: Timeout of a call to the platform's stores.
         failures_to_out: Calls that fail in a row before a store counts as
             out.
         probe_every: Time between probes of a store that is out.
@@ -33,10 +35,10 @@
             make while bills go to the object store.
         max_unsettled: Bills and claims in doubt that an instance may hold;
             beyond, it takes no new work.
-        call_timeout: The most to wait for a partition's holder.
+        call_timeout: Timeout of a call to a partition's holder.
         append_patience: How long a bill waits for the table service before
             it goes to the object store.
-        pin_cache_entries: Session pins that an instance remembers.
+        pin_cache_entries: Session pins that an instance caches.
     """
 
     partitions: int = 16
@@ -49,7 +51,7 @@
     max_batch: int = 2_000
     max_batch_bytes: int = 1_000_000
     kept_answer_bytes: int = 16_384
-    fold_records: int = 2_000
+    archive_records: int = 2_000
     store_timeout: datetime.timedelta = datetime.timedelta(seconds=2)
     failures_to_out: int = 3
     probe_every: datetime.timedelta = datetime.timedelta(milliseconds=500)
@@ -68,7 +70,7 @@
             "max_pending",
             "max_batch",
             "max_batch_bytes",
-            "fold_records",
+            "archive_records",
             "overflow_writes_per_s",
             "max_unsettled",
         ):
@@ -76,10 +78,10 @@
                 raise ValueError(
                     f"{name} is {getattr(self, name)}; give more than 0"
                 )
-        if not 0 <= self.kept_answer_bytes <= _MOST_KEPT_BYTES:
+        if not 0 <= self.kept_answer_bytes <= _MAX_KEPT_BYTES:
             raise ValueError(
                 f"kept_answer_bytes is {self.kept_answer_bytes}; give 0 to "
-                f"{_MOST_KEPT_BYTES}: many share one message"
+                f"{_MAX_KEPT_BYTES}: many share one message"
             )
         if self.window < datetime.timedelta(minutes=1):
             raise ValueError(
--- a/src/nutmeghook/internal/relay/home_regions.py
+++ b/src/nutmeghook/internal/relay/home_regions.py
@@ -5,11 +5,11 @@
 from nutmeghook.internal.relay import job as job_module
 from nutmeghook.internal.replicas import entries
 
-_Test = Callable[[entries.ReplicaEntry], bool]
+_Predicate = Callable[[entries.ReplicaEntry], bool]
 
 
 class HomeRegions:
-    """Keeps requests with home regions on replicas there.
+    """Restricts requests with home regions to replicas there.
 
     Args:
         region_of: Returns a data centre's region; None if it is not known.
@@ -20,8 +20,8 @@
     def __init__(self, *, region_of: Callable[[str], str | None]):
         self._region_of = region_of
 
-    def restrict(self, job: job_module.Job, accepts: _Test) -> _Test:
-        """Returns the test, restricted to replicas in the home regions."""
+    def restrict(self, job: job_module.Job, accepts: _Predicate) -> _Predicate:
+        """Returns the predicate, restricted to replicas in the home regions."""
         homes = homes_of(job)
         if homes is None:
             return accepts
--- a/src/nutmeghook/internal/replicas/directory.py
+++ b/src/nutmeghook/internal/replicas/directory.py
@@ -19,11 +19,11 @@
 from nutmeghook.internal.table_replication import shared_table
 
 # Entries expire while the store is unreachable and are written again within two
-# seconds of its return. Until then, and 200 ms, a missing entry proves nothing.
+# seconds of its return. A missing entry proves nothing until 200 ms after that.
 LAPSE_GRACE = datetime.timedelta(milliseconds=2200)
 
 # Messages give ages in whole milliseconds and without the network delay, so a
-# report that comes back from a peer may look this much newer than it is.
+# report that a peer sends back may look this much newer than it is.
 _AGE_ERROR = datetime.timedelta(milliseconds=20)
 # Replicas whose last start is remembered, also after they are gone: more than
 # twice the largest fleet, at 100 bytes each.
@@ -34,7 +34,7 @@
 
 
 class ReplicaDirectory(shared_table.DeletionGrace):
-    """Replicas by service. Entries come from the list, in any order.
+    """Replicas by service. Entries come from the replica list, in any order.
 
     Attributes:
         known: The list was read at least once.
@@ -195,11 +195,11 @@
         replica.note_cold(now + left)
 
     def recently_reported(
-        self, most: int, *, age: datetime.timedelta
+        self, max_count: int, *, age: datetime.timedelta
     ) -> list[replica_module.Replica]:
         """Returns the replicas with the latest load reports."""
         oldest = self._clock.monotonic() - age
-        found = itertools.islice(reversed(self._reported.values()), most)
+        found = itertools.islice(reversed(self._reported.values()), max_count)
         return [replica for replica in found if replica.report.at >= oldest]
 
     def begin_prefill(
@@ -221,9 +221,9 @@
         ):
             del self._with_backlog[replica_id]
 
-    def with_own_backlog(self, most: int) -> list[replica_module.Replica]:
+    def with_own_backlog(self, max_count: int) -> list[replica_module.Replica]:
         """Returns replicas with a backlog of this instance."""
-        return list(itertools.islice(self._with_backlog.values(), most))
+        return list(itertools.islice(self._with_backlog.values(), max_count))
 
     def backlog(
         self, replica: replica_module.Replica
@@ -292,10 +292,11 @@
             self.note_cold(known, datetime.timedelta(seconds=entry.cold_left_s))
 
     def reject(self, replica_id: str) -> None:
-        """Drops a replica whose entry is invalid.
+        """Drops a replica at once, also while deletions are held back.
 
-        Such a row may no longer be of the replica that first wrote it. A live
-        replica writes its row again within seconds.
+        Its entry is invalid, outdated or replaced, so the row may not be of the
+        replica that first wrote it. A live replica writes its row again within
+        seconds.
         """
         if replica_id in self._by_id:
             self._forget(replica_id)
--- a/src/nutmeghook/internal/version_plans/baseline.py
+++ b/src/nutmeghook/internal/version_plans/baseline.py
@@ -12,8 +12,8 @@
 # A version may fail this share of its requests more than the stable version and
 # still count as good, since other faults hit its replicas too.
 TOLERATED_BEYOND_BASELINE = 0.05
-# The baseline's share of bad answers is estimated from few answers, so it is
-# tolerated times this factor.
+# The baseline's share of bad answers is estimated from few answers, so this
+# multiple of it is tolerated.
 BASELINE_FACTOR = 1.6
 # Prior for the baseline's share of bad answers: bad answers, and all answers.
 _PRIOR_BAD = 0.6
@@ -24,8 +24,8 @@
 # route and model: bad versions are several times slower, and prompts of one
 # route differ by a factor of two to three in length.
 SLOW_FACTOR = 4.0
-# It also has to take this part of the route's target: a fifth of it more or
-# less harms no caller, whatever the factor.
+# It also has to take this part of the route's target: a shorter answer harms no
+# caller, whatever the factor.
 SLOW_FRACTION_OF_TARGET = 0.2
 # Weight of each answer in the exponentially weighted mean of log-durations.
 _DURATION_WEIGHT = 0.05
@@ -64,7 +64,7 @@
     Attributes:
         model: Answers of one route and model take about as long.
         duration_s: Seconds from sending to the first sign of the answer.
-        target_s: Answers within this many seconds have their full worth.
+        target_s: Answers within this many seconds have their full utility.
     """
 
     route: str
@@ -82,10 +82,10 @@
 class BaselineAnswers:
     """Durations and failures of the stable version's answers."""
 
-    __slots__ = ("_answers", "_bad", "_count", "_log")
+    __slots__ = ("_answers", "_bad", "_count", "_mean_log")
 
     def __init__(self):
-        self._log: dict[str, float] = {}
+        self._mean_log: dict[str, float] = {}
         self._count: dict[str, int] = {}
         self._answers: dict[str, float] = {}
         self._bad: dict[str, float] = {}
@@ -94,16 +94,16 @@
         """Adds an answer of the stable version."""
         bad = self.is_bad(answer)
         for route in (answer.route, ALL_ROUTES):
-            fade = 1.0 - 1.0 / _BASELINE_MEMORY_ANSWERS
-            self._answers[route] = self._answers.get(route, 0.0) * fade + 1.0
-            self._bad[route] = self._bad.get(route, 0.0) * fade + bad
+            decay = 1.0 - 1.0 / _BASELINE_MEMORY_ANSWERS
+            self._answers[route] = self._answers.get(route, 0.0) * decay + 1.0
+            self._bad[route] = self._bad.get(route, 0.0) * decay + bad
         if answer.failed:
             return
         value = math.log(max(answer.duration_s, 1e-3))
         count = self._count.get(answer.kind, 0)
-        mean = self._log.get(answer.kind, value)
+        mean = self._mean_log.get(answer.kind, value)
         weight = max(_DURATION_WEIGHT, 1.0 / (count + 1))
-        self._log[answer.kind] = mean + weight * (value - mean)
+        self._mean_log[answer.kind] = mean + weight * (value - mean)
         self._count[answer.kind] = count + 1
 
     def is_bad(self, answer: ObservedAnswer) -> bool:
@@ -114,7 +114,7 @@
             return False
         if answer.duration_s < SLOW_FRACTION_OF_TARGET * answer.target_s:
             return False
-        baseline_s = math.exp(self._log[answer.kind])
+        baseline_s = math.exp(self._mean_log[answer.kind])
         return answer.duration_s > SLOW_FACTOR * baseline_s
 
     def tolerated_share(self, route: str) -> float:
@@ -154,7 +154,10 @@
         self._count[kind] = count + 1
 
     def deviation(self, kind: str, pace_s: float) -> float | None:
-        """Returns by how many standard deviations a pace is slower, or None."""
+        """Returns by how many standard deviations a pace is slower.
+
+        None while there are too few answers of its kind.
+        """
         if self._count.get(kind, 0) < _MIN_BASELINE_ANSWERS:
             return None
         spread = max(_MIN_PACE_DEVIATION, math.sqrt(self._variance[kind]))
--- a/src/nutmeghook/standins/users_replica.py
+++ b/src/nutmeghook/standins/users_replica.py
@@ -1,7 +1,7 @@
-"""A replica of the users' platform, with its faults, on a real socket.
+"""A replica of the users' platform with fault injection, on a real socket.
 
-It writes its bytes by hand: wrong framing, a second answer or a reset in the
-middle are what it is for, and no library sends those.
+It writes HTTP itself, because no library sends wrong framing, a second answer
+or a reset within an answer.
 """
 
 import asyncio
@@ -13,17 +13,18 @@
 from nutmeghook.platform import headers
 from nutmeghook.standins import loopback_host
 
-# More than a listener with the shortest queue holds.
-_FILLS_QUEUE = 3
+# More connections than a listener with a backlog of 0 accepts.
+_QUEUE_FILLERS = 3
 _NO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class SeenRequest:
-    """A request as it arrived, and the connection it came on.
+class ReceivedRequest:
+    """A request as it was received.
 
     Attributes:
-        arrived_s: In the event loop's time.
+        connection: Number of the connection, counted from 1.
+        arrived_s: Time of arrival on the event loop's clock.
     """
 
     method: str
@@ -35,7 +36,7 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id of the request."""
+        """The request id that the caller sent; empty if none."""
         return self.headers.get(headers.REQUEST_ID.lower(), "")
 
 
@@ -44,23 +45,23 @@
     """What the replica does with one request.
 
     Attributes:
-        status: Of the answer.
-        body: Of a whole answer; ignored if there are events.
-        events: Numbers of the events of a stream.
-        after: The stream begins after the caller's last event, if it names
-            one; else with the first of `events`.
-        sealed: The answer bears the seal.
-        not_run: It says that the request was not run.
-        confidence: Of the model.
-        framed: The length is told, or chunks are used.
-        send_bytes: Break off after so many bytes of the body.
-        reset: Break off by a reset and not by closing.
-        crash: The replica ends for everybody where the answer breaks off.
-        answer_id: Another request's id instead of the echo.
-        extra: Bytes after the whole answer.
-        silent: No byte is sent until the caller leaves.
-        pause_s: Before each event.
-        stall_after: No byte follows this many events until the caller leaves.
+        status: Status of the answer.
+        body: Body of a whole answer; ignored if there are events.
+        events: Numbers of the events of a stream. It starts after the caller's
+            last event if the request names one.
+        sealed: The answer carries the seal.
+        not_run: The answer states that the request was not run.
+        confidence: The model's confidence in the answer.
+        framed: The answer has a content length or is chunked.
+        send_bytes: The answer ends after so many bytes of the body.
+        reset: It ends by a connection reset instead of a close.
+        crash: It ends by a crash of the replica.
+        answer_id: Another request's id instead of the echoed one.
+        extra: Bytes that follow the whole answer.
+        silent: No byte is sent until the caller closes the connection.
+        pause_s: Pause before each event.
+        stall_after: No byte follows this many events until the caller closes
+            the connection.
     """
 
     status: int = 200
@@ -81,22 +82,23 @@
 
 
 def event(number: int) -> bytes:
-    """Returns the whole event of a number."""
+    """Returns the bytes of the event with a number."""
     return b"id: %d\ndata: part %d\n\n" % (number, number)
 
 
 class StandInReplica:
-    """Answers by a list of replies, the last of them for all that follow.
+    """Answers requests with a list of replies; the last one repeats.
 
     Attributes:
-        address: Where it listens.
-        seen: The requests that arrived.
-        ran: The ids of those that it began to work on.
-        left: Requests whose caller left before the end of the answer.
-        crashes: The bodies of the requests that it ended under.
-        noticed: Set whenever `left` grows.
-        arrived: Set whenever `seen` grows.
-        crashed: Set once it has ended under a request.
+        address: Address at which it listens, as `ip:port`.
+        received: The requests that it received.
+        ran: The ids of the requests that it began to run.
+        abandoned: The ids of requests whose caller disconnected before the
+            end of the answer.
+        crashes: The bodies of the requests that crashed it.
+        request_abandoned: Set whenever `abandoned` grows.
+        request_received: Set whenever `received` grows.
+        crashed: Set once it has crashed or stopped; `restart` clears it.
     """
 
     __slots__ = (
@@ -107,22 +109,22 @@
         "_tasks",
         "_unreachable_sockets",
         "_writers",
+        "abandoned",
         "address",
-        "arrived",
         "crashed",
         "crashes",
-        "left",
-        "noticed",
         "ran",
+        "received",
         "replica_id",
-        "seen",
+        "request_abandoned",
+        "request_received",
     )
 
     def __init__(
         self,
         *,
         replica_id: str,
-        decide: Callable[[SeenRequest], Reply] | None = None,
+        decide: Callable[[ReceivedRequest], Reply] | None = None,
     ):
         self.replica_id = replica_id
         self._decide = decide or self._next_reply
@@ -133,20 +135,20 @@
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: list[asyncio.Task] = []
         self.address = ""
-        self.seen: list[SeenRequest] = []
+        self.received: list[ReceivedRequest] = []
         self.ran: list[str] = []
-        self.left: list[str] = []
-        self.noticed = asyncio.Event()
-        self.arrived = asyncio.Event()
+        self.abandoned: list[str] = []
+        self.request_abandoned = asyncio.Event()
+        self.request_received = asyncio.Event()
         self.crashed = asyncio.Event()
         self.crashes: list[bytes] = []
 
     def reply_from(self, replies: list[Reply]) -> None:
-        """Takes replies from a list that it may share with others."""
+        """Takes replies from a list that replicas may share."""
         self._replies = replies
 
-    def decide_by(self, decide: Callable[[SeenRequest], Reply]) -> None:
-        """Takes each reply from a function of the request."""
+    def decide_by(self, decide: Callable[[ReceivedRequest], Reply]) -> None:
+        """Computes each reply from the request."""
         self._decide = decide
 
     async def start(self) -> None:
@@ -161,14 +163,14 @@
         self.address = f"{host}:{port}"
 
     def refuse_connections(self) -> None:
-        """Refuses new connections, as one that leaves does; works on."""
+        """Refuses new connections, as when draining, and keeps open ones."""
         self._server.close()
 
     def become_unreachable(self) -> None:
-        """Answers no attempt to connect, as a machine without power does.
+        """Lets attempts to connect time out, as a machine without power does.
 
-        Connections that are open stay so. A listener whose queue is full has
-        the system drop what comes next.
+        Open connections stay open. The system drops connection attempts to a
+        listener whose accept queue is full.
         """
         self._server.close()
         host, _, port = self.address.rpartition(":")
@@ -177,14 +179,14 @@
         listener.bind((host, int(port)))
         listener.listen(0)
         self._unreachable_sockets.append(listener)
-        for _ in range(_FILLS_QUEUE):
+        for _ in range(_QUEUE_FILLERS):
             waiting = socket.socket()
             waiting.setblocking(False)
             waiting.connect_ex((host, int(port)))
             self._unreachable_sockets.append(waiting)
 
     def crash(self) -> None:
-        """Ends for everybody on it, as a process does."""
+        """Stops listening and aborts all connections, as a crash does."""
         self.crashed.set()
         self._server.close()
         for unreachable in self._unreachable_sockets:
@@ -192,15 +194,15 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    async def come_back(self, *, replica_id: str) -> None:
-        """Listens at the old address after a crash, as another start."""
+    async def restart(self, *, replica_id: str) -> None:
+        """Listens at the old address after a crash, with a new id."""
         host, _, port = self.address.rpartition(":")
         self.replica_id = replica_id
         self.crashed.clear()
         await self._listen(host, int(port))
 
     async def stop(self) -> None:
-        """Stops listening and breaks all connections, as a crash does."""
+        """Crashes and waits for the tasks of its connections."""
         self.crash()
         await asyncio.gather(*self._tasks)
 
@@ -226,8 +228,8 @@
         connection: int,
     ) -> bool:
         request = await _read_request(reader, connection)
-        self.seen.append(request)
-        self.arrived.set()
+        self.received.append(request)
+        self.request_received.set()
         reply = self._decide(request)
         expected = request.headers.get(headers.EXPECTED_REPLICA.lower())
         if expected != self.replica_id:
@@ -237,28 +239,28 @@
         try:
             if reply.silent:
                 await reader.read(1)
-                self._note_left(request)
+                self._record_abandoned(request)
                 return False
             return await self._answer(reply, request, reader, writer)
         except ConnectionError:
-            # A caller that leaves with unread bytes resets the connection.
-            self._note_left(request)
+            # A caller that closes a connection with unread bytes resets it.
+            self._record_abandoned(request)
             raise
 
-    def _next_reply(self, request: SeenRequest) -> Reply:
+    def _next_reply(self, request: ReceivedRequest) -> Reply:
         reply = self._replies[0]
         if len(self._replies) > 1:
             self._replies.pop(0)
         return reply
 
-    def _note_left(self, request: SeenRequest) -> None:
-        self.left.append(request.request_id)
-        self.noticed.set()
+    def _record_abandoned(self, request: ReceivedRequest) -> None:
+        self.abandoned.append(request.request_id)
+        self.request_abandoned.set()
 
     async def _answer(
         self,
         reply: Reply,
-        request: SeenRequest,
+        request: ReceivedRequest,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
@@ -267,10 +269,10 @@
         for number, piece in enumerate(_pieces(reply, request)):
             if number == reply.stall_after:
                 await reader.read(1)
-                self._note_left(request)
+                self._record_abandoned(request)
                 return False
-            if reply.pause_s and await _left_within(reader, reply.pause_s):
-                self._note_left(request)
+            if reply.pause_s and await _closed_within(reader, reply.pause_s):
+                self._record_abandoned(request)
                 return False
             if reply.send_bytes is not None:
                 piece = piece[: reply.send_bytes - sent]
@@ -282,7 +284,7 @@
                     self.crashes.append(request.body)
                     self.crash()
                 else:
-                    break_off(writer, reset=reply.reset)
+                    close_connection(writer, reset=reply.reset)
                 return False
         if _is_chunked(reply):
             writer.write(b"0\r\n\r\n")
@@ -293,7 +295,7 @@
 
 async def _read_request(
     reader: asyncio.StreamReader, connection: int
-) -> SeenRequest:
+) -> ReceivedRequest:
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").split("\r\n")
     method, target, _ = first.split(" ")
@@ -303,7 +305,7 @@
         if separator:
             fields[name.lower()] = value.strip()
     body = await reader.readexactly(int(fields.get("content-length", "0")))
-    return SeenRequest(
+    return ReceivedRequest(
         method=method,
         target=target,
         headers=fields,
@@ -313,7 +315,7 @@
     )
 
 
-def _head(reply: Reply, request: SeenRequest) -> bytes:
+def _head(reply: Reply, request: ReceivedRequest) -> bytes:
     lines = [f"HTTP/1.1 {reply.status} Stand-in"]
     lines.append(
         f"{headers.REQUEST_ID}: {reply.answer_id or request.request_id}"
@@ -335,7 +337,7 @@
     return bool(reply.events) and reply.framed
 
 
-def _pieces(reply: Reply, request: SeenRequest) -> list[bytes]:
+def _pieces(reply: Reply, request: ReceivedRequest) -> list[bytes]:
     if not reply.events:
         return [reply.body]
     last = int(request.headers.get(headers.LAST_EVENT.lower(), "-1"))
@@ -346,7 +348,7 @@
     return b"%x\r\n%s\r\n" % (len(piece), piece) if piece else b""
 
 
-async def _left_within(reader: asyncio.StreamReader, pause_s: float) -> bool:
+async def _closed_within(reader: asyncio.StreamReader, pause_s: float) -> bool:
     """Waits; returns whether the caller closed the connection meanwhile."""
     try:
         async with asyncio.timeout(pause_s):
@@ -355,8 +357,8 @@
         return False
 
 
-def break_off(writer: asyncio.StreamWriter, *, reset: bool) -> None:
-    """Closes a connection, by a reset where asked."""
+def close_connection(writer: asyncio.StreamWriter, *, reset: bool) -> None:
+    """Closes a connection, optionally by a reset."""
     raw = writer.get_extra_info("socket")
     if reset:
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
--- a/tests/cover/test_entry_start.py
+++ b/tests/cover/test_entry_start.py
@@ -1,4 +1,4 @@
-"""An instance that has only just started."""
+"""The HTTP entry of an instance that has just started."""
 
 import aiohttp
 
@@ -12,18 +12,17 @@
 from tests.cover import test_entry_http
 
 
-class FirstMomentsTest(test_entry_http.HTTPCase):
+class BeforeConfigurationTest(test_entry_http.HTTPCase):
     """Before the first configuration has arrived."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.fixture.config.current = documents.EMPTY_SNAPSHOT
 
-    async def test_a_good_token_is_not_called_unknown(self):
-        """The platform starts a new instance; the balancer sends it a request
-        before its first configuration has come. Every token is unknown to it
-        then. A caller told "bad token" would give up for good on a request
-        that any other instance serves; it must be told to come back.
+    async def test_valid_token_is_not_rejected_before_configuration(self):
+        """The load balancer sends a request before the first configuration
+        has arrived, when every token is unknown. `BAD_TOKEN` would make the
+        caller give up, so it must get a retryable error.
         """
         response = await self.session.post(
             test_entry_http.CHAT, json=test_entry_http.QUESTION
@@ -33,7 +32,7 @@
         response = await self.session.get("/v1/models")
         await self.assert_coded(response, codes.Code.STALE_CONFIG)
 
-    async def test_a_wrong_token_is_told_once_there_is_a_configuration(self):
+    async def test_wrong_token_is_rejected_after_configuration(self):
         self.fixture.config.current = fake_config.snapshot()
         response = await self.session.post(
             test_entry_http.CHAT,
@@ -43,9 +42,9 @@
         await self.assert_coded(response, codes.Code.BAD_TOKEN)
 
     async def test_not_ready_before_load_reports_are_in(self):
-        """A new instance knows two of twelve engines so far. If the balancer
-        sent it requests, all would go to these two, whose queues would last
-        for minutes; so /readyz fails until enough is known.
+        """A new instance knows two of twelve engines so far and would send
+        all requests to these two, whose queues would last for minutes. So
+        /readyz must fail until enough are known.
         """
         self.fixture.config.current = fake_config.snapshot()
         knows = False
--- a/tests/cover/test_history_checks.py
+++ b/tests/cover/test_history_checks.py
@@ -1,4 +1,4 @@
-"""Every check of a run can fail: a seeded defect for each rule is caught."""
+"""Every check of a run detects a seeded defect."""
 
 import random
 import unittest
@@ -42,7 +42,7 @@
 
 
 def evidence_of(works, **changes):
-    """A faultless run's evidence, with what a test changes in it."""
+    """Returns the evidence of a faultless run, with a test's changes."""
     answered = [w for w in works if w.answers]
     fields = {
         "works": works,
@@ -56,7 +56,7 @@
             for w in answered
         ],
         "bills": [
-            checks.BillSeen(
+            checks.ObservedBill(
                 request_id=f"req-{w.marker}", team=w.team, key=w.key
             )
             for w in answered
@@ -72,7 +72,7 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """One seeded defect a rule, and none where nothing is wrong."""
+    """One seeded defect for each rule, and none in a faultless run."""
 
     @hypothesis.given(strategies.integers(0, 2**32), strategies.integers(1, 40))
     def test_a_faultless_run_has_no_violation(self, seed, count):
@@ -113,14 +113,16 @@
         twice = evidence_of([one_work("a")], runs=[run, again])
         self.assertEqual(rules_broken(twice), {checks.Rule.RAN_TWICE})
         refused = one_try("a", outcome=history.TryOutcome.NOT_RUN)
-        lied = evidence_of([one_work("a", refused)], runs=[run])
-        self.assertEqual(rules_broken(lied), {checks.Rule.FALSE_NOT_RUN})
+        false_refusal = evidence_of([one_work("a", refused)], runs=[run])
+        self.assertEqual(
+            rules_broken(false_refusal), {checks.Rule.FALSE_NOT_RUN}
+        )
 
     def test_bills_missing_and_doubled(self):
         missing = evidence_of([one_work("a")], bills=[])
         self.assertEqual(rules_broken(missing), {checks.Rule.BILL_MISSING})
-        bill = checks.BillSeen(request_id="req-a", team="t", key="key-a")
-        other = checks.BillSeen(request_id="req-b", team="t", key="key-a")
+        bill = checks.ObservedBill(request_id="req-a", team="t", key="key-a")
+        other = checks.ObservedBill(request_id="req-b", team="t", key="key-a")
         for second in (bill, other):
             twice = evidence_of([one_work("a")], bills=[bill, second])
             self.assertEqual(rules_broken(twice), {checks.Rule.BILLED_TWICE})
--- a/tests/cover/test_ledger_returns.py
+++ b/tests/cover/test_ledger_retry_after.py
@@ -1,4 +1,4 @@
-"""When callers that a store outage turned away are told to come back."""
+"""The retry delay of callers refused during a store outage."""
 
 import asyncio
 import datetime
@@ -12,11 +12,11 @@
 from nutmeghook.internal.ledger import store_health
 from nutmeghook.internal.observe import events
 
-REFUSED = 400
+REFUSED_CALLERS = 400
 
 
-async def never_answers():
-    """Probes a store that stays out."""
+async def probe_never_answers():
+    """Stands for the probe of a store that stays out."""
 
 
 def health_of(clock):
@@ -26,38 +26,37 @@
         events=events.EventRing(clock=clock),
         rng=random.Random(1),
         failures_to_out=1,
-        probe=never_answers,
+        probe=probe_never_answers,
         probe_every=datetime.timedelta(seconds=1),
     )
 
 
-class ReturnsTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     @hypothesis.given(strategies.integers(4, 3600))
-    def test_returns_thin_out_and_spread_as_an_outage_lasts(self, age_s):
-        """The table service is out for an hour. Every refused caller was told
-        to come back after one second, so at the planned peak the refused of
-        many seconds came back in each. They must be told later the longer it
-        lasts, never all the same moment, and never after the bound: the store
-        may be back any time.
+    def test_retry_after_grows_and_spreads_as_an_outage_lasts(self, age_s):
+        """With a fixed retry delay of one second, the callers refused over
+        many seconds of an outage would all retry in each second. The delay
+        must grow with the outage's age, be spread, and stay bounded, as the
+        store may be back at any time.
         """
         clock = clock_module.FakeClock()
         health = health_of(clock)
-        health.note_failure()
+        health.record_failure()
         asyncio.run(clock.advance(datetime.timedelta(seconds=age_s)))
-        waits = [health.come_back_after() for _ in range(REFUSED)]
+        waits = [health.suggested_retry_after() for _ in range(REFUSED_CALLERS)]
         least = min(
-            store_health.LONGEST_RETURN, datetime.timedelta(seconds=age_s / 2)
+            store_health.MAX_RETRY_AFTER, datetime.timedelta(seconds=age_s / 2)
         )
         self.assertGreaterEqual(min(waits), least)
-        self.assertLessEqual(max(waits), store_health.LONGEST_RETURN * 1.5)
+        self.assertLessEqual(max(waits), store_health.MAX_RETRY_AFTER * 1.5)
         self.assertGreater(max(waits) - min(waits), least / 4)
 
-    def test_a_store_that_is_back_holds_nobody_off(self):
+    def test_retry_after_is_short_once_the_store_is_back(self):
         clock = clock_module.FakeClock()
         health = health_of(clock)
-        health.note_failure()
+        health.record_failure()
         asyncio.run(clock.advance(datetime.timedelta(minutes=10)))
-        health.note_success()
+        health.record_success()
         self.assertLessEqual(
-            health.come_back_after(), store_health.SHORTEST_RETURN * 1.5
+            health.suggested_retry_after(), store_health.MIN_RETRY_AFTER * 1.5
         )
--- a/tests/cover/test_platform_engine.py
+++ b/tests/cover/test_platform_engine.py
@@ -42,7 +42,7 @@
             return [chunk async for chunk in chunks]
 
     async def order(self, kind: str, token: int, **more: str):
-        """Gives an order about the second version."""
+        """Sends an order for the second version."""
         return await self.engine.order(
             engine.Order(
                 order_id=f"{kind}-{token}",
@@ -68,7 +68,7 @@
                 seen.append(chunk)
         tokens = sum(chunk.tokens for chunk in seen)
         seen += await self.read(resume_at_token=tokens)
-        answer = answers.read_answer("".join(chunk.text for chunk in seen))
+        answer = answers.parse_answer("".join(chunk.text for chunk in seen))
         self.assertTrue(answer.whole)
         self.assertEqual((answer.marker, answer.bad), ("w1", False))
         self.assertIs(seen[-1].finish, engine.FinishReason.STOP)
@@ -88,16 +88,16 @@
             messages=(engine.Message(role="user", content="marker=w2"),),
         )
         self.assertEqual({c.attempt_id for c in chunks}, {"req-2/1"})
-        answer = answers.read_answer("".join(c.text for c in chunks))
+        answer = answers.parse_answer("".join(c.text for c in chunks))
         self.assertEqual((answer.marker, answer.whole), ("w2", True))
 
     async def test_a_chunk_of_another_attempt_is_recognised(self):
         await self.control("engine", "settings", crossed_next_streams=1)
         chunks = await self.read()
-        strange = [c for c in chunks if c.attempt_id != "req-1/1"]
-        self.assertEqual(len(strange), 1)
+        foreign = [c for c in chunks if c.attempt_id != "req-1/1"]
+        self.assertEqual(len(foreign), 1)
         with self.assertRaises(answers.DamagedAnswerError):
-            answers.read_answer("".join(c.text for c in chunks))
+            answers.parse_answer("".join(c.text for c in chunks))
 
     async def test_whole_streams_share_one_connection(self):
         """Ten consecutive generations use one connection."""
--- a/tests/cover/test_relay_fallback.py
+++ b/tests/cover/test_relay_fallback.py
@@ -32,7 +32,7 @@
         left = list(acts)
 
         def decide_at(replica):
-            def decide(_: users_replica.SeenRequest) -> Reply:
+            def decide(_: users_replica.ReceivedRequest) -> Reply:
                 act = left.pop(0) if len(left) > 1 else left[0]
                 return act(replica)
 
@@ -62,7 +62,7 @@
         move, or the stream is cut.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.spend_all(but=3)
 
         def become_unreachable(replica) -> Reply:
@@ -75,7 +75,7 @@
         self.answer_in_turn(become_unreachable, refuse)
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(self.seen()), 4)
+        self.assertEqual(len(self.received_requests()), 4)
 
     async def test_a_reserved_attempt_counts_for_the_next_move(self):
         """A begun stream moves to a replica that stays silent. One retry is
@@ -118,7 +118,7 @@
             patched.start()
             self.addCleanup(patched.stop)
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.directory.put(self.entry(first, version="v2"))
         self.spend_all(but=2)
 
@@ -129,7 +129,7 @@
         self.answer_in_turn(refuse)
         answer = await self.answer_of(asking)
         self.assertFalse(relay_fixture.is_complete(answer))
-        self.assertEqual(len(first.seen), 1)
+        self.assertEqual(len(first.received), 1)
 
     async def test_a_reservation_serves_elsewhere_if_the_fallback_leaves(self):
         """A begun stream's replica is abandoned and then starts leaving, as at
@@ -137,7 +137,7 @@
         is cut unless the reserved retry may be used at another replica.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.spend_all(but=2)
 
         def refuse(_) -> Reply:
@@ -147,18 +147,18 @@
         self.answer_in_turn(refuse, lambda _: Reply(events=EVENTS))
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(first.seen), 1)
-        self.assertEqual(len(self.seen()), 3)
+        self.assertEqual(len(first.received), 1)
+        self.assertEqual(len(self.received_requests()), 3)
         self.assertLess(self.budgets.budget_for("service").remaining(), 1)
 
     async def test_the_fallback_is_used_if_no_other_replica_is_listed(self):
         """A begun stream is moved, the next replica refuses, and all but the
         first disappear from the list. The first one's version gets no new
-        requests but is in full use. The stream is cut unless it falls back to
-        it.
+        requests but is the stable one. The stream is cut unless it falls back
+        to it.
         """
         asking = await self.begun()
-        (first,) = [r for r in self.replicas if r.seen]
+        (first,) = [r for r in self.replicas if r.received]
         self.directory.put(self.entry(first, version="v2"))
         patched = mock.patch.object(
             view.AnyVersion,
@@ -177,7 +177,7 @@
         self.answer_in_turn(refuse, lambda _: Reply(events=EVENTS))
         answer = await self.answer_of(asking)
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
-        self.assertEqual(len(first.seen), 2)
+        self.assertEqual(len(first.received), 2)
 
 
 class FallbackReleaseTest(driven_relay.BegunStreamCase, FallbackCase):
@@ -186,7 +186,7 @@
     replica_count = 8
 
     async def moved(self) -> float:
-        """Has a begun stream moved to a replica that then stays silent.
+        """Moves a begun stream to a replica that then stays silent.
 
         Returns:
             What is left of the budget with the one attempt paid for.
@@ -202,7 +202,7 @@
             self.asking = await self.begun()
         before = self.budgets.budget_for("service").remaining()
         self.answer_in_turn(lambda _: Reply(silent=True))
-        while len(self.seen()) < 2:
+        while len(self.received_requests()) < 2:
             await self.clock.advance(driven_relay.STEP)
             await asyncio.sleep(0.001)
         self.assertEqual(
@@ -225,12 +225,12 @@
         (silent,) = [
             replica
             for replica in self.replicas
-            if replica.seen and not replica.left
+            if replica.received and not replica.abandoned
         ]
         self.asking.cancel()
         self.writer.close()
         async with asyncio.timeout(5):
-            await silent.noticed.wait()
+            await silent.request_abandoned.wait()
         await fakes.settle()
         self.assertEqual(self.listener.in_flight, 0)
         self.assertEqual(
@@ -277,7 +277,9 @@
         )
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         name = headers.MODEL.lower()
-        asked = sorted((s.arrived_s, s.headers[name]) for s in self.seen())
+        asked = sorted(
+            (s.arrived_s, s.headers[name]) for s in self.received_requests()
+        )
         self.assertEqual(
             [model_name for _, model_name in asked], ["small", "large", "small"]
         )
@@ -328,7 +330,8 @@
         )
         self.assertEqual(relay_fixture.events_of(answer), WHOLE)
         asked = sorted(
-            (s.arrived_s, s.headers[headers.MODEL.lower()]) for s in self.seen()
+            (s.arrived_s, s.headers[headers.MODEL.lower()])
+            for s in self.received_requests()
         )
         self.assertEqual(
             [name for _, name in asked], ["small", "large", "large", "small"]
@@ -366,7 +369,7 @@
                     )
                 )
             )
-        self.assertEqual(len(self.seen()), 3)
+        self.assertEqual(len(self.received_requests()), 3)
         self.assertEqual(keys[0], keys[-1])
 
 
--- a/tests/cover/test_relay_parts.py
+++ b/tests/cover/test_relay_parts.py
@@ -51,7 +51,7 @@
 
 
 class WindowBudgetTest(unittest.IsolatedAsyncioTestCase):
-    async def test_repeats_stay_under_the_ratio_in_every_window(self):
+    async def test_retries_stay_under_the_ratio_in_every_window(self):
         """Requests come steadily and each asks for two retries. No span as long
         as the window may have more retries than the ratio of its requests plus
         the burst.
@@ -161,8 +161,8 @@
 
     def test_a_stale_load_report_fades_to_the_baseline(self):
         """One replica reported itself full some seconds ago, another empty.
-        Both reports are stale, so both replicas count as loaded as usual,
-        instead of everything going to the one reported empty.
+        Both reports are stale, so both replicas count with the baseline load,
+        and not everything goes to the one reported empty.
         """
         for number in (1, 2, 3):
             self.directory.put(entry(number, slots=64))
--- a/tests/cover/test_relay_revoked_access.py
+++ b/tests/cover/test_relay_revoked_access.py
@@ -1,9 +1,9 @@
 """Requests under way whose key is revoked or whose route is removed.
 
-The fault guarded against: a begun stream's replica pauses, the relay reserves
-another replica and a retry, abandons the one at work, and only then checks
-route and key again. With the key revoked, the further attempt is denied, and
-the stream is cut in the middle though its replica was at work.
+Guards against a check that comes too late: a begun stream's replica pauses, the
+relay reserves another replica and a retry, abandons the pausing one, and only
+then checks route and key again. With the key revoked, the further attempt is
+denied, and the stream is cut though its replica could have completed it.
 """
 
 import asyncio
@@ -26,33 +26,33 @@
     async def test_a_begun_stream_is_not_cut_when_its_key_is_revoked(self):
         """The caller has two events when its key is revoked. Its replica then
         falls silent, and another one is asked to resume. The stream was
-        admitted with a valid key, so it goes on to its end.
+        admitted with a valid key, so it is completed.
         """
         asking = await self.begun()
         self.revoke_key()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_replica_becomes_unreachable(self):
+    async def test_a_begun_stream_survives_an_unreachable_replica(self):
         """The same, but the replica answers no attempt to connect, and is
         abandoned long before the limit for silence.
         """
         asking = await self.begun()
-        (unreachable,) = [r for r in self.replicas if r.seen]
+        (unreachable,) = [r for r in self.replicas if r.received]
         unreachable.become_unreachable()
         self.revoke_key()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_replica_breaks_off(self):
+    async def test_a_begun_stream_survives_a_crash_of_its_replica(self):
         """The same, but the replica crashes, so the relay does not choose to
         move.
         """
         asking = await self.begun()
         self.revoke_key()
-        (crashed,) = [r for r in self.replicas if r.seen]
+        (crashed,) = [r for r in self.replicas if r.received]
         await crashed.stop()
         await self.assert_goes_on(asking)
 
-    async def test_nor_when_its_route_is_removed(self):
+    async def test_a_begun_stream_survives_the_removal_of_its_route(self):
         """The operator removes the route of a stream that has begun."""
         asking = await self.begun()
         self.put_in_force(
@@ -61,7 +61,7 @@
         await self.assert_goes_on(asking)
 
     async def test_a_new_request_with_a_revoked_key_is_denied(self):
-        """Requests admitted before go on; those that come after are refused."""
+        """Requests admitted before are completed; later ones are refused."""
         asking = await self.begun()
         self.revoke_key()
         denied = await self.ask(STREAM, request_id="request-2")
@@ -91,7 +91,7 @@
             )
         )
         await self.assert_goes_on(asking)
-        self.assertEqual(self.other.seen, [])
+        self.assertEqual(self.other.received, [])
 
 
 class PendingAnswersTest(driven_relay.DrivenRelayCase):
@@ -99,7 +99,7 @@
         """Replies in turn, and acts as the first request arrives."""
         left = list(replies)
 
-        def decide(_: users_replica.SeenRequest) -> users_replica.Reply:
+        def decide(_: users_replica.ReceivedRequest) -> users_replica.Reply:
             if len(left) == len(replies):
                 act()
             return left.pop(0) if len(left) > 1 else left[0]
@@ -157,7 +157,7 @@
         await self.clock.advance(4 * relay_fixture.SECOND)
         answer = await asking
         self.assertEqual(relay_fixture.body_of(answer), b"at last")
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
     async def test_a_replicas_own_failure_is_not_replaced_by_a_refusal(self):
         """A replica fails a stream before its first event, and all others
@@ -182,7 +182,7 @@
         )
         answer = await self.answer_of(self.ask_later(IDEMPOTENT))
         self.assertEqual(relay_fixture.status_of(answer), 401)
-        self.assertEqual(len(self.seen()), 1)
+        self.assertEqual(len(self.received_requests()), 1)
 
 
 if __name__ == "__main__":
--- a/tests/cover/test_suspect_gossip.py
+++ b/tests/cover/test_suspect_gossip.py
@@ -16,7 +16,7 @@
 REQUEST = b"r" * 16
 SECOND = datetime.timedelta(seconds=1)
 SMALL, LARGE = 7, 420
-# Time within which an instance that comes back has to learn of a quarantine.
+# Time within which an instance that missed updates learns of a quarantine.
 LEARNT_WITHIN_S = 3.0
 
 
@@ -87,7 +87,7 @@
                 REQUEST, replica_hash=number, begun=True
             )
 
-    async def test_crashes_seen_by_three_instances_are_known_to_all(self):
+    async def test_crashes_noticed_by_three_instances_are_known_to_all(self):
         """Copies of a request come to three instances and crash one replica
         each. No instance has noticed more than one crash, and the next copy
         comes to a fourth.
--- a/tests/ledger_history.py
+++ b/tests/ledger_history.py
@@ -1,9 +1,9 @@
-"""Random runs of three instances under faults, and the check of each run.
+"""Random runs of three instances under faults, with checks of each run.
 
-One run is a seed: callers on random instances claim keys, run, finish,
-release or lose sight, retry on other instances and ask for pins, while
-instances are killed, frozen and cut off and both stores misbehave. Then all
-faults end, and the history is checked against what must always hold.
+A run is determined by its seed: callers on random instances claim keys, run,
+finish, release or lose the outcome, retry on other instances and request pins,
+while instances are killed, frozen and partitioned and both stores have faults.
+Then all faults end, and the history is checked against the invariants.
 """
 
 import asyncio
@@ -23,19 +23,19 @@
 _NAMES = "abc"
 _KEYS = 12
 _SESSIONS = 4
-# Keys and sessions are used for so many steps, which is less than the window.
+# Steps for which keys and sessions are used; they take less than the window.
 _EPOCH_STEPS = 80
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class History:
-    """What callers saw in one run, and what was wrong with it.
+    """What callers observed in one run, and the violations found.
 
     Attributes:
         runs: For each key, the tries that were sent to a backend server.
-        finishing: Keys whose bill was handed over.
-        finished: Keys whose bill was said to be durable.
-        pinned: For each session, the versions that callers were given.
+        finishing: Keys whose bill was passed to the ledger.
+        finished: Keys whose bill was reported durable.
+        pinned: For each session, the versions that callers received.
     """
 
     operations: int = 0
@@ -51,7 +51,7 @@
     violations: list[str] = dataclasses.field(default_factory=list)
 
     def check(self, billed: list[str]) -> None:
-        """Adds what is wrong with the finished run."""
+        """Adds the violations of the finished run."""
         counts = collections.Counter(billed)
         wrong = [
             *(f"{k} ran {len(t)} times" for k, t in self.runs.items() if t[1:]),
@@ -91,11 +91,11 @@
         for step in range(steps):
             self._epoch = step // _EPOCH_STEPS
             if self.random.random() < 0.25:
-                self._do_fault()
+                self._inject_fault()
             else:
-                self._do_operation()
+                self._start_operation()
             await self.cluster.pass_time(self.random.randint(1, 400) * _MS)
-        await self._calm_down()
+        await self._settle()
         self.history.check(await self.cluster.billed())
         await self.cluster.stop()
         return self.history
@@ -104,7 +104,7 @@
         self.cluster.start(name)
         self._tasks[name] = set()
 
-    def _do_operation(self) -> None:
+    def _start_operation(self) -> None:
         names = sorted(self.cluster.instances)
         if not names:
             return
@@ -123,7 +123,7 @@
         self._tasks[name].add(task)
         task.add_done_callback(self._tasks[name].discard)
         if self.random.random() < 0.1:
-            # A caller that goes away at any moment.
+            # A caller that disconnects at a random moment.
             asyncio.get_running_loop().call_soon(
                 self._cancel_later, task, self.random.randint(0, 300)
             )
@@ -150,19 +150,19 @@
             self._check_answer(key, result)
         if result.state is not ledger.ClaimState.WON:
             return
-        fate = self.random.random()
-        if fate < 0.2:
+        outcome = self.random.random()
+        if outcome < 0.2:
             await instance.client.release(identity, request_id=request_id)
             return
         self.history.runs[key].append(request_id)
-        await self._run_for_a_while(instance)
-        if fate < 0.3:
+        await self._run_request(instance)
+        if outcome < 0.3:
             await instance.client.mark_unknown(identity, request_id=request_id)
             return
         await self._finish(instance, key, request_id, given=True)
 
     async def _minted(self, instance, key: str) -> None:
-        await self._run_for_a_while(instance)
+        await self._run_request(instance)
         await self._finish(instance, key, key, given=False)
 
     async def _finish(self, instance, key, request_id, *, given) -> None:
@@ -181,7 +181,7 @@
             return
         self.history.finished.add(key)
 
-    async def _run_for_a_while(self, instance) -> None:
+    async def _run_request(self, instance) -> None:
         clock = self.cluster.network.clock_of(instance.address)
         await clock.sleep(self.random.randint(1, 3000) * _MS)
 
@@ -211,7 +211,7 @@
         if body.decode() not in self.history.runs[key]:
             self.history.violations.append(f"{key} got a foreign answer")
 
-    def _do_fault(self) -> None:
+    def _inject_fault(self) -> None:
         self.history.faults += 1
         self.random.choice(
             [
@@ -219,9 +219,9 @@
                 self._freeze,
                 self._thaw,
                 self._cut,
-                self._mistake,
+                self._hide_member,
                 self._heal,
-                self._lose,
+                self._lose_messages,
                 self._make_late,
                 self._toggle_table,
                 self._toggle_objects,
@@ -263,7 +263,7 @@
     def _cut(self) -> None:
         self.cluster.network.cut(self._some_address(), self._some_address())
 
-    def _mistake(self) -> None:
+    def _hide_member(self) -> None:
         viewer, viewed = self.random.sample(_NAMES, 2)
         self.cluster.hidden.add((f"{viewer}:1", f"{viewed}:1"))
 
@@ -271,7 +271,7 @@
         self.cluster.hidden.clear()
         self.cluster.network.heal_all()
 
-    def _lose(self) -> None:
+    def _lose_messages(self) -> None:
         faults = self._some_store().faults
         faults.lose_next_answers = self.random.randint(0, 3)
         faults.lose_next_requests = self.random.randint(0, 2)
@@ -312,8 +312,8 @@
             store.faults.lose_next_answers = 0
             store.faults.lose_next_requests = 0
 
-    async def _calm_down(self) -> None:
-        """Ends all faults and gives everything the time to settle."""
+    async def _settle(self) -> None:
+        """Ends all faults and waits until everything has settled."""
         self._end_faults()
         await self.cluster.pass_time(40 * _SECOND)
 
--- a/tests/whole/test_openai_system.py
+++ b/tests/whole/test_openai_system.py
@@ -1,4 +1,4 @@
-"""The unmodified openai client against stand-ins and a real instance."""
+"""The unmodified openai client with a real instance and stand-ins."""
 
 import asyncio
 import pathlib
@@ -24,7 +24,7 @@
                 self._scenario(pathlib.Path(folder))
             )
         for text in (whole, streamed):
-            seen = answers.read_answer(text)
+            seen = answers.parse_answer(text)
             self.assertEqual(seen.marker, "w1")
             self.assertTrue(seen.whole)
         self.assertIn(TEMPLATE, models)
