--- a/bench/plot_balance.py
+++ b/bench/plot_balance.py
@@ -38,10 +38,10 @@
         axes.fill_between(LOAD_SHARES, minima, maxima, alpha=0.12)
     axes.set_yscale("log")
     axes.set_xlabel("load, share of all batches")
-    axes.set_ylabel("p95 wait before a batch, ms")
+    axes.set_ylabel("p95 wait to join a batch, ms")
     axes.set_title(
         "7 routers, 12 replicas, bursts, reports 1 s late\n"
-        "mean, least and most of three seeds",
+        "mean and range of three seeds",
         fontsize=10,
     )
     axes.legend(fontsize=8)
--- a/bench/plot_heavy_days.py
+++ b/bench/plot_heavy_days.py
@@ -104,9 +104,9 @@
                 label=policy,
             )
         queues.set_xlabel("s")
-    grid[0][0].set_ylabel("worth, of what is owed")
+    grid[0][0].set_ylabel("utility / maximum utility")
     grid[1][0].set_ylabel("answered by the largest model")
-    grid[2][0].set_ylabel("requests that wait")
+    grid[2][0].set_ylabel("waiting requests")
     grid[0][0].legend()
     figure.tight_layout()
     file.parent.mkdir(parents=True, exist_ok=True)
--- a/bench/plot_overload.py
+++ b/bench/plot_overload.py
@@ -19,7 +19,7 @@
 OFFERED = (0.5, 1.0, 1.5, 2.0, 3.0)
 SEEDS = (1, 2)
 _TITLES = {
-    "": "fair, limit follows service",
+    "": "fair, adaptive limit",
     "fixed_limit": "fair, fixed limit",
     "fifo": "bounded first-come queue",
     "no_admission": "no admission",
@@ -33,7 +33,7 @@
         values = [_goodput(offered, factory) for offered in OFFERED]
         axes.plot(OFFERED, values, marker="o", label=_TITLES[policy])
     axes.plot(OFFERED, [min(1.0, o) for o in OFFERED], ":", label="possible")
-    axes.set_xlabel("offered load / capacity (returns not counted)")
+    axes.set_xlabel("offered load / capacity (without retries)")
     axes.set_ylabel("answered in time / capacity")
     axes.set_ylim(0, 1.05)
     axes.legend()
--- a/bench/report.py
+++ b/bench/report.py
@@ -29,7 +29,7 @@
     better: Better = Better.LOWER
 
     def is_within_bound(self) -> bool:
-        """Tells whether the value is within its bound."""
+        """Returns whether the value is within its bound."""
         if self.bound is None:
             return True
         if self.better is Better.LOWER:
