--- a/bench/capacity/outages.py
+++ b/bench/capacity/outages.py
@@ -98,7 +98,7 @@
     bills = planned.REQUESTS_PER_S * _HOUR_S
     pause_s = planned.NODES / puts
     free = planned.TABLE_WRITES_PER_S - (
-        planned.REQUESTS_PER_S / _LEDGER.archive_records
+        planned.REQUESTS_PER_S / _LEDGER.fold_records
     )
     probes = planned.NODES / _LEDGER.probe_every.total_seconds()
     refused = planned.REQUESTS_PER_S * planned.KEYED_SHARE
--- a/bench/capacity/platform_load.py
+++ b/bench/capacity/platform_load.py
@@ -127,7 +127,7 @@
         ),
         row(
             "object store: bills of the log, folded",
-            planned.REQUESTS_PER_S / _LEDGER.archive_records,
+            planned.REQUESTS_PER_S / _LEDGER.fold_records,
             "puts/s",
             "8,400 / 2,000 bills an object",
             "ledger/archive",
--- a/src/nutmeghook/internal/ledger/factory.py
+++ b/src/nutmeghook/internal/ledger/factory.py
@@ -191,7 +191,7 @@
         archive = archive_module.BillArchive(
             table=self.table,
             objects=self.objects,
-            batch_records=settings.archive_records,
+            batch_records=settings.fold_records,
         )
         self.service = service_module.LedgerService(
             writers=tuple(
--- a/src/nutmeghook/internal/ledger/partition.py
+++ b/src/nutmeghook/internal/ledger/partition.py
@@ -170,7 +170,7 @@
         if log is None or self._health.is_out:
             return False
         rows = log.rows_before(
-            before_ms=before_ms, limit=self._settings.archive_records
+            before_ms=before_ms, limit=self._settings.fold_records
         )
         if not rows:
             return False
--- a/src/nutmeghook/internal/ledger/settings.py
+++ b/src/nutmeghook/internal/ledger/settings.py
@@ -25,7 +25,7 @@
         max_batch: Records in one commit.
         max_batch_bytes: Size at which a commit takes no further answers.
         kept_answer_bytes: The largest answer that is kept for retries.
-        archive_records: Bills after which an archive object takes no further
+        fold_records: Bills after which an archive object takes no further
             row; also the most rows in one.
         store_timeout: Timeout of a call to the platform's stores.
         failures_to_out: Calls that fail in a row before a store counts as
@@ -51,7 +51,7 @@
     max_batch: int = 2_000
     max_batch_bytes: int = 1_000_000
     kept_answer_bytes: int = 16_384
-    archive_records: int = 2_000
+    fold_records: int = 2_000
     store_timeout: datetime.timedelta = datetime.timedelta(seconds=2)
     failures_to_out: int = 3
     probe_every: datetime.timedelta = datetime.timedelta(milliseconds=500)
@@ -70,7 +70,7 @@
             "max_pending",
             "max_batch",
             "max_batch_bytes",
-            "archive_records",
+            "fold_records",
             "overflow_writes_per_s",
             "max_unsettled",
         ):
--- a/src/nutmeghook/internal/routing/backends.py
+++ b/src/nutmeghook/internal/routing/backends.py
@@ -18,7 +18,7 @@
     OWN_CELL = 0
     OWN_DATA_CENTRE = 1
     OWN_REGION = 2
-    OTHER_REGION = 3
+    ELSEWHERE = 3
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
--- a/src/nutmeghook/internal/routing/cells.py
+++ b/src/nutmeghook/internal/routing/cells.py
@@ -166,7 +166,7 @@
         return backends.Locality.OWN_DATA_CENTRE
     if backend.region == myself.region:
         return backends.Locality.OWN_REGION
-    return backends.Locality.OTHER_REGION
+    return backends.Locality.ELSEWHERE
 
 
 def _rendezvous_hash(salt: str, address: str) -> int:
--- a/src/nutmeghook/internal/routing/pools.py
+++ b/src/nutmeghook/internal/routing/pools.py
@@ -96,4 +96,4 @@
     The whole region shares one ring, so that a session's requests reach the
     same backend server through any of the region's instances.
     """
-    return backend.locality is not backends.Locality.OTHER_REGION
+    return backend.locality is not backends.Locality.ELSEWHERE
--- a/src/nutmeghook/internal/table_replication/pages.py
+++ b/src/nutmeghook/internal/table_replication/pages.py
@@ -32,9 +32,9 @@
     version: int
     deleted: bool = False
     value: bytes = b""
-    # If not 0, `row_deltas` lead from this version to the value.
+    # If not 0, `steps` lead from this version to the value.
     base_version: int = 0
-    row_deltas: list[bytes] = []
+    steps: list[bytes] = []
 
 
 _DECODER = msgspec.msgpack.Decoder(list[_SentRow])
@@ -96,7 +96,7 @@
         key=row.key,
         version=row.version,
         base_version=row_deltas[0].base_version,
-        row_deltas=[row_delta.delta for row_delta in row_deltas],
+        steps=[row_delta.delta for row_delta in row_deltas],
     )
 
 
@@ -116,7 +116,7 @@
         )
     value = former.value
     try:
-        for row_delta in sent.row_deltas:
+        for row_delta in sent.steps:
             value = deltas.apply(value, row_delta)
     except deltas.InvalidDeltaError as error:
         raise InvalidPageError(f"{sent.key}: {error}") from error
