--- a/src/nutmeghook/internal/version_plans/driver.py
+++ b/src/nutmeghook/internal/version_plans/driver.py
@@ -212,7 +212,7 @@
             await self._conclude(
                 order,
                 plan_module.Verdict.GOOD,
-                f"no evidence against the version: {known.bad_count} of"
+                f"nothing speaks against it: {known.bad_count} of"
                 f" {known.answer_count} answers known here were bad",
             )
 
--- a/src/nutmeghook/internal/version_plans/evidence.py
+++ b/src/nutmeghook/internal/version_plans/evidence.py
@@ -236,7 +236,7 @@
             return None
         return (
             f"{self.bad_count} of {self.answer_count} answers were bad at the"
-            " end of the canary"
+            " end of the trial"
         )
 
     def exceeds_tolerance(
@@ -279,8 +279,8 @@
         if total < deviations * (answers * (1.0 + baseline_ratio)) ** 0.5:
             return None
         return (
-            f"{answers} answers were slower than the baseline in"
-            f" {measure.value}, by {total / answers:.1f} standard deviations"
+            f"{answers} answers were slower than usual in {measure.value}, by"
+            f" {total / answers:.1f} standard deviations"
         )
 
     def _add(self, route: str, answers: list[bool], failing: set[str]) -> None:
