--- a/src/nutmeghook/internal/inner/messages.thrift
+++ b/src/nutmeghook/internal/inner/messages.thrift
@@ -205,8 +205,8 @@
   5: optional i32 first_byte,
 }
 
-// A piece of what `following/pages` makes of rows: those that changed, or all
-// of them where the sender keeps too few deletions.
+// A piece of what `table_replication/pages` makes of rows: those that changed,
+// or all of them where the sender keeps too few deletions.
 struct TablePiece {
   1: i64 revision,
   2: bool whole,
